--- a/crates/badgerfield-core/src/poison/crash.rs
+++ b/crates/badgerfield-core/src/poison/crash.rs
@@ -64,12 +64,13 @@
     pub upstream: UpstreamId,
     /// How often it was known to have ended under this request when the request was sent to it: one
     /// that is back, and ends again, has ended twice.
-    #[serde(default)]
+    #[serde(rename = "life", default)]
     pub life: u32,
     /// How certain it is.
     #[serde(default)]
     pub evidence: Evidence,
     /// How many events of the answer the caller had.
+    #[serde(rename = "point")]
     pub point: u64,
     /// Whether the request was served whole since.
     pub cleared: bool,
--- a/crates/badgerfield-core/src/replica_list.rs
+++ b/crates/badgerfield-core/src/replica_list.rs
@@ -27,7 +27,7 @@
     /// Whether it is leaving.
     pub leaving: bool,
     /// When its process started, in milliseconds since 1970; nothing if the list does not tell.
-    #[serde(default)]
+    #[serde(rename = "born", default)]
     pub born: Option<u64>,
 }
 
--- a/crates/badgerfield-core/src/view.rs
+++ b/crates/badgerfield-core/src/view.rs
@@ -91,6 +91,7 @@
     /// All members that decided about keys since that epoch.
     pub deciders: Vec<Decider>,
     /// The doubts of late, oldest first.
+    #[serde(rename = "doubts")]
     pub doubts: Vec<Doubt>,
 }
 
