--- a/crates/badgerfield-core/src/amount.rs
+++ b/crates/badgerfield-core/src/amount.rs
@@ -37,25 +37,25 @@
 
     /// Adds, or returns nothing on overflow.
     #[must_use]
-    pub fn plus(self, other: Self) -> Option<Self> {
+    pub fn checked_add(self, other: Self) -> Option<Self> {
         self.0.checked_add(other.0).map(Self)
     }
 
     /// Subtracts, or returns nothing if `other` is larger.
     #[must_use]
-    pub fn minus(self, other: Self) -> Option<Self> {
+    pub fn checked_sub(self, other: Self) -> Option<Self> {
         self.0.checked_sub(other.0).map(Self)
     }
 
     /// Adds and stops at the largest number.
     #[must_use]
-    pub fn saturating_plus(self, other: Self) -> Self {
+    pub fn saturating_add(self, other: Self) -> Self {
         Self(self.0.saturating_add(other.0))
     }
 
     /// Subtracts and stops at zero.
     #[must_use]
-    pub fn saturating_minus(self, other: Self) -> Self {
+    pub fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
 
@@ -78,7 +78,7 @@
 
 impl std::iter::Sum for Tokens {
     fn sum<I: Iterator<Item = Self>>(iter: I) -> Self {
-        iter.fold(Self::ZERO, Self::saturating_plus)
+        iter.fold(Self::ZERO, Self::saturating_add)
     }
 }
 
@@ -106,9 +106,9 @@
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Rate(pub u64);
+pub struct TokenRate(pub u64);
 
-impl Rate {
+impl TokenRate {
     /// Returns what the rate yields in a span, rounded down.
     #[must_use]
     pub fn over(self, span: Duration) -> Tokens {
@@ -117,7 +117,7 @@
     }
 }
 
-impl fmt::Display for Rate {
+impl fmt::Display for TokenRate {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} tokens/s", self.0)
     }
@@ -139,7 +139,7 @@
 
     /// Returns the largest share that is at most a part from 0 to 1.
     #[must_use]
-    pub fn within(part: f64) -> Self {
+    pub fn from_fraction(part: f64) -> Self {
         let hundredths = part * 100.0 + ROUNDING;
         let share = (0..=100_u32).rev().find(|n| f64::from(*n) <= hundredths);
         Self(share.unwrap_or(0).into())
--- a/crates/badgerfield-core/src/charges.rs
+++ b/crates/badgerfield-core/src/charges.rs
@@ -37,7 +37,7 @@
     }
 
     /// Tells whether a charge waits.
-    pub(crate) fn has(&self, id: ChargeId) -> bool {
+    pub(crate) fn contains(&self, id: ChargeId) -> bool {
         self.open.contains_key(&id)
     }
 
@@ -56,7 +56,7 @@
     }
 
     /// Returns what the arbiters are to be asked.
-    pub(crate) fn asks(&mut self, now: Time) -> Vec<SettleAsk> {
+    pub(crate) fn due_requests(&mut self, now: Time) -> Vec<SettleAsk> {
         let mut asks = Vec::new();
         for entry in self.open.values_mut() {
             if !due(now, entry.sent, RESEND) {
@@ -77,7 +77,7 @@
     }
 
     /// Returns what is to be remembered about a charge that is billed.
-    pub(crate) fn record(&self, id: ChargeId) -> Option<ClaimRecord> {
+    pub(crate) fn claim_record(&self, id: ChargeId) -> Option<ClaimRecord> {
         let note = &self.open.get(&id)?.note;
         Some(ClaimRecord {
             key: note.key,
@@ -91,7 +91,7 @@
     }
 
     /// Ends a charge.
-    pub(crate) fn end(&mut self, id: ChargeId) -> Option<ChargeNote> {
+    pub(crate) fn remove(&mut self, id: ChargeId) -> Option<ChargeNote> {
         self.open.remove(&id).map(|entry| entry.note)
     }
 
--- a/crates/badgerfield-core/src/control/admission.rs
+++ b/crates/badgerfield-core/src/control/admission.rs
@@ -26,13 +26,13 @@
 impl Node {
     /// Returns the account that a secret draws for, if there is one.
     #[must_use]
-    pub fn account_of(&self, secret: &KeyDigest) -> Option<Account> {
+    pub fn find_account(&self, secret: &KeyDigest) -> Option<Account> {
         let (budget, _) = find_budget(&self.board.templates(), secret)?;
         account_name(&budget).parse().ok()
     }
 
     /// Takes in a caller's request.
-    pub(crate) fn arrived(
+    pub(crate) fn handle_request(
         &self,
         now: Time,
         request: RequestId,
@@ -187,6 +187,6 @@
     if output.is_zero() || output > MAX_OUTPUT {
         return Err(bad);
     }
-    let bound = chat.prompt.plus(output).ok_or(bad)?;
+    let bound = chat.prompt.checked_add(output).ok_or(bad)?;
     Ok((bound, output))
 }
--- a/crates/badgerfield-core/src/control/answer.rs
+++ b/crates/badgerfield-core/src/control/answer.rs
@@ -10,7 +10,7 @@
 
 impl Node {
     /// Takes in what an upstream said about an attempt.
-    pub(crate) fn upstream(
+    pub(crate) fn handle_upstream_event(
         &self,
         now: Time,
         attempt: AttemptId,
@@ -55,7 +55,7 @@
     }
 
     /// Takes in that a caller has hung up.
-    pub(crate) fn hung_up(&self, now: Time, request: RequestId, out: &mut Outbox) {
+    pub(crate) fn handle_caller_disconnect(&self, now: Time, request: RequestId, out: &mut Outbox) {
         let (id, attempt) = {
             let mut runs = self.board.runs();
             let Some((id, listening)) = runs.hang_up(request) else {
@@ -132,7 +132,7 @@
         }
         self.board.queue().remove(&run.account, id);
         let mut holdings = self.board.holdings();
-        holdings.withdraw(&run.budget, id);
+        holdings.cancel_request(&run.budget, id);
         if !run.reserved.is_zero() {
             holdings.settle(now, &run.budget, run.period, run.reserved, Tokens::ZERO);
         }
@@ -151,7 +151,7 @@
             let reserved = std::mem::take(&mut run.reserved);
             let mut holdings = self.board.holdings();
             holdings.settle(now, &run.budget, run.period, reserved, reserved);
-            holdings.charge(&run.budget, run.period, reserved, false);
+            holdings.record_charge(&run.budget, run.period, reserved, false);
         }
         self.refuse(now, id, Refusal::unknown(Cause::BrokenOff), out);
     }
@@ -232,7 +232,7 @@
             }
             let before = run.usage.unwrap_or_default().output;
             run.usage = chunk.usage.or(run.usage);
-            let served = run.usage.unwrap_or_default().output.saturating_minus(before);
+            let served = run.usage.unwrap_or_default().output.saturating_sub(before);
             run.push(Content::Data(chunk.data));
             let Stage::Running { upstream, at, started, .. } = &mut run.stage else {
                 return;
--- a/crates/badgerfield-core/src/control/charging.rs
+++ b/crates/badgerfield-core/src/control/charging.rs
@@ -19,7 +19,7 @@
             let mut holdings = self.board.holdings();
             holdings.settle(now, &run.budget, run.period, reserved, cost);
             if run.keyed.is_none() {
-                holdings.charge(&run.budget, run.period, cost, true);
+                holdings.record_charge(&run.budget, run.period, cost, true);
             }
             (self.note_of(id, run, cost), self.bill_of(id, run, cost))
         };
@@ -28,7 +28,7 @@
             return;
         };
         self.board.charges().add(now, note);
-        self.charge_tick(now, out);
+        self.tick_charges(now, out);
     }
 
     fn note_of(&self, id: RunId, run: &Run, cost: Tokens) -> Option<ChargeNote> {
@@ -52,11 +52,11 @@
     }
 
     /// Asks arbiters about charges that are due.
-    pub(crate) fn charge_tick(&self, now: Time, out: &mut Outbox) {
+    pub(crate) fn tick_charges(&self, now: Time, out: &mut Outbox) {
         let (asks, expired) = {
             let mut charges = self.board.charges();
             charges.sweep(now, self.config.remember);
-            (charges.asks(now), charges.expired(now, self.config.remember))
+            (charges.due_requests(now), charges.expired(now, self.config.remember))
         };
         for ask in asks {
             self.ask_settle(now, ask, out);
@@ -81,12 +81,12 @@
             (claims.settle(now, arbiter, &ask, out), claims.epoch())
         };
         if let Some(billed) = billed {
-            self.settled(now, ask.id, epoch, billed, out);
+            self.handle_settle_reply(now, ask.id, epoch, billed, out);
         }
     }
 
     /// Answers a process that asks whether it may bill a key.
-    pub(crate) fn settle_asked(
+    pub(crate) fn handle_settle_request(
         &self,
         now: Time,
         from: Incarnation,
@@ -104,7 +104,7 @@
     }
 
     /// Takes in whether a charge is this process's to bill.
-    pub(crate) fn settled(
+    pub(crate) fn handle_settle_reply(
         &self,
         now: Time,
         id: ChargeId,
@@ -112,7 +112,7 @@
         billed: bool,
         out: &mut Outbox,
     ) {
-        let Some(record) = self.board.charges().record(id) else {
+        let Some(record) = self.board.charges().claim_record(id) else {
             return;
         };
         // What is billed must be remembered here before it is billed.
@@ -123,10 +123,10 @@
     }
 
     fn end_charge(&self, id: ChargeId, billed: bool, out: &mut Outbox) {
-        let Some(note) = self.board.charges().end(id) else {
+        let Some(note) = self.board.charges().remove(id) else {
             return;
         };
-        self.board.holdings().charge(&note.budget, note.period, note.cost, billed);
+        self.board.holdings().record_charge(&note.budget, note.period, note.cost, billed);
         let (account, budget) = (note.account, note.budget);
         let (key, stream, cost) = (Some(note.key), note.stream, note.cost);
         out.push(Order::Bill(Bill { account, budget, key, stream, cost, billed }));
@@ -145,7 +145,7 @@
     }
 
     /// Takes over the charges of a process that ends.
-    pub(crate) fn take_charges(
+    pub(crate) fn take_over_charges(
         &self,
         now: Time,
         from: Incarnation,
@@ -155,14 +155,14 @@
         let ids = notes.iter().map(|note| note.id).collect();
         self.board.charges().take_over(now, notes);
         out.send(from, Message::ChargesTaken(ids));
-        self.charge_tick(now, out);
+        self.tick_charges(now, out);
     }
 
     /// Notes that another process has taken charges over.
-    pub(crate) fn charges_taken(&self, ids: &[ChargeId]) {
+    pub(crate) fn handle_charges_ack(&self, ids: &[ChargeId]) {
         let mut charges = self.board.charges();
         for id in ids {
-            charges.end(*id);
+            charges.remove(*id);
         }
     }
 }
--- a/crates/badgerfield-core/src/control/claiming.rs
+++ b/crates/badgerfield-core/src/control/claiming.rs
@@ -61,7 +61,7 @@
         }
         let verdict = self.board.claims().decide(now, arbiter, &ask, out);
         if let Some(verdict) = verdict {
-            self.claimed(now, arbiter, (ask.key, ask.serial, epoch), verdict, out);
+            self.handle_claim_reply(now, arbiter, (ask.key, ask.serial, epoch), verdict, out);
         }
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// Answers a process that asks for a key.
-    pub(crate) fn claim_asked(
+    pub(crate) fn handle_claim_request(
         &self,
         now: Time,
         from: Incarnation,
@@ -115,7 +115,7 @@
     }
 
     /// Keeps a second copy for an arbiter.
-    pub(crate) fn copy(
+    pub(crate) fn record_claim_backup(
         &self,
         now: Time,
         from: Incarnation,
@@ -130,7 +130,7 @@
     }
 
     /// Grants a claim, or agrees to a charge, once its second copy is kept.
-    pub(crate) fn copied(
+    pub(crate) fn handle_claim_backup_ack(
         &self,
         now: Time,
         from: Incarnation,
@@ -143,13 +143,13 @@
         match settlement {
             None => {}
             Some(Settlement::Granted { owner, epoch, verdict }) if owner == self.id() => {
-                self.claimed(now, owner, (key, serial, epoch), verdict, out);
+                self.handle_claim_reply(now, owner, (key, serial, epoch), verdict, out);
             }
             Some(Settlement::Granted { owner, epoch, verdict }) => {
                 out.send(owner, Message::Claimed { key, serial, epoch, verdict });
             }
             Some(Settlement::Billed { to, id, epoch }) if to == self.id() => {
-                self.settled(now, id, epoch, true, out);
+                self.handle_settle_reply(now, id, epoch, true, out);
             }
             Some(Settlement::Billed { to, id, epoch }) => {
                 out.send(to, Message::Settled { id, epoch, billed: true });
@@ -158,7 +158,7 @@
     }
 
     /// Takes in the arbiter's verdict.
-    pub(crate) fn claimed(
+    pub(crate) fn handle_claim_reply(
         &self,
         now: Time,
         from: Incarnation,
@@ -195,7 +195,7 @@
     }
 
     /// Sends asks again, and ends those that took too long.
-    pub(crate) fn claim_tick(&self, now: Time, out: &mut Outbox) {
+    pub(crate) fn tick_claims(&self, now: Time, out: &mut Outbox) {
         self.board.claims().tick(now, out);
         let (mut again, mut assume, mut late, mut lost, mut more) =
             (vec![], vec![], vec![], vec![], vec![]);
@@ -249,7 +249,7 @@
     }
 
     /// Passes on what a follower lacks.
-    pub(crate) fn attach(
+    pub(crate) fn handle_answer_request(
         &self,
         now: Time,
         from: Incarnation,
@@ -263,7 +263,7 @@
         {
             let mut runs = self.board.runs();
             let charge = ChargeId { owner: self.id(), serial };
-            let settling = self.board.charges().has(charge);
+            let settling = self.board.charges().contains(charge);
             let mine = runs.get_mut(id).filter(|r| r.keyed.as_ref().is_some_and(|k| k.key == key));
             if let Some(run) = mine {
                 let next = usize::try_from(offset).unwrap_or(usize::MAX).min(run.parts.len());
@@ -287,7 +287,13 @@
     }
 
     /// Takes in a part of an answer that another process passes on.
-    pub(crate) fn part(&self, now: Time, from: Incarnation, part: AnswerPart, out: &mut Outbox) {
+    pub(crate) fn receive_answer_part(
+        &self,
+        now: Time,
+        from: Incarnation,
+        part: AnswerPart,
+        out: &mut Outbox,
+    ) {
         let id = {
             let mut runs = self.board.runs();
             let Some(id) = runs.with_key(part.key) else {
@@ -314,7 +320,13 @@
     }
 
     /// Notes that the owner is still at it.
-    pub(crate) fn pending(&self, now: Time, from: Incarnation, key: RequestKey, serial: u64) {
+    pub(crate) fn handle_answer_pending(
+        &self,
+        now: Time,
+        from: Incarnation,
+        key: RequestKey,
+        serial: u64,
+    ) {
         let mut runs = self.board.runs();
         let Some(id) = runs.with_key(key) else {
             return;
@@ -325,7 +337,7 @@
     }
 
     /// Asks the arbiter again, because the owner it named has no such run.
-    pub(crate) fn not_here(
+    pub(crate) fn handle_unknown_request(
         &self,
         now: Time,
         from: Incarnation,
--- a/crates/badgerfield-core/src/control/directory.rs
+++ b/crates/badgerfield-core/src/control/directory.rs
@@ -18,7 +18,7 @@
     /// Returns the VMs that a caller should use, the best first.
     #[must_use]
     pub fn directory(&self, now: Time, secret: Option<&KeyDigest>) -> Vec<Member> {
-        let mut members = self.usable(now);
+        let mut members = self.available_members(now);
         let Some((account, size)) = secret.and_then(|s| self.subset_of(s)) else {
             return members;
         };
--- a/crates/badgerfield-core/src/control/dispatch.rs
+++ b/crates/badgerfield-core/src/control/dispatch.rs
@@ -34,7 +34,7 @@
             (run.account.clone(), run.until)
         };
         self.board.queue().push(&account, Waiting { run: id, until });
-        self.pump(now, out);
+        self.dispatch_queued(now, out);
         let wait = self.board.queue().wait(now, &account, id);
         let patience = until.since(now);
         if let Some(wait) = wait.filter(|wait| *wait > patience) {
@@ -44,7 +44,7 @@
     }
 
     /// Refuses what has waited too long.
-    pub(crate) fn queue_tick(&self, now: Time, out: &mut Outbox) {
+    pub(crate) fn tick_queue(&self, now: Time, out: &mut Outbox) {
         let expired = self.board.queue().expired(now);
         for id in expired {
             self.refuse(now, id, Refusal::not_run(Cause::Overloaded).after(BACK.0), out);
@@ -52,7 +52,7 @@
     }
 
     /// Sends as many waiting requests as upstreams take, in fair order.
-    pub(crate) fn pump(&self, now: Time, out: &mut Outbox) {
+    pub(crate) fn dispatch_queued(&self, now: Time, out: &mut Outbox) {
         let mut blocked = BTreeSet::new();
         loop {
             let heads = self.board.queue().heads();
--- a/crates/badgerfield-core/src/control/evacuations.rs
+++ b/crates/badgerfield-core/src/control/evacuations.rs
@@ -20,7 +20,7 @@
 
 impl Node {
     /// Takes in all that operators have at the platform.
-    pub(crate) fn read_operators(&self, now: Time, found: OperatorValues, out: &mut Outbox) {
+    pub(crate) fn apply_operator_values(&self, now: Time, found: OperatorValues, out: &mut Outbox) {
         let OperatorValues { revision, templates, evacuated, rollouts } = found;
         self.read_orders(now, revision, rollouts, out);
         let turned = self.board.evacuations().learn_all(revision, evacuated);
@@ -32,7 +32,12 @@
     }
 
     /// Takes in what operators changed at the platform.
-    pub(crate) fn operators_changed(&self, now: Time, found: OperatorChanges, out: &mut Outbox) {
+    pub(crate) fn apply_operator_changes(
+        &self,
+        now: Time,
+        found: OperatorChanges,
+        out: &mut Outbox,
+    ) {
         let OperatorChanges { templates, domains, rollouts, .. } = found;
         self.orders_changed(now, rollouts, out);
         let turned = self.board.evacuations().learn(domains);
@@ -44,7 +49,7 @@
     }
 
     /// Takes in what another process tells, and passes it on to its part of the ring.
-    pub(crate) fn evacuation_news(
+    pub(crate) fn receive_evacuation_update(
         &self,
         now: Time,
         from: Incarnation,
@@ -84,7 +89,7 @@
     }
 
     /// Takes in what a neighbour knows, and answers if more is known here.
-    pub(crate) fn evacuations_compared(
+    pub(crate) fn reconcile_evacuations(
         &self,
         from: Incarnation,
         theirs: &[DomainChange],
--- a/crates/badgerfield-core/src/control/members.rs
+++ b/crates/badgerfield-core/src/control/members.rs
@@ -26,12 +26,12 @@
 impl Node {
     /// Returns the members that callers may be sent to.
     #[must_use]
-    pub fn usable(&self, now: Time) -> Vec<Member> {
+    pub fn available_members(&self, now: Time) -> Vec<Member> {
         self.board.members().usable(now)
     }
 
     /// Sends signs of life when they are due.
-    pub(crate) fn beat(&self, now: Time, out: &mut Outbox) {
+    pub(crate) fn tick_heartbeat(&self, now: Time, out: &mut Outbox) {
         let is_due = {
             let members = self.board.members();
             members.news_at.is_some() || due(now, members.beat_at, self.config.pacing.beat)
@@ -75,14 +75,14 @@
     /// Tells whether this process follows the platform's values itself; `heard` is how long
     /// ago it has heard of the list of upstreams.
     #[must_use]
-    pub fn follows(&self, now: Time, heard: Option<Duration>) -> bool {
+    pub fn watches_platform(&self, now: Time, heard: Option<Duration>) -> bool {
         self.board.members().follows(now, heard)
     }
 
     /// Tells whether this process reads whole values from the platform that it knows nothing
     /// of yet; others of its region give it those otherwise.
     #[must_use]
-    pub fn reads_first(&self, now: Time) -> bool {
+    pub fn is_bootstrap_reader(&self, now: Time) -> bool {
         self.board.members().reads_first(now)
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// Takes in a sign of life; asks for what the sender has newer.
-    pub(crate) fn heartbeat(
+    pub(crate) fn handle_heartbeat(
         &self,
         now: Time,
         from: Incarnation,
@@ -140,7 +140,7 @@
     }
 
     /// Sends a member what it lacks.
-    pub(crate) fn fetch(
+    pub(crate) fn handle_fetch(
         &self,
         from: Incarnation,
         epoch: Epoch,
@@ -220,7 +220,7 @@
         };
         self.board.claims().adopt(now, view, out);
         self.board.ledger_writer().forget(gone);
-        self.board.holdings().adopt(now, view, out);
+        self.board.holdings().apply_view(now, view, out);
         out.push(Order::Note(Note::View(view.epoch)));
         if removed {
             out.push(Order::Note(Note::Removed));
@@ -251,7 +251,7 @@
 
     /// Asks a member of the region for the templates and the list of upstreams, while none are
     /// known here; it need not have joined for that.
-    pub(crate) fn ask_first(&self, now: Time, out: &mut Outbox) {
+    pub(crate) fn request_bootstrap(&self, now: Time, out: &mut Outbox) {
         let (has_templates, has_routes) = {
             let templates = self.board.templates();
             (templates.version > Version(0), !templates.routing.routes.is_empty())
@@ -276,7 +276,13 @@
     }
 
     /// Writes a process that asks for it into the view, with others that ask.
-    pub(crate) fn invite(&self, now: Time, from: Incarnation, guest: Member, out: &mut Outbox) {
+    pub(crate) fn handle_join_request(
+        &self,
+        now: Time,
+        from: Incarnation,
+        guest: Member,
+        out: &mut Outbox,
+    ) {
         if guest.incarnation != from {
             return;
         }
@@ -341,7 +347,13 @@
     }
 
     /// Takes in an answer of the key-value service.
-    pub(crate) fn key_value(&self, now: Time, ticket: Ticket, result: KvResult, out: &mut Outbox) {
+    pub(crate) fn handle_store_result(
+        &self,
+        now: Time,
+        ticket: Ticket,
+        result: KvResult,
+        out: &mut Outbox,
+    ) {
         let Some(purpose) = self.board.members().calls.end(ticket) else {
             return;
         };
@@ -353,10 +365,10 @@
             (Purpose::PoisonWrite, result) => self.poison_answered(now, true, result, out),
             (Purpose::Draw(shard), result) => self.ledger_answered(now, shard, result, out),
             (Purpose::Read(KvName::Templates), KvResult::Value(found)) => {
-                self.read_templates(now, &found, out);
+                self.apply_stored_templates(now, &found, out);
             }
             (Purpose::Read(KvName::Templates), KvResult::Operators(found)) => {
-                self.read_operators(now, found, out);
+                self.apply_operator_values(now, found, out);
             }
             (Purpose::Read(KvName::View), KvResult::Value(found)) => {
                 self.read_view(now, &found, out);
--- a/crates/badgerfield-core/src/control/poison.rs
+++ b/crates/badgerfield-core/src/control/poison.rs
@@ -23,7 +23,7 @@
 
 impl Node {
     /// Takes in that an upstream ended while a request of this process was there.
-    pub(crate) fn crashed(&self, now: Time, crash: Crash, out: &mut Outbox) {
+    pub(crate) fn record_crash(&self, now: Time, crash: Crash, out: &mut Outbox) {
         let request = crash.request;
         let news = self.board.poison().saw(now, crash);
         let blocks = news.iter().any(|(_, blocks)| *blocks);
@@ -43,7 +43,7 @@
     }
 
     /// Takes in that a request was served whole which was there when an upstream ended.
-    pub(crate) fn suspect_served(&self, now: Time, request: Fingerprint, out: &mut Outbox) {
+    pub(crate) fn record_suspect_served(&self, now: Time, request: Fingerprint, out: &mut Outbox) {
         let cleared = self.board.poison().served(now, request);
         self.board.poison_record().tell(cleared.iter().cloned());
         self.tell_crashes(now, false, out);
@@ -51,7 +51,7 @@
     }
 
     /// Takes in what another process tells, and passes it on to its part of the ring.
-    pub(crate) fn crash_news(
+    pub(crate) fn receive_crash_update(
         &self,
         now: Time,
         from: Incarnation,
@@ -90,7 +90,7 @@
     }
 
     /// Takes in what a neighbour knows, and answers if more is known here.
-    pub(crate) fn crashes_compared(
+    pub(crate) fn reconcile_crashes(
         &self,
         now: Time,
         from: Incarnation,
@@ -126,7 +126,7 @@
     }
 
     /// Does what is due.
-    pub(crate) fn poison_tick(&self, now: Time, out: &mut Outbox) {
+    pub(crate) fn tick_poison(&self, now: Time, out: &mut Outbox) {
         self.board.poison().sweep(now);
         self.tell_crashes(now, false, out);
         self.call_poison_record(now, out);
--- a/crates/badgerfield-core/src/control/reservations.rs
+++ b/crates/badgerfield-core/src/control/reservations.rs
@@ -2,27 +2,27 @@
 
 use crate::amount::Time;
 use crate::event::{Order, Outbox, ReserveAsk, Settlement};
-use crate::holdings::{Decision, Reserved};
+use crate::holdings::{ReserveDecision, ReserveOutcome};
 use crate::ids::ReservationId;
 use crate::node::Node;
 use crate::refusal::{Cause, Refusal};
 
 impl Node {
     /// Sets tokens aside for a request on a route.
-    pub(crate) fn reserve_for(&self, now: Time, ask: &ReserveAsk, out: &mut Outbox) {
+    pub(crate) fn reserve_for_route(&self, now: Time, ask: &ReserveAsk, out: &mut Outbox) {
         self.learn_terms(now, &ask.budget);
         let waiter = (ask.id.run(), ask.amount, ask.until);
         let reserved = self.board.holdings().reserve(now, &ask.budget, waiter, out);
         match reserved {
-            Reserved::Done(period) => out.push(Order::Reserved(ask.id, Ok(period))),
-            Reserved::Waiting => {}
-            Reserved::Refused(refusal) => out.push(Order::Reserved(ask.id, Err(refusal))),
+            ReserveOutcome::Done(period) => out.push(Order::Reserved(ask.id, Ok(period))),
+            ReserveOutcome::Waiting => {}
+            ReserveOutcome::Refused(refusal) => out.push(Order::Reserved(ask.id, Err(refusal))),
         }
     }
 
     /// Drops a request that waits for tokens.
     pub(crate) fn withdraw(&self, _now: Time, ask: &ReserveAsk, out: &mut Outbox) {
-        if self.board.holdings().withdraw(&ask.budget, ask.id.run()) {
+        if self.board.holdings().cancel_request(&ask.budget, ask.id.run()) {
             let refusal = Refusal::not_run(Cause::Stopping);
             out.push(Order::Reserved(ask.id, Err(refusal)));
         }
@@ -32,12 +32,12 @@
     pub(crate) fn settle_reservation(&self, now: Time, end: &Settlement, _out: &mut Outbox) {
         let mut holdings = self.board.holdings();
         holdings.settle(now, &end.budget, end.period, end.reserved, end.used);
-        holdings.charge(&end.budget, end.period, end.used, true);
+        holdings.record_charge(&end.budget, end.period, end.used, true);
     }
 }
 
 /// Tells a request that waited what became of its wish.
-pub(crate) fn tell(id: ReservationId, decision: &Decision, out: &mut Outbox) {
+pub(crate) fn tell(id: ReservationId, decision: &ReserveDecision, out: &mut Outbox) {
     let result = decision.refusal.map_or(Ok(decision.period), Err);
     out.push(Order::Reserved(id, result));
 }
--- a/crates/badgerfield-core/src/control/rights.rs
+++ b/crates/badgerfield-core/src/control/rights.rs
@@ -6,7 +6,7 @@
 use crate::calls::Purpose;
 use crate::control::reservations;
 use crate::event::{KvResult, Order, Outbox};
-use crate::holdings::Reserved;
+use crate::holdings::ReserveOutcome;
 use crate::ids::{BudgetId, Incarnation, Period, ReservationId, RunId};
 use crate::ledger::{LedgerOp, LedgerReply, shard_of};
 use crate::ledger_writer;
@@ -32,9 +32,9 @@
         self.learn_terms(now, &budget);
         let reserved = self.board.holdings().reserve(now, &budget, (id, bound, until), out);
         match reserved {
-            Reserved::Done(period) => self.reserved(now, id, period, out),
-            Reserved::Waiting => {}
-            Reserved::Refused(refusal) => self.refuse(now, id, refusal, out),
+            ReserveOutcome::Done(period) => self.reserved(now, id, period, out),
+            ReserveOutcome::Waiting => {}
+            ReserveOutcome::Refused(refusal) => self.refuse(now, id, refusal, out),
         }
     }
 
@@ -68,7 +68,7 @@
         out: &mut Outbox,
     ) {
         self.learn_terms(now, &transfer.budget);
-        if self.board.holdings().received(now, from, transfer, out) {
+        if self.board.holdings().receive_transfer(now, from, transfer, out) {
             out.send(from, Message::Transferred { seq: transfer.seq });
         }
     }
@@ -79,14 +79,14 @@
         for item in items {
             self.learn_terms(now, &item.budget);
         }
-        let kept = self.board.holdings().park(from, items);
+        let kept = self.board.holdings().accept_parked(from, items);
         if !kept.is_empty() {
             out.send(from, Message::Parked(kept));
         }
     }
 
     /// Does the regular work of the holdings.
-    pub(crate) fn rights_tick(&self, now: Time, out: &mut Outbox) {
+    pub(crate) fn tick_holdings(&self, now: Time, out: &mut Outbox) {
         self.open_holdings(now);
         self.board.holdings().tick(now, out);
     }
@@ -98,11 +98,11 @@
             return;
         }
         let version = self.board.templates().version;
-        if self.board.holdings().opened == Some(version) {
+        if self.board.holdings().opened_version == Some(version) {
             return;
         }
         let budgets: Vec<_> = self.board.templates().budgets.keys().cloned().collect();
-        self.board.holdings().opened = Some(version);
+        self.board.holdings().opened_version = Some(version);
         if budgets.len() > MAX_OPENED {
             return;
         }
@@ -112,11 +112,11 @@
     }
 
     /// Does what any event may have made due: sends changes, answers waiting runs.
-    pub(crate) fn rights_due(&self, now: Time, out: &mut Outbox) {
+    pub(crate) fn flush_holdings(&self, now: Time, out: &mut Outbox) {
         let (ops, decisions) = {
             let mut holdings = self.board.holdings();
-            holdings.review(now, out);
-            (holdings.ops(now), holdings.decisions())
+            holdings.process_changed(now, out);
+            (holdings.take_due_ops(now), holdings.take_decisions())
         };
         self.send_ops(now, ops, out);
         self.call_ledger(now, out);
@@ -144,7 +144,7 @@
         }
         for (writer, ops) in batches {
             if writer == self.id() {
-                self.draw(now, ops, out);
+                self.handle_ledger_request(now, ops, out);
                 continue;
             }
             out.send(writer, Message::Draw(ops));
@@ -170,7 +170,7 @@
     }
 
     /// Takes in changes that this process is to write.
-    pub(crate) fn draw(&self, now: Time, ops: Vec<LedgerOp>, out: &mut Outbox) {
+    pub(crate) fn handle_ledger_request(&self, now: Time, ops: Vec<LedgerOp>, out: &mut Outbox) {
         let mut refused = Vec::new();
         {
             let mut ledger_writer = self.board.ledger_writer();
@@ -191,7 +191,7 @@
         result: KvResult,
         out: &mut Outbox,
     ) {
-        let replies = self.board.ledger_writer().answered(now, shard, result);
+        let replies = self.board.ledger_writer().handle_result(now, shard, result);
         self.tell(now, replies, out);
         self.call_ledger(now, out);
     }
@@ -204,17 +204,17 @@
         replies: Vec<(BudgetId, Period, LedgerReply)>,
         out: &mut Outbox,
     ) {
-        if replies.iter().any(|(_, _, reply)| *reply == LedgerReply::Down) {
+        if replies.iter().any(|(_, _, reply)| *reply == LedgerReply::StoreUnavailable) {
             self.board.members().note_away(now, from);
         }
         let mut holdings = self.board.holdings();
         for (budget, period, reply) in replies {
-            holdings.drawn(now, &budget, period, &reply, out);
+            holdings.apply_ledger_reply(now, &budget, period, &reply, out);
         }
     }
 
     fn call_ledger(&self, now: Time, out: &mut Outbox) {
-        let calls = self.board.ledger_writer().calls(now);
+        let calls = self.board.ledger_writer().next_calls(now);
         if calls.is_empty() {
             return;
         }
@@ -225,7 +225,7 @@
         }
     }
 
-    fn tell(&self, now: Time, results: Vec<ledger_writer::Result>, out: &mut Outbox) {
+    fn tell(&self, now: Time, results: Vec<ledger_writer::OpResult>, out: &mut Outbox) {
         let mut batches: BTreeMap<Incarnation, Vec<_>> = BTreeMap::new();
         for result in results {
             let reply = (result.budget, result.period, result.reply);
--- a/crates/badgerfield-core/src/control/rollouts.rs
+++ b/crates/badgerfield-core/src/control/rollouts.rs
@@ -58,7 +58,7 @@
     }
 
     /// Takes in what another process tells, and passes it on to its part of the ring.
-    pub(crate) fn rollout_news(&self, now: Time, news: RolloutNews, out: &mut Outbox) {
+    pub(crate) fn receive_rollout_update(&self, now: Time, news: RolloutNews, out: &mut Outbox) {
         if news.reach > 0 {
             for (to, reach) in self.board.members().legs(now, news.reach) {
                 out.send(to, Message::Rollouts(RolloutNews { reach, ..news.clone() }));
@@ -94,7 +94,7 @@
     }
 
     /// Takes in what a neighbour knows, and answers if more is known here.
-    pub(crate) fn rollouts_compared(
+    pub(crate) fn reconcile_rollouts(
         &self,
         now: Time,
         from: Incarnation,
@@ -118,7 +118,12 @@
     }
 
     /// Takes in how requests of this process went, and tells the judges what is due.
-    pub(crate) fn count_rollouts(&self, now: Time, tallies: Vec<RolloutTally>, out: &mut Outbox) {
+    pub(crate) fn record_rollout_tallies(
+        &self,
+        now: Time,
+        tallies: Vec<RolloutTally>,
+        out: &mut Outbox,
+    ) {
         if tallies.is_empty() {
             return;
         }
@@ -127,7 +132,7 @@
     }
 
     /// Does what is due about roll-outs.
-    pub(crate) fn rollout_tick(&self, now: Time, out: &mut Outbox) {
+    pub(crate) fn tick_rollouts(&self, now: Time, out: &mut Outbox) {
         let is_active = self.board.members().is_active();
         {
             let mut table = self.board.rollouts();
--- a/crates/badgerfield-core/src/control/settings.rs
+++ b/crates/badgerfield-core/src/control/settings.rs
@@ -3,14 +3,14 @@
 use crate::amount::Time;
 use crate::event::{Note, Order, Outbox, Versioned};
 use crate::ids::{BudgetId, Incarnation};
-use crate::ledger::Terms;
+use crate::ledger::BudgetTerms;
 use crate::message::Message;
 use crate::node::Node;
 use crate::template::{TemplateDelta, TemplateSet};
 
 impl Node {
     /// Takes in the platform's value of the templates.
-    pub(crate) fn read_templates(&self, now: Time, found: &Versioned, out: &mut Outbox) {
+    pub(crate) fn apply_stored_templates(&self, now: Time, found: &Versioned, out: &mut Outbox) {
         if let Some(bytes) = &found.value {
             self.decode_templates(now, bytes, out);
         }
@@ -19,13 +19,13 @@
     /// Takes in templates as operators wrote them.
     pub(crate) fn decode_templates(&self, now: Time, bytes: &[u8], out: &mut Outbox) {
         match TemplateSet::decode(bytes) {
-            Ok(set) => self.learn_templates(now, set, out),
+            Ok(set) => self.apply_templates(now, set, out),
             Err(error) => out.push(Order::Note(Note::BadTemplates(error.to_string()))),
         }
     }
 
     /// Puts a newer set in force.
-    pub(crate) fn learn_templates(&self, now: Time, set: TemplateSet, out: &mut Outbox) {
+    pub(crate) fn apply_templates(&self, now: Time, set: TemplateSet, out: &mut Outbox) {
         {
             let mut table = self.board.templates();
             if set.version <= table.version || !set.faults().is_empty() {
@@ -37,7 +37,7 @@
     }
 
     /// Puts a difference in force, or asks for the whole set if it does not fit.
-    pub(crate) fn learn_delta(
+    pub(crate) fn apply_template_delta(
         &self,
         now: Time,
         from: Incarnation,
@@ -72,9 +72,9 @@
             };
             let version = template.changed;
             let (period, limit) = (template.period, template.limit);
-            (Terms { version, period, limit }, account.spread)
+            (BudgetTerms { version, period, limit }, account.spread)
         };
-        self.board.holdings().learn(now, budget, terms.0, terms.1);
+        self.board.holdings().update_terms(now, budget, terms.0, terms.1);
     }
 
     fn templates_changed(&self, now: Time, out: &mut Outbox) {
--- a/crates/badgerfield-core/src/control/stopping.rs
+++ b/crates/badgerfield-core/src/control/stopping.rs
@@ -28,7 +28,7 @@
     }
 
     /// Moves a planned stop on.
-    pub(crate) fn stop_tick(&self, now: Time, out: &mut Outbox) {
+    pub(crate) fn tick_stop(&self, now: Time, out: &mut Outbox) {
         let (since, removed) = {
             let members = self.board.members();
             let Some(since) = members.stopping else {
@@ -59,7 +59,7 @@
             let mut holdings = self.board.holdings();
             holdings.close();
             if idle >= self.config.pacing.hand_on {
-                holdings.hand_on(now, out);
+                holdings.hand_over(now, out);
             }
             holdings.is_closed() || removed
         };
--- a/crates/badgerfield-core/src/control/upstream_news.rs
+++ b/crates/badgerfield-core/src/control/upstream_news.rs
@@ -35,7 +35,7 @@
 impl Node {
     /// Returns the last revision of the list up to which all were told every change.
     #[must_use]
-    pub fn list_told(&self) -> u64 {
+    pub fn announced_revision(&self) -> u64 {
         self.board.members().told
     }
 
--- a/crates/badgerfield-core/src/event.rs
+++ b/crates/badgerfield-core/src/event.rs
@@ -7,14 +7,14 @@
 
 use bytes::Bytes;
 
-use crate::amount::{Rate, Time, Tokens};
+use crate::amount::{Time, TokenRate, Tokens};
 use crate::evacuation::DomainChange;
 use crate::ids::{
     Account, Adapter, AttemptId, BudgetId, Incarnation, Model, Period, RequestId, RequestKey,
     ReservationId, RunId, Service, Ticket, UpstreamId, VmId,
 };
 use crate::lag::LagNote;
-use crate::ledger::Plan;
+use crate::ledger::HoldingPlan;
 use crate::message::{Envelope, Head, Message, UpstreamNews};
 use crate::mix::Needs;
 use crate::poison::{Crash, Fingerprint};
@@ -210,7 +210,7 @@
     /// Returns what the request costs.
     #[must_use]
     pub fn cost(self) -> Tokens {
-        self.prompt.saturating_plus(self.output)
+        self.prompt.saturating_add(self.output)
     }
 }
 
@@ -466,9 +466,9 @@
         /// How long the ledger took to answer.
         took: Duration,
         /// How the ledger wants the budget held.
-        plan: Plan,
+        plan: HoldingPlan,
         /// The demand that the process measured.
-        rate: Rate,
+        rate: TokenRate,
     },
     /// What a borrower has of a budget that is busy there, or that it has on the way back.
     AtHand {
@@ -483,7 +483,7 @@
         /// How many requests wait for tokens.
         waiting: usize,
         /// The demand that the process measured.
-        rate: Rate,
+        rate: TokenRate,
     },
     /// The budget period has ended and a new one is in force.
     Renewed(BudgetId),
--- a/crates/badgerfield-core/src/first_read.rs
+++ b/crates/badgerfield-core/src/first_read.rs
@@ -32,7 +32,7 @@
 ///
 /// `stored` is the view that the platform holds, nothing while that has not been read: it
 /// names the VMs, those included that have just started and have not joined.
-pub(crate) fn reads(age: Time, stored: Option<&View>, me: &Member) -> bool {
+pub(crate) fn can_read(age: Time, stored: Option<&View>, me: &Member) -> bool {
     let Some(view) = stored else {
         return false;
     };
@@ -47,7 +47,7 @@
 
 /// Returns the member that a process asks first for what it knows nothing of: those that read
 /// at once stand at the root of a tree, in which each member has few to tell.
-pub(crate) fn source(view: &View, me: &Member) -> Option<Incarnation> {
+pub(crate) fn tree_parent(view: &View, me: &Member) -> Option<Incarnation> {
     let near = view.members.iter().filter(|m| m.region == me.region && m.vm != me.vm);
     let order: BTreeMap<u64, Incarnation> = near.map(|m| (number(&m.vm), m.incarnation)).collect();
     let place = order.range(..number(&me.vm)).count();
--- a/crates/badgerfield-core/src/holdings/answers.rs
+++ b/crates/badgerfield-core/src/holdings/answers.rs
@@ -19,7 +19,7 @@
 
 impl Holdings {
     /// Takes the changes that are due to be sent to the ledger.
-    pub fn ops(&mut self, now: Time) -> Vec<(LedgerOp, u32)> {
+    pub fn take_due_ops(&mut self, now: Time) -> Vec<(LedgerOp, u32)> {
         let mut ops = Vec::new();
         let clock = self.maker.sealing.as_ref().map(|sealing| sealing.clock);
         for id in &self.busy {
@@ -48,7 +48,7 @@
     }
 
     /// Takes in what became of a change.
-    pub fn drawn(
+    pub fn apply_ledger_reply(
         &mut self,
         now: Time,
         budget: &BudgetId,
@@ -63,7 +63,14 @@
             return;
         }
         match reply {
-            LedgerReply::Applied { seq, granted, left, others, plan, orphans } => {
+            LedgerReply::Applied {
+                seq,
+                granted,
+                remaining: left,
+                other_holders: others,
+                plan,
+                orphaned_seals: orphans,
+            } => {
                 let mine = holding.op.as_ref().is_some_and(|(op, _)| op.seq == *seq);
                 if !mine {
                     return;
@@ -75,10 +82,10 @@
                 let closed = op.as_ref().is_some_and(|op| op.close);
                 let need = op.as_ref().map_or(Tokens::ZERO, |op| op.need);
                 let told = op.as_ref().map_or(Tokens::ZERO, |op| op.held);
-                holding.known = told.saturating_plus(*granted);
+                holding.known = told.saturating_add(*granted);
                 let promised = holding.promises.is_said();
                 let shut = if promised { sealed_part(*granted, need) } else { Tokens::ZERO };
-                holding.answered(now, shut, granted.saturating_minus(shut));
+                holding.answered(now, shut, granted.saturating_sub(shut));
                 holding.left = Some(*left);
                 if let Some(sealing) = self.maker.sealing.as_mut() {
                     sealing.heard = Some(now);
@@ -111,14 +118,14 @@
                 holding.free = Tokens::ZERO;
                 holding.left = Some(Tokens::ZERO);
             }
-            LedgerReply::Unknown { seq } => {
+            LedgerReply::UnknownHolder { seq } => {
                 let mine = holding.op.as_ref().is_some_and(|(op, _)| op.seq == *seq);
                 if mine {
                     holding.op = None;
                     holding.left = Some(Tokens::ZERO);
                 }
             }
-            LedgerReply::Down => {
+            LedgerReply::StoreUnavailable => {
                 // Another member may reach the platform.
                 let again = holding.op.as_mut().filter(|_| holding.tries < WRITERS);
                 match again {
@@ -129,7 +136,7 @@
         }
         self.touched.insert(budget.clone());
         self.serve_waiters(now, budget);
-        if *reply == LedgerReply::Down {
+        if *reply == LedgerReply::StoreUnavailable {
             self.skip_ledger(now, budget, out);
         }
         self.next_search(now, budget, out);
--- a/crates/badgerfield-core/src/holdings/demand.rs
+++ b/crates/badgerfield-core/src/holdings/demand.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::holding::Holding;
-use crate::amount::{Rate, Time, Tokens};
+use crate::amount::{Time, TokenRate, Tokens};
 
 /// How many requests of the usual size a holder counts on in the time for which it holds ahead, once
 /// it was asked of late: a share by its rate alone is less than one request at a VM that is seldom
@@ -31,25 +31,25 @@
     /// Counts a request.
     pub(super) fn count(&mut self, now: Time, need: Tokens) {
         let first = self.last.is_none();
-        let older = self.usual.saturating_minus(self.usual.part(1, WEIGHT));
-        self.usual = if first { need } else { older.saturating_plus(need.part(1, WEIGHT)) };
+        let older = self.usual.saturating_sub(self.usual.part(1, WEIGHT));
+        self.usual = if first { need } else { older.saturating_add(need.part(1, WEIGHT)) };
         self.last = Some(now);
     }
 
     /// Returns the least demand to count on, if so much time is held ahead.
-    fn least(&self, now: Time, ahead: Duration) -> Rate {
+    fn least(&self, now: Time, ahead: Duration) -> TokenRate {
         let is_late = self.last.is_none_or(|last| now.since(last) >= LATELY);
         let millis = u64::try_from(ahead.as_millis()).unwrap_or(u64::MAX);
         if is_late {
-            return Rate(0);
+            return TokenRate(0);
         }
-        Rate(self.usual.part(LEAST_REQUESTS.saturating_mul(1000), millis).0)
+        TokenRate(self.usual.part(LEAST_REQUESTS.saturating_mul(1000), millis).0)
     }
 }
 
 impl Holding {
     /// Returns the demand to plan for.
-    pub(super) fn demand(&self, now: Time) -> Rate {
+    pub(super) fn demand(&self, now: Time) -> TokenRate {
         let rate = self.meter.rate(now);
         if self.has_plenty() { rate.max(self.requests.least(now, self.ahead)) } else { rate }
     }
--- a/crates/badgerfield-core/src/holdings/giving.rs
+++ b/crates/badgerfield-core/src/holdings/giving.rs
@@ -25,7 +25,7 @@
 impl Giving {
     /// Counts tokens that are set aside for a request here.
     pub(super) fn set_aside(&mut self, amount: Tokens) {
-        self.given = self.given.saturating_plus(amount);
+        self.given = self.given.saturating_add(amount);
     }
 
     /// Counts tokens that are lent.
@@ -36,13 +36,13 @@
             self.lent = (old, Tokens::ZERO);
             self.turned = now;
         }
-        self.lent.1 = self.lent.1.saturating_plus(amount);
-        self.given = self.given.saturating_plus(amount);
+        self.lent.1 = self.lent.1.saturating_add(amount);
+        self.given = self.given.saturating_add(amount);
     }
 
     /// Counts tokens that came back unused.
     pub(super) fn come_back(&mut self, amount: Tokens) {
-        self.back = self.back.saturating_plus(amount);
+        self.back = self.back.saturating_add(amount);
     }
 
     /// Returns how much may come back soon, at the most, while so much is set aside here.
@@ -52,9 +52,9 @@
         let lent = match now.since(self.turned) {
             span if span >= LENT => Tokens::ZERO,
             span if span >= LENT / 2 => self.lent.1,
-            _ => self.lent.0.saturating_plus(self.lent.1),
+            _ => self.lent.0.saturating_add(self.lent.1),
         };
-        let out = reserved.saturating_plus(lent);
+        let out = reserved.saturating_add(lent);
         if self.back.is_zero() {
             return out;
         }
--- a/crates/badgerfield-core/src/holdings/holding.rs
+++ b/crates/badgerfield-core/src/holdings/holding.rs
@@ -8,13 +8,13 @@
 use super::giving::Giving;
 use super::promises::Promises;
 use super::waiting::Waiter;
-use crate::amount::{Percent, Rate, Time, Tokens};
+use crate::amount::{Percent, Time, TokenRate, Tokens};
 use crate::ids::{BudgetId, Incarnation, Region, VmId};
-use crate::ledger::{LedgerOp, Plan, Terms, Untouched};
+use crate::ledger::{BudgetTerms, HoldingPlan, LedgerOp, WitnessReport};
 use crate::message::Ask;
-use crate::rate::Meter;
+use crate::rate::RateMeter;
 use crate::refusal::Refusal;
-use crate::seal::{Claim, FleetClock, Orphan, Seal, falls_ms};
+use crate::seal::{FleetClock, Orphan, Seal, SealClaim, falls_ms};
 
 /// How much demand, in time, a holding keeps ready to spend; the rest is parked.
 const WORKING: Duration = Duration::from_secs(1);
@@ -111,7 +111,7 @@
 /// What a process may spend of one budget.
 #[derive(Debug, Clone)]
 pub(crate) struct Holding {
-    pub(crate) terms: Terms,
+    pub(crate) terms: BudgetTerms,
     pub(crate) region: Region,
     pub(crate) spread: Percent,
     pub(crate) ahead: Duration,
@@ -136,7 +136,7 @@
     pub(crate) left: Option<Tokens>,
     pub(crate) others: Vec<Incarnation>,
     /// How the ledger wants the budget held.
-    pub(crate) plan: Plan,
+    pub(crate) plan: HoldingPlan,
     /// Whom this process borrows from; none if it holds rights of its own.
     pub(crate) lenders: Vec<Incarnation>,
     /// Whether this process stands in for lenders that do not answer.
@@ -155,7 +155,7 @@
     pub(crate) owed: Vec<(Incarnation, Ask)>,
     pub(crate) used_at: Time,
     pub(crate) largest: Tokens,
-    pub(crate) meter: Meter,
+    pub(crate) meter: RateMeter,
     pub(super) requests: Requests,
     /// When something was passed on to the collector.
     pub(crate) passed: Option<Time>,
@@ -172,7 +172,7 @@
     /// Sealed tokens of earlier processes of this VM that were not looked at yet.
     pub(crate) orphans: Vec<Orphan>,
     /// What removed holders had left untouched, as their witness here knows.
-    pub(crate) untouched: Vec<Untouched>,
+    pub(crate) untouched: Vec<WitnessReport>,
     pub(crate) life: Life,
     /// The last refusal, when it was made, and the least need that was refused.
     pub(crate) refused: Option<(Refusal, Time, Tokens)>,
@@ -184,7 +184,7 @@
 impl Holding {
     pub(crate) fn new(
         now: Time,
-        terms: Terms,
+        terms: BudgetTerms,
         (spread, ahead): (Percent, Duration),
         region: Region,
     ) -> Self {
@@ -207,7 +207,7 @@
             known: Tokens::ZERO,
             left: None,
             others: Vec::new(),
-            plan: Plan::Share(Tokens::MAX),
+            plan: HoldingPlan::Share(Tokens::MAX),
             lenders: Vec::new(),
             stands_in: false,
             giving: Giving::default(),
@@ -219,7 +219,7 @@
             owed: Vec::new(),
             used_at: now,
             largest: Tokens::ZERO,
-            meter: Meter::default(),
+            meter: RateMeter::default(),
             requests: Requests::default(),
             passed: None,
             recall: false,
@@ -237,18 +237,18 @@
 
     /// Returns what is neither spent nor set aside, parked or not.
     pub(crate) fn unspent(&self) -> Tokens {
-        self.free.saturating_plus(self.shut())
+        self.free.saturating_add(self.shut())
     }
 
     /// Returns what may leave this holding, free or sealed: the witness knows the rest.
     pub(crate) fn room(&self) -> Tokens {
-        self.unspent().saturating_minus(self.parked_amount())
+        self.unspent().saturating_sub(self.parked_amount())
     }
 
     /// Returns what was free and goes back to the ledger with the change under way.
     pub(crate) fn back_under_way(&self) -> Tokens {
         let back = self.op.as_ref().map_or(Tokens::ZERO, |(op, _)| op.back);
-        back.saturating_minus(self.returning)
+        back.saturating_sub(self.returning)
     }
 
     /// Tells whether a witness knows of all that is left, so that this process may go.
@@ -257,8 +257,10 @@
         let has_witness = self.parked.bank.is_some() && self.parked.sent.is_none();
         // What a change gives back, or tells of others, is known to nobody else until it is
         // answered.
-        let is_told =
-            self.op.as_ref().is_none_or(|(op, _)| op.back.is_zero() && op.untouched.is_empty());
+        let is_told = self
+            .op
+            .as_ref()
+            .is_none_or(|(op, _)| op.back.is_zero() && op.witness_reports.is_empty());
         is_idle && is_told && has_witness && !self.parked.total.is_zero() && self.room().is_zero()
     }
 
@@ -269,7 +271,7 @@
 
     /// Returns what is sealed, or not unsealed yet.
     pub(crate) fn shut(&self) -> Tokens {
-        self.sealed.saturating_plus(self.releasing)
+        self.sealed.saturating_add(self.releasing)
     }
 
     /// Drops what is parked, of what is sealed first.
@@ -289,15 +291,15 @@
     /// Returns how much of what is sealed the ledger takes to be untouched.
     fn promised(&self, now: Time) -> Tokens {
         let returning = if self.op.is_some() { self.returning } else { Tokens::ZERO };
-        let confirmed = self.promises.confirmed(now).saturating_minus(returning);
+        let confirmed = self.promises.confirmed(now).saturating_sub(returning);
         confirmed.max(self.promises.under_way(now))
     }
 
     /// Unseals what is promised no more.
     pub(crate) fn unseal_due(&mut self, now: Time) {
-        let due = self.shut().saturating_minus(self.promised(now));
+        let due = self.shut().saturating_sub(self.promised(now));
         deduct(due, [&mut self.releasing, &mut self.sealed]);
-        self.free = self.free.saturating_plus(due);
+        self.free = self.free.saturating_add(due);
     }
 
     /// Takes in that the change under way was answered, with what it hands out sealed and open.
@@ -306,55 +308,55 @@
         self.returning = Tokens::ZERO;
         // What the change unsealed is free now, but for what its first sending promised.
         let released = std::mem::take(&mut self.releasing);
-        self.sealed = self.sealed.saturating_plus(released).saturating_plus(shut);
-        let due = self.sealed.saturating_minus(self.promised(now)).min(released);
-        self.sealed = self.sealed.saturating_minus(due);
-        self.free = self.free.saturating_plus(open).saturating_plus(due);
+        self.sealed = self.sealed.saturating_add(released).saturating_add(shut);
+        let due = self.sealed.saturating_sub(self.promised(now)).min(released);
+        self.sealed = self.sealed.saturating_sub(due);
+        self.free = self.free.saturating_add(open).saturating_add(due);
     }
 
     /// Takes tokens out for giving back, of what is free first, then of what is sealed;
     /// returns both parts.
     fn take_back(&mut self, amount: Tokens) -> (Tokens, Tokens) {
         let taken = self.take(amount);
-        let more = amount.saturating_minus(taken).min(self.sealed).min(self.room());
-        self.sealed = self.sealed.saturating_minus(more);
+        let more = amount.saturating_sub(taken).min(self.sealed).min(self.room());
+        self.sealed = self.sealed.saturating_sub(more);
         (taken, more)
     }
 
     /// Seals what is beyond the needs of the next moments, or unseals what they lack.
     fn balance(&mut self, now: Time) {
-        let keep = self.wanted().saturating_plus(self.open(now));
+        let keep = self.wanted().saturating_add(self.open(now));
         let margin = keep.part(1, MARGIN);
-        if self.free > keep.saturating_plus(margin) {
-            let excess = self.free.saturating_minus(keep);
+        if self.free > keep.saturating_add(margin) {
+            let excess = self.free.saturating_sub(keep);
             self.free = keep;
-            self.sealed = self.sealed.saturating_plus(excess);
+            self.sealed = self.sealed.saturating_add(excess);
             return;
         }
-        if self.free.saturating_plus(margin) > keep {
+        if self.free.saturating_add(margin) > keep {
             return;
         }
-        let lack = keep.saturating_minus(self.free).min(self.sealed);
-        self.sealed = self.sealed.saturating_minus(lack);
-        self.releasing = self.releasing.saturating_plus(lack);
+        let lack = keep.saturating_sub(self.free).min(self.sealed);
+        self.sealed = self.sealed.saturating_sub(lack);
+        self.releasing = self.releasing.saturating_add(lack);
     }
 
     /// Tells whether much less is held than the share that the ledger named, which has
     /// more left: what the platform takes down with it must be held before.
     pub(crate) fn lacks_share(&self) -> bool {
-        let Plan::Share(share) = self.plan else {
+        let HoldingPlan::Share(share) = self.plan else {
             return false;
         };
         let has_more = self.left.is_some_and(|left| !left.is_zero());
-        let lack = share.saturating_minus(self.unspent());
+        let lack = share.saturating_sub(self.unspent());
         let least = self.largest.max(share.part(1, TOP_UP));
         has_more && !self.largest.is_zero() && lack >= least
     }
 
     /// Tells whether more is free than is to be left unsealed.
     pub(crate) fn is_too_open(&self, now: Time) -> bool {
-        let keep = self.wanted().saturating_plus(self.open(now));
-        self.free > keep.saturating_plus(keep.part(1, 2))
+        let keep = self.wanted().saturating_add(self.open(now));
+        self.free > keep.saturating_add(keep.part(1, 2))
     }
 
     /// Returns how much to leave unsealed: what requests may need before the ledger can
@@ -362,7 +364,7 @@
     fn open(&self, now: Time) -> Tokens {
         let flow = self.meter.rate(now).over(OPEN);
         // A request's worth is left open only where it is soon spent.
-        let soon = flow.saturating_plus(flow) >= self.largest;
+        let soon = flow.saturating_add(flow) >= self.largest;
         let open = if soon { flow.max(self.largest) } else { flow };
         let open = open.min(self.unspent().part(OPEN_PERCENT, 100));
         open.max(self.least_open())
@@ -383,11 +385,11 @@
             None => self.promises.say_nothing(),
         }
         let claims = sealing.clock.started.map_or_else(Vec::new, |started| {
-            let claim = |e: Orphan| Claim { holder: e.holder, untouched: e.untouched(started) };
+            let claim = |e: Orphan| SealClaim { holder: e.holder, untouched: e.untouched(started) };
             std::mem::take(&mut self.orphans).into_iter().map(claim).collect()
         });
         let (vm, released) = (sealing.vm.clone(), self.releasing);
-        Seal { vm, amount, released, at, falls_ms: falls_ms(), claims }
+        Seal { vm, amount, unsealed: released, sealed_at: at, decay_ms: falls_ms(), claims }
     }
 
     /// Says the promise of the change under way anew, because it is sent again.
@@ -399,8 +401,8 @@
             return;
         };
         seal.amount = Tokens::ZERO;
-        seal.at = clock.at(now);
-        if seal.at.is_some() {
+        seal.sealed_at = clock.at(now);
+        if seal.sealed_at.is_some() {
             self.promises.say_again(now);
         }
     }
@@ -413,25 +415,25 @@
 
     /// Returns what is ready beyond the needs of waiting requests.
     pub(crate) fn spare(&self) -> Tokens {
-        self.ready().saturating_minus(self.wanted())
+        self.ready().saturating_sub(self.wanted())
     }
 
     /// Returns what may be given back to the ledger now.
     pub(crate) fn returnable(&self) -> Tokens {
-        self.spare().saturating_plus(self.shut()).min(self.room())
+        self.spare().saturating_add(self.shut()).min(self.room())
     }
 
     /// Returns what is held beyond the share that the ledger named.
     pub(crate) fn surplus(&self, now: Time) -> Tokens {
         let share = match self.plan {
-            Plan::Share(share) | Plan::Collect(share) => share,
-            Plan::Defer(_) => return Tokens::ZERO,
+            HoldingPlan::Share(share) | HoldingPlan::Collect(share) => share,
+            HoldingPlan::Defer(_) => return Tokens::ZERO,
         };
-        let ample = share.saturating_plus(share.part(1, 4)).saturating_plus(self.working(now));
+        let ample = share.saturating_add(share.part(1, 4)).saturating_add(self.working(now));
         if self.unspent() <= ample {
             return Tokens::ZERO;
         }
-        self.unspent().saturating_minus(share).saturating_minus(self.wanted())
+        self.unspent().saturating_sub(share).saturating_sub(self.wanted())
     }
 
     /// Returns how much to keep ready to spend.
@@ -439,7 +441,7 @@
         let flow = self.meter.rate(now).over(WORKING);
         // A request's worth is kept ready only where it is soon spent, since what is
         // ready is lost when this process dies.
-        let soon = flow.saturating_plus(flow) >= self.largest;
+        let soon = flow.saturating_add(flow) >= self.largest;
         if soon { flow.max(self.largest) } else { flow }
     }
 
@@ -463,7 +465,7 @@
     /// Returns how much may come to be free here, when requests here or at borrowers end.
     pub(crate) fn within_reach(&self, now: Time) -> Tokens {
         let coming = self.giving.may_come_back(now, self.reserved);
-        self.unspent().saturating_plus(coming)
+        self.unspent().saturating_add(coming)
     }
 
     /// Tells whether so much may come to be free here in a while.
@@ -497,7 +499,7 @@
     /// Whatever leaves a holding leaves by this, so that nothing is made on the way.
     pub(crate) fn take(&mut self, amount: Tokens) -> Tokens {
         let taken = amount.min(self.ready());
-        self.free = self.free.saturating_minus(taken);
+        self.free = self.free.saturating_sub(taken);
         taken
     }
 
@@ -506,9 +508,9 @@
         if self.ready() < need {
             return false;
         }
-        self.free = self.free.saturating_minus(need);
+        self.free = self.free.saturating_sub(need);
         self.giving.set_aside(need);
-        self.reserved = self.reserved.saturating_plus(need);
+        self.reserved = self.reserved.saturating_add(need);
         self.used_at = now;
         true
     }
@@ -526,36 +528,35 @@
         let (back, returning) = self.take_back(back);
         self.returning = returning;
         let seal = maker.sealing.as_ref().map(|sealing| self.seal(now, sealing, close));
-        let shortage =
-            self.wanted().saturating_minus(self.ready()).saturating_minus(self.releasing);
+        let shortage = self.wanted().saturating_sub(self.ready()).saturating_sub(self.releasing);
         self.seq += 1;
         // A holding that is not in use has no share.
         let busy = !self.waiters.is_empty() || self.may_get_back(now);
         let unused = self.is_idle(now) || !busy;
-        let least = if unused { Rate(0) } else { Rate(1) };
+        let least = if unused { TokenRate(0) } else { TokenRate(1) };
         let no_share = self.life == Life::Retiring || self.borrows();
         let demand = if maker.sealing.is_some() { self.demand(now) } else { self.meter.rate(now) };
-        let rate = if no_share { Rate(0) } else { demand.max(least) };
+        let rate = if no_share { TokenRate(0) } else { demand.max(least) };
         let op = LedgerOp {
             budget: budget.clone(),
             terms: self.terms,
             holder: maker.me,
             seq: self.seq,
             need: shortage,
-            back: back.saturating_plus(returning),
+            back: back.saturating_add(returning),
             // What a borrower has at hand is soon spent, and not held ahead.
             held: if self.borrows() { Tokens::ZERO } else { self.unspent() },
             rate,
-            unit: self.largest,
+            request_size: self.largest,
             region: self.region.clone(),
             spread: self.spread,
-            ahead: self.ahead,
+            horizon: self.ahead,
             billed: self.billed,
             wasted: self.wasted,
             close,
             seal,
             witness: self.parked.bank.filter(|_| !close),
-            untouched: std::mem::take(&mut self.untouched),
+            witness_reports: std::mem::take(&mut self.untouched),
         };
         self.reported = (self.billed, self.wasted);
         self.drawn_at = Some(now);
@@ -569,7 +570,7 @@
     let mut rest = amount;
     for part in parts {
         let taken = rest.min(*part);
-        *part = part.saturating_minus(taken);
-        rest = rest.saturating_minus(taken);
+        *part = part.saturating_sub(taken);
+        rest = rest.saturating_sub(taken);
     }
 }
--- a/crates/badgerfield-core/src/holdings/lending.rs
+++ b/crates/badgerfield-core/src/holdings/lending.rs
@@ -9,7 +9,7 @@
 use crate::amount::{Time, Tokens};
 use crate::event::{Note, Order, Outbox, due};
 use crate::ids::{BudgetId, Incarnation, Period};
-use crate::ledger::Plan;
+use crate::ledger::HoldingPlan;
 use crate::lending::Lenders;
 use crate::message::{Ask, Lack, Message};
 use crate::refusal::{Cause, Refusal};
@@ -73,7 +73,7 @@
             return;
         }
         let need = holding.largest;
-        let ahead = ahead.saturating_minus(need);
+        let ahead = ahead.saturating_sub(need);
         holding.coming.ask(now, to, need, ahead);
         let (budget, period) = (budget.clone(), holding.terms.period);
         out.send(to, Message::Ask(Ask { budget, period, need, ahead }));
@@ -105,7 +105,7 @@
             return;
         };
         let need = ask.need;
-        let lends_ahead = matches!(holding.plan, Plan::Share(_));
+        let lends_ahead = matches!(holding.plan, HoldingPlan::Share(_));
         holding.largest = holding.largest.max(need);
         if holding.ready() < need {
             holding.unseal_due(now);
@@ -115,7 +115,7 @@
             let spare = holding.spare().part(1, AHEAD_PART);
             let ahead = if lends_ahead { ask.ahead.min(spare) } else { Tokens::ZERO };
             holding.lend(now, ahead);
-            let waiter = Waiter { need: need.saturating_plus(ahead), ..waiter };
+            let waiter = Waiter { need: need.saturating_add(ahead), ..waiter };
             self.decide(&ask.budget, vec![waiter], None);
         } else {
             match holding.queue(now, waiter) {
@@ -221,10 +221,10 @@
         least: usize,
         out: &mut Outbox,
     ) {
-        let covered = self.ready().saturating_plus(self.coming.sum(now));
+        let covered = self.ready().saturating_add(self.coming.sum(now));
         let mut wanted = Tokens::ZERO;
         for (n, waiter) in self.waiters.iter().enumerate() {
-            wanted = wanted.saturating_plus(waiter.need);
+            wanted = wanted.saturating_add(waiter.need);
             if wanted <= covered && n >= least {
                 continue;
             }
--- a/crates/badgerfield-core/src/holdings/mod.rs
+++ b/crates/badgerfield-core/src/holdings/mod.rs
@@ -31,7 +31,7 @@
 use crate::amount::{Percent, Time, Tokens};
 use crate::event::{Outbox, due};
 use crate::ids::{BudgetId, Incarnation, Period, Region, RunId, Version, VmId};
-use crate::ledger::{Plan, Terms};
+use crate::ledger::{BudgetTerms, HoldingPlan};
 use crate::lending::Lenders;
 use crate::node::Pacing;
 use crate::refusal::Refusal;
@@ -43,7 +43,7 @@
 
 /// What came of a wish to set tokens aside.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Reserved {
+pub enum ReserveOutcome {
     /// They are set aside, out of what was held in this period.
     Done(Period),
     /// The answer comes later.
@@ -54,7 +54,7 @@
 
 /// The answer to a request that waited for tokens.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Decision {
+pub struct ReserveDecision {
     /// The request.
     pub run: RunId,
     /// The period of the budget.
@@ -65,7 +65,7 @@
 
 /// The figures of one budget at this process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct HoldingBalance {
     /// Ready to spend.
     pub free: Tokens,
     /// Set aside for running requests.
@@ -75,15 +75,15 @@
     /// Promised not to be touched for a while.
     pub sealed: Tokens,
     /// Promised before, and on the way back to the ledger.
-    pub returning: Tokens,
+    pub returning_sealed: Tokens,
     /// Whether a change of the ledger is under way, so that what it hands out is not known here.
-    pub awaits: bool,
+    pub op_pending: bool,
     /// Not promised before, and on the way back to the ledger.
-    pub back: Tokens,
+    pub returning_free: Tokens,
     /// On the way to other holders.
-    pub moving: Tokens,
+    pub in_transit: Tokens,
     /// Parked here by other processes.
-    pub banked: Tokens,
+    pub witnessed: Tokens,
     /// Billed in this period.
     pub billed: Tokens,
     /// Used up without being billed in this period.
@@ -115,7 +115,7 @@
     region: Region,
     pacing: Pacing,
     /// The version of the templates whose budgets were all opened.
-    pub(crate) opened: Option<Version>,
+    pub(crate) opened_version: Option<Version>,
     table: BTreeMap<BudgetId, Holding>,
     transfers: Transfers,
     bank: Bank,
@@ -130,7 +130,7 @@
     joined: bool,
     removed: bool,
     leaving: Leaving,
-    decisions: Vec<Decision>,
+    decisions: Vec<ReserveDecision>,
     /// Holdings that changed and are to be looked at.
     touched: BTreeSet<BudgetId>,
     /// Holdings that wait for an answer.
@@ -150,7 +150,7 @@
             maker: Maker { me, sealing },
             region,
             pacing,
-            opened: None,
+            opened_version: None,
             table: BTreeMap::new(),
             transfers: Transfers::default(),
             bank: Bank::default(),
@@ -183,22 +183,26 @@
 
     /// Returns the figures of one budget.
     #[must_use]
-    pub fn figures(&self, budget: &BudgetId) -> Figures {
+    pub fn balance(&self, budget: &BudgetId) -> HoldingBalance {
         let moving = self.transfers.under_way(budget);
         let banked = self.bank.total(budget);
         let Some(holding) = self.table.get(budget) else {
-            return Figures { moving, banked, ..Figures::default() };
+            return HoldingBalance {
+                in_transit: moving,
+                witnessed: banked,
+                ..HoldingBalance::default()
+            };
         };
-        Figures {
+        HoldingBalance {
             free: holding.ready(),
             reserved: holding.reserved,
-            parked: holding.free.saturating_minus(holding.ready()),
+            parked: holding.free.saturating_sub(holding.ready()),
             sealed: holding.shut(),
-            returning: if holding.op.is_some() { holding.returning } else { Tokens::ZERO },
-            awaits: holding.op.is_some(),
-            back: holding.back_under_way(),
-            moving,
-            banked,
+            returning_sealed: if holding.op.is_some() { holding.returning } else { Tokens::ZERO },
+            op_pending: holding.op.is_some(),
+            returning_free: holding.back_under_way(),
+            in_transit: moving,
+            witnessed: banked,
             billed: holding.billed,
             wasted: holding.wasted,
         }
@@ -211,7 +215,13 @@
     }
 
     /// Learns the terms of a budget; a new period starts with nothing in hand.
-    pub fn learn(&mut self, now: Time, budget: &BudgetId, terms: Terms, spread: Percent) {
+    pub fn update_terms(
+        &mut self,
+        now: Time,
+        budget: &BudgetId,
+        terms: BudgetTerms,
+        spread: Percent,
+    ) {
         let Some(holding) = self.table.get_mut(budget) else {
             let hold = (spread, self.pacing.ahead);
             let mut holding = Holding::new(now, terms, hold, self.region.clone());
@@ -242,7 +252,7 @@
         // What is held of a lowered budget goes back, so that the ledger shares it out anew.
         holding.recall |= terms.limit < holding.terms.limit;
         holding.left = None;
-        holding.plan = Plan::Share(Tokens::MAX);
+        holding.plan = HoldingPlan::Share(Tokens::MAX);
         holding.terms = terms;
     }
 
@@ -268,11 +278,11 @@
             self.time_out(now, &id, out);
             self.touched.insert(id);
         }
-        self.review(now, out);
+        self.process_changed(now, out);
     }
 
     /// Looks again at every holding that changed.
-    pub fn review(&mut self, now: Time, out: &mut Outbox) {
+    pub fn process_changed(&mut self, now: Time, out: &mut Outbox) {
         for id in std::mem::take(&mut self.touched) {
             self.plan_op(now, &id);
             self.plan_park(now, &id);
--- a/crates/badgerfield-core/src/holdings/opening.rs
+++ b/crates/badgerfield-core/src/holdings/opening.rs
@@ -17,7 +17,7 @@
         if self.room() < need {
             return None;
         }
-        let may_stay = self.unspent().saturating_minus(need);
+        let may_stay = self.unspent().saturating_sub(need);
         let returning = if self.op.is_some() { self.returning } else { Tokens::ZERO };
         Some(self.promises.fall_to(now, may_stay, returning))
     }
@@ -28,7 +28,7 @@
         if matches!(waiter.wanter, Wanter::Borrower(_)) {
             return false;
         }
-        let need = before.saturating_plus(waiter.need);
+        let need = before.saturating_add(waiter.need);
         self.opens_in(now, need).is_some_and(|span| now.after(span) <= waiter.until)
     }
 }
--- a/crates/badgerfield-core/src/holdings/parking.rs
+++ b/crates/badgerfield-core/src/holdings/parking.rs
@@ -9,7 +9,7 @@
 use crate::amount::{Time, Tokens};
 use crate::event::{Outbox, due};
 use crate::ids::{BudgetId, Incarnation};
-use crate::ledger::Plan;
+use crate::ledger::HoldingPlan;
 use crate::message::{Message, ParkItem};
 use crate::view::Standing;
 
@@ -48,7 +48,7 @@
         if self.leaving == Leaving::Retiring {
             holding.life = Life::Retiring;
             let keep = holding.working(now).min(holding.spare());
-            let rest = holding.returnable().saturating_minus(keep);
+            let rest = holding.returnable().saturating_sub(keep);
             if holding.seq > 0 && !rest.is_zero() && self.maker.is_sure(now) {
                 holding.make_op(now, budget, &self.maker, rest, false);
             }
@@ -60,7 +60,7 @@
             let ready = holding.reserved.is_zero()
                 && holding.waiters.is_empty()
                 && holding.parked_amount().is_zero();
-            let all = holding.free.saturating_plus(shut);
+            let all = holding.free.saturating_add(shut);
             if ready && holding.seq + all.0 > 0 {
                 if holding.seq == 0 {
                     // The first change registers the holder and gives nothing back.
@@ -83,7 +83,7 @@
         }
         let idle = holding.is_idle(now);
         if holding.seq > 0 && (idle || holding.recall) && holding.parked_amount().is_zero() {
-            let back = holding.spare().saturating_plus(holding.sealed);
+            let back = holding.spare().saturating_add(holding.sealed);
             let news = holding.reported != (holding.billed, holding.wasted);
             holding.recall = false;
             if !back.is_zero() || news {
@@ -119,7 +119,7 @@
             && holding.waiters.is_empty()
             && holding.parked_amount().is_zero();
         if self.leaving.closes() && holding.seq > 0 && is_done {
-            let all = holding.free.saturating_plus(shut);
+            let all = holding.free.saturating_add(shut);
             holding.life = Life::Retiring;
             holding.make_op(now, budget, &self.maker, all, true);
             return;
@@ -156,7 +156,7 @@
         let wanted = holding.wanted();
         let total = holding.parked.total;
         let idle = holding.is_idle(now);
-        let low = !matches!(holding.plan, Plan::Share(_));
+        let low = !matches!(holding.plan, HoldingPlan::Share(_));
         let empty = self.leaving.closes()
             || idle
             || low
@@ -172,20 +172,20 @@
         // process die on the way, nobody else can spend it.
         let ready = holding.op.is_none() && due(now, holding.drawn_at, report);
         let surplus = if ready { holding.surplus(now) } else { Tokens::ZERO };
-        let keep = wanted.saturating_plus(working);
+        let keep = wanted.saturating_add(working);
         let half = working.part(1, 2);
         let target = if is_left {
             let serves = if self.leaving.closes() { Tokens::ZERO } else { working };
-            holding.unspent().saturating_minus(wanted).saturating_minus(serves)
+            holding.unspent().saturating_sub(wanted).saturating_sub(serves)
         } else if empty || leaves {
             Tokens::ZERO
         } else if !surplus.is_zero() {
             // What is to be given back is made free, and stays so.
-            total.saturating_minus(surplus.saturating_minus(holding.returnable()))
-        } else if holding.ready() < holding.free.min(wanted.saturating_plus(half)) {
-            total.saturating_minus(keep.saturating_minus(holding.ready()))
-        } else if holding.room() > keep.saturating_plus(half) {
-            total.saturating_plus(holding.room().saturating_minus(keep))
+            total.saturating_sub(surplus.saturating_sub(holding.returnable()))
+        } else if holding.ready() < holding.free.min(wanted.saturating_add(half)) {
+            total.saturating_sub(keep.saturating_sub(holding.ready()))
+        } else if holding.room() > keep.saturating_add(half) {
+            total.saturating_add(holding.room().saturating_sub(keep))
         } else {
             total
         };
@@ -238,7 +238,7 @@
             return;
         }
         for (to, ask) in std::mem::take(&mut holding.owed) {
-            self.asked(now, to, &ask, out);
+            self.handle_token_request(now, to, &ask, out);
         }
     }
 
@@ -254,7 +254,7 @@
         } else {
             Tokens::ZERO
         };
-        let spare = holding.free.saturating_minus(keep.part(AT_HAND_MOST, 1));
+        let spare = holding.free.saturating_sub(keep.part(AT_HAND_MOST, 1));
         let lender = next_lender(holding, &self.view, &self.mute, now, &[]);
         let Some(to) = lender.filter(|to| *to != self.me) else {
             return;
--- a/crates/badgerfield-core/src/holdings/peers.rs
+++ b/crates/badgerfield-core/src/holdings/peers.rs
@@ -5,7 +5,7 @@
 use crate::amount::{Time, Tokens};
 use crate::event::Outbox;
 use crate::ids::{BudgetId, Incarnation};
-use crate::ledger::Plan;
+use crate::ledger::HoldingPlan;
 use crate::message::{Ask, Lack, Message, ParkItem, Transfer};
 
 /// How many times its need a holder may get at once, to ask less often.
@@ -13,7 +13,13 @@
 
 impl Holdings {
     /// Answers a holder that asks for tokens.
-    pub fn asked(&mut self, now: Time, from: Incarnation, ask: &Ask, out: &mut Outbox) {
+    pub fn handle_token_request(
+        &mut self,
+        now: Time,
+        from: Incarnation,
+        ask: &Ask,
+        out: &mut Outbox,
+    ) {
         let (budget, period) = (ask.budget.clone(), ask.period);
         let need = ask.need;
         let nothing =
@@ -34,21 +40,21 @@
             return;
         }
         // Of two that both lack tokens, the one with the lower number collects.
-        let collects = matches!(holding.plan, Plan::Collect(_));
+        let collects = matches!(holding.plan, HoldingPlan::Collect(_));
         if self.maker.sealing.is_some() {
             holding.unseal_due(now);
         }
         let keep = if collects || self.me < from { holding.wanted() } else { Tokens::ZERO };
-        let spare = holding.ready().saturating_minus(keep);
+        let spare = holding.ready().saturating_sub(keep);
         // Who asks again and again gets more at once than what is ready for the next moment.
         let times = if collects || self.lenders.is_empty() { 1 } else { LUMP };
-        let wish = need.saturating_plus(ask.ahead);
+        let wish = need.saturating_add(ask.ahead);
         let lump = wish.part(times, 1);
         if spare < lump && holding.ready() < holding.free {
             holding.owed.retain(|(to, _)| *to != from);
             holding.owed.push((from, ask.clone()));
             self.touched.insert(budget);
-            self.review(now, out);
+            self.process_changed(now, out);
             return;
         }
         if spare.is_zero() || (collects && spare < ask.need) {
@@ -65,13 +71,13 @@
         let more = if collects { Tokens::ZERO } else { spare.part(1, 4).min(wish.part(LUMP, 1)) };
         let amount = holding.take(wish.max(more).min(spare));
         // Whoever gave the last it had must not be waited for.
-        let rest = need.saturating_minus(amount);
+        let rest = need.saturating_sub(amount);
         let has_more = spare > amount || holding.may_give(now, rest);
         self.transfers.give(now, from, &budget, period, (amount, has_more), out);
     }
 
     /// Takes in the answer of a holder that has nothing to give.
-    pub fn nothing(
+    pub fn handle_no_tokens(
         &mut self,
         now: Time,
         from: Incarnation,
@@ -93,7 +99,7 @@
     }
 
     /// Takes in tokens of another holder; tells whether to acknowledge them.
-    pub fn received(
+    pub fn receive_transfer(
         &mut self,
         now: Time,
         from: Incarnation,
@@ -112,7 +118,7 @@
         }
         let new = self.transfers.is_new(from, transfer);
         if new && transfer.period == holding.terms.period {
-            holding.free = holding.free.saturating_plus(transfer.amount);
+            holding.free = holding.free.saturating_add(transfer.amount);
             if holding.lent.is_some() && holding.search.is_none() {
                 // What a borrower gives back was lent before, and was no demand: counted as such
                 // it made lenders draw half of a budget for an account that used a tenth.
@@ -135,12 +141,12 @@
     }
 
     /// Notes that a transfer arrived.
-    pub fn transferred(&mut self, now: Time, from: Incarnation, seq: u64) {
+    pub fn confirm_transfer(&mut self, now: Time, from: Incarnation, seq: u64) {
         self.transfers.acknowledged(now, from, seq);
     }
 
     /// Keeps amounts that another holder parks here; returns what to acknowledge.
-    pub fn park(&mut self, from: Incarnation, items: &[ParkItem]) -> Vec<ParkItem> {
+    pub fn accept_parked(&mut self, from: Incarnation, items: &[ParkItem]) -> Vec<ParkItem> {
         let mut kept = Vec::new();
         for item in items {
             if self.bank.set(&self.view, from, item) {
@@ -151,7 +157,13 @@
     }
 
     /// Takes in the bank's acknowledgement of parked amounts.
-    pub fn parked(&mut self, now: Time, from: Incarnation, items: &[ParkItem], out: &mut Outbox) {
+    pub fn confirm_parked(
+        &mut self,
+        now: Time,
+        from: Incarnation,
+        items: &[ParkItem],
+        out: &mut Outbox,
+    ) {
         for item in items {
             let Some(holding) = self.table.get_mut(&item.budget) else {
                 continue;
--- a/crates/badgerfield-core/src/holdings/promises.rs
+++ b/crates/badgerfield-core/src/holdings/promises.rs
@@ -62,7 +62,7 @@
     pub(super) fn confirm(&mut self, sealed: Tokens) {
         self.confirmed = std::mem::take(&mut self.under_way);
         for promise in &mut self.confirmed {
-            promise.amount = promise.amount.saturating_plus(sealed);
+            promise.amount = promise.amount.saturating_add(sealed);
         }
     }
 
@@ -81,7 +81,7 @@
     /// Returns after how long no more than `sealed` must stay untouched, where the change under way
     /// gives back `returning` of what was promised before.
     pub(super) fn fall_to(&self, now: Time, sealed: Tokens, returning: Tokens) -> Duration {
-        let confirmed = falls_to(&self.confirmed, now, sealed.saturating_plus(returning));
+        let confirmed = falls_to(&self.confirmed, now, sealed.saturating_add(returning));
         confirmed.max(falls_to(&self.under_way, now, sealed))
     }
 }
--- a/crates/badgerfield-core/src/holdings/requests.rs
+++ b/crates/badgerfield-core/src/holdings/requests.rs
@@ -1,7 +1,7 @@
 //! What requests do to holdings: set tokens aside, wait for them, and settle.
 
 use super::waiting::{Queued, Waiter, Wanter};
-use super::{Decision, Holdings, Reserved};
+use super::{Holdings, ReserveDecision, ReserveOutcome};
 use crate::amount::{Time, Tokens};
 use crate::event::Outbox;
 use crate::ids::{BudgetId, Period, RunId};
@@ -15,10 +15,10 @@
         budget: &BudgetId,
         waiter: (RunId, Tokens, Time),
         out: &mut Outbox,
-    ) -> Reserved {
+    ) -> ReserveOutcome {
         let (run, need, until) = waiter;
         let Some(holding) = self.table.get_mut(budget) else {
-            return Reserved::Refused(Refusal::not_run(Cause::BudgetSpent));
+            return ReserveOutcome::Refused(Refusal::not_run(Cause::BudgetSpent));
         };
         holding.largest = holding.largest.max(need);
         if self.lenders.is_empty() {
@@ -29,27 +29,27 @@
             holding.unseal_due(now);
         }
         if need > holding.terms.limit {
-            return Reserved::Refused(Refusal::not_run(Cause::BudgetSpent));
+            return ReserveOutcome::Refused(Refusal::not_run(Cause::BudgetSpent));
         }
         if holding.set_aside(now, need) {
             let period = holding.terms.period;
             self.touched.insert(budget.clone());
             self.borrow_ahead(now, budget, out);
-            return Reserved::Done(period);
+            return ReserveOutcome::Done(period);
         }
         let waiter = Waiter { wanter: Wanter::Run(run), need, until };
         match holding.queue(now, waiter) {
-            Queued::Refused(refusal) => return Reserved::Refused(refusal),
+            Queued::Refused(refusal) => return ReserveOutcome::Refused(refusal),
             Queued::WaitsOn => {
                 self.busy.insert(budget.clone());
             }
             Queued::Searches => self.pursue(now, budget, out),
         }
-        Reserved::Waiting
+        ReserveOutcome::Waiting
     }
 
     /// Drops a request that waits for tokens; tells whether it waited.
-    pub fn withdraw(&mut self, budget: &BudgetId, run: RunId) -> bool {
+    pub fn cancel_request(&mut self, budget: &BudgetId, run: RunId) -> bool {
         let Some(holding) = self.table.get_mut(budget) else {
             return false;
         };
@@ -67,17 +67,17 @@
         reserved: Tokens,
         used: Tokens,
     ) {
-        let excess = used.saturating_minus(reserved);
-        self.excess = self.excess.saturating_plus(excess);
+        let excess = used.saturating_sub(reserved);
+        self.excess = self.excess.saturating_add(excess);
         let Some(holding) = self.table.get_mut(budget) else {
             return;
         };
         if holding.terms.period != period {
             return;
         }
-        holding.reserved = holding.reserved.saturating_minus(reserved);
-        let rest = reserved.saturating_minus(used);
-        holding.free = holding.free.saturating_plus(rest);
+        holding.reserved = holding.reserved.saturating_sub(reserved);
+        let rest = reserved.saturating_sub(used);
+        holding.free = holding.free.saturating_add(rest);
         // An upstream that ignores its limit eats into what is held.
         holding.write_off(excess);
         holding.giving.come_back(rest);
@@ -88,7 +88,7 @@
     }
 
     /// Counts a charge as billed, or as used up for a key that another process bills.
-    pub fn charge(&mut self, budget: &BudgetId, period: Period, cost: Tokens, billed: bool) {
+    pub fn record_charge(&mut self, budget: &BudgetId, period: Period, cost: Tokens, billed: bool) {
         let Some(holding) = self.table.get_mut(budget) else {
             return;
         };
@@ -96,11 +96,11 @@
             return;
         }
         let sum = if billed { &mut holding.billed } else { &mut holding.wasted };
-        *sum = sum.saturating_plus(cost);
+        *sum = sum.saturating_add(cost);
     }
 
     /// Takes the answers to requests that waited.
-    pub fn decisions(&mut self) -> Vec<Decision> {
+    pub fn take_decisions(&mut self) -> Vec<ReserveDecision> {
         std::mem::take(&mut self.decisions)
     }
 }
--- a/crates/badgerfield-core/src/holdings/search.rs
+++ b/crates/badgerfield-core/src/holdings/search.rs
@@ -6,11 +6,11 @@
 use super::holding::{Holding, Search};
 use super::lending::BorrowerAnswer;
 use super::waiting::{Waiter, Wanter};
-use super::{COME_BACK, Decision, Holdings};
+use super::{COME_BACK, Holdings, ReserveDecision};
 use crate::amount::{Time, Tokens};
 use crate::event::{Note, Order, Outbox};
 use crate::ids::{BudgetId, Incarnation};
-use crate::ledger::Plan;
+use crate::ledger::HoldingPlan;
 use crate::message::{Ask, Message};
 use crate::refusal::{Cause, Refusal};
 use crate::view::View;
@@ -76,7 +76,7 @@
         };
         for waiter in waiters {
             match waiter.wanter {
-                Wanter::Run(run) => self.decisions.push(Decision { run, period, refusal }),
+                Wanter::Run(run) => self.decisions.push(ReserveDecision { run, period, refusal }),
                 Wanter::Borrower(to) => {
                     let (budget, amount) = (budget.clone(), waiter.need);
                     self.answers.push(BorrowerAnswer { to, budget, period, amount, refusal });
@@ -149,7 +149,7 @@
                 holding.search.get_or_insert(Search::Lender { since: now, asked: vec![to] });
                 let (budget, period) = (budget.clone(), holding.terms.period);
                 let need = holding.waiters.back().map_or(Tokens::ZERO, |w| w.need);
-                let coming = holding.ready().saturating_plus(holding.coming.sum(now));
+                let coming = holding.ready().saturating_add(holding.coming.sum(now));
                 if holding.borrows() && holding.wanted() <= coming {
                     return;
                 }
@@ -289,13 +289,13 @@
         let ranked = self.view.ranked(budget.as_str().as_bytes(), None);
         open.extend(ranked.iter().take(MAX_ASKED).map(|m| m.incarnation));
         open.retain(|id| *id != self.me && self.view.has(*id));
-        let lack = holding.wanted().saturating_minus(holding.ready());
+        let lack = holding.wanted().saturating_sub(holding.ready());
         // A holder that cannot give all that is wanted may still serve one of those who wait. Where a
         // few hold for all, each holds enough for many, and what they lack is asked for at once.
         let least = holding.waiters.iter().map(|w| w.need).min().unwrap_or_default();
-        let least = least.saturating_minus(holding.ready());
+        let least = least.saturating_sub(holding.ready());
         let need = if self.lenders.is_empty() { least } else { lack };
-        let ahead = lack.saturating_minus(need);
+        let ahead = lack.saturating_sub(need);
         for to in &open {
             let (budget, period) = (budget.clone(), holding.terms.period);
             out.send(*to, Message::Ask(Ask { budget, period, need, ahead }));
@@ -350,7 +350,7 @@
         if all_answered && !awaits && holding.op.is_none() {
             // Small requests may be served by what comes back though large ones cannot.
             let reach = holding.within_reach(now).max(reach);
-            let least = reach.saturating_plus(Tokens(1));
+            let least = reach.saturating_add(Tokens(1));
             let needs = holding.waiters.iter().map(|w| w.need).filter(|need| *need >= least);
             holding.spent = needs.min().map(|need| (now, need)).or(holding.spent);
             let refusal = Refusal::not_run(Cause::BudgetSpent);
@@ -439,7 +439,7 @@
         return holding.lenders.iter().copied().find(fits);
     }
     match holding.plan {
-        Plan::Defer(id) if view.has(id) => Some(id),
-        Plan::Defer(_) | Plan::Share(_) | Plan::Collect(_) => None,
+        HoldingPlan::Defer(id) if view.has(id) => Some(id),
+        HoldingPlan::Defer(_) | HoldingPlan::Share(_) | HoldingPlan::Collect(_) => None,
     }
 }
--- a/crates/badgerfield-core/src/holdings/transfer.rs
+++ b/crates/badgerfield-core/src/holdings/transfer.rs
@@ -143,7 +143,7 @@
         let mut sums: BTreeMap<BudgetId, Tokens> = BTreeMap::new();
         for sent in self.sent.values() {
             let sum = sums.entry(sent.budget.clone()).or_default();
-            *sum = sum.saturating_plus(sent.amount);
+            *sum = sum.saturating_add(sent.amount);
         }
         sums
     }
--- a/crates/badgerfield-core/src/holdings/views.rs
+++ b/crates/badgerfield-core/src/holdings/views.rs
@@ -6,12 +6,12 @@
 use super::{Holdings, Leaving};
 use crate::amount::Time;
 use crate::event::{Note, Order, Outbox};
-use crate::ledger::Untouched;
+use crate::ledger::WitnessReport;
 use crate::view::View;
 
 impl Holdings {
     /// Puts a newer view in force: settles what removed processes had parked or keep.
-    pub fn adopt(&mut self, now: Time, view: &Arc<View>, out: &mut Outbox) {
+    pub fn apply_view(&mut self, now: Time, view: &Arc<View>, out: &mut Outbox) {
         if view.epoch <= self.view.epoch {
             return;
         }
@@ -34,11 +34,11 @@
             if self.maker.sealing.is_some() {
                 // Its successor may give back a part of it, so the ledger decides.
                 let (holder, amount) = (inherited.owner, inherited.amount);
-                holding.untouched.push(Untouched { holder, amount });
+                holding.untouched.push(WitnessReport { holder, amount });
                 let (budget, epoch) = (inherited.budget.clone(), view.epoch);
                 out.push(Order::Note(Note::Untouched { budget, holder, amount, epoch }));
             } else {
-                holding.free = holding.free.saturating_plus(inherited.amount);
+                holding.free = holding.free.saturating_add(inherited.amount);
             }
             self.touched.insert(inherited.budget);
         }
@@ -87,7 +87,7 @@
     }
 
     /// Hands what is left to another process, for when the platform cannot take it back.
-    pub fn hand_on(&mut self, now: Time, out: &mut Outbox) {
+    pub fn hand_over(&mut self, now: Time, out: &mut Outbox) {
         let to = self
             .view
             .ranked(&self.me.0.to_be_bytes(), None)
--- a/crates/badgerfield-core/src/holdings/waiting.rs
+++ b/crates/badgerfield-core/src/holdings/waiting.rs
@@ -89,8 +89,8 @@
                 refused.push(waiter);
                 continue;
             }
-            before = before.saturating_plus(waiter.need);
-            reach = reach.saturating_minus(waiter.need);
+            before = before.saturating_add(waiter.need);
+            reach = reach.saturating_sub(waiter.need);
             let waits_on = stays && !opens && waiter.need >= need;
             waiting.push_back(if waits_on { waiter.for_given_back(now) } else { waiter });
         }
@@ -120,7 +120,7 @@
         if self.opens_for(now, self.wanted(), &waiter) {
             return Some(waiter);
         }
-        let wanted = self.wanted().saturating_plus(waiter.need);
+        let wanted = self.wanted().saturating_add(waiter.need);
         let comes_back = self.may_get_back(now) && wanted <= self.within_reach(now);
         (waiter.is_patient() && comes_back).then(|| waiter.for_given_back(now))
     }
--- a/crates/badgerfield-core/src/ledger.rs
+++ b/crates/badgerfield-core/src/ledger.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::amount::{Percent, Rate, Tokens};
+use crate::amount::{Percent, TokenRate, Tokens};
 use crate::ids::{BudgetId, Incarnation, Period, Region, Version, VmId, weigh};
 use crate::seal::{Orphan, Seal, SealRecord, sealed_part};
 
@@ -41,7 +41,7 @@
 
 /// The terms of a budget as one version of its template states them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Terms {
+pub struct BudgetTerms {
     /// The version of the template.
     #[serde(rename = "v")]
     pub version: Version,
@@ -67,7 +67,7 @@
     pub held: Tokens,
     /// The holder's demand when it made the last change.
     #[serde(rename = "r")]
-    pub rate: Rate,
+    pub rate: TokenRate,
     /// What the holder has billed in this period.
     #[serde(rename = "b")]
     pub billed: Tokens,
@@ -99,7 +99,7 @@
 pub struct BudgetEntry {
     /// The newest terms that any holder has shown.
     #[serde(rename = "t")]
-    pub terms: Terms,
+    pub terms: BudgetTerms,
     /// What was handed out and not given back.
     #[serde(rename = "d")]
     pub drawn: Tokens,
@@ -130,7 +130,7 @@
     /// The budget.
     pub budget: BudgetId,
     /// The terms that the holder knows.
-    pub terms: Terms,
+    pub terms: BudgetTerms,
     /// The holder.
     pub holder: Incarnation,
     /// The holder's sequence number for this budget and period, from 1 on.
@@ -142,15 +142,15 @@
     /// What the holder has left, without what is given back.
     pub held: Tokens,
     /// The holder's demand.
-    pub rate: Rate,
+    pub rate: TokenRate,
     /// What a large request of late can cost.
-    pub unit: Tokens,
+    pub request_size: Tokens,
     /// The holder's region.
     pub region: Region,
     /// How much of the budget holders may hold ahead of demand.
     pub spread: Percent,
     /// The longest demand, in time, that the holder may hold ahead.
-    pub ahead: Duration,
+    pub horizon: Duration,
     /// What the holder has billed in this period.
     pub billed: Tokens,
     /// What the holder has used up without billing it.
@@ -162,12 +162,12 @@
     /// Who knows what of the holding is untouched, should the holder be gone.
     pub witness: Option<Incarnation>,
     /// What removed holders had left untouched, as this holder knows that was their witness.
-    pub untouched: Vec<Untouched>,
+    pub witness_reports: Vec<WitnessReport>,
 }
 
 /// What a witness knows of the holding of a removed holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Untouched {
+pub struct WitnessReport {
     /// The removed holder.
     pub holder: Incarnation,
     /// How much of its holding it cannot have spent.
@@ -184,31 +184,31 @@
         /// What was handed out.
         granted: Tokens,
         /// What is left in the ledger.
-        left: Tokens,
+        remaining: Tokens,
         /// Other holders with something left, the richest first.
-        others: Vec<Incarnation>,
+        other_holders: Vec<Incarnation>,
         /// How the holder should hold the budget from now on.
-        plan: Plan,
+        plan: HoldingPlan,
         /// Sealed tokens of earlier processes of the holder's VM.
-        orphans: Vec<Orphan>,
+        orphaned_seals: Vec<Orphan>,
     },
     /// The period has ended; nothing of the change took effect.
     Ended {
         /// The newest terms.
-        terms: Terms,
+        terms: BudgetTerms,
     },
     /// The ledger does not know the holder; nothing of the change took effect.
-    Unknown {
+    UnknownHolder {
         /// The change's sequence number.
         seq: u64,
     },
     /// The platform does not answer; the change may have taken effect.
-    Down,
+    StoreUnavailable,
 }
 
 /// How a holder should hold a budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Plan {
+pub enum HoldingPlan {
     /// Hold up to this share ahead of demand.
     Share(Tokens),
     /// The budget is low: hold this much of it, for the region or for everybody.
@@ -217,7 +217,7 @@
     Defer(Incarnation),
 }
 
-impl fmt::Display for Plan {
+impl fmt::Display for HoldingPlan {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Share(tokens) => write!(f, "share:{tokens}"),
@@ -255,7 +255,7 @@
     /// Applies one change and returns what became of it.
     pub fn apply(&mut self, op: &LedgerOp) -> LedgerReply {
         if self.gone.contains(&op.holder) {
-            return LedgerReply::Unknown { seq: op.seq };
+            return LedgerReply::UnknownHolder { seq: op.seq };
         }
         let entry =
             self.budgets.entry(op.budget.clone()).or_insert_with(|| BudgetEntry::new(op.terms));
@@ -265,7 +265,7 @@
     /// Forgets holders that are known to be gone and drops what they held.
     ///
     /// What they held stays drawn: nobody can tell what they spent of it.
-    pub fn forget(&mut self, gone: &[Incarnation]) {
+    pub fn remove_holders(&mut self, gone: &[Incarnation]) {
         for id in gone {
             if self.gone.contains(id) {
                 continue;
@@ -282,7 +282,7 @@
 }
 
 impl BudgetEntry {
-    fn new(terms: Terms) -> Self {
+    fn new(terms: BudgetTerms) -> Self {
         Self {
             terms,
             drawn: Tokens::ZERO,
@@ -295,14 +295,14 @@
     /// Returns what is neither spent nor held.
     #[must_use]
     pub fn left(&self) -> Tokens {
-        self.terms.limit.saturating_minus(self.drawn)
+        self.terms.limit.saturating_sub(self.drawn)
     }
 
     /// Returns what is billed in this period as far as holders have reported it.
     #[must_use]
     pub fn total_billed(&self) -> Tokens {
         let live: Tokens = self.holders.values().map(|h| h.billed).sum();
-        self.billed.saturating_plus(live)
+        self.billed.saturating_add(live)
     }
 
     fn apply(&mut self, op: &LedgerOp) -> LedgerReply {
@@ -313,21 +313,21 @@
         let known = self.holders.contains_key(&op.holder);
         // A holder that was forgotten must not give back twice.
         if !known && op.seq != 1 {
-            return LedgerReply::Unknown { seq: op.seq };
+            return LedgerReply::UnknownHolder { seq: op.seq };
         }
         let holder = self.holders.entry(op.holder).or_default();
         if holder.closed && op.seq > holder.seq {
-            return LedgerReply::Unknown { seq: op.seq };
+            return LedgerReply::UnknownHolder { seq: op.seq };
         }
         if op.seq <= holder.seq {
             let granted = if op.seq == holder.seq { holder.granted } else { Tokens::ZERO };
             return self.applied(op, granted);
         }
-        self.drawn = self.drawn.saturating_minus(op.back);
+        self.drawn = self.drawn.saturating_sub(op.back);
         holder.seq = op.seq;
         holder.held = op.held;
         holder.rate = op.rate;
-        holder.unit = op.unit;
+        holder.unit = op.request_size;
         holder.region = Some(op.region.clone());
         holder.billed = op.billed;
         holder.wasted = op.wasted;
@@ -335,7 +335,7 @@
         self.settle_untouched(op);
         let granted = self.grant(op);
         let record = op.seal.as_ref().and_then(|seal| record_of(seal, granted, op.need));
-        self.drawn = self.drawn.saturating_plus(granted);
+        self.drawn = self.drawn.saturating_add(granted);
         if op.close {
             if let Some(holder) = self.holders.get_mut(&op.holder) {
                 holder.seal = None;
@@ -344,7 +344,7 @@
             self.close(op.holder);
         } else if let Some(holder) = self.holders.get_mut(&op.holder) {
             holder.granted = granted;
-            holder.held = holder.held.saturating_plus(granted);
+            holder.held = holder.held.saturating_add(granted);
             holder.seal = record;
             holder.witness = op.witness;
         }
@@ -369,7 +369,7 @@
     /// A holder spends nothing of it without its witness, which allows nothing more once it has
     /// seen the view without that holder.
     fn settle_untouched(&mut self, op: &LedgerOp) {
-        for found in &op.untouched {
+        for found in &op.witness_reports {
             let holder = self.holders.get_mut(&found.holder);
             let Some(holder) = holder.filter(|h| h.witness == Some(op.holder)) else {
                 continue;
@@ -386,9 +386,9 @@
         let Some(holder) = self.holders.get_mut(&id) else {
             return;
         };
-        let more = untouched.saturating_minus(holder.restored);
-        holder.restored = holder.restored.saturating_plus(more);
-        self.drawn = self.drawn.saturating_minus(more);
+        let more = untouched.saturating_sub(holder.restored);
+        holder.restored = holder.restored.saturating_add(more);
+        self.drawn = self.drawn.saturating_sub(more);
     }
 
     /// Returns the sealed tokens of earlier processes of a VM.
@@ -404,7 +404,7 @@
         sealed.filter(|(_, seal)| seal.vm == *vm).map(orphan).collect()
     }
 
-    fn learn(&mut self, terms: Terms) {
+    fn learn(&mut self, terms: BudgetTerms) {
         if terms.version <= self.terms.version {
             return;
         }
@@ -418,30 +418,30 @@
     }
 
     /// Decides how a holder should hold the budget, by its share of the demand.
-    fn plan(&self, op: &LedgerOp) -> Plan {
+    fn plan(&self, op: &LedgerOp) -> HoldingPlan {
         let held: Tokens = self.holders.values().map(|h| h.held).sum();
-        let remaining = op.spread.of(self.left().saturating_plus(held));
+        let remaining = op.spread.of(self.left().saturating_add(held));
         let unit = self.busy().map(|(_, h)| h.unit.0).max().unwrap_or(0);
         let count = u64::try_from(self.busy().count()).unwrap_or(u64::MAX);
         let rates: u64 = self.busy().map(|(_, h)| h.rate.0).sum();
         if remaining.0 >= count.saturating_mul(unit).saturating_mul(LOW) {
             let share = remaining.part(op.rate.0, rates.max(1));
             // Where nothing is parked, what exceeds the horizon goes back soon.
-            let most = op.rate.over(horizon(op.seq, op.ahead));
-            return Plan::Share(if op.seal.is_some() { share.min(most) } else { share });
+            let most = op.rate.over(horizon(op.seq, op.horizon));
+            return HoldingPlan::Share(if op.seal.is_some() { share.min(most) } else { share });
         }
         let last = remaining.0 < unit.saturating_mul(LAST);
         let near = |h: &HolderEntry| last || h.region.as_ref() == Some(&op.region);
         let scope = || self.busy().filter(|(_, h)| near(h));
         let subject = op.budget.as_str().as_bytes();
         match scope().map(|(id, _)| *id).max_by_key(|id| weigh(subject, *id)) {
-            Some(id) if id != op.holder => Plan::Defer(id),
-            Some(_) if last => Plan::Collect(self.terms.limit),
+            Some(id) if id != op.holder => HoldingPlan::Defer(id),
+            Some(_) if last => HoldingPlan::Collect(self.terms.limit),
             Some(_) => {
                 let rate: u64 = scope().map(|(_, h)| h.rate.0).sum();
-                Plan::Collect(remaining.part(rate, rates.max(1)))
+                HoldingPlan::Collect(remaining.part(rate, rates.max(1)))
             }
-            None => Plan::Share(Tokens::ZERO),
+            None => HoldingPlan::Share(Tokens::ZERO),
         }
     }
 
@@ -458,11 +458,11 @@
             return Tokens::ZERO;
         }
         let target = match self.plan(op) {
-            Plan::Share(share) => share.min(op.rate.over(horizon(op.seq, op.ahead))),
-            Plan::Collect(share) => share,
-            Plan::Defer(_) => Tokens::ZERO,
+            HoldingPlan::Share(share) => share.min(op.rate.over(horizon(op.seq, op.horizon))),
+            HoldingPlan::Collect(share) => share,
+            HoldingPlan::Defer(_) => Tokens::ZERO,
         };
-        let mut wanted = target.saturating_minus(op.held);
+        let mut wanted = target.saturating_sub(op.held);
         if op.seal.is_some() {
             wanted = wanted.min(self.ahead_left(op.spread));
         }
@@ -475,7 +475,7 @@
     /// this bound their sum comes to nearly the whole budget while demand is young.
     fn ahead_left(&self, spread: Percent) -> Tokens {
         let held: Tokens = self.holders.values().map(|h| h.held).sum();
-        spread.of(self.left().saturating_plus(held)).saturating_minus(held)
+        spread.of(self.left().saturating_add(held)).saturating_sub(held)
     }
 
     /// Drops the record of a holder that is gone, and of those that wait for it as their witness.
@@ -500,11 +500,11 @@
         let Some(holder) = self.holders.get_mut(&id) else {
             return;
         };
-        self.billed = self.billed.saturating_plus(std::mem::take(&mut holder.billed));
-        self.wasted = self.wasted.saturating_plus(std::mem::take(&mut holder.wasted));
+        self.billed = self.billed.saturating_add(std::mem::take(&mut holder.billed));
+        self.wasted = self.wasted.saturating_add(std::mem::take(&mut holder.wasted));
         holder.granted = Tokens::ZERO;
         holder.held = Tokens::ZERO;
-        holder.rate = Rate(0);
+        holder.rate = TokenRate(0);
         holder.closed = true;
     }
 
@@ -518,17 +518,24 @@
         let others = rich.into_iter().take(MAX_NAMED).map(|(id, _)| *id).collect();
         let (seq, left, plan) = (op.seq, self.left(), self.plan(op));
         let orphans = op.seal.as_ref().map_or_else(Vec::new, |s| self.orphans(&s.vm, op.holder));
-        LedgerReply::Applied { seq, granted, left, others, plan, orphans }
+        LedgerReply::Applied {
+            seq,
+            granted,
+            remaining: left,
+            other_holders: others,
+            plan,
+            orphaned_seals: orphans,
+        }
     }
 }
 
 /// Returns what the ledger keeps of what a holder says, with the sealed part of what it is
 /// granted now; nothing if it promises nothing.
 fn record_of(seal: &Seal, granted: Tokens, need: Tokens) -> Option<SealRecord> {
-    let at = seal.at?;
-    let amount = seal.amount.saturating_plus(sealed_part(granted, need));
+    let at = seal.sealed_at?;
+    let amount = seal.amount.saturating_add(sealed_part(granted, need));
     (!amount.is_zero()).then(|| {
-        let (vm, falls_ms) = (seal.vm.clone(), seal.falls_ms);
+        let (vm, falls_ms) = (seal.vm.clone(), seal.decay_ms);
         SealRecord { vm, amount, at, falls_ms }
     })
 }
--- a/crates/badgerfield-core/src/ledger_writer.rs
+++ b/crates/badgerfield-core/src/ledger_writer.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 
-use crate::amount::{Rate, Time};
+use crate::amount::{Time, TokenRate};
 use crate::event::{KvCall, KvName, KvResult, Versioned, due};
 use crate::ids::{BudgetId, Incarnation, Period};
 use crate::ledger::{LedgerOp, LedgerReply, LedgerShard};
@@ -30,7 +30,7 @@
 
 /// What became of a change, and for whom it is.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Result {
+pub struct OpResult {
     /// The holder.
     pub holder: Incarnation,
     /// The budget.
@@ -48,7 +48,7 @@
     Reading,
     Writing {
         next: LedgerShard,
-        replies: Vec<Result>,
+        replies: Vec<OpResult>,
     },
 }
 
@@ -85,7 +85,7 @@
 
     /// Returns how many writes met another value, and how many there were.
     #[must_use]
-    pub fn conflicts(&self) -> (u64, u64) {
+    pub fn write_counts(&self) -> (u64, u64) {
         (self.conflicts, self.writes)
     }
 
@@ -103,11 +103,11 @@
     }
 
     /// Adds a change; returns a reply at once while the platform is being left alone.
-    pub fn add(&mut self, now: Time, shard: u32, op: LedgerOp) -> Option<Result> {
+    pub fn add(&mut self, now: Time, shard: u32, op: LedgerOp) -> Option<OpResult> {
         if self.gone.contains(&op.holder) {
-            let reply = LedgerReply::Unknown { seq: op.seq };
+            let reply = LedgerReply::UnknownHolder { seq: op.seq };
             let (budget, period) = (op.budget, op.terms.period);
-            return Some(Result { holder: op.holder, budget, period, reply });
+            return Some(OpResult { holder: op.holder, budget, period, reply });
         }
         let state = self.shards.entry(shard).or_default();
         if !due(now, state.failed, PAUSE) {
@@ -123,7 +123,7 @@
     }
 
     /// Returns the calls that are due.
-    pub fn calls(&mut self, now: Time) -> Vec<(u32, KvCall)> {
+    pub fn next_calls(&mut self, now: Time) -> Vec<(u32, KvCall)> {
         let mut calls = Vec::new();
         let gone: Vec<_> = self.gone.iter().copied().collect();
         for (id, shard) in &mut self.shards {
@@ -135,7 +135,7 @@
     }
 
     /// Takes in the platform's answer; returns what became of changes.
-    pub fn answered(&mut self, now: Time, id: u32, result: KvResult) -> Vec<Result> {
+    pub fn handle_result(&mut self, now: Time, id: u32, result: KvResult) -> Vec<OpResult> {
         let Some(shard) = self.shards.get_mut(&id) else {
             return Vec::new();
         };
@@ -193,7 +193,7 @@
             return Some(KvCall::Get(name));
         };
         let mut next = value.clone();
-        next.forget(gone);
+        next.remove_holders(gone);
         let replies = apply(&mut next, &self.queue);
         let value = Bytes::from(next.encode());
         let expect = *revision;
@@ -201,7 +201,7 @@
         Some(KvCall::Swap { name, expect, value })
     }
 
-    fn learn(&mut self, now: Time, found: &Versioned) -> Vec<Result> {
+    fn learn(&mut self, now: Time, found: &Versioned) -> Vec<OpResult> {
         self.written = None;
         if let Ok(value) = LedgerShard::decode(found.value.as_deref()) {
             self.cached = Some((value, found.revision));
@@ -212,7 +212,7 @@
         }
     }
 
-    fn settle(&mut self, replies: Vec<Result>) -> Vec<Result> {
+    fn settle(&mut self, replies: Vec<OpResult>) -> Vec<OpResult> {
         self.starved = !replies.iter().any(|r| handed_out(&r.reply));
         for reply in &replies {
             let id = (reply.holder, reply.budget.clone());
@@ -224,7 +224,7 @@
         replies
     }
 
-    fn give_up(&mut self, now: Time) -> Vec<Result> {
+    fn give_up(&mut self, now: Time) -> Vec<OpResult> {
         self.failed = Some(now);
         let queue = std::mem::take(&mut self.queue);
         queue.values().map(down).collect()
@@ -234,11 +234,11 @@
 fn apply(
     shard: &mut LedgerShard,
     queue: &BTreeMap<(Incarnation, BudgetId), LedgerOp>,
-) -> Vec<Result> {
+) -> Vec<OpResult> {
     let mut replies = Vec::new();
     for op in queue.values() {
         let reply = shard.apply(op);
-        replies.push(Result {
+        replies.push(OpResult {
             holder: op.holder,
             budget: op.budget.clone(),
             period: op.terms.period,
@@ -254,7 +254,7 @@
 /// pace, and so does what it unseals, since it leaves enough open; what a process gives back
 /// that stops or borrows does not wait.
 fn is_urgent(op: &LedgerOp) -> bool {
-    let keeps_on = op.seal.is_some() && op.rate > Rate(0);
+    let keeps_on = op.seal.is_some() && op.rate > TokenRate(0);
     let gives = !op.back.is_zero() && !keeps_on;
     op.close || gives || !op.need.is_zero()
 }
@@ -266,12 +266,12 @@
 /// Tells whether a reply is the answer to a change, and not to one before it.
 fn answers(op: &LedgerOp, reply: &LedgerReply) -> bool {
     match reply {
-        LedgerReply::Applied { seq, .. } | LedgerReply::Unknown { seq } => op.seq <= *seq,
-        LedgerReply::Ended { .. } | LedgerReply::Down => true,
+        LedgerReply::Applied { seq, .. } | LedgerReply::UnknownHolder { seq } => op.seq <= *seq,
+        LedgerReply::Ended { .. } | LedgerReply::StoreUnavailable => true,
     }
 }
 
-fn down(op: &LedgerOp) -> Result {
+fn down(op: &LedgerOp) -> OpResult {
     let (budget, period) = (op.budget.clone(), op.terms.period);
-    Result { holder: op.holder, budget, period, reply: LedgerReply::Down }
+    OpResult { holder: op.holder, budget, period, reply: LedgerReply::StoreUnavailable }
 }
--- a/crates/badgerfield-core/src/membership.rs
+++ b/crates/badgerfield-core/src/membership.rs
@@ -366,14 +366,14 @@
     /// of yet; others of its region give it those otherwise.
     pub(crate) fn reads_first(&self, now: Time) -> bool {
         let stored = self.known.then_some(&*self.stored);
-        first_read::reads(now, stored, &self.me)
+        first_read::can_read(now, stored, &self.me)
     }
 
     /// Returns the member of this process's region that is asked next for what it knows
     /// nothing of yet: by turns one that knows it early, and another one each time.
     pub(crate) fn source(&mut self) -> Option<Incarnation> {
         self.asks += 1;
-        let early = first_read::source(&self.view, &self.me).filter(|_| self.asks % 2 == 1);
+        let early = first_read::tree_parent(&self.view, &self.me).filter(|_| self.asks % 2 == 1);
         if early.is_some() {
             return early;
         }
@@ -538,7 +538,7 @@
     pub(crate) fn clock(&self, now: Time) -> FleetClock {
         let told = self.signs.values().filter(|sign| now.since(sign.told) < self.doubt);
         let offsets = told.filter_map(|sign| sign.offset).chain(self.offset).collect();
-        FleetClock::of(offsets, self.clock_quorum())
+        FleetClock::from_offsets(offsets, self.clock_quorum())
     }
 
     /// Returns how many clocks must agree: more than half of all, or in a view that is too
--- a/crates/badgerfield-core/src/node.rs
+++ b/crates/badgerfield-core/src/node.rs
@@ -8,7 +8,7 @@
 use crate::claims::Claims;
 use crate::evacuation::DomainChange;
 use crate::event::{Event, Order, Outbox};
-use crate::holdings::{Figures, Holdings};
+use crate::holdings::{HoldingBalance, Holdings};
 use crate::ids::{BudgetId, Epoch, Incarnation, RunId, UpstreamId, Version};
 use crate::ledger_writer::LedgerWriter;
 use crate::membership::Membership;
@@ -97,7 +97,7 @@
     /// The budget.
     pub budget: BudgetId,
     /// Its figures.
-    pub figures: Figures,
+    pub figures: HoldingBalance,
 }
 
 /// The state of one process, for operators.
@@ -189,8 +189,8 @@
 
     /// Returns the figures of one budget at this process.
     #[must_use]
-    pub fn figures(&self, budget: &BudgetId) -> Figures {
-        self.board.holdings().figures(budget)
+    pub fn figures(&self, budget: &BudgetId) -> HoldingBalance {
+        self.board.holdings().balance(budget)
     }
 
     /// Returns the address of an upstream.
@@ -307,11 +307,11 @@
             let table = self.board.holdings();
             let status = |budget: &BudgetId| BudgetStatus {
                 budget: budget.clone(),
-                figures: table.figures(budget),
+                figures: table.balance(budget),
             };
             (table.excess(), table.budgets().map(status).collect())
         };
-        let conflicts = self.board.ledger_writer().conflicts();
+        let conflicts = self.board.ledger_writer().write_counts();
         let incarnation = self.id();
         Status {
             incarnation,
@@ -336,23 +336,23 @@
         match event {
             Event::Start => {
                 self.read_platform(now, out);
-                self.poison_tick(now, out);
+                self.tick_poison(now, out);
             }
             Event::Tick => self.tick(now, out),
-            Event::Arrived(request, arrival) => self.arrived(now, request, *arrival, out),
-            Event::HungUp(request) => self.hung_up(now, request, out),
-            Event::Upstream(attempt, event) => self.upstream(now, attempt, event, out),
+            Event::Arrived(request, arrival) => self.handle_request(now, request, *arrival, out),
+            Event::HungUp(request) => self.handle_caller_disconnect(now, request, out),
+            Event::Upstream(attempt, event) => self.handle_upstream_event(now, attempt, event, out),
             Event::Load(id, report) => self.board.upstreams().report(now, &id, report),
             Event::Peer(envelope) => self.peer(now, envelope, out),
-            Event::KeyValue(ticket, result) => self.key_value(now, ticket, result, out),
+            Event::KeyValue(ticket, result) => self.handle_store_result(now, ticket, result, out),
             Event::VmList(list) => {
                 self.board.members().learn(&list);
                 self.board.upstreams().learn(&list);
             }
-            Event::Templates(found) => self.read_templates(now, &found, out),
-            Event::Operators(found) => self.read_operators(now, found, out),
-            Event::OperatorChanges(found) => self.operators_changed(now, found, out),
-            Event::Reserve(ask) => self.reserve_for(now, &ask, out),
+            Event::Templates(found) => self.apply_stored_templates(now, &found, out),
+            Event::Operators(found) => self.apply_operator_values(now, found, out),
+            Event::OperatorChanges(found) => self.apply_operator_changes(now, found, out),
+            Event::Reserve(ask) => self.reserve_for_route(now, &ask, out),
             Event::Withdraw(ask) => self.withdraw(now, &ask, out),
             Event::Settle(end) => self.settle_reservation(now, &end, out),
             Event::Clock(wall) => self.board.members().set_wall(now, wall),
@@ -370,9 +370,9 @@
             }
             Event::Lags(lags) => self.board.members().lags = lags,
             Event::Limits(notes) => self.tell_limits(&notes, out),
-            Event::RolloutTallies(tallies) => self.count_rollouts(now, tallies, out),
-            Event::Crashed(crash) => self.crashed(now, crash, out),
-            Event::SuspectServed(request) => self.suspect_served(now, request, out),
+            Event::RolloutTallies(tallies) => self.record_rollout_tallies(now, tallies, out),
+            Event::Crashed(crash) => self.record_crash(now, crash, out),
+            Event::SuspectServed(request) => self.record_suspect_served(now, request, out),
             Event::Stop => self.stop(now, out),
         }
     }
@@ -384,23 +384,23 @@
             members.clock(now)
         };
         self.board.holdings().set_clock(clock);
-        self.beat(now, out);
-        self.rollout_tick(now, out);
-        self.poison_tick(now, out);
+        self.tick_heartbeat(now, out);
+        self.tick_rollouts(now, out);
+        self.tick_poison(now, out);
         self.read_platform(now, out);
-        self.ask_first(now, out);
-        self.claim_tick(now, out);
-        self.rights_tick(now, out);
-        self.queue_tick(now, out);
-        self.charge_tick(now, out);
-        self.stop_tick(now, out);
+        self.request_bootstrap(now, out);
+        self.tick_claims(now, out);
+        self.tick_holdings(now, out);
+        self.tick_queue(now, out);
+        self.tick_charges(now, out);
+        self.tick_stop(now, out);
         self.sweep_runs(now);
     }
 
     /// Does what any event may have made due.
     fn follow_up(&self, now: Time, out: &mut Outbox) {
-        self.rights_due(now, out);
-        self.pump(now, out);
+        self.flush_holdings(now, out);
+        self.dispatch_queued(now, out);
     }
 
     fn peer(&self, now: Time, envelope: Envelope, out: &mut Outbox) {
@@ -414,51 +414,55 @@
             members.meet(from, envelope.address);
         }
         match envelope.message {
-            Message::Heartbeat(beat) => self.heartbeat(now, from, &beat, out),
+            Message::Heartbeat(beat) => self.handle_heartbeat(now, from, &beat, out),
             Message::Fetch { epoch, version, whole } => {
-                self.fetch(from, epoch, version, whole, out);
+                self.handle_fetch(from, epoch, version, whole, out);
             }
-            Message::Join(guest) => self.invite(now, from, guest, out),
+            Message::Join(guest) => self.handle_join_request(now, from, guest, out),
             Message::View(update) => self.update_view(now, from, &update, out),
-            Message::Delta(delta) => self.learn_delta(now, from, *delta, out),
-            Message::Templates(set) => self.learn_templates(now, *set, out),
+            Message::Delta(delta) => self.apply_template_delta(now, from, *delta, out),
+            Message::Templates(set) => self.apply_templates(now, *set, out),
             Message::UpstreamChanges(news) => self.upstream_news(now, from, news, out),
             Message::FetchUpstreams { since } => out.push(Order::TellUpstreams(from, since)),
             Message::Upstreams(list) => out.push(Order::LearnUpstreams(list)),
             Message::Limits(notes) => out.push(Order::LearnLimits(from, notes)),
-            Message::Evacuations(news) => self.evacuation_news(now, from, news, out),
-            Message::CompareEvacuations(theirs) => self.evacuations_compared(from, &theirs, out),
-            Message::Rollouts(news) => self.rollout_news(now, news, out),
-            Message::CompareRollouts(theirs) => self.rollouts_compared(now, from, &theirs, out),
-            Message::Crashes(news) => self.crash_news(now, from, news, out),
-            Message::CompareCrashes(theirs) => self.crashes_compared(now, from, &theirs, out),
+            Message::Evacuations(news) => self.receive_evacuation_update(now, from, news, out),
+            Message::CompareEvacuations(theirs) => self.reconcile_evacuations(from, &theirs, out),
+            Message::Rollouts(news) => self.receive_rollout_update(now, news, out),
+            Message::CompareRollouts(theirs) => self.reconcile_rollouts(now, from, &theirs, out),
+            Message::Crashes(news) => self.receive_crash_update(now, from, news, out),
+            Message::CompareCrashes(theirs) => self.reconcile_crashes(now, from, &theirs, out),
             Message::RolloutReport(report) => self.board.rollouts().hear(from, report),
-            Message::Draw(ops) => self.draw(now, ops, out),
+            Message::Draw(ops) => self.handle_ledger_request(now, ops, out),
             Message::Drawn(replies) => self.drawn(now, from, replies, out),
-            Message::Ask(ask) => self.board.holdings().asked(now, from, &ask, out),
+            Message::Ask(ask) => self.board.holdings().handle_token_request(now, from, &ask, out),
             Message::Nothing { budget, need, lack, .. } => {
-                self.board.holdings().nothing(now, from, &budget, (need, lack), out);
+                self.board.holdings().handle_no_tokens(now, from, &budget, (need, lack), out);
             }
             Message::Transfer(transfer) => self.receive_transfer(now, from, &transfer, out),
-            Message::Transferred { seq } => self.board.holdings().transferred(now, from, seq),
+            Message::Transferred { seq } => self.board.holdings().confirm_transfer(now, from, seq),
             Message::Park(items) => self.park(now, from, &items, out),
-            Message::Parked(items) => self.board.holdings().parked(now, from, &items, out),
-            Message::Claim(ask) => self.claim_asked(now, from, &ask, out),
+            Message::Parked(items) => self.board.holdings().confirm_parked(now, from, &items, out),
+            Message::Claim(ask) => self.handle_claim_request(now, from, &ask, out),
             Message::Claimed { key, serial, epoch, verdict } => {
-                self.claimed(now, from, (key, serial, epoch), verdict, out);
+                self.handle_claim_reply(now, from, (key, serial, epoch), verdict, out);
+            }
+            Message::Copy { epoch, claim } => {
+                self.record_claim_backup(now, from, epoch, &claim, out)
             }
-            Message::Copy { epoch, claim } => self.copy(now, from, epoch, &claim, out),
             Message::Copied { key, serial, ended } => {
-                self.copied(now, from, (key, RunId(serial), ended), out);
+                self.handle_claim_backup_ack(now, from, (key, RunId(serial), ended), out);
             }
             Message::Dispatching { key, serial, upstream } => {
                 self.board.claims().dispatching(now, from, key, serial, upstream);
             }
             Message::Release { key, serial } => self.board.claims().release(from, key, serial),
-            Message::Settle(ask) => self.settle_asked(now, from, &ask, out),
-            Message::Settled { id, epoch, billed } => self.settled(now, id, epoch, billed, out),
-            Message::Charges(notes) => self.take_charges(now, from, notes, out),
-            Message::ChargesTaken(ids) => self.charges_taken(&ids),
+            Message::Settle(ask) => self.handle_settle_request(now, from, &ask, out),
+            Message::Settled { id, epoch, billed } => {
+                self.handle_settle_reply(now, id, epoch, billed, out)
+            }
+            Message::Charges(notes) => self.take_over_charges(now, from, notes, out),
+            Message::ChargesTaken(ids) => self.handle_charges_ack(&ids),
             Message::Handover(part) => {
                 let (epoch, number) = (part.epoch, part.part);
                 if self.board.claims().receive(now, from, &part) {
@@ -469,11 +473,20 @@
                 self.board.claims().handed_over(now, from, epoch, part, out);
             }
             Message::Attach { key, home, serial, offset } => {
-                self.attach(now, from, &Keyed { key, home }, RunId(serial), offset, out);
+                self.handle_answer_request(
+                    now,
+                    from,
+                    &Keyed { key, home },
+                    RunId(serial),
+                    offset,
+                    out,
+                );
+            }
+            Message::Part(part) => self.receive_answer_part(now, from, part, out),
+            Message::Pending { key, serial } => self.handle_answer_pending(now, from, key, serial),
+            Message::NotHere { key, serial } => {
+                self.handle_unknown_request(now, from, key, serial, out)
             }
-            Message::Part(part) => self.part(now, from, part, out),
-            Message::Pending { key, serial } => self.pending(now, from, key, serial),
-            Message::NotHere { key, serial } => self.not_here(now, from, key, serial, out),
         }
     }
 }
--- a/crates/badgerfield-core/src/queue.rs
+++ b/crates/badgerfield-core/src/queue.rs
@@ -10,7 +10,7 @@
 
 use crate::amount::{Time, Tokens};
 use crate::ids::{Account, RunId};
-use crate::rate::Meter;
+use crate::rate::RateMeter;
 
 /// The scale of the counters, so that priorities divide without much rounding.
 const SCALE: u64 = 1024;
@@ -39,7 +39,7 @@
     lines: BTreeMap<Account, Line>,
     count: usize,
     clock: u64,
-    ends: Meter,
+    ends: RateMeter,
 }
 
 impl Queue {
--- a/crates/badgerfield-core/src/rate.rs
+++ b/crates/badgerfield-core/src/rate.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::amount::{Rate, Time, Tokens};
+use crate::amount::{Time, TokenRate, Tokens};
 
 /// The span after which past use counts for about a third.
 const SPAN: Duration = Duration::from_secs(20);
@@ -12,13 +12,13 @@
 
 /// Measures a rate.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Meter {
+pub(crate) struct RateMeter {
     level: f64,
     at: Time,
     born: Option<Time>,
 }
 
-impl Meter {
+impl RateMeter {
     /// Counts tokens that are used.
     pub(crate) fn count(&mut self, now: Time, used: Tokens) {
         self.level = self.decayed(now) + f64::from(u32::try_from(used.0).unwrap_or(u32::MAX));
@@ -39,14 +39,14 @@
         clippy::cast_sign_loss,
         reason = "the level is never negative, and a rate is an estimate"
     )]
-    pub(crate) fn rate(&self, now: Time) -> Rate {
+    pub(crate) fn rate(&self, now: Time) -> TokenRate {
         let Some(born) = self.born else {
-            return Rate(0);
+            return TokenRate(0);
         };
         // A young meter has only seen a part of its span.
         let age = now.since(born).max(YOUNG).as_secs_f64();
         let seen = SPAN.as_secs_f64() * (1.0 - (-age / SPAN.as_secs_f64()).exp());
-        Rate((self.decayed(now) / seen) as u64)
+        TokenRate((self.decayed(now) / seen) as u64)
     }
 
     fn decayed(&self, now: Time) -> f64 {
--- a/crates/badgerfield-core/src/seal.rs
+++ b/crates/badgerfield-core/src/seal.rs
@@ -40,7 +40,7 @@
 /// processes end before the holder could say more.
 #[must_use]
 pub(crate) fn sealed_part(granted: Tokens, need: Tokens) -> Tokens {
-    granted.saturating_minus(need).part(GRANT_SEALED, 100)
+    granted.saturating_sub(need).part(GRANT_SEALED, 100)
 }
 
 /// A time that the fleet's clocks agree on, in milliseconds since 1970.
@@ -55,20 +55,20 @@
     /// How much is sealed from now on.
     pub amount: Tokens,
     /// How much this change unseals.
-    pub released: Tokens,
+    pub unsealed: Tokens,
     /// When this was said; nothing if the holder promises nothing.
-    pub at: Option<FleetTime>,
+    pub sealed_at: Option<FleetTime>,
     /// Over how many milliseconds the promise falls; nothing is claimed of a holder that does not
     /// say, since an older one may have touched all of it.
     #[serde(default)]
-    pub falls_ms: u64,
+    pub decay_ms: u64,
     /// Earlier processes of this VM, and whether their sealed tokens go back.
-    pub claims: Vec<Claim>,
+    pub claims: Vec<SealClaim>,
 }
 
 /// What a process found of the sealed tokens of an earlier one on its VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Claim {
+pub struct SealClaim {
     /// The earlier process.
     pub holder: Incarnation,
     /// How many of its sealed tokens are untouched; the others count as spent.
@@ -115,7 +115,7 @@
 #[must_use]
 pub(crate) fn falls_after(amount: Tokens, least: Tokens) -> Duration {
     // Rounded up: a promise that holds for a moment less than was said would be broken.
-    let gone = amount.saturating_minus(least);
+    let gone = amount.saturating_sub(least);
     let millis = falls_ms().saturating_mul(gone.0).div_ceil(amount.0.max(1));
     Duration::from_millis(millis)
 }
@@ -159,7 +159,7 @@
     /// Reads the clock: each entry is a clock's time, less this process's own time since
     /// its start; `quorum` is how many clocks must agree.
     #[must_use]
-    pub fn of(mut offsets: Vec<u64>, quorum: usize) -> Self {
+    pub fn from_offsets(mut offsets: Vec<u64>, quorum: usize) -> Self {
         offsets.sort_unstable();
         let Some(middle) = offsets.get(offsets.len() / 2).copied() else {
             return Self::default();
--- a/crates/badgerfield-core/src/upstream.rs
+++ b/crates/badgerfield-core/src/upstream.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use crate::amount::{Rate, Time, Tokens};
+use crate::amount::{Time, TokenRate, Tokens};
 use crate::event::{Chat, Work};
 use crate::ids::{Adapter, Hardware, Model, Region, Service, UpstreamId, VmId};
 use crate::residency::Residency;
@@ -55,9 +55,9 @@
     #[serde(default)]
     pub adapters: BTreeSet<Adapter>,
     /// The prompt tokens that it reads in a second.
-    pub prefill: Rate,
+    pub prefill: TokenRate,
     /// The output tokens that one stream gets in a second.
-    pub decode: Rate,
+    pub decode: TokenRate,
 }
 
 /// One upstream as the VM list shows it.
@@ -353,7 +353,7 @@
         let Work::Chat(chat) = work else {
             return;
         };
-        upstream.reading = upstream.reading.saturating_plus(chat.prompt);
+        upstream.reading = upstream.reading.saturating_add(chat.prompt);
         forget_old(&mut upstream.prefixes, chat.prefixes.len());
         for prefix in &chat.prefixes {
             upstream.prefixes.insert(*prefix, now);
@@ -371,7 +371,7 @@
         let (Work::Chat(chat), Kind::Engine(engine)) = (work, &upstream.info.kind) else {
             return;
         };
-        upstream.reading = upstream.reading.saturating_minus(chat.prompt);
+        upstream.reading = upstream.reading.saturating_sub(chat.prompt);
         let expected = real(chat.prompt.0) / real(engine.prefill.0.max(1)) + 0.02;
         let ratio = (took.as_secs_f64() / expected).clamp(0.5, 20.0);
         upstream.slowness = upstream.slowness * (1.0 - SMOOTHING) + ratio * SMOOTHING;
@@ -387,7 +387,7 @@
         if let Work::Chat(chat) = work
             && !started
         {
-            upstream.reading = upstream.reading.saturating_minus(chat.prompt);
+            upstream.reading = upstream.reading.saturating_sub(chat.prompt);
         }
     }
 
--- a/crates/badgerfield-core/tests/holdings.rs
+++ b/crates/badgerfield-core/tests/holdings.rs
@@ -8,9 +8,9 @@
 use badgerfield_core::Pacing;
 use badgerfield_core::amount::{Percent, Time, Tokens};
 use badgerfield_core::event::{Order, Outbox};
-use badgerfield_core::holdings::{Holdings, Reserved};
+use badgerfield_core::holdings::{Holdings, ReserveOutcome};
 use badgerfield_core::ids::{Epoch, Incarnation, Period, RunId, Version};
-use badgerfield_core::ledger::{LedgerOp, LedgerReply, Plan, Terms};
+use badgerfield_core::ledger::{BudgetTerms, HoldingPlan, LedgerOp, LedgerReply};
 use badgerfield_core::message::{Lack, Message, ParkItem};
 use badgerfield_core::refusal::Cause;
 use badgerfield_core::view::View;
@@ -30,12 +30,12 @@
     let reply = LedgerReply::Applied {
         seq: op.seq,
         granted,
-        left: Tokens(1_000_000),
-        others: Vec::new(),
-        plan: Plan::Share(HELD),
-        orphans: Vec::new(),
+        remaining: Tokens(1_000_000),
+        other_holders: Vec::new(),
+        plan: HoldingPlan::Share(HELD),
+        orphaned_seals: Vec::new(),
     };
-    holdings.drawn(now, &budget(), Period(1), &reply, &mut Outbox::default());
+    holdings.apply_ledger_reply(now, &budget(), Period(1), &reply, &mut Outbox::default());
 }
 
 /// Lets time pass; answers every change, and returns the last.
@@ -43,7 +43,7 @@
     let mut last = None;
     for millis in (from..to).step_by(100) {
         holdings.tick(at(millis), &mut Outbox::default());
-        for (op, _) in holdings.ops(at(millis)) {
+        for (op, _) in holdings.take_due_ops(at(millis)) {
             answer(holdings, at(millis), &op, granted);
             last = Some(op);
         }
@@ -62,19 +62,19 @@
     let own = member(1);
     let mut holdings = Holdings::new(ME, own.vm.clone(), own.region.clone(), pacing);
     // In a small view every process holds rights of its own.
-    holdings.adopt(at(0), &Arc::new(view(4)), &mut Outbox::default());
-    let terms = Terms { version: Version(1), period: Period(1), limit: Tokens(2_000_000) };
-    holdings.learn(at(0), &budget(), terms, Percent::new(50).expect("a share"));
+    holdings.apply_view(at(0), &Arc::new(view(4)), &mut Outbox::default());
+    let terms = BudgetTerms { version: Version(1), period: Period(1), limit: Tokens(2_000_000) };
+    holdings.update_terms(at(0), &budget(), terms, Percent::new(50).expect("a share"));
     pass(&mut holdings, 0, 200, HELD);
-    assert_eq!(holdings.figures(&budget()).free, HELD);
+    assert_eq!(holdings.balance(&budget()).free, HELD);
     // Find a view in which others lend: then what is held goes to them.
     let grown = (17..200).find(|members| {
-        holdings.adopt(at(300), &Arc::new(view(*members)), &mut Outbox::default());
+        holdings.apply_view(at(300), &Arc::new(view(*members)), &mut Outbox::default());
         holdings.tick(at(400), &mut Outbox::default());
-        holdings.figures(&budget()).free.is_zero()
+        holdings.balance(&budget()).free.is_zero()
     });
     assert!(grown.is_some(), "the process lends in every view");
-    assert_eq!(holdings.figures(&budget()).moving, HELD);
+    assert_eq!(holdings.balance(&budget()).in_transit, HELD);
     let told = pass(&mut holdings, 500, 2500, Tokens::ZERO).expect("a change is made");
     assert_eq!((told.held, told.rate.0), (Tokens::ZERO, 0));
     // Once is enough.
@@ -88,25 +88,25 @@
     let vm = "vm-1".parse().expect("the name is valid");
     let region = "north".parse().expect("the name is valid");
     let mut holdings = Holdings::new(ME, vm, region, pacing);
-    let terms = Terms { version: Version(1), period: Period(1), limit: Tokens(1_000_000) };
+    let terms = BudgetTerms { version: Version(1), period: Period(1), limit: Tokens(1_000_000) };
     let spread = Percent::new(80).expect("a share");
-    holdings.learn(at(0), &budget(), terms, spread);
+    holdings.update_terms(at(0), &budget(), terms, spread);
     let out = &mut Outbox::default();
-    holdings.adopt(at(0), &Arc::new(view(2)), out);
+    holdings.apply_view(at(0), &Arc::new(view(2)), out);
     holdings.reserve(at(10), &budget(), (RunId(7), Tokens(500), at(5_000)), out);
-    let (op, _) = holdings.ops(at(10)).pop().expect("the ledger is asked");
+    let (op, _) = holdings.take_due_ops(at(10)).pop().expect("the ledger is asked");
     let reply = LedgerReply::Applied {
         seq: op.seq,
         granted: Tokens::ZERO,
-        left: Tokens::ZERO,
-        others: vec![Incarnation(other)],
-        plan: Plan::Share(Tokens::ZERO),
-        orphans: Vec::new(),
+        remaining: Tokens::ZERO,
+        other_holders: vec![Incarnation(other)],
+        plan: HoldingPlan::Share(Tokens::ZERO),
+        orphaned_seals: Vec::new(),
     };
-    holdings.drawn(at(20), &budget(), Period(1), &reply, out);
+    holdings.apply_ledger_reply(at(20), &budget(), Period(1), &reply, out);
     let nothing = (Tokens(500), Lack::Spent);
-    holdings.nothing(at(30), Incarnation(2), &budget(), nothing, out);
-    let decision = holdings.decisions().pop().expect("it is decided");
+    holdings.handle_no_tokens(at(30), Incarnation(2), &budget(), nothing, out);
+    let decision = holdings.take_decisions().pop().expect("it is decided");
     decision.refusal.expect("there are no tokens").cause
 }
 
@@ -120,12 +120,12 @@
 fn holder_with_witness() -> Holdings {
     let own = member(1);
     let mut holdings = Holdings::new(ME, own.vm.clone(), own.region, Pacing::default());
-    holdings.adopt(at(0), &Arc::new(view(2)), &mut Outbox::default());
-    let terms = Terms { version: Version(1), period: Period(1), limit: Tokens(2_000_000) };
-    holdings.learn(at(0), &budget(), terms, Percent::new(50).expect("a share"));
+    holdings.apply_view(at(0), &Arc::new(view(2)), &mut Outbox::default());
+    let terms = BudgetTerms { version: Version(1), period: Period(1), limit: Tokens(2_000_000) };
+    holdings.update_terms(at(0), &budget(), terms, Percent::new(50).expect("a share"));
     let waiter = (RunId(7), Tokens(1_000), at(5_000));
     holdings.reserve(at(10), &budget(), waiter, &mut Outbox::default());
-    let (op, _) = holdings.ops(at(10)).pop().expect("the ledger is asked");
+    let (op, _) = holdings.take_due_ops(at(10)).pop().expect("the ledger is asked");
     answer(&mut holdings, at(20), &op, HELD);
     holdings
 }
@@ -140,7 +140,7 @@
             let Order::Send(witness, Message::Park(items)) = order else {
                 continue;
             };
-            holdings.parked(at(millis), witness, &items, &mut Outbox::default());
+            holdings.confirm_parked(at(millis), witness, &items, &mut Outbox::default());
             last = items.into_iter().next_back().or(last);
         }
     }
@@ -155,10 +155,10 @@
     assert!(told.total > Tokens(50_000), "{} is too little to show anything", told.total);
     // A request is allowed a thousand tokens, and its upstream serves nearly all there is.
     let waiter = (RunId(8), Tokens(1_000), at(25_000));
-    holdings.decisions();
+    holdings.take_decisions();
     holdings.reserve(at(20_000), &budget(), waiter, &mut Outbox::default());
     park(&mut holdings, 20_000, 20_300);
-    let decision = holdings.decisions().pop().expect("the witness lets go of so much");
+    let decision = holdings.take_decisions().pop().expect("the witness lets go of so much");
     assert_eq!(decision.refusal, None);
     let served = Tokens(90_000);
     holdings.settle(at(20_300), &budget(), Period(1), Tokens(1_000), served);
@@ -171,16 +171,16 @@
 #[test]
 fn tokens_set_aside_belong_to_the_period_in_which_they_were() {
     let mut holdings = holder_with_witness();
-    let decision = holdings.decisions().pop().expect("the first request is answered");
+    let decision = holdings.take_decisions().pop().expect("the first request is answered");
     assert_eq!((decision.period, decision.refusal), (Period(1), None));
     let waiter = (RunId(8), Tokens(1_000), at(5_000));
     let reserved = holdings.reserve(at(30), &budget(), waiter, &mut Outbox::default());
     // The budget is renewed before anybody asks for the period.
-    let terms = Terms { version: Version(2), period: Period(2), limit: Tokens(2_000_000) };
-    holdings.learn(at(31), &budget(), terms, Percent::new(50).expect("a share"));
-    assert_eq!(reserved, Reserved::Done(Period(1)));
+    let terms = BudgetTerms { version: Version(2), period: Period(2), limit: Tokens(2_000_000) };
+    holdings.update_terms(at(31), &budget(), terms, Percent::new(50).expect("a share"));
+    assert_eq!(reserved, ReserveOutcome::Done(Period(1)));
     holdings.settle(at(40), &budget(), Period(1), Tokens(1_000), Tokens::ZERO);
-    assert_eq!(holdings.figures(&budget()).free, Tokens::ZERO, "the new period got old tokens");
+    assert_eq!(holdings.balance(&budget()).free, Tokens::ZERO, "the new period got old tokens");
 }
 
 /// Makes the holder of a budget that seals its tokens, in a view of so many members.
@@ -193,9 +193,9 @@
     };
     let own = member(me);
     let mut holdings = Holdings::new(Incarnation(me), own.vm.clone(), own.region, pacing);
-    holdings.adopt(at(0), &Arc::new(view(members)), &mut Outbox::default());
-    let terms = Terms { version: Version(1), period: Period(1), limit: Tokens(2_000_000) };
-    holdings.learn(at(0), &budget(), terms, Percent::new(50).expect("a share"));
+    holdings.apply_view(at(0), &Arc::new(view(members)), &mut Outbox::default());
+    let terms = BudgetTerms { version: Version(1), period: Period(1), limit: Tokens(2_000_000) };
+    holdings.update_terms(at(0), &budget(), terms, Percent::new(50).expect("a share"));
     holdings
 }
 
@@ -205,13 +205,13 @@
     pass(&mut holdings, 0, 100, HELD);
     let waiter = (RunId(7), Tokens(1_000), at(5_000));
     let reserved = holdings.reserve(at(250), &budget(), waiter, &mut Outbox::default());
-    assert_eq!(reserved, Reserved::Done(Period(1)));
+    assert_eq!(reserved, ReserveOutcome::Done(Period(1)));
     pass(&mut holdings, 300, 1_500, Tokens::ZERO);
-    let before = holdings.figures(&budget());
+    let before = holdings.balance(&budget());
     assert!(before.sealed > before.free, "nearly all is sealed: {before:?}");
     let served = Tokens(81_000);
     holdings.settle(at(1_500), &budget(), Period(1), Tokens(1_000), served);
-    let figures = holdings.figures(&budget());
+    let figures = holdings.balance(&budget());
     let held = figures.free.0 + figures.sealed.0 + figures.parked.0 + figures.reserved.0;
     assert!(held + served.0 <= HELD.0, "{held} are held yet, of {}", HELD.0);
 }
@@ -221,12 +221,12 @@
     let mut witness = sealing_holder(3, 20);
     let owner = Incarnation(20);
     let item = ParkItem { budget: budget(), period: Period(1), seq: 1, total: Tokens(500) };
-    assert_eq!(witness.park(owner, std::slice::from_ref(&item)).len(), 1);
+    assert_eq!(witness.accept_parked(owner, std::slice::from_ref(&item)).len(), 1);
     let without = View { epoch: Epoch(50), ..view(19) };
-    witness.adopt(at(300), &Arc::new(without), &mut Outbox::default());
+    witness.apply_view(at(300), &Arc::new(without), &mut Outbox::default());
     // The owner would spend what its witness has given back for it.
     let later = ParkItem { seq: 2, total: Tokens::ZERO, ..item };
-    assert!(witness.park(owner, &[later]).is_empty());
+    assert!(witness.accept_parked(owner, &[later]).is_empty());
 }
 
 #[test]
@@ -236,5 +236,5 @@
     park(&mut holdings, 20, 20_000);
     let waiter = (RunId(8), Tokens(1_000), at(25_000));
     let reserved = holdings.reserve(at(20_000), &budget(), waiter, &mut Outbox::default());
-    assert_eq!(reserved, Reserved::Waiting);
+    assert_eq!(reserved, ReserveOutcome::Waiting);
 }
--- a/crates/badgerfield-core/tests/ledger.rs
+++ b/crates/badgerfield-core/tests/ledger.rs
@@ -3,10 +3,10 @@
 
 use std::collections::BTreeMap;
 
-use badgerfield_core::amount::{Percent, Rate, Tokens};
+use badgerfield_core::amount::{Percent, TokenRate, Tokens};
 use badgerfield_core::ids::{BudgetId, Incarnation, Period, Region, Version};
-use badgerfield_core::ledger::{LedgerOp, LedgerReply, LedgerShard, Terms, Untouched};
-use badgerfield_core::seal::{Claim, FleetTime, Seal, SealRecord};
+use badgerfield_core::ledger::{BudgetTerms, LedgerOp, LedgerReply, LedgerShard, WitnessReport};
+use badgerfield_core::seal::{FleetTime, Seal, SealClaim, SealRecord};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
@@ -68,23 +68,23 @@
     let region: Region = "north".parse().expect("the name is valid");
     LedgerOp {
         budget: budget(),
-        terms: Terms { version: Version(1), period: Period(1), limit: Tokens(LIMIT) },
+        terms: BudgetTerms { version: Version(1), period: Period(1), limit: Tokens(LIMIT) },
         holder: Incarnation(id),
         seq: holder.seq,
         need: Tokens(need),
         back: Tokens(back),
         held: Tokens(holder.held),
-        rate: Rate(10),
-        unit: Tokens(100),
+        rate: TokenRate(10),
+        request_size: Tokens(100),
         region,
-        ahead: std::time::Duration::from_secs(7200),
+        horizon: std::time::Duration::from_secs(7200),
         spread: Percent::new(80).expect("a share"),
         billed: Tokens(holder.spent),
         wasted: Tokens::ZERO,
         close,
         seal: None,
         witness: None,
-        untouched: Vec::new(),
+        witness_reports: Vec::new(),
     }
 }
 
@@ -149,7 +149,7 @@
                         .filter(|id| lives[&(**id % LIVES)] != **id)
                         .map(|id| Incarnation(*id))
                         .collect();
-                    shard.forget(&gone);
+                    shard.remove_holders(&gone);
                 }
                 Step::Close { holder: vm } => {
                     let id = lives[&vm];
@@ -194,24 +194,32 @@
     shard
 }
 
-fn seal(vm: &str, amount: u64, claims: &[Claim]) -> Seal {
+fn seal(vm: &str, amount: u64, claims: &[SealClaim]) -> Seal {
     let vm = vm.parse().expect("the name is valid");
     let at = Some(FleetTime(1));
     let (amount, released) = (Tokens(amount), Tokens::ZERO);
-    Seal { vm, amount, released, at, falls_ms: 10_000, claims: claims.to_vec() }
+    Seal {
+        vm,
+        amount,
+        unsealed: released,
+        sealed_at: at,
+        decay_ms: 10_000,
+        claims: claims.to_vec(),
+    }
 }
 
 /// Makes the first change of a process that says what the holder left untouched.
 fn witnessed(id: u64, amount: u64) -> LedgerOp {
     let mut change = op(id, &mut Holder::default(), 0, 0, true);
-    change.untouched = vec![Untouched { holder: Incarnation(HOLDER), amount: Tokens(amount) }];
+    change.witness_reports =
+        vec![WitnessReport { holder: Incarnation(HOLDER), amount: Tokens(amount) }];
     change
 }
 
 /// Makes the first change of a successor that found the holder's seal unbroken.
 fn unsealed() -> LedgerOp {
     let mut change = op(SUCCESSOR, &mut Holder::default(), 0, 0, true);
-    let claim = Claim { holder: Incarnation(HOLDER), untouched: Tokens(u64::MAX) };
+    let claim = SealClaim { holder: Incarnation(HOLDER), untouched: Tokens(u64::MAX) };
     change.seal = Some(seal("vm-1", 0, &[claim]));
     change
 }
@@ -224,7 +232,7 @@
 fn what_a_witness_knows_to_be_untouched_comes_back_once() {
     let mut shard = held();
     assert_eq!(left(&shard), LIMIT - DRAWN);
-    shard.forget(&[Incarnation(HOLDER)]);
+    shard.remove_holders(&[Incarnation(HOLDER)]);
     shard.apply(&witnessed(WITNESS, 700));
     assert_eq!(left(&shard), LIMIT - DRAWN + 700);
     // Another change that says so again, and one of another process, have no effect.
@@ -246,7 +254,7 @@
 fn what_is_sealed_and_witnessed_comes_back_once() {
     for seal_first in [true, false] {
         let mut shard = held();
-        shard.forget(&[Incarnation(HOLDER)]);
+        shard.remove_holders(&[Incarnation(HOLDER)]);
         let mut changes = [unsealed(), witnessed(WITNESS, 700)];
         if !seal_first {
             changes.reverse();
@@ -265,7 +273,7 @@
     shard.apply(&witnessed(WITNESS, 700));
     let mut holder = Holder { seq: 1, ..Holder::default() };
     let reply = shard.apply(&op(HOLDER, &mut holder, 500, 300, false));
-    assert!(matches!(reply, LedgerReply::Unknown { .. }), "{reply:?}");
+    assert!(matches!(reply, LedgerReply::UnknownHolder { .. }), "{reply:?}");
     assert_eq!(left(&shard), LIMIT - DRAWN + 700);
 }
 
@@ -273,9 +281,9 @@
 fn a_holder_is_forgotten_with_its_witness() {
     let mut shard = held();
     shard.apply(&unsealed());
-    shard.forget(&[Incarnation(HOLDER)]);
+    shard.remove_holders(&[Incarnation(HOLDER)]);
     assert!(shard.budgets[&budget()].holders.contains_key(&Incarnation(HOLDER)));
-    shard.forget(&[Incarnation(WITNESS)]);
+    shard.remove_holders(&[Incarnation(WITNESS)]);
     shard.apply(&witnessed(WITNESS, 700));
     let back = LIMIT - DRAWN + SEALED;
     assert_eq!(left(&shard), back, "a removed witness gives nothing back");
--- a/crates/badgerfield-core/tests/waiting.rs
+++ b/crates/badgerfield-core/tests/waiting.rs
@@ -15,9 +15,9 @@
 use badgerfield_core::Pacing;
 use badgerfield_core::amount::{Percent, Tokens};
 use badgerfield_core::event::{Order, Outbox};
-use badgerfield_core::holdings::{Holdings, Reserved};
+use badgerfield_core::holdings::{Holdings, ReserveOutcome};
 use badgerfield_core::ids::{Epoch, Incarnation, Period, ReservationId, RunId, Version};
-use badgerfield_core::ledger::{LedgerReply, Plan, Terms};
+use badgerfield_core::ledger::{BudgetTerms, HoldingPlan, LedgerReply};
 use badgerfield_core::message::{Ask, Lack, Message};
 use badgerfield_core::refusal::Cause;
 use badgerfield_core::view::View;
@@ -32,49 +32,54 @@
 /// Makes one of two holders of a budget that is empty at the ledger. It has 67 tokens left beside
 /// what a request has set aside.
 fn holder() -> Holdings {
-    holder_with(Plan::Share(Tokens::ZERO))
+    holder_with(HoldingPlan::Share(Tokens::ZERO))
 }
 
-fn holder_with(plan: Plan) -> Holdings {
+fn holder_with(plan: HoldingPlan) -> Holdings {
     let own = member(1);
     let mut holdings = Holdings::new(Incarnation(1), own.vm.clone(), own.region, Pacing::default());
     let members = vec![member(1), member(2)];
     let view = View { epoch: Epoch(2), members, ..View::default() };
-    holdings.adopt(at(0), &Arc::new(view), &mut Outbox::default());
-    let terms = Terms { version: Version(1), period: Period(1), limit: Tokens(3_000) };
-    holdings.learn(at(0), &budget(), terms, Percent::new(80).expect("a share"));
-    assert_eq!(ask(&mut holdings, 10, RunId(1), 5_000), Reserved::Waiting);
+    holdings.apply_view(at(0), &Arc::new(view), &mut Outbox::default());
+    let terms = BudgetTerms { version: Version(1), period: Period(1), limit: Tokens(3_000) };
+    holdings.update_terms(at(0), &budget(), terms, Percent::new(80).expect("a share"));
+    assert_eq!(ask(&mut holdings, 10, RunId(1), 5_000), ReserveOutcome::Waiting);
     answer_ledger_with(&mut holdings, 20, Tokens(200 + BEFORE * USED.0), plan);
     assert_eq!(served(&mut holdings), [RunId(1)]);
     for _ in 0..BEFORE {
         end(&mut holdings, 30);
-        assert_eq!(ask(&mut holdings, 30, RunId(1), 5_000), Reserved::Done(Period(1)));
+        assert_eq!(ask(&mut holdings, 30, RunId(1), 5_000), ReserveOutcome::Done(Period(1)));
     }
-    assert_eq!(holdings.figures(&budget()).free, Tokens(67));
+    assert_eq!(holdings.balance(&budget()).free, Tokens(67));
     holdings
 }
 
-fn ask(holdings: &mut Holdings, now: u64, run: RunId, until: u64) -> Reserved {
+fn ask(holdings: &mut Holdings, now: u64, run: RunId, until: u64) -> ReserveOutcome {
     holdings.reserve(at(now), &budget(), (run, NEED, at(until)), &mut Outbox::default())
 }
 
 /// Answers the change that is under way.
 fn answer_ledger(holdings: &mut Holdings, now: u64, granted: Tokens) -> Outbox {
-    answer_ledger_with(holdings, now, granted, Plan::Share(Tokens::ZERO))
+    answer_ledger_with(holdings, now, granted, HoldingPlan::Share(Tokens::ZERO))
 }
 
-fn answer_ledger_with(holdings: &mut Holdings, now: u64, granted: Tokens, plan: Plan) -> Outbox {
-    let (op, _) = holdings.ops(at(now)).pop().expect("the ledger is asked");
+fn answer_ledger_with(
+    holdings: &mut Holdings,
+    now: u64,
+    granted: Tokens,
+    plan: HoldingPlan,
+) -> Outbox {
+    let (op, _) = holdings.take_due_ops(at(now)).pop().expect("the ledger is asked");
     let reply = LedgerReply::Applied {
         seq: op.seq,
         granted,
-        left: Tokens::ZERO,
-        others: vec![OTHER],
+        remaining: Tokens::ZERO,
+        other_holders: vec![OTHER],
         plan,
-        orphans: Vec::new(),
+        orphaned_seals: Vec::new(),
     };
     let mut out = Outbox::default();
-    holdings.drawn(at(now), &budget(), Period(1), &reply, &mut out);
+    holdings.apply_ledger_reply(at(now), &budget(), Period(1), &reply, &mut out);
     out
 }
 
@@ -82,7 +87,7 @@
 fn find_nothing(holdings: &mut Holdings, now: u64) {
     answer_ledger(holdings, now, Tokens::ZERO);
     let lack = Lack::Reserved(std::time::Duration::from_secs(1));
-    holdings.nothing(at(now), OTHER, &budget(), (NEED, lack), &mut Outbox::default());
+    holdings.handle_no_tokens(at(now), OTHER, &budget(), (NEED, lack), &mut Outbox::default());
 }
 
 fn end(holdings: &mut Holdings, now: u64) {
@@ -91,15 +96,16 @@
 
 /// Returns the requests that got their tokens meanwhile; none may have been refused.
 fn served(holdings: &mut Holdings) -> Vec<RunId> {
-    let decisions = holdings.decisions();
+    let decisions = holdings.take_decisions();
     assert!(decisions.iter().all(|d| d.refusal.is_none()), "{decisions:?}");
     decisions.into_iter().map(|decision| decision.run).collect()
 }
 
 /// Returns the requests that were told to come back meanwhile; none may have got its tokens.
 fn held(holdings: &mut Holdings) -> Vec<RunId> {
-    let decisions = holdings.decisions();
-    let cause = |d: &badgerfield_core::holdings::Decision| d.refusal.map(|refusal| refusal.cause);
+    let decisions = holdings.take_decisions();
+    let cause =
+        |d: &badgerfield_core::holdings::ReserveDecision| d.refusal.map(|refusal| refusal.cause);
     assert!(decisions.iter().all(|d| cause(d) == Some(Cause::BudgetHeld)), "{decisions:?}");
     decisions.into_iter().map(|decision| decision.run).collect()
 }
@@ -107,7 +113,7 @@
 #[test]
 fn a_request_gets_what_another_gives_back() {
     let mut holdings = holder();
-    assert_eq!(ask(&mut holdings, 100, RunId(2), 5_000), Reserved::Waiting);
+    assert_eq!(ask(&mut holdings, 100, RunId(2), 5_000), ReserveOutcome::Waiting);
     find_nothing(&mut holdings, 110);
     assert_eq!(served(&mut holdings), []);
     end(&mut holdings, 200);
@@ -118,12 +124,12 @@
 fn those_for_whom_too_little_comes_back_are_told_at_once() {
     let mut holdings = holder();
     for run in 2..6 {
-        assert_eq!(ask(&mut holdings, 100, RunId(run), 5_000), Reserved::Waiting);
+        assert_eq!(ask(&mut holdings, 100, RunId(run), 5_000), ReserveOutcome::Waiting);
     }
     find_nothing(&mut holdings, 110);
     assert_eq!(held(&mut holdings), [RunId(3), RunId(4), RunId(5)]);
     let reserved = ask(&mut holdings, 120, RunId(6), 5_000);
-    assert!(matches!(reserved, Reserved::Refused(r) if r.cause == Cause::BudgetHeld));
+    assert!(matches!(reserved, ReserveOutcome::Refused(r) if r.cause == Cause::BudgetHeld));
     end(&mut holdings, 200);
     assert_eq!(served(&mut holdings), [RunId(2)]);
 }
@@ -139,7 +145,7 @@
     end(&mut holdings, 200);
     assert_eq!(served(&mut holdings), [RunId(2)]);
     // The next one runs now, and what it gives back is enough for one more.
-    assert_eq!(ask(&mut holdings, 210, RunId(4), 5_000), Reserved::Waiting);
+    assert_eq!(ask(&mut holdings, 210, RunId(4), 5_000), ReserveOutcome::Waiting);
     end(&mut holdings, 300);
     assert_eq!(served(&mut holdings), [RunId(4)]);
 }
@@ -174,16 +180,16 @@
         need: Tokens(need),
         ahead: Tokens(2_000),
     };
-    let mut holdings = holder_with(Plan::Collect(Tokens(3_000)));
+    let mut holdings = holder_with(HoldingPlan::Collect(Tokens(3_000)));
     let mut out = Outbox::default();
-    holdings.asked(at(100), OTHER, &wish(60), &mut out);
+    holdings.handle_token_request(at(100), OTHER, &wish(60), &mut out);
     assert_matches!(sent(out), Message::Transfer(gift) if gift.amount == Tokens(67));
     // It has nothing now, and enough is to come back for this one, not for the next.
     let mut out = Outbox::default();
-    holdings.asked(at(110), OTHER, &wish(60), &mut out);
+    holdings.handle_token_request(at(110), OTHER, &wish(60), &mut out);
     assert_matches!(sent(out), Message::Nothing { lack: Lack::Reserved(_), .. });
     let mut out = Outbox::default();
-    holdings.asked(at(120), OTHER, &wish(2_000), &mut out);
+    holdings.handle_token_request(at(120), OTHER, &wish(2_000), &mut out);
     assert_matches!(sent(out), Message::Nothing { lack: Lack::Spent, .. });
 }
 
@@ -197,7 +203,7 @@
     assert_eq!(held(&mut holdings), [RunId(2)]);
     end(&mut holdings, 400);
     assert_eq!(served(&mut holdings), []);
-    assert_eq!(holdings.figures(&budget()).free, Tokens(177));
+    assert_eq!(holdings.balance(&budget()).free, Tokens(177));
 }
 
 #[test]
@@ -217,7 +223,7 @@
 fn a_request_on_a_route_is_told_at_once() {
     let mut holdings = holder();
     let run = ReservationId(2).run();
-    assert_eq!(ask(&mut holdings, 100, run, 5_000), Reserved::Waiting);
+    assert_eq!(ask(&mut holdings, 100, run, 5_000), ReserveOutcome::Waiting);
     find_nothing(&mut holdings, 110);
     assert_eq!(held(&mut holdings), [run]);
 }
--- a/crates/badgerfield-node/src/follow.rs
+++ b/crates/badgerfield-node/src/follow.rs
@@ -186,9 +186,9 @@
     let (_, learned) = gateway.replicas().age();
     let now = driver.now();
     let Some(learned) = learned else {
-        return driver.node.reads_first(now);
+        return driver.node.is_bootstrap_reader(now);
     };
-    driver.node.follows(now, Some(now.since(learned)))
+    driver.node.watches_platform(now, Some(now.since(learned)))
 }
 
 /// Tells whether this process follows the templates itself: whenever it follows the list of
--- a/crates/badgerfield-node/src/gateway/directory.rs
+++ b/crates/badgerfield-node/src/gateway/directory.rs
@@ -84,7 +84,7 @@
     let Some(ask) = gateway.adapter.dialect.directory_ask(request.uri()) else {
         return http::json(StatusCode::NOT_FOUND, &json!({ "error": "expected a question" }));
     };
-    let members = driver.node.usable(driver.now());
+    let members = driver.node.available_members(driver.now());
     let addresses = choose(&members, &place_of(gateway, ask));
     if addresses.is_empty() {
         let error = json!({ "error": "no VM is ready; come back later" });
--- a/crates/badgerfield-node/src/operators.rs
+++ b/crates/badgerfield-node/src/operators.rs
@@ -89,8 +89,8 @@
                 "reserved": b.figures.reserved,
                 "parked": b.figures.parked,
                 "sealed": b.figures.sealed,
-                "moving": b.figures.moving,
-                "banked": b.figures.banked,
+                "moving": b.figures.in_transit,
+                "banked": b.figures.witnessed,
                 "billed": b.figures.billed,
                 "wasted": b.figures.wasted,
             })
--- a/crates/badgerfield-node/src/settings.rs
+++ b/crates/badgerfield-node/src/settings.rs
@@ -392,7 +392,7 @@
     } else {
         file.span_or("rollout", "rollback", other.rollback, (least, most))
     };
-    RolloutBound { share: share.map_or(other.share, Percent::within), allowance, rollback }
+    RolloutBound { share: share.map_or(other.share, Percent::from_fraction), allowance, rollback }
 }
 
 impl Limits {
--- a/crates/badgerfield-node/src/suspects.rs
+++ b/crates/badgerfield-node/src/suspects.rs
@@ -79,7 +79,7 @@
         if !is_refused(address).await {
             return;
         }
-        let account = self.node.account_of(&outgoing.secret);
+        let account = self.node.find_account(&outgoing.secret);
         let crash = Crash::seen(outgoing.fingerprint(), account.as_ref(), upstream, point);
         self.feed(Event::Crashed(crash.in_life(life)));
     }
--- a/crates/badgerfield-node/src/upstream_list.rs
+++ b/crates/badgerfield-node/src/upstream_list.rs
@@ -87,7 +87,7 @@
     /// Tells others what has changed in the list of upstreams since they were told last; `news`
     /// is what was news to this process.
     fn tell_changes(self: &Arc<Self>, gateway: &Gateway, news: &[UpstreamId]) {
-        let told = self.node.list_told();
+        let told = self.node.announced_revision();
         let news = {
             // Changes and mark are read together: a mark that is newer claims too much.
             let replicas = gateway.replicas();
--- a/crates/badgerfield-standin/src/capacity.rs
+++ b/crates/badgerfield-standin/src/capacity.rs
@@ -5,11 +5,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use badgerfield_core::amount::{Percent, Rate, Time, Tokens};
+use badgerfield_core::amount::{Percent, Time, TokenRate, Tokens};
 use badgerfield_core::claims::Claims;
 use badgerfield_core::event::{Chat, Outbox, Work};
 use badgerfield_core::ids::{BudgetId, Incarnation, Period, RequestKey, Version};
-use badgerfield_core::ledger::{LedgerOp, LedgerShard, Terms};
+use badgerfield_core::ledger::{BudgetTerms, LedgerOp, LedgerShard};
 use badgerfield_core::message::ClaimAsk;
 use badgerfield_core::residency::EVERYWHERE;
 use badgerfield_core::upstream::{Upstreams, VmList, Wish as RouteWish};
@@ -274,23 +274,23 @@
         .unwrap_or_else(|_| unreachable!("the name is valid"));
     LedgerOp {
         budget,
-        terms: Terms { version: Version(1), period: Period(1), limit: Tokens(1_000_000_000) },
+        terms: BudgetTerms { version: Version(1), period: Period(1), limit: Tokens(1_000_000_000) },
         holder: Incarnation(holder.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
         seq,
         need: Tokens(400),
         back: Tokens::ZERO,
         held: Tokens(123_456),
-        rate: Rate(2000),
-        unit: Tokens(400),
+        rate: TokenRate(2000),
+        request_size: Tokens(400),
         region: region_name(0),
-        ahead: std::time::Duration::from_secs(7200),
+        horizon: std::time::Duration::from_secs(7200),
         spread: Percent::new(80).unwrap_or_else(|_| unreachable!("a share")),
         billed: Tokens(1_234_567),
         wasted: Tokens::ZERO,
         close: false,
         seal: None,
         witness: None,
-        untouched: Vec::new(),
+        witness_reports: Vec::new(),
     }
 }
 
--- a/crates/badgerfield-standin/src/fleet/balance.rs
+++ b/crates/badgerfield-standin/src/fleet/balance.rs
@@ -72,9 +72,9 @@
             let figures = node.figures(&id);
             balance.free += figures.free.0;
             balance.reserved += figures.reserved.0;
-            balance.sealed += figures.sealed.0 + figures.returning.0;
+            balance.sealed += figures.sealed.0 + figures.returning_sealed.0;
             balance.parked += figures.parked.0;
-            balance.moving += figures.moving.0 + figures.back.0;
+            balance.moving += figures.in_transit.0 + figures.returning_free.0;
         }
         let Balance { used, left, free, reserved, sealed, parked, moving, .. } = balance;
         let known = used + left + free + reserved + sealed + parked + moving;
@@ -111,7 +111,11 @@
         let had = (0..self.shape.limits.len()).map(|budget| {
             let figures = node.figures(&Self::budget(budget));
             let ready = figures.free.0 + figures.reserved.0 + figures.sealed.0;
-            ready + figures.returning.0 + figures.parked.0 + figures.moving.0 + figures.back.0
+            ready
+                + figures.returning_sealed.0
+                + figures.parked.0
+                + figures.in_transit.0
+                + figures.returning_free.0
         });
         let had = had.collect();
         self.deaths.push(Death { vm, at: self.now, had });
--- a/crates/badgerfield-standin/src/fleet/evacuations.rs
+++ b/crates/badgerfield-standin/src/fleet/evacuations.rs
@@ -68,6 +68,6 @@
             return false;
         };
         let local = Time(self.now.since(self.vms[vm].started));
-        node.follows(local, Some(HEARD))
+        node.watches_platform(local, Some(HEARD))
     }
 }
--- a/crates/badgerfield-standin/src/fleet/mod.rs
+++ b/crates/badgerfield-standin/src/fleet/mod.rs
@@ -230,7 +230,7 @@
     pub fn directory_of(&self, vm: usize) -> Vec<usize> {
         let asked = &self.vms[vm];
         let local = Time(self.now.since(asked.started));
-        let members = asked.node.as_ref().map(|n| n.usable(local)).unwrap_or_default();
+        let members = asked.node.as_ref().map(|n| n.available_members(local)).unwrap_or_default();
         members.iter().filter_map(|m| self.owners.get(&m.incarnation).copied()).collect()
     }
 
@@ -256,7 +256,7 @@
         for node in self.vms.iter().filter_map(|vm| vm.node.as_ref()) {
             let figures = node.figures(&id);
             let ready = figures.free.0 + figures.reserved.0 + figures.sealed.0;
-            held += ready + figures.parked.0 + figures.moving.0;
+            held += ready + figures.parked.0 + figures.in_transit.0;
         }
         held
     }
--- a/crates/badgerfield-standin/src/fleet/rollouts.rs
+++ b/crates/badgerfield-standin/src/fleet/rollouts.rs
@@ -123,7 +123,7 @@
 
 /// Returns what the platform allows, as the settings of a VM say it.
 pub(super) fn bound() -> RolloutBound {
-    RolloutBound { share: Percent::within(SHARE), ..RolloutBound::default() }
+    RolloutBound { share: Percent::from_fraction(SHARE), ..RolloutBound::default() }
 }
 
 /// Returns the service that is rolled out.
--- a/crates/badgerfield-standin/src/fleet/truth.rs
+++ b/crates/badgerfield-standin/src/fleet/truth.rs
@@ -77,7 +77,7 @@
             return;
         };
         let entry = self.bills.entry(key).or_default();
-        *entry = (entry.0 + 1, entry.1.saturating_plus(bill.cost));
+        *entry = (entry.0 + 1, entry.1.saturating_add(bill.cost));
     }
 
     /// Holds the end of a request against the truth.
--- a/crates/badgerfield-standin/src/fleet/upstreams.rs
+++ b/crates/badgerfield-standin/src/fleet/upstreams.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use badgerfield_core::amount::{Rate, Time, Tokens};
+use badgerfield_core::amount::{Time, TokenRate, Tokens};
 use badgerfield_core::event::{Chunk, Dispatch, Event, UpstreamEvent, Usage};
 use badgerfield_core::ids::{AttemptId, Incarnation, UpstreamId};
 use badgerfield_core::message::Head;
@@ -86,7 +86,7 @@
 fn engine() -> Kind {
     let model = "m".parse().unwrap_or_else(|_| unreachable!("the name is valid"));
     let adapters = std::collections::BTreeSet::new();
-    Kind::Engine(EngineInfo { model, adapters, prefill: Rate(20_000), decode: Rate(50) })
+    Kind::Engine(EngineInfo { model, adapters, prefill: TokenRate(20_000), decode: TokenRate(50) })
 }
 
 fn entry(index: usize, kind: Kind) -> VmEntry {
--- a/crates/badgerfield-standin/src/route.rs
+++ b/crates/badgerfield-standin/src/route.rs
@@ -8,7 +8,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::time::Duration;
 
-use badgerfield_core::amount::{Rate, Time, Tokens};
+use badgerfield_core::amount::{Time, TokenRate, Tokens};
 use badgerfield_core::event::{Chat, Work};
 use badgerfield_core::ids::{Region, UpstreamId};
 use badgerfield_core::residency::EVERYWHERE;
@@ -570,8 +570,8 @@
     let kind = Kind::Engine(EngineInfo {
         model: "m".parse().unwrap_or_else(|_| unreachable!("the name is valid")),
         adapters: std::collections::BTreeSet::new(),
-        prefill: Rate(PREFILL / slow),
-        decode: Rate(DECODE / slow),
+        prefill: TokenRate(PREFILL / slow),
+        decode: TokenRate(DECODE / slow),
     });
     let upstream = UpstreamInfo {
         id: name(engine),
--- a/crates/badgerfield-standin/tests/lending.rs
+++ b/crates/badgerfield-standin/tests/lending.rs
@@ -404,8 +404,8 @@
         // What a change under way gives back is untouched until the ledger has it, and what it
         // hands out until its answer comes.
         let figures = node.figures(&Fleet::budget(0));
-        let granted = if figures.awaits { holder.granted.0 } else { 0 };
-        let sealed = figures.sealed.0 + figures.returning.0 + granted;
+        let granted = if figures.op_pending { holder.granted.0 } else { 0 };
+        let sealed = figures.sealed.0 + figures.returning_sealed.0 + granted;
         let now = EPOCH_MS + u64::try_from(fleet.now.0.as_millis()).expect("a short run");
         if record.untouched(FleetTime(now)).0 > sealed {
             short.insert(vm, (record.at, record.amount.0));
--- a/crates/badgerfield-standin/tests/upstream_list.rs
+++ b/crates/badgerfield-standin/tests/upstream_list.rs
@@ -21,7 +21,7 @@
 /// Returns how many VMs follow the platform that heard of it so long ago.
 fn followers(fleet: &Fleet, heard: Option<Duration>) -> usize {
     let now = Time::from_millis(5_000);
-    (0..fleet.size()).filter(|vm| node(fleet, *vm).follows(now, heard)).count()
+    (0..fleet.size()).filter(|vm| node(fleet, *vm).watches_platform(now, heard)).count()
 }
 
 fn node(fleet: &Fleet, vm: usize) -> &Node {
