--- a/crates/badgerfield-core/src/calls.rs
+++ b/crates/badgerfield-core/src/calls.rs
@@ -26,13 +26,13 @@
 
 /// The calls under way.
 #[derive(Debug, Default)]
-pub(crate) struct Calls {
+pub(crate) struct PendingCalls {
     /// How many were made.
     made: u64,
     open: HashMap<Ticket, Purpose>,
 }
 
-impl Calls {
+impl PendingCalls {
     /// Notes a call and names it; no two calls of a process have the same name.
     pub(crate) fn begin(&mut self, purpose: Purpose) -> Ticket {
         self.made += 1;
--- a/crates/badgerfield-core/src/charges.rs
+++ b/crates/badgerfield-core/src/charges.rs
@@ -96,7 +96,7 @@
     }
 
     /// Returns all charges, to hand them over; nothing if that was done just now.
-    pub(crate) fn hand_over(&mut self, now: Time) -> Vec<ChargeNote> {
+    pub(crate) fn due_handover(&mut self, now: Time) -> Vec<ChargeNote> {
         if !due(now, self.handed, RESEND) {
             return Vec::new();
         }
--- a/crates/badgerfield-core/src/claims/handover.rs
+++ b/crates/badgerfield-core/src/claims/handover.rs
@@ -27,7 +27,7 @@
 
 impl Claims {
     /// Puts a newer view in force and starts the hand-overs that it asks for.
-    pub fn adopt(&mut self, now: Time, view: &Arc<View>, out: &mut Outbox) {
+    pub fn apply_view(&mut self, now: Time, view: &Arc<View>, out: &mut Outbox) {
         if view.epoch <= self.view.epoch {
             return;
         }
@@ -49,14 +49,14 @@
 
     /// Returns what a sign of life says about the hand-overs of the view in force.
     #[must_use]
-    pub fn confirmed(&self) -> Confirmed {
+    pub fn confirmation_status(&self) -> Confirmed {
         Confirmed { complete: self.complete, bits: self.confirmations.bits() }
     }
 
     /// Takes in what another process says about the hand-overs of an epoch.
     ///
     /// Returns whether that is news which others should hear soon.
-    pub fn confirm(&mut self, epoch: Epoch, theirs: &Confirmed) -> bool {
+    pub fn merge_confirmations(&mut self, epoch: Epoch, theirs: &Confirmed) -> bool {
         if epoch != self.view.epoch || self.complete == epoch {
             return false;
         }
@@ -105,7 +105,7 @@
     }
 
     /// Takes in claims that another member hands over; tells whether they are for this view.
-    pub fn receive(&mut self, now: Time, from: Incarnation, part: &HandoverPart) -> bool {
+    pub fn receive_handover(&mut self, now: Time, from: Incarnation, part: &HandoverPart) -> bool {
         for record in &part.claims {
             self.merge(now, from, record);
         }
@@ -113,7 +113,7 @@
     }
 
     /// Notes that a member has everything of a hand-over, and sends what is left.
-    pub fn handed_over(
+    pub fn handle_handover_ack(
         &mut self,
         now: Time,
         from: Incarnation,
--- a/crates/badgerfield-core/src/claims/mod.rs
+++ b/crates/badgerfield-core/src/claims/mod.rs
@@ -89,7 +89,7 @@
 
     /// Returns the newest epoch whose hand-overs are all here.
     #[must_use]
-    pub fn complete(&self) -> Epoch {
+    pub fn complete_epoch(&self) -> Epoch {
         self.complete
     }
 
@@ -235,7 +235,7 @@
     /// Remembers a claim of which this process is the asker, or the second keeper.
     ///
     /// Refuses what an arbiter of another epoch decided.
-    pub fn keep(&mut self, now: Time, epoch: Epoch, record: &ClaimRecord) -> bool {
+    pub fn record_claim(&mut self, now: Time, epoch: Epoch, record: &ClaimRecord) -> bool {
         if epoch != self.view.epoch {
             return false;
         }
@@ -271,7 +271,7 @@
     }
 
     /// Notes that the owner is about to send the request to an upstream.
-    pub fn dispatching(
+    pub fn record_dispatch(
         &mut self,
         now: Time,
         from: Incarnation,
@@ -310,7 +310,7 @@
     pub fn agreed(&mut self, now: Time, epoch: Epoch, record: &ClaimRecord) -> bool {
         let turn = self.entries.get(&record.key).map_or(0, |e| e.record.turn);
         let record = ClaimRecord { turn, ..record.clone() };
-        self.keep(now, epoch, &record)
+        self.record_claim(now, epoch, &record)
     }
 
     /// Ends a claim; tells whether the charge is the owner's to bill, once that is sure.
--- a/crates/badgerfield-core/src/control/admission.rs
+++ b/crates/badgerfield-core/src/control/admission.rs
@@ -7,7 +7,7 @@
 use crate::ids::{Account, BudgetId, Period, RequestId, RequestKey};
 use crate::node::Node;
 use crate::refusal::{Cause, Outcome, Refusal};
-use crate::runs::{Claimed, Keyed, Listener, Run, Stage};
+use crate::runs::{Claimed, Listener, Run, RunKey, Stage};
 use crate::template::{AccountTemplate, KeyDigest, MAX_OUTPUT, TemplateSet, account_name};
 
 /// What marks a key that names the region that decides about it, as `@region:key`.
@@ -152,11 +152,11 @@
     Some((found.0.clone(), found.1.period))
 }
 
-fn keyed(key: &str, admitted: &Admitted) -> Keyed {
+fn keyed(key: &str, admitted: &Admitted) -> RunKey {
     let named = key.strip_prefix(HOME_MARK).and_then(|rest| rest.split_once(':'));
     let home = named.and_then(|(region, _)| region.parse().ok());
     let home = home.or_else(|| admitted.template.home.clone());
-    Keyed { key: RequestKey::new(&admitted.budget, key), home }
+    RunKey { key: RequestKey::new(&admitted.budget, key), home }
 }
 
 fn forbids_repeats(template: &AccountTemplate, work: &Work) -> bool {
--- a/crates/badgerfield-core/src/control/answer.rs
+++ b/crates/badgerfield-core/src/control/answer.rs
@@ -153,7 +153,7 @@
             holdings.settle(now, &run.budget, run.period, reserved, reserved);
             holdings.record_charge(&run.budget, run.period, reserved, false);
         }
-        self.refuse(now, id, Refusal::unknown(Cause::BrokenOff), out);
+        self.refuse(now, id, Refusal::may_have_run(Cause::BrokenOff), out);
     }
 
     /// Goes on without a stream that the upstream does not have.
@@ -173,7 +173,7 @@
         let once =
             self.board.runs().get_mut(id).is_some_and(|run| run.once && run.parts.is_empty());
         if once {
-            self.refuse(now, id, Refusal::unknown(Cause::KeyLost), out);
+            self.refuse(now, id, Refusal::may_have_run(Cause::KeyLost), out);
             return;
         }
         self.give_up(now, id, out);
@@ -245,7 +245,7 @@
             self.board.upstreams().first(&upstream, &work, took);
         }
         let (account, priority, tokens) = served;
-        self.board.queue().serve(&account, priority, tokens);
+        self.board.queue().count_tokens(&account, priority, tokens);
         self.deliver(id, out);
     }
 
@@ -311,7 +311,7 @@
         Content::Head(head) => Answer::Head(head.clone()),
         Content::Data(data) => Answer::Data(data.clone()),
         Content::End(cost) => Answer::End(*cost),
-        Content::Broken => Answer::Broken(Refusal::unknown(Cause::BrokenOff)),
+        Content::Broken => Answer::Broken(Refusal::may_have_run(Cause::BrokenOff)),
     }
 }
 
--- a/crates/badgerfield-core/src/control/charging.rs
+++ b/crates/badgerfield-core/src/control/charging.rs
@@ -5,7 +5,7 @@
 use crate::ids::{Epoch, Incarnation, RunId};
 use crate::message::{ChargeId, ChargeNote, Message, SettleAsk};
 use crate::node::Node;
-use crate::runs::{Keyed, Run};
+use crate::runs::{Run, RunKey};
 
 impl Node {
     /// Settles an ended run at its cost and bills it, once the arbiter agrees.
@@ -68,7 +68,7 @@
     }
 
     fn ask_settle(&self, now: Time, ask: SettleAsk, out: &mut Outbox) {
-        let keyed = Keyed { key: ask.key, home: ask.home.clone() };
+        let keyed = RunKey { key: ask.key, home: ask.home.clone() };
         let Some(arbiter) = self.places(&keyed)[0] else {
             return;
         };
@@ -134,7 +134,7 @@
 
     /// Hands open charges to another process, because this one ends.
     pub(crate) fn hand_charges(&self, now: Time, out: &mut Outbox) {
-        let notes = self.board.charges().hand_over(now);
+        let notes = self.board.charges().due_handover(now);
         let usable = self.board.members().usable(now);
         let near = |m: &&crate::view::Member| m.region == self.config.member.region;
         let others = || usable.iter().filter(|m| m.incarnation != self.id());
--- a/crates/badgerfield-core/src/control/claiming.rs
+++ b/crates/badgerfield-core/src/control/claiming.rs
@@ -11,7 +11,7 @@
 };
 use crate::node::Node;
 use crate::refusal::{Cause, Refusal};
-use crate::runs::{Claimed, Keyed, Run, Stage};
+use crate::runs::{Claimed, Run, RunKey, Stage};
 
 /// How often an unanswered ask is sent again.
 const RESEND: Duration = Duration::from_millis(150);
@@ -47,7 +47,7 @@
         let Some((ask, again)) = self.make_ask(now, id, epoch) else {
             return;
         };
-        let [arbiter, second] = self.places(&Keyed { key: ask.key, home: ask.home.clone() });
+        let [arbiter, second] = self.places(&RunKey { key: ask.key, home: ask.home.clone() });
         let Some(arbiter) = arbiter else {
             return;
         };
@@ -66,7 +66,7 @@
     }
 
     /// Returns the arbiter and the second keeper of a key.
-    pub(crate) fn places(&self, keyed: &Keyed) -> [Option<Incarnation>; 2] {
+    pub(crate) fn places(&self, keyed: &RunKey) -> [Option<Incarnation>; 2] {
         let members = self.board.members();
         let arbiters = members.view.arbiters(keyed.key, keyed.home.as_ref());
         let Some((first, second)) = arbiters else {
@@ -123,7 +123,7 @@
         claim: &ClaimRecord,
         out: &mut Outbox,
     ) {
-        if self.board.claims().keep(now, epoch, claim) {
+        if self.board.claims().record_claim(now, epoch, claim) {
             let (key, serial, ended) = (claim.key, claim.serial, claim.has_ended());
             out.send(from, Message::Copied { key, serial, ended });
         }
@@ -181,7 +181,7 @@
             }
             Verdict::Owned { owner, serial, upstream, ended } if owner == self.id() => {
                 if ended || upstream.is_some() {
-                    self.refuse(now, id, Refusal::unknown(Cause::AnswerGone), out);
+                    self.refuse(now, id, Refusal::may_have_run(Cause::AnswerGone), out);
                     return;
                 }
                 self.release_at(from, key, serial, out);
@@ -190,7 +190,7 @@
                 self.follow(now, id, (owner, serial, ended), out);
             }
             Verdict::Wait { hint } => self.hinted(id, hint),
-            Verdict::Doubtful => self.refuse(now, id, Refusal::unknown(Cause::KeyLost), out),
+            Verdict::Doubtful => self.refuse(now, id, Refusal::may_have_run(Cause::KeyLost), out),
         }
     }
 
@@ -221,7 +221,7 @@
             if !self.stops_claiming(id) {
                 continue;
             }
-            let refusal = Refusal::unknown(Cause::KeyUndecided).after(UNDECIDED);
+            let refusal = Refusal::may_have_run(Cause::KeyUndecided).after(UNDECIDED);
             self.refuse(now, id, refusal, out);
         }
         for id in lost {
@@ -233,7 +233,7 @@
     }
 
     /// Tells the arbiter and the keeper that a key was not run and never will be.
-    pub(crate) fn release(&self, keyed: &Keyed, id: RunId, out: &mut Outbox) {
+    pub(crate) fn release(&self, keyed: &RunKey, id: RunId, out: &mut Outbox) {
         self.board.claims().release(self.id(), keyed.key, id.0);
         for place in self.places(keyed).into_iter().flatten() {
             self.release_at(place, keyed.key, id.0, out);
@@ -253,7 +253,7 @@
         &self,
         now: Time,
         from: Incarnation,
-        keyed: &Keyed,
+        keyed: &RunKey,
         id: RunId,
         offset: u64,
         out: &mut Outbox,
@@ -361,7 +361,7 @@
             (id, ended, !run.parts.is_empty())
         };
         if ended || begun {
-            self.refuse(now, id, Refusal::unknown(Cause::AnswerGone), out);
+            self.refuse(now, id, Refusal::may_have_run(Cause::AnswerGone), out);
         }
     }
 
@@ -411,7 +411,7 @@
             ended
         };
         if ended {
-            self.refuse(now, id, Refusal::unknown(Cause::AnswerGone), out);
+            self.refuse(now, id, Refusal::may_have_run(Cause::AnswerGone), out);
             return;
         }
         self.ask_claim(now, id, out);
@@ -483,7 +483,7 @@
                 progress: earlier.map_or(Progress::Held, |id| Progress::Dispatched(id.clone())),
             }
         };
-        self.board.claims().keep(now, epoch, &record)
+        self.board.claims().record_claim(now, epoch, &record)
     }
 
     /// Takes in that the arbiter lets a run go on; tells whether this thread may go on with it.
--- a/crates/badgerfield-core/src/control/dispatch.rs
+++ b/crates/badgerfield-core/src/control/dispatch.rs
@@ -8,7 +8,7 @@
 use crate::ids::{Account, AttemptId, RunId, UpstreamId};
 use crate::message::Message;
 use crate::node::Node;
-use crate::queue::Waiting;
+use crate::queue::QueuedRequest;
 use crate::refusal::{Cause, Refusal};
 use crate::runs::{Run, Stage};
 use crate::upstream::{Choice, Wish};
@@ -33,7 +33,7 @@
             run.stage = Stage::Queued;
             (run.account.clone(), run.until)
         };
-        self.board.queue().push(&account, Waiting { run: id, until });
+        self.board.queue().push(&account, QueuedRequest { run: id, deadline: until });
         self.dispatch_queued(now, out);
         let wait = self.board.queue().wait(now, &account, id);
         let patience = until.since(now);
@@ -102,7 +102,7 @@
             runs.get_mut(id).and_then(|run| run.keyed.clone())
         };
         if let Some(keyed) = keyed {
-            self.board.claims().dispatching(now, self.id(), keyed.key, id.0, upstream.clone());
+            self.board.claims().record_dispatch(now, self.id(), keyed.key, id.0, upstream.clone());
             for to in self.places(&keyed).into_iter().flatten().filter(|to| *to != self.id()) {
                 let (key, serial, upstream) = (keyed.key, id.0, upstream.clone());
                 out.send(to, Message::Dispatching { key, serial, upstream });
@@ -168,7 +168,7 @@
             self.refuse(now, id, Refusal::not_run(Cause::NoUpstream).after(NO_UPSTREAM), out);
             return;
         }
-        self.board.queue().push(&account, Waiting { run: id, until });
+        self.board.queue().push(&account, QueuedRequest { run: id, deadline: until });
     }
 
     /// Tells whether an upstream is known and lies where a run may be served, by the templates
@@ -230,9 +230,9 @@
         };
         {
             let mut queue = self.board.queue();
-            queue.start(&account);
+            queue.start_request(&account);
             if resume.is_none() {
-                queue.serve(&account, priority, input_cost(&work));
+                queue.count_tokens(&account, priority, input_cost(&work));
             }
         }
         self.board.upstreams().dispatched(now, upstream, &work);
@@ -270,7 +270,7 @@
     ) {
         let (account, work, started) = about;
         self.board.runs().drop_attempt(attempt);
-        self.board.queue().finish(now, account);
+        self.board.queue().finish_request(now, account);
         self.board.upstreams().ended(upstream, work, started);
     }
 }
--- a/crates/badgerfield-core/src/control/members.rs
+++ b/crates/badgerfield-core/src/control/members.rs
@@ -44,7 +44,7 @@
     /// Sends a sign of life to all neighbours, with the versions in force.
     pub(crate) fn spread(&self, now: Time, out: &mut Outbox) {
         let version = self.board.templates().version;
-        let confirmed = self.board.claims().confirmed();
+        let confirmed = self.board.claims().confirmation_status();
         let evacuations = self.board.evacuations().digest();
         let rollouts = self.board.rollouts().digest();
         let blocked = self.board.poison().digest(now);
@@ -172,7 +172,7 @@
     fn hear_confirmed(&self, now: Time, beat: &Heartbeat) {
         let (is_news, has_claims) = {
             let mut claims = self.board.claims();
-            (claims.confirm(beat.epoch, &beat.confirmed), !claims.is_empty())
+            (claims.merge_confirmations(beat.epoch, &beat.confirmed), !claims.is_empty())
         };
         let mut members = self.board.members();
         if is_news && (has_claims || members.view.members.len() <= SMALL_VIEW) {
@@ -218,8 +218,8 @@
             };
             (gone, members.removed && !was)
         };
-        self.board.claims().adopt(now, view, out);
-        self.board.ledger_writer().forget(gone);
+        self.board.claims().apply_view(now, view, out);
+        self.board.ledger_writer().mark_removed(gone);
         self.board.holdings().apply_view(now, view, out);
         out.push(Order::Note(Note::View(view.epoch)));
         if removed {
@@ -231,7 +231,7 @@
 
     /// Reads the platform's values, and writes the view, when that is due.
     pub(crate) fn read_platform(&self, now: Time, out: &mut Outbox) {
-        let complete = self.board.claims().complete();
+        let complete = self.board.claims().complete_epoch();
         let version = self.board.templates().version;
         let mut members = self.board.members();
         let reads_view = members.is_reader(now) || !members.known || members.marks_unread(complete);
@@ -291,7 +291,7 @@
     }
 
     fn write_view(&self, now: Time, out: &mut Outbox) {
-        let complete = self.board.claims().complete();
+        let complete = self.board.claims().complete_epoch();
         let mut members = self.board.members();
         if !members.known
             || members.calls.is_open(&KvName::View)
--- a/crates/badgerfield-core/src/control/reservations.rs
+++ b/crates/badgerfield-core/src/control/reservations.rs
@@ -14,14 +14,14 @@
         let waiter = (ask.id.run(), ask.amount, ask.until);
         let reserved = self.board.holdings().reserve(now, &ask.budget, waiter, out);
         match reserved {
-            ReserveOutcome::Done(period) => out.push(Order::Reserved(ask.id, Ok(period))),
+            ReserveOutcome::Reserved(period) => out.push(Order::Reserved(ask.id, Ok(period))),
             ReserveOutcome::Waiting => {}
             ReserveOutcome::Refused(refusal) => out.push(Order::Reserved(ask.id, Err(refusal))),
         }
     }
 
     /// Drops a request that waits for tokens.
-    pub(crate) fn withdraw(&self, _now: Time, ask: &ReserveAsk, out: &mut Outbox) {
+    pub(crate) fn cancel_reserve(&self, _now: Time, ask: &ReserveAsk, out: &mut Outbox) {
         if self.board.holdings().cancel_request(&ask.budget, ask.id.run()) {
             let refusal = Refusal::not_run(Cause::Stopping);
             out.push(Order::Reserved(ask.id, Err(refusal)));
--- a/crates/badgerfield-core/src/control/rights.rs
+++ b/crates/badgerfield-core/src/control/rights.rs
@@ -32,7 +32,7 @@
         self.learn_terms(now, &budget);
         let reserved = self.board.holdings().reserve(now, &budget, (id, bound, until), out);
         match reserved {
-            ReserveOutcome::Done(period) => self.reserved(now, id, period, out),
+            ReserveOutcome::Reserved(period) => self.reserved(now, id, period, out),
             ReserveOutcome::Waiting => {}
             ReserveOutcome::Refused(refusal) => self.refuse(now, id, refusal, out),
         }
@@ -74,7 +74,13 @@
     }
 
     /// Keeps amounts that another holder parks here.
-    pub(crate) fn park(&self, now: Time, from: Incarnation, items: &[ParkItem], out: &mut Outbox) {
+    pub(crate) fn handle_park(
+        &self,
+        now: Time,
+        from: Incarnation,
+        items: &[ParkItem],
+        out: &mut Outbox,
+    ) {
         // A parked amount may fall to this process, which must know its budget then.
         for item in items {
             self.learn_terms(now, &item.budget);
@@ -197,7 +203,7 @@
     }
 
     /// Takes in what became of this process's own changes.
-    pub(crate) fn drawn(
+    pub(crate) fn apply_ledger_replies(
         &self,
         now: Time,
         from: Incarnation,
@@ -233,7 +239,7 @@
         }
         for (holder, replies) in batches {
             if holder == self.id() {
-                self.drawn(now, holder, replies, out);
+                self.apply_ledger_replies(now, holder, replies, out);
                 continue;
             }
             out.send(holder, Message::Drawn(replies));
--- a/crates/badgerfield-core/src/control/rollouts.rs
+++ b/crates/badgerfield-core/src/control/rollouts.rs
@@ -19,8 +19,8 @@
 use crate::message::{Message, RolloutNews};
 use crate::node::Node;
 use crate::rollout::{
-    Call, Evidence, Known, OrderChange, Phase, Reason, RolloutNote, RolloutRecord, RolloutTally,
-    Situation,
+    Call, Evidence, Known, OrderChange, Reason, RolloutNote, RolloutPhase, RolloutRecord,
+    RolloutTally, Situation,
 };
 use crate::seal::FleetClock;
 use crate::view::View;
@@ -242,7 +242,7 @@
             return;
         };
         recorder.judge.tick(now);
-        let is_tried = matches!(known.phase(), Some(Phase::Canary | Phase::Moving));
+        let is_tried = matches!(known.phase(), Some(RolloutPhase::Canary | RolloutPhase::Moving));
         let verdict = if is_tried { recorder.judge.verdict() } else { None };
         if let Some(reason) = verdict {
             let evidence = recorder.judge.evidence().clone();
--- a/crates/badgerfield-core/src/control/stopping.rs
+++ b/crates/badgerfield-core/src/control/stopping.rs
@@ -37,7 +37,7 @@
             (since, members.removed)
         };
         let open = now.since(since) < self.config.directory_ttl;
-        let busy = self.board.runs().active() > 0;
+        let busy = self.board.runs().active_count() > 0;
         if (open && !removed) || busy {
             self.board.members().quiet = None;
             return;
--- a/crates/badgerfield-core/src/control/upstream_news.rs
+++ b/crates/badgerfield-core/src/control/upstream_news.rs
@@ -13,7 +13,7 @@
 use crate::membership::Behind;
 use crate::message::{Message, UpstreamNews};
 use crate::node::Node;
-use crate::replica_list::ListMark;
+use crate::replica_list::ListVersion;
 use crate::request_limit::LimitNote;
 use crate::view::SMALL_VIEW;
 
@@ -40,7 +40,12 @@
     }
 
     /// Tells others what was read from the platform.
-    pub(crate) fn tell_changes(&self, now: Time, found: &UpstreamNews, out: &mut Outbox) {
+    pub(crate) fn announce_upstream_changes(
+        &self,
+        now: Time,
+        found: &UpstreamNews,
+        out: &mut Outbox,
+    ) {
         let UpstreamNews { changes, mark, .. } = found;
         let is_news = !changes.written.is_empty() || !changes.gone.is_empty();
         let mut members = self.board.members();
@@ -66,7 +71,7 @@
     }
 
     /// Tells the neighbours of the limits that upstreams name.
-    pub(crate) fn tell_limits(&self, notes: &[LimitNote], out: &mut Outbox) {
+    pub(crate) fn send_limits(&self, notes: &[LimitNote], out: &mut Outbox) {
         if notes.is_empty() {
             return;
         }
@@ -77,7 +82,7 @@
     }
 
     /// Takes in what another process tells, and passes it on to its part of the ring.
-    pub(crate) fn upstream_news(
+    pub(crate) fn receive_upstream_update(
         &self,
         now: Time,
         from: Incarnation,
@@ -105,7 +110,7 @@
         &self,
         now: Time,
         from: Incarnation,
-        theirs: ListMark,
+        theirs: ListVersion,
         out: &mut Outbox,
     ) {
         {
@@ -119,7 +124,7 @@
                 return;
             }
         }
-        self.upstreams_missed(now, from, theirs.revision, out);
+        self.fetch_missing_upstreams(now, from, theirs.revision, out);
     }
 
     /// Takes in that a process knows the list up to a revision, which is beyond what is known
@@ -127,7 +132,7 @@
     ///
     /// Of a list of 3,000 upstreams one change takes some hundred bytes, and the whole 330 KB,
     /// which at 300 VMs was most of what they sent each other.
-    pub(crate) fn upstreams_missed(
+    pub(crate) fn fetch_missing_upstreams(
         &self,
         now: Time,
         from: Incarnation,
@@ -156,7 +161,7 @@
 
     /// Takes in that a process knows no more than this one, and its list differs all the same:
     /// asks it for the whole.
-    pub(crate) fn upstreams_differ(&self, now: Time, from: Incarnation, out: &mut Outbox) {
+    pub(crate) fn fetch_all_upstreams(&self, now: Time, from: Incarnation, out: &mut Outbox) {
         self.ask_upstreams(now, from, 0, out);
     }
 
--- a/crates/badgerfield-core/src/event.rs
+++ b/crates/badgerfield-core/src/event.rs
@@ -19,7 +19,7 @@
 use crate::mix::Needs;
 use crate::poison::{Crash, Fingerprint};
 use crate::refusal::Refusal;
-use crate::replica_list::{ListMark, ReplicaList};
+use crate::replica_list::{ListVersion, UpstreamList};
 use crate::request_limit::LimitNote;
 use crate::rollout::{OrderChange, RolloutNote, RolloutTally, RuleSet};
 use crate::template::KeyDigest;
@@ -70,7 +70,7 @@
     /// Another process knows as much of the list of upstreams as this one, and its list differs.
     UpstreamsDiffer(Incarnation),
     /// How much of the list of upstreams is known here.
-    ListMark(ListMark),
+    ListMark(ListVersion),
     /// What the requests of this process need of engines.
     EngineNeeds(Vec<Needs>),
     /// The upstreams at which requests wait.
@@ -366,7 +366,7 @@
     /// Take in changes of the list of upstreams that another process passed on.
     LearnChanges(Incarnation, UpstreamNews),
     /// Take in the whole list of upstreams of another process.
-    LearnUpstreams(ReplicaList),
+    LearnUpstreams(UpstreamList),
     /// The list of upstreams is still as it is known here, up to a revision.
     ConfirmUpstreams(u64),
     /// Divide the engines by what the requests of all processes need.
--- a/crates/badgerfield-core/src/event_stream.rs
+++ b/crates/badgerfield-core/src/event_stream.rs
@@ -7,7 +7,7 @@
 use bytes::{Bytes, BytesMut};
 
 /// The largest event that is kept until its end has come, in bytes.
-pub const MAX_EVENT: usize = 1 << 20;
+pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Cuts a stream into whole events.
 #[derive(Debug, Default)]
@@ -48,30 +48,30 @@
 
     /// Returns what has come of an event that is not whole yet.
     #[must_use]
-    pub fn rest(&self) -> &[u8] {
+    pub fn partial_event(&self) -> &[u8] {
         &self.rest
     }
 
     /// Takes what has come of an event that is not whole.
     #[must_use]
-    pub fn take_rest(&mut self) -> Bytes {
+    pub fn take_partial(&mut self) -> Bytes {
         self.rest.split().freeze()
     }
 
     /// Drops what has come of an event that is not whole.
-    pub fn drop_rest(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.rest.clear();
     }
 
     /// Returns the number of the last whole event.
     #[must_use]
-    pub fn last(&self) -> Option<u64> {
+    pub fn last_event_id(&self) -> Option<u64> {
         self.last
     }
 
     /// Returns how many numbered events were passed on.
     #[must_use]
-    pub fn events(&self) -> u64 {
+    pub fn event_count(&self) -> u64 {
         self.events
     }
 }
--- a/crates/badgerfield-core/src/holdings/holding.rs
+++ b/crates/badgerfield-core/src/holdings/holding.rs
@@ -247,7 +247,7 @@
 
     /// Returns what was free and goes back to the ledger with the change under way.
     pub(crate) fn back_under_way(&self) -> Tokens {
-        let back = self.op.as_ref().map_or(Tokens::ZERO, |(op, _)| op.back);
+        let back = self.op.as_ref().map_or(Tokens::ZERO, |(op, _)| op.returned);
         back.saturating_sub(self.returning)
     }
 
@@ -260,7 +260,7 @@
         let is_told = self
             .op
             .as_ref()
-            .is_none_or(|(op, _)| op.back.is_zero() && op.witness_reports.is_empty());
+            .is_none_or(|(op, _)| op.returned.is_zero() && op.witness_reports.is_empty());
         is_idle && is_told && has_witness && !self.parked.total.is_zero() && self.room().is_zero()
     }
 
@@ -385,7 +385,7 @@
             None => self.promises.say_nothing(),
         }
         let claims = sealing.clock.started.map_or_else(Vec::new, |started| {
-            let claim = |e: Orphan| SealClaim { holder: e.holder, untouched: e.untouched(started) };
+            let claim = |e: Orphan| SealClaim { holder: e.holder, unspent: e.untouched(started) };
             std::mem::take(&mut self.orphans).into_iter().map(claim).collect()
         });
         let (vm, released) = (sealing.vm.clone(), self.releasing);
@@ -543,7 +543,7 @@
             holder: maker.me,
             seq: self.seq,
             need: shortage,
-            back: back.saturating_add(returning),
+            returned: back.saturating_add(returning),
             // What a borrower has at hand is soon spent, and not held ahead.
             held: if self.borrows() { Tokens::ZERO } else { self.unspent() },
             rate,
--- a/crates/badgerfield-core/src/holdings/lending.rs
+++ b/crates/badgerfield-core/src/holdings/lending.rs
@@ -140,7 +140,7 @@
                 continue;
             };
             let spent = refusal.cause == Cause::BudgetSpent;
-            let after = refusal.after.unwrap_or(COME_BACK);
+            let after = refusal.retry_after.unwrap_or(COME_BACK);
             let lack = if spent { Lack::Spent } else { Lack::Reserved(after) };
             out.send(to, Message::Nothing { budget, period, need: amount, lack });
         }
--- a/crates/badgerfield-core/src/holdings/mod.rs
+++ b/crates/badgerfield-core/src/holdings/mod.rs
@@ -45,7 +45,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReserveOutcome {
     /// They are set aside, out of what was held in this period.
-    Done(Period),
+    Reserved(Period),
     /// The answer comes later.
     Waiting,
     /// There are none.
--- a/crates/badgerfield-core/src/holdings/requests.rs
+++ b/crates/badgerfield-core/src/holdings/requests.rs
@@ -35,7 +35,7 @@
             let period = holding.terms.period;
             self.touched.insert(budget.clone());
             self.borrow_ahead(now, budget, out);
-            return ReserveOutcome::Done(period);
+            return ReserveOutcome::Reserved(period);
         }
         let waiter = Waiter { wanter: Wanter::Run(run), need, until };
         match holding.queue(now, waiter) {
--- a/crates/badgerfield-core/src/ledger.rs
+++ b/crates/badgerfield-core/src/ledger.rs
@@ -138,7 +138,7 @@
     /// The least that would help now; zero if nothing waits.
     pub need: Tokens,
     /// What is given back; the holder has already deducted it.
-    pub back: Tokens,
+    pub returned: Tokens,
     /// What the holder has left, without what is given back.
     pub held: Tokens,
     /// The holder's demand.
@@ -294,7 +294,7 @@
 
     /// Returns what is neither spent nor held.
     #[must_use]
-    pub fn left(&self) -> Tokens {
+    pub fn remaining(&self) -> Tokens {
         self.terms.limit.saturating_sub(self.drawn)
     }
 
@@ -323,7 +323,7 @@
             let granted = if op.seq == holder.seq { holder.granted } else { Tokens::ZERO };
             return self.applied(op, granted);
         }
-        self.drawn = self.drawn.saturating_sub(op.back);
+        self.drawn = self.drawn.saturating_sub(op.returned);
         holder.seq = op.seq;
         holder.held = op.held;
         holder.rate = op.rate;
@@ -359,7 +359,7 @@
             let Some(record) = holder.and_then(|h| h.seal.take()) else {
                 continue;
             };
-            self.restore(claim.holder, claim.untouched.min(record.amount));
+            self.restore(claim.holder, claim.unspent.min(record.amount));
             self.close(claim.holder);
         }
     }
@@ -398,8 +398,8 @@
         let orphan = |(holder, seal): (Incarnation, &SealRecord)| Orphan {
             holder,
             amount: seal.amount,
-            at: seal.at,
-            falls_ms: seal.falls_ms,
+            at: seal.sealed_at,
+            falls_ms: seal.decay_ms,
         };
         sealed.filter(|(_, seal)| seal.vm == *vm).map(orphan).collect()
     }
@@ -420,7 +420,7 @@
     /// Decides how a holder should hold the budget, by its share of the demand.
     fn plan(&self, op: &LedgerOp) -> HoldingPlan {
         let held: Tokens = self.holders.values().map(|h| h.held).sum();
-        let remaining = op.spread.of(self.left().saturating_add(held));
+        let remaining = op.spread.of(self.remaining().saturating_add(held));
         let unit = self.busy().map(|(_, h)| h.unit.0).max().unwrap_or(0);
         let count = u64::try_from(self.busy().count()).unwrap_or(u64::MAX);
         let rates: u64 = self.busy().map(|(_, h)| h.rate.0).sum();
@@ -466,7 +466,7 @@
         if op.seal.is_some() {
             wanted = wanted.min(self.ahead_left(op.spread));
         }
-        wanted.max(op.need).min(self.left())
+        wanted.max(op.need).min(self.remaining())
     }
 
     /// Returns how much more may be held ahead of demand by all holders together.
@@ -475,7 +475,7 @@
     /// this bound their sum comes to nearly the whole budget while demand is young.
     fn ahead_left(&self, spread: Percent) -> Tokens {
         let held: Tokens = self.holders.values().map(|h| h.held).sum();
-        spread.of(self.left().saturating_add(held)).saturating_sub(held)
+        spread.of(self.remaining().saturating_add(held)).saturating_sub(held)
     }
 
     /// Drops the record of a holder that is gone, and of those that wait for it as their witness.
@@ -516,7 +516,7 @@
             .collect();
         rich.sort_by_key(|(id, holder)| (std::cmp::Reverse(holder.held), **id));
         let others = rich.into_iter().take(MAX_NAMED).map(|(id, _)| *id).collect();
-        let (seq, left, plan) = (op.seq, self.left(), self.plan(op));
+        let (seq, left, plan) = (op.seq, self.remaining(), self.plan(op));
         let orphans = op.seal.as_ref().map_or_else(Vec::new, |s| self.orphans(&s.vm, op.holder));
         LedgerReply::Applied {
             seq,
@@ -536,7 +536,7 @@
     let amount = seal.amount.saturating_add(sealed_part(granted, need));
     (!amount.is_zero()).then(|| {
         let (vm, falls_ms) = (seal.vm.clone(), seal.decay_ms);
-        SealRecord { vm, amount, at, falls_ms }
+        SealRecord { vm, amount, sealed_at: at, decay_ms: falls_ms }
     })
 }
 
--- a/crates/badgerfield-core/src/ledger_writer.rs
+++ b/crates/badgerfield-core/src/ledger_writer.rs
@@ -96,7 +96,7 @@
     }
 
     /// Remembers holders that were removed, to drop them with the next write.
-    pub fn forget(&mut self, gone: impl IntoIterator<Item = Incarnation>) {
+    pub fn mark_removed(&mut self, gone: impl IntoIterator<Item = Incarnation>) {
         self.gone.extend(gone);
         let excess = self.gone.len().saturating_sub(MAX_GONE);
         self.gone.drain(..excess);
@@ -255,7 +255,7 @@
 /// that stops or borrows does not wait.
 fn is_urgent(op: &LedgerOp) -> bool {
     let keeps_on = op.seal.is_some() && op.rate > TokenRate(0);
-    let gives = !op.back.is_zero() && !keeps_on;
+    let gives = !op.returned.is_zero() && !keeps_on;
     op.close || gives || !op.need.is_zero()
 }
 
--- a/crates/badgerfield-core/src/membership.rs
+++ b/crates/badgerfield-core/src/membership.rs
@@ -7,7 +7,7 @@
 
 use crate::amount::Time;
 use crate::broadcast::{self, Leg};
-use crate::calls::Calls;
+use crate::calls::PendingCalls;
 use crate::event::Note;
 use crate::first_read;
 use crate::ids::{Epoch, Incarnation, VmId};
@@ -16,7 +16,7 @@
 use crate::message::Heartbeat;
 use crate::mix::NeedsBlend;
 use crate::ranks::Ranks;
-use crate::replica_list::ListMark;
+use crate::replica_list::ListVersion;
 use crate::seal::FleetClock;
 use crate::view::{Member, SMALL_VIEW, Standing, View};
 use crate::view_update::ViewLog;
@@ -100,7 +100,7 @@
     /// Whether this process serves callers at present.
     pub(crate) serving: bool,
     /// How much of the list of upstreams is known here.
-    pub(crate) list: ListMark,
+    pub(crate) list: ListVersion,
     /// What requests need of engines, here and elsewhere.
     pub(crate) needs: NeedsBlend,
     /// The upstreams at which requests wait.
@@ -123,7 +123,7 @@
     doubt: Duration,
     /// How long upstreams that leave take requests after they have said so.
     notice: Duration,
-    pub(crate) calls: Calls,
+    pub(crate) calls: PendingCalls,
     signs: BTreeMap<Incarnation, Sign>,
     former: BTreeMap<Incarnation, SocketAddr>,
     listed: BTreeSet<VmId>,
@@ -171,7 +171,7 @@
             away: BTreeMap::new(),
             offset: None,
             serving: true,
-            list: ListMark::default(),
+            list: ListVersion::default(),
             needs: NeedsBlend::default(),
             lags: Vec::new(),
             told: 0,
@@ -183,7 +183,7 @@
             confirmed_at: None,
             doubt: beat.saturating_mul(DOUBT_BEATS),
             notice,
-            calls: Calls::default(),
+            calls: PendingCalls::default(),
             signs: BTreeMap::new(),
             former: BTreeMap::new(),
             listed: BTreeSet::new(),
@@ -240,7 +240,7 @@
     }
 
     /// Notes how much of the list of upstreams is known here; one thread may be behind another.
-    pub(crate) fn note_list(&mut self, mark: ListMark) {
+    pub(crate) fn note_list(&mut self, mark: ListVersion) {
         if mark.revision >= self.list.revision {
             self.list = mark;
         }
--- a/crates/badgerfield-core/src/message.rs
+++ b/crates/badgerfield-core/src/message.rs
@@ -16,7 +16,7 @@
 use crate::ledger::{LedgerOp, LedgerReply};
 use crate::mix::Needs;
 use crate::poison::Crash;
-use crate::replica_list::{ListMark, ReplicaChanges, ReplicaList};
+use crate::replica_list::{ListVersion, UpstreamList, UpstreamListChanges};
 use crate::request_limit::LimitNote;
 use crate::rollout::{Known, RolloutTally};
 use crate::template::{TemplateDelta, TemplateSet};
@@ -69,7 +69,7 @@
         since: u64,
     },
     /// The whole list of upstreams.
-    Upstreams(ReplicaList),
+    Upstreams(UpstreamList),
     /// Failure domains were evacuated or taken back; passed on to all.
     Evacuations(EvacuationNews),
     /// All that the sender knows of evacuated domains; asks for what the receiver knows beyond.
@@ -256,12 +256,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamNews {
     /// What changed; it may be nothing but the revision.
-    pub changes: ReplicaChanges,
+    pub changes: UpstreamListChanges,
     /// Whoever knows every change up to this revision knows, with these, every change up to
     /// that of the mark.
     pub since: u64,
     /// The list to which this leads, at whoever read it from the platform.
-    pub mark: ListMark,
+    pub mark: ListVersion,
     /// To how many members before it in the ring the receiver passes this on.
     pub reach: u32,
 }
@@ -314,7 +314,7 @@
     /// Whether the sender serves callers.
     pub serving: bool,
     /// How much the sender knows of the list of upstreams.
-    pub list: ListMark,
+    pub list: ListVersion,
     /// Stands for all that the sender knows of evacuated failure domains.
     pub evacuations: u64,
     /// Stands for all that the sender knows of roll-outs.
--- a/crates/badgerfield-core/src/node.rs
+++ b/crates/badgerfield-core/src/node.rs
@@ -17,7 +17,7 @@
 use crate::policy::Policy;
 use crate::rollout::{RolloutBound, RolloutStatus};
 use crate::routing::RouteTable;
-use crate::runs::{Keyed, Runs};
+use crate::runs::{RunKey, Runs};
 use crate::template::TemplateSet;
 use crate::upstream::Kind;
 use crate::view::{Member, SMALL_VIEW, Standing, View};
@@ -295,13 +295,13 @@
         let version = self.board.templates().version;
         let (running, kept) = {
             let runs = self.board.runs();
-            (runs.active(), runs.kept())
+            (runs.active_count(), runs.replay_bytes())
         };
         let unsettled = self.board.charges().len();
         let queued = self.board.queue().len();
         let (complete, claims) = {
             let table = self.board.claims();
-            (table.complete(), table.len())
+            (table.complete_epoch(), table.len())
         };
         let (excess, budgets) = {
             let table = self.board.holdings();
@@ -353,15 +353,15 @@
             Event::Operators(found) => self.apply_operator_values(now, found, out),
             Event::OperatorChanges(found) => self.apply_operator_changes(now, found, out),
             Event::Reserve(ask) => self.reserve_for_route(now, &ask, out),
-            Event::Withdraw(ask) => self.withdraw(now, &ask, out),
+            Event::Withdraw(ask) => self.cancel_reserve(now, &ask, out),
             Event::Settle(end) => self.settle_reservation(now, &end, out),
             Event::Clock(wall) => self.board.members().set_wall(now, wall),
             Event::Serving(serving) => self.board.members().serving = serving,
-            Event::UpstreamChanges(news) => self.tell_changes(now, &news, out),
+            Event::UpstreamChanges(news) => self.announce_upstream_changes(now, &news, out),
             Event::UpstreamsMissed(from, revision) => {
-                self.upstreams_missed(now, from, revision, out);
+                self.fetch_missing_upstreams(now, from, revision, out);
             }
-            Event::UpstreamsDiffer(from) => self.upstreams_differ(now, from, out),
+            Event::UpstreamsDiffer(from) => self.fetch_all_upstreams(now, from, out),
             Event::ListMark(mark) => self.board.members().note_list(mark),
             Event::EngineNeeds(own) => {
                 let mut members = self.board.members();
@@ -369,7 +369,7 @@
                 out.push(Order::DivideEngines(members.needs.blend(now)));
             }
             Event::Lags(lags) => self.board.members().lags = lags,
-            Event::Limits(notes) => self.tell_limits(&notes, out),
+            Event::Limits(notes) => self.send_limits(&notes, out),
             Event::RolloutTallies(tallies) => self.record_rollout_tallies(now, tallies, out),
             Event::Crashed(crash) => self.record_crash(now, crash, out),
             Event::SuspectServed(request) => self.record_suspect_served(now, request, out),
@@ -422,7 +422,7 @@
             Message::View(update) => self.update_view(now, from, &update, out),
             Message::Delta(delta) => self.apply_template_delta(now, from, *delta, out),
             Message::Templates(set) => self.apply_templates(now, *set, out),
-            Message::UpstreamChanges(news) => self.upstream_news(now, from, news, out),
+            Message::UpstreamChanges(news) => self.receive_upstream_update(now, from, news, out),
             Message::FetchUpstreams { since } => out.push(Order::TellUpstreams(from, since)),
             Message::Upstreams(list) => out.push(Order::LearnUpstreams(list)),
             Message::Limits(notes) => out.push(Order::LearnLimits(from, notes)),
@@ -434,14 +434,14 @@
             Message::CompareCrashes(theirs) => self.reconcile_crashes(now, from, &theirs, out),
             Message::RolloutReport(report) => self.board.rollouts().hear(from, report),
             Message::Draw(ops) => self.handle_ledger_request(now, ops, out),
-            Message::Drawn(replies) => self.drawn(now, from, replies, out),
+            Message::Drawn(replies) => self.apply_ledger_replies(now, from, replies, out),
             Message::Ask(ask) => self.board.holdings().handle_token_request(now, from, &ask, out),
             Message::Nothing { budget, need, lack, .. } => {
                 self.board.holdings().handle_no_tokens(now, from, &budget, (need, lack), out);
             }
             Message::Transfer(transfer) => self.receive_transfer(now, from, &transfer, out),
             Message::Transferred { seq } => self.board.holdings().confirm_transfer(now, from, seq),
-            Message::Park(items) => self.park(now, from, &items, out),
+            Message::Park(items) => self.handle_park(now, from, &items, out),
             Message::Parked(items) => self.board.holdings().confirm_parked(now, from, &items, out),
             Message::Claim(ask) => self.handle_claim_request(now, from, &ask, out),
             Message::Claimed { key, serial, epoch, verdict } => {
@@ -454,7 +454,7 @@
                 self.handle_claim_backup_ack(now, from, (key, RunId(serial), ended), out);
             }
             Message::Dispatching { key, serial, upstream } => {
-                self.board.claims().dispatching(now, from, key, serial, upstream);
+                self.board.claims().record_dispatch(now, from, key, serial, upstream);
             }
             Message::Release { key, serial } => self.board.claims().release(from, key, serial),
             Message::Settle(ask) => self.handle_settle_request(now, from, &ask, out),
@@ -465,18 +465,18 @@
             Message::ChargesTaken(ids) => self.handle_charges_ack(&ids),
             Message::Handover(part) => {
                 let (epoch, number) = (part.epoch, part.part);
-                if self.board.claims().receive(now, from, &part) {
+                if self.board.claims().receive_handover(now, from, &part) {
                     out.send(from, Message::HandedOver { epoch, part: number });
                 }
             }
             Message::HandedOver { epoch, part } => {
-                self.board.claims().handed_over(now, from, epoch, part, out);
+                self.board.claims().handle_handover_ack(now, from, epoch, part, out);
             }
             Message::Attach { key, home, serial, offset } => {
                 self.handle_answer_request(
                     now,
                     from,
-                    &Keyed { key, home },
+                    &RunKey { key, home },
                     RunId(serial),
                     offset,
                     out,
--- a/crates/badgerfield-core/src/patience.rs
+++ b/crates/badgerfield-core/src/patience.rs
@@ -19,7 +19,7 @@
 
 /// The time for which calls are waited for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience {
+pub struct AdaptiveTimeout {
     /// The time that is set for calls.
     set: Duration,
     /// The longest answer of late; nothing until one has come.
@@ -27,7 +27,7 @@
     limit: Duration,
 }
 
-impl Patience {
+impl AdaptiveTimeout {
     /// Starts with the time that is set for calls.
     #[must_use]
     pub fn new(set: Duration) -> Self {
@@ -36,12 +36,12 @@
 
     /// Returns how long the next call is waited for.
     #[must_use]
-    pub fn limit(&self) -> Duration {
+    pub fn current(&self) -> Duration {
         self.limit
     }
 
     /// Notes how long a whole answer took.
-    pub fn answered(&mut self, took: Duration) {
+    pub fn record_answer(&mut self, took: Duration) {
         let faded = self.longest.unwrap_or_default() * (100 - FADE_PERCENT) / 100;
         let longest = faded.max(took);
         self.longest = Some(longest);
@@ -49,7 +49,7 @@
     }
 
     /// Notes that no answer came within the limit.
-    pub fn timed_out(&mut self) {
+    pub fn record_timeout(&mut self) {
         // Answers that leave the limit at what is set.
         let was_quick = self.longest.is_some_and(|took| took < self.set / RATIO);
         if !was_quick {
--- a/crates/badgerfield-core/src/queue.rs
+++ b/crates/badgerfield-core/src/queue.rs
@@ -19,18 +19,18 @@
 
 /// A waiting request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Waiting {
+pub struct QueuedRequest {
     /// The request.
     pub run: RunId,
     /// When it has waited too long.
-    pub until: Time,
+    pub deadline: Time,
 }
 
 #[derive(Debug, Default)]
 struct Line {
     served: u64,
     running: u32,
-    waiting: VecDeque<Waiting>,
+    waiting: VecDeque<QueuedRequest>,
 }
 
 /// The waiting requests of all accounts.
@@ -68,7 +68,7 @@
     }
 
     /// Adds a request at the end of its account's line.
-    pub fn push(&mut self, account: &Account, waiting: Waiting) {
+    pub fn push(&mut self, account: &Account, waiting: QueuedRequest) {
         let floor = self.floor();
         let line = self.lines.entry(account.clone()).or_default();
         if !line.is_active() {
@@ -107,21 +107,21 @@
     }
 
     /// Notes that a request of an account runs.
-    pub fn start(&mut self, account: &Account) {
+    pub fn start_request(&mut self, account: &Account) {
         let line = self.lines.entry(account.clone()).or_default();
         line.running += 1;
         self.clock = self.clock.max(line.served);
     }
 
     /// Notes that a request of an account has ended.
-    pub fn finish(&mut self, now: Time, account: &Account) {
+    pub fn finish_request(&mut self, now: Time, account: &Account) {
         self.ends.count(now, Tokens(END));
         let line = self.lines.entry(account.clone()).or_default();
         line.running = line.running.saturating_sub(1);
     }
 
     /// Counts tokens that an account is served, by its priority.
-    pub fn serve(&mut self, account: &Account, priority: u32, tokens: Tokens) {
+    pub fn count_tokens(&mut self, account: &Account, priority: u32, tokens: Tokens) {
         let line = self.lines.entry(account.clone()).or_default();
         let weighted = tokens.0.saturating_mul(SCALE) / u64::from(priority.max(1));
         line.served = line.served.saturating_add(weighted);
@@ -129,7 +129,7 @@
 
     /// Returns the first request of each account, the account served least first.
     #[must_use]
-    pub fn heads(&self) -> Vec<(Account, Waiting)> {
+    pub fn heads(&self) -> Vec<(Account, QueuedRequest)> {
         let mut heads: Vec<_> = self
             .lines
             .iter()
@@ -144,7 +144,7 @@
         let mut expired = Vec::new();
         for line in self.lines.values_mut() {
             line.waiting.retain(|w| {
-                if w.until > now {
+                if w.deadline > now {
                     return true;
                 }
                 expired.push(w.run);
--- a/crates/badgerfield-core/src/refusal.rs
+++ b/crates/badgerfield-core/src/refusal.rs
@@ -161,26 +161,26 @@
     /// Whether it has run.
     pub outcome: Outcome,
     /// When to come back, where that can help.
-    pub after: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
     /// Makes a refusal of a request that did not run.
     #[must_use]
     pub fn not_run(cause: Cause) -> Self {
-        Self { cause, outcome: Outcome::NotRun, after: None }
+        Self { cause, outcome: Outcome::NotRun, retry_after: None }
     }
 
     /// Makes a refusal of a request that may have run.
     #[must_use]
-    pub fn unknown(cause: Cause) -> Self {
-        Self { cause, outcome: Outcome::Unknown, after: None }
+    pub fn may_have_run(cause: Cause) -> Self {
+        Self { cause, outcome: Outcome::Unknown, retry_after: None }
     }
 
     /// Adds when to come back.
     #[must_use]
     pub fn after(mut self, span: Duration) -> Self {
-        self.after = Some(span);
+        self.retry_after = Some(span);
         self
     }
 }
--- a/crates/badgerfield-core/src/replica_list.rs
+++ b/crates/badgerfield-core/src/replica_list.rs
@@ -10,7 +10,7 @@
 
 /// One upstream as the platform's list names it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReplicaInfo {
+pub struct ListedUpstream {
     /// The upstream; one that starts again may keep it.
     pub id: UpstreamId,
     /// Its service.
@@ -28,43 +28,43 @@
     pub leaving: bool,
     /// When its process started, in milliseconds since 1970; nothing if the list does not tell.
     #[serde(rename = "born", default)]
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
 }
 
 /// One entry of the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReplicaEntry {
+pub struct UpstreamEntry {
     /// The revision at which the entry was written last.
     pub revision: u64,
     /// What it says.
-    pub info: ReplicaInfo,
+    pub info: ListedUpstream,
     /// How much longer the upstream is cold, as far as is known; zero if it is warm.
     pub warm_in: Duration,
 }
 
 /// All upstreams, as of one revision of the platform's list.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReplicaList {
+pub struct UpstreamList {
     /// The revision; entries that were written while the list was read may be newer.
     pub revision: u64,
     /// The entries.
-    pub replicas: Vec<ReplicaEntry>,
+    pub entries: Vec<UpstreamEntry>,
 }
 
 /// What changed in the platform's list up to a revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReplicaChanges {
+pub struct UpstreamListChanges {
     /// The revision of the list up to which every change is known.
     pub revision: u64,
     /// Entries that were written, in the order of their revisions.
-    pub written: Vec<ReplicaEntry>,
+    pub written: Vec<UpstreamEntry>,
     /// Entries that are gone, with the revision at which they went.
     pub gone: Vec<(UpstreamId, u64)>,
 }
 
 /// How much a process knows of the platform's list.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ListMark {
+pub struct ListVersion {
     /// The revision up to which every change is known.
     pub revision: u64,
     /// Stands for all entries, so that equal lists are told apart from others.
@@ -72,7 +72,7 @@
 }
 
 /// Returns a number that stands for what an entry says.
-pub(crate) fn digest_of(info: &ReplicaInfo) -> u64 {
+pub(crate) fn digest_of(info: &ListedUpstream) -> u64 {
     // Plain fields always have a JSON form.
     let text = serde_json::to_vec(info).unwrap_or_default();
     xxh3_64_with_seed(&text, 0)
--- a/crates/badgerfield-core/src/replicas/canary.rs
+++ b/crates/badgerfield-core/src/replicas/canary.rs
@@ -11,7 +11,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::Wanted;
+use super::UpstreamCriteria;
 use super::replica::{Replica, shared};
 use crate::amount::{Percent, Time};
 use crate::ids::{Service, SoftwareVersion};
@@ -45,7 +45,7 @@
 
 /// How many requests of this process went to a service since an order was learned.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Given {
+pub struct SentCounts {
     /// To the version that is rolled out.
     pub target: u64,
     /// To any version.
@@ -71,7 +71,7 @@
     rules: Vec<Ruled>,
     /// By route, how many requests the target may get.
     credits: BTreeMap<String, f64>,
-    given: Given,
+    given: SentCounts,
     /// The versions that the list names, and until when each is held.
     versions: BTreeMap<SoftwareVersion, Time>,
 }
@@ -134,7 +134,7 @@
     pub(super) fn narrow<'a>(
         &self,
         now: Time,
-        wanted: &Wanted<'_>,
+        wanted: &UpstreamCriteria<'_>,
         fit: Vec<&'a Replica>,
         serves_freely: impl FnOnce() -> bool,
     ) -> Vec<&'a Replica> {
@@ -154,7 +154,7 @@
     /// target could have taken it.
     pub(super) fn charge(
         &mut self,
-        wanted: &Wanted<'_>,
+        wanted: &UpstreamCriteria<'_>,
         version: Option<&SoftwareVersion>,
         is_open: bool,
     ) {
@@ -176,7 +176,7 @@
     }
 
     /// Returns the rules in force, with what this process gave by each.
-    pub(super) fn rules(&self) -> impl Iterator<Item = (&RolloutRule, Given)> {
+    pub(super) fn rules(&self) -> impl Iterator<Item = (&RolloutRule, SentCounts)> {
         let splits = self.services.values();
         splits.flat_map(|split| split.rules.iter().map(|ruled| (&ruled.rule, split.given)))
     }
@@ -214,7 +214,7 @@
         // What one order left over is not the next one's to give.
         if newest(&self.rules) != before {
             self.credits.clear();
-            self.given = Given::default();
+            self.given = SentCounts::default();
         }
         news
     }
@@ -271,7 +271,7 @@
     fn narrow<'a>(
         &self,
         now: Time,
-        wanted: &Wanted<'_>,
+        wanted: &UpstreamCriteria<'_>,
         fit: Vec<&'a Replica>,
         serves_freely: impl FnOnce() -> bool,
     ) -> Vec<&'a Replica> {
@@ -295,7 +295,7 @@
                 return canary;
             }
         }
-        match wanted.resumes {
+        match wanted.resumed_version {
             Some(version) => with_version(others, version),
             None => others,
         }
@@ -305,14 +305,14 @@
     ///
     /// Those of the same chains of prompt parts go there as far as that makes up the share, so
     /// that its upstreams read few prompts anew; the more the route owes, the more chains.
-    fn gives(&self, wanted: &Wanted<'_>, target: &SoftwareVersion, share: f64) -> bool {
+    fn gives(&self, wanted: &UpstreamCriteria<'_>, target: &SoftwareVersion, share: f64) -> bool {
         let credit = self.credit(wanted) + share;
         if credit < 1.0 {
             return false;
         }
         // A request that failed at one version is not tried out on the other.
         if !wanted.tried.is_empty() {
-            return wanted.resumes == Some(target);
+            return wanted.resumed_version == Some(target);
         }
         let Some(chain) = shared(wanted.parts).last() else {
             return true;
@@ -321,12 +321,17 @@
         credit >= MAX_CREDIT || lot < share * credit
     }
 
-    fn credit(&self, wanted: &Wanted<'_>) -> f64 {
+    fn credit(&self, wanted: &UpstreamCriteria<'_>) -> f64 {
         let begun = self.credits.get(wanted.route).copied();
-        begun.unwrap_or_else(|| fraction(wanted.draw))
+        begun.unwrap_or_else(|| fraction(wanted.random))
     }
 
-    fn charge(&mut self, wanted: &Wanted<'_>, version: Option<&SoftwareVersion>, is_open: bool) {
+    fn charge(
+        &mut self,
+        wanted: &UpstreamCriteria<'_>,
+        version: Option<&SoftwareVersion>,
+        is_open: bool,
+    ) {
         let Some(first) = self.rules.first() else {
             return;
         };
--- a/crates/badgerfield-core/src/replicas/choice.rs
+++ b/crates/badgerfield-core/src/replicas/choice.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::replica::{Replica, Weights, shared};
-use super::{Chosen, PromptPart, Replicas, Wanted};
+use super::{ChosenUpstream, PromptPart, UpstreamCriteria, UpstreamTable};
 use crate::amount::Time;
 use crate::ids::UpstreamId;
 use crate::lag;
@@ -24,10 +24,10 @@
     Domain,
 }
 
-impl Replicas {
+impl UpstreamTable {
     /// Chooses an upstream for a request, or none if none can take it.
     #[must_use]
-    pub fn choose(&self, now: Time, wanted: &Wanted<'_>) -> Option<Chosen> {
+    pub fn choose(&self, now: Time, wanted: &UpstreamCriteria<'_>) -> Option<ChosenUpstream> {
         let pool = self.candidates(now, wanted);
         let mix = self.mixes.get(wanted.service).filter(|_| !wanted.parts.is_empty());
         let weights = Weights::of(mix, wanted);
@@ -45,9 +45,9 @@
             let mut cost = replica.cost(now, wanted, &weights, is_home);
             cost += self.locality.cost(replica.distance, wanted.bytes);
             if wanted.parts.is_empty() {
-                cost += overload::wait_cost(replica.lag.millis(now), replica.seed ^ wanted.draw);
+                cost += overload::wait_cost(replica.lag.millis(now), replica.seed ^ wanted.random);
             } else {
-                cost += replica.lag.cost(now, ordinary, wanted.draw);
+                cost += replica.lag.cost(now, ordinary, wanted.random);
             }
             cost
         };
@@ -60,22 +60,22 @@
                 second = Some((replica, cost));
             }
         }
-        let alike = wanted.alike.and_then(|number| alike(&pool, number));
+        let alike = wanted.rendezvous_key.and_then(|number| alike(&pool, number));
         let (replica, cost) = alike.map(|r| (r, cost_of(r))).or(best)?;
         let is_home = homes.contains(&&replica.info.id);
-        Some(Chosen {
-            unread: replica.unread(now, wanted.parts, is_home),
-            lag: replica.lag.millis(now),
+        Some(ChosenUpstream {
+            uncached_tokens: replica.unread(now, wanted.parts, is_home),
+            queueing_delay: replica.lag.millis(now),
             group: weights.division.map(|(_, group)| (group, weights.takes(replica))),
             id: replica.info.id.clone(),
             address: replica.info.address,
             process: replica.process,
             version: replica.info.version.clone().filter(|_| self.canary.counts(wanted.service)),
             cost,
-            near: replica.distance,
+            distance: replica.distance,
             crossing: crossing(&pool, replica),
-            weighed: pool.len(),
-            second: second.map(|(r, cost)| (r.info.id.clone(), cost)),
+            candidates: pool.len(),
+            runner_up: second.map(|(r, cost)| (r.info.id.clone(), cost)),
         })
     }
 
@@ -84,7 +84,7 @@
     /// Where it costs more to leave a domain or region than to read the chain, each has a home
     /// of its own; where reading costs more, one home serves them all, and its memory is
     /// not spent twice.
-    fn scope(&self, weights: &Weights, wanted: &Wanted<'_>) -> Scope {
+    fn scope(&self, weights: &Weights, wanted: &UpstreamCriteria<'_>) -> Scope {
         let read = weights.read_ms(shared(wanted.parts));
         if read < self.locality.cost(Distance::Region, wanted.bytes) {
             return Scope::Domain;
@@ -96,7 +96,7 @@
     }
 
     /// Returns the upstreams that may get a request.
-    fn candidates(&self, now: Time, wanted: &Wanted<'_>) -> Vec<&Replica> {
+    fn candidates(&self, now: Time, wanted: &UpstreamCriteria<'_>) -> Vec<&Replica> {
         let spares = self.starts.of(wanted.service).is_some();
         let share = self.starts.share(wanted.service);
         let fit: Vec<_> = self
@@ -108,7 +108,7 @@
             .filter(|r| !spares || r.bears_more(now, share))
             .filter(|r| r.said.admits(now))
             .filter(|r| !wanted.tried.contains(&r.info.id))
-            .filter(|r| r.running < wanted.connections)
+            .filter(|r| r.running < wanted.max_connections)
             .collect();
         let serves_freely = || self.serves_freely(now, wanted.service);
         let fit = self.canary.narrow(now, wanted, fit, serves_freely);
@@ -119,7 +119,7 @@
 }
 
 /// Tells whether an upstream lies where a request may be served.
-fn may_serve(replica: &Replica, wanted: &Wanted<'_>) -> bool {
+fn may_serve(replica: &Replica, wanted: &UpstreamCriteria<'_>) -> bool {
     let bound = wanted.residency;
     !bound.is_bound() || bound.allows(replica.region.as_ref())
 }
--- a/crates/badgerfield-core/src/replicas/limits.rs
+++ b/crates/badgerfield-core/src/replicas/limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::Replicas;
+use super::UpstreamTable;
 use super::replica::Replica;
 use crate::amount::Time;
 use crate::event::due;
@@ -23,9 +23,9 @@
     pub before: Option<RequestLimit>,
 }
 
-impl Replicas {
+impl UpstreamTable {
     /// Takes in which limit an upstream names in an answer, if any; returns what has changed.
-    pub fn hear_limit(
+    pub fn record_limit(
         &mut self,
         now: Time,
         id: &UpstreamId,
@@ -40,7 +40,7 @@
     }
 
     /// Takes in what another process tells of limits; returns what has changed.
-    pub fn learn_limits(&mut self, now: Time, notes: &[LimitNote]) -> Vec<LimitChange> {
+    pub fn apply_limit_reports(&mut self, now: Time, notes: &[LimitNote]) -> Vec<LimitChange> {
         let senders = self.starts.senders();
         let mut changes = Vec::new();
         for replica in self.table.values_mut() {
@@ -59,7 +59,7 @@
 
     /// Returns what other processes should be told of limits now, another few at each turn where
     /// there are many.
-    pub fn limit_notes(&mut self, now: Time) -> Vec<LimitNote> {
+    pub fn limit_reports(&mut self, now: Time) -> Vec<LimitNote> {
         if !due(now, self.limits_told, TELL_PACE) {
             return Vec::new();
         }
@@ -75,7 +75,7 @@
     }
 
     /// Notes that there is a request for a service, whose upstreams may have limits.
-    pub fn want(&mut self, now: Time, service: &Service) {
+    pub fn record_request(&mut self, now: Time, service: &Service) {
         if !self.has_limits {
             return;
         }
@@ -85,7 +85,7 @@
     }
 
     /// Tells whether a request that was given an upstream at a time may still be sent there.
-    pub fn admits_begun(&mut self, now: Time, id: &UpstreamId, begun: Time) -> bool {
+    pub fn can_still_send(&mut self, now: Time, id: &UpstreamId, begun: Time) -> bool {
         let replica = self.table.get_mut(id);
         replica.is_none_or(|replica| {
             replica.said.rests_until <= now && replica.said.limit.admits_begun(now, begun)
@@ -94,7 +94,7 @@
 
     /// Returns how many upstreams have a limit.
     #[must_use]
-    pub fn limited(&self) -> usize {
+    pub fn limited_count(&self) -> usize {
         let listed = self.table.values().filter(|r| r.vanished.is_none());
         listed.filter(|r| r.said.limit.limit().is_some()).count()
     }
--- a/crates/badgerfield-core/src/replicas/listed.rs
+++ b/crates/badgerfield-core/src/replicas/listed.rs
@@ -7,19 +7,19 @@
 use std::time::Duration;
 
 use super::replica::Replica;
-use super::{Lacking, Replicas};
+use super::{ListGap, UpstreamTable};
 use crate::amount::Time;
 use crate::ids::{Service, UpstreamId};
-use crate::replica_list::{ListMark, ReplicaChanges, ReplicaEntry, ReplicaList};
+use crate::replica_list::{ListVersion, UpstreamEntry, UpstreamList, UpstreamListChanges};
 
 /// How long an upstream is remembered after its entry is gone.
 const FORGET: Duration = Duration::from_secs(30);
 
-impl Replicas {
+impl UpstreamTable {
     /// Takes in the platform's list, unless it is older than the last one.
     ///
     /// Returns the upstreams that were added, changed or removed.
-    pub fn learn(&mut self, now: Time, list: ReplicaList) -> Vec<UpstreamId> {
+    pub fn apply_list(&mut self, now: Time, list: UpstreamList) -> Vec<UpstreamId> {
         if list.revision < self.revision {
             return Vec::new();
         }
@@ -27,18 +27,18 @@
             // What went before this process knew any list is not remembered here.
             self.forgotten = list.revision;
         }
-        let present: BTreeSet<_> = list.replicas.iter().map(|r| r.info.id.clone()).collect();
+        let present: BTreeSet<_> = list.entries.iter().map(|r| r.info.id.clone()).collect();
         let missing = self.table.keys().filter(|id| !present.contains(*id));
         let gone = missing.map(|id| (id.clone(), list.revision)).collect();
-        let (revision, written) = (list.revision, list.replicas);
-        self.change(now, ReplicaChanges { revision, written, gone })
+        let (revision, written) = (list.revision, list.entries);
+        self.apply_changes(now, UpstreamListChanges { revision, written, gone })
     }
 
     /// Takes in changes of the platform's list; an entry never steps back.
     ///
     /// Returns the upstreams that were added, changed or removed.
-    pub fn change(&mut self, now: Time, changes: ReplicaChanges) -> Vec<UpstreamId> {
-        let ReplicaChanges { revision, written, gone } = changes;
+    pub fn apply_changes(&mut self, now: Time, changes: UpstreamListChanges) -> Vec<UpstreamId> {
+        let UpstreamListChanges { revision, written, gone } = changes;
         if revision > 0 && revision >= self.revision {
             self.revision = revision;
             self.learned = Some(now);
@@ -99,8 +99,8 @@
     }
 
     /// Takes in an entry that was written; returns its upstream if that is news.
-    fn write(&mut self, now: Time, entry: ReplicaEntry) -> Option<UpstreamId> {
-        let ReplicaEntry { revision, info, warm_in } = entry;
+    fn write(&mut self, now: Time, entry: UpstreamEntry) -> Option<UpstreamId> {
+        let UpstreamEntry { revision, info, warm_in } = entry;
         let id = info.id.clone();
         let Some(known) = self.table.get_mut(&id) else {
             let mut replica = Replica::new(info, revision);
@@ -135,7 +135,7 @@
 
     /// Takes the upstreams that have started again under the id that they had: connections to
     /// them lead to a process that is gone.
-    pub fn take_started_again(&mut self) -> Vec<UpstreamId> {
+    pub fn take_restarted(&mut self) -> Vec<UpstreamId> {
         std::mem::take(&mut self.started_again)
     }
 
@@ -156,26 +156,26 @@
 
     /// Returns how much of the list is known here.
     #[must_use]
-    pub fn mark(&self) -> ListMark {
+    pub fn list_version(&self) -> ListVersion {
         let listed = self.table.values().filter(|r| r.vanished.is_none());
         let digest = listed.fold(0, |sum, r| sum ^ r.digest);
-        ListMark { revision: self.revision, digest }
+        ListVersion { revision: self.revision, digest }
     }
 
     /// Returns the whole list as it is known here.
     #[must_use]
-    pub fn list(&self, now: Time) -> ReplicaList {
+    pub fn list(&self, now: Time) -> UpstreamList {
         let listed = self.table.values().filter(|r| r.vanished.is_none());
         let replicas = listed.map(|r| r.entry(now)).collect();
-        ReplicaList { revision: self.revision, replicas }
+        UpstreamList { revision: self.revision, entries: replicas }
     }
 
     /// Returns what is known of some upstreams, for processes that may know less.
     ///
     /// It does not tell of other changes, so it names no revision of the list.
     #[must_use]
-    pub fn changes_of(&self, now: Time, ids: &[UpstreamId]) -> ReplicaChanges {
-        let mut changes = ReplicaChanges::default();
+    pub fn changes_of(&self, now: Time, ids: &[UpstreamId]) -> UpstreamListChanges {
+        let mut changes = UpstreamListChanges::default();
         for replica in ids.iter().filter_map(|id| self.table.get(id)) {
             if replica.vanished.is_some() {
                 changes.gone.push((replica.info.id.clone(), replica.revision));
@@ -189,7 +189,7 @@
     /// Returns what has changed since a revision, for processes that know every change up to it;
     /// nothing if what went since then is not remembered any more.
     #[must_use]
-    pub fn changes_since(&self, now: Time, since: u64) -> Option<ReplicaChanges> {
+    pub fn changes_since(&self, now: Time, since: u64) -> Option<UpstreamListChanges> {
         if since < self.forgotten {
             return None;
         }
@@ -202,28 +202,28 @@
     /// to `since` knows, with these, every change up to the mark.
     ///
     /// Returns the upstreams for which that was news, and what is still lacking.
-    pub fn hear(
+    pub fn apply_update(
         &mut self,
         now: Time,
-        changes: ReplicaChanges,
+        changes: UpstreamListChanges,
         since: u64,
-        mark: ListMark,
-    ) -> (Vec<UpstreamId>, Lacking) {
+        mark: ListVersion,
+    ) -> (Vec<UpstreamId>, ListGap) {
         let told = changes.written.iter().map(|entry| entry.revision);
         let newest =
             told.chain(changes.gone.iter().map(|gone| gone.1)).fold(mark.revision, u64::max);
-        let news = self.change(now, ReplicaChanges { revision: 0, ..changes });
+        let news = self.apply_changes(now, UpstreamListChanges { revision: 0, ..changes });
         if self.revision < since {
             let lacking =
-                if self.revision < mark.revision { Lacking::Changes } else { Lacking::Nothing };
+                if self.revision < mark.revision { ListGap::Changes } else { ListGap::Nothing };
             return (news, lacking);
         }
         self.confirm(now, mark.revision);
         // One that knows more than was told cannot be compared.
         let knows_more = self.revision > mark.revision
             || self.table.values().any(|replica| replica.changed > newest);
-        let differs = !knows_more && self.mark().digest != mark.digest;
-        (news, if differs { Lacking::Whole } else { Lacking::Nothing })
+        let differs = !knows_more && self.list_version().digest != mark.digest;
+        (news, if differs { ListGap::FullList } else { ListGap::Nothing })
     }
 
     /// Returns the services of which every entry goes at once.
--- a/crates/badgerfield-core/src/replicas/mod.rs
+++ b/crates/badgerfield-core/src/replicas/mod.rs
@@ -37,7 +37,7 @@
 use crate::warm_up::{Senders, WarmUp, WarmUpBound};
 use serde::{Deserialize, Serialize};
 
-pub use self::canary::Given;
+pub use self::canary::SentCounts;
 pub use self::limits::LimitChange;
 
 /// How long after it was taken back a domain's upstreams may be silent about having turned
@@ -61,9 +61,9 @@
 
 /// How one try at an upstream ended, as far as it tells about the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Health {
+pub enum AttemptOutcome {
     /// It answered.
-    Good,
+    Answered,
     /// It is full.
     Full,
     /// It failed, broke off or said nothing.
@@ -74,7 +74,7 @@
 
 /// What a request wants of an upstream.
 #[derive(Debug, Clone, Copy)]
-pub struct Wanted<'a> {
+pub struct UpstreamCriteria<'a> {
     /// The service.
     pub service: &'a Service,
     /// The route that the request came on.
@@ -88,20 +88,20 @@
     /// The upstreams that the request was sent to already.
     pub tried: &'a [UpstreamId],
     /// The version that began the stream which the request goes on with, if it does.
-    pub resumes: Option<&'a SoftwareVersion>,
+    pub resumed_version: Option<&'a SoftwareVersion>,
     /// How many connections this VM may have to one upstream.
-    pub connections: u32,
+    pub max_connections: u32,
     /// A random number, to tell equal upstreams apart.
-    pub draw: u64,
+    pub random: u64,
     /// A number by which all VMs choose the same upstream, whatever it costs: for a request at
     /// which an upstream has ended. Sent again through several VMs, it ends one more at the
     /// most, and two that were at the same crash are not soon at another together.
-    pub alike: Option<u64>,
+    pub rendezvous_key: Option<u64>,
 }
 
 /// The upstream that was chosen.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Chosen {
+pub struct ChosenUpstream {
     /// The upstream.
     pub id: UpstreamId,
     /// Where it listens.
@@ -113,36 +113,36 @@
     /// The expected delay in milliseconds.
     pub cost: f64,
     /// The prompt tokens that it is expected to read.
-    pub unread: u64,
+    pub uncached_tokens: u64,
     /// How long requests wait there at present beyond reading, in milliseconds.
-    pub lag: f64,
+    pub queueing_delay: f64,
     /// The group of the request, where engines are divided, and whether the upstream is
     /// among those that take it.
     pub group: Option<(Group, bool)>,
     /// How far it is.
-    pub near: Distance,
+    pub distance: Distance,
     /// Why the request leaves its region, if it does.
     pub crossing: Option<Crossing>,
     /// How many upstreams were weighed.
-    pub weighed: usize,
+    pub candidates: usize,
     /// The upstream that nearly won, with its expected delay.
-    pub second: Option<(UpstreamId, f64)>,
+    pub runner_up: Option<(UpstreamId, f64)>,
 }
 
 /// What a process lacks of the list of upstreams after another one has told it something.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Lacking {
+pub enum ListGap {
     /// Nothing that the other one knows.
     Nothing,
     /// Changes before those that it was told.
     Changes,
     /// It knows of every change, and its list is another one all the same.
-    Whole,
+    FullList,
 }
 
 /// The table of upstreams.
 #[derive(Debug, Default)]
-pub struct Replicas {
+pub struct UpstreamTable {
     revision: u64,
     learned: Option<Time>,
     /// The last revision at which an upstream went that is not remembered any more.
@@ -174,10 +174,10 @@
     limits_turn: usize,
 }
 
-impl Replicas {
+impl UpstreamTable {
     /// Returns the revision of the list in force, and when it was learned.
     #[must_use]
-    pub fn age(&self) -> (u64, Option<Time>) {
+    pub fn last_update(&self) -> (u64, Option<Time>) {
         (self.revision, self.learned)
     }
 
@@ -188,7 +188,7 @@
     }
 
     /// Sets where this process stands, and what distance costs it.
-    pub fn set_locality(&mut self, place: Place, locality: Locality) {
+    pub fn set_location(&mut self, place: Place, locality: Locality) {
         (self.place, self.locality) = (place, locality);
         self.locate_all();
     }
@@ -227,7 +227,7 @@
     ///
     /// Those of a domain that was taken back count as just started, unless they have written
     /// since how it is.
-    pub fn evacuate(&mut self, now: Time, changes: &[DomainChange]) -> Vec<UpstreamId> {
+    pub fn apply_evacuations(&mut self, now: Time, changes: &[DomainChange]) -> Vec<UpstreamId> {
         let mut concerned = Vec::new();
         for change in changes {
             if change.evacuated {
@@ -254,7 +254,7 @@
     /// Returns how many upstreams get nothing since their domain is evacuated, and how many
     /// are cold.
     #[must_use]
-    pub fn spared(&self, now: Time) -> (usize, usize) {
+    pub fn restricted_counts(&self, now: Time) -> (usize, usize) {
         let listed = || self.table.values().filter(|r| r.vanished.is_none());
         let evacuated = listed().filter(|r| r.evacuated).count();
         let is_cold = |r: &&Replica| r.is_cold(now) && self.starts.of(&r.info.service).is_some();
@@ -263,20 +263,20 @@
 
     /// Returns when the first cold upstream of a service is warm, if requests may wait for one.
     #[must_use]
-    pub fn warm_in(&self, now: Time, service: &Service) -> Option<Duration> {
+    pub fn time_until_warm(&self, now: Time, service: &Service) -> Option<Duration> {
         self.starts.of(service)?;
         let usable = self.table.values().filter(|r| r.info.service == *service && r.is_usable(now));
         usable.map(|r| r.warm_in(now)).filter(|span| !span.is_zero()).min()
     }
 
     /// Notes that a request for an engine came on a route.
-    pub fn arrived(&mut self, now: Time, service: &Service, route: &str, size: Size) {
+    pub fn record_arrival(&mut self, now: Time, service: &Service, route: &str, size: Size) {
         self.mixes.entry(service.clone()).or_default().arrived(now, route, size);
     }
 
     /// Returns what the requests of this process need of the engines of each service that
     /// has enough engines to divide.
-    pub fn needs(&mut self, now: Time) -> Vec<Needs> {
+    pub fn engine_demand(&mut self, now: Time) -> Vec<Needs> {
         let table = &self.table;
         let mut needs = Vec::new();
         for (service, mix) in &mut self.mixes {
@@ -294,7 +294,7 @@
     /// Divides the engines of each service by what all processes need.
     ///
     /// Returns the services that are divided anew.
-    pub fn divide(&mut self, needs: &[Needs]) -> Vec<(Service, Division)> {
+    pub fn divide_engines(&mut self, needs: &[Needs]) -> Vec<(Service, Division)> {
         let services: BTreeSet<_> = self.table.values().map(|r| r.info.service.clone()).collect();
         let mut news = Vec::new();
         for service in services {
@@ -309,7 +309,7 @@
     }
 
     /// Notes how a request went that an engine answered whole.
-    pub fn observed(&mut self, service: &Service, route: &str, seen: &Observed) {
+    pub fn record_timing(&mut self, service: &Service, route: &str, seen: &Observed) {
         if let Some(mix) = self.mixes.get_mut(service) {
             mix.ended(route, seen);
         }
@@ -317,7 +317,13 @@
 
     /// Notes how long a request has waited for the first event of its answer, be it there or
     /// not, at an engine that was expected to read so many tokens first.
-    pub fn waited(&mut self, now: Time, id: &UpstreamId, span: Duration, unread: u64) {
+    pub fn record_first_event_wait(
+        &mut self,
+        now: Time,
+        id: &UpstreamId,
+        span: Duration,
+        unread: u64,
+    ) {
         let Some(replica) = self.table.get_mut(id) else {
             return;
         };
@@ -328,7 +334,7 @@
 
     /// Notes how long a request took at a plain upstream, or counts for that was turned away
     /// there.
-    pub fn took(&mut self, now: Time, id: &UpstreamId, span: Duration) {
+    pub fn record_response_time(&mut self, now: Time, id: &UpstreamId, span: Duration) {
         let Some(replica) = self.table.get_mut(id) else {
             return;
         };
@@ -341,7 +347,7 @@
     /// Returns the upstreams with a lag that other processes should know of, another few at
     /// each turn where there are many.
     #[must_use]
-    pub fn lags(&self, now: Time, turn: usize) -> Vec<LagNote> {
+    pub fn delay_reports(&self, now: Time, turn: usize) -> Vec<LagNote> {
         let note = |r: &Replica| r.lag.note(now, r.number(), self.plain.contains(&r.info.service));
         let all: Vec<_> = self.table.values().filter_map(note).collect();
         let start = if all.is_empty() { 0 } else { turn * lag::MAX_NOTES % all.len() };
@@ -349,7 +355,7 @@
     }
 
     /// Takes in what another process knows of lags.
-    pub fn learn_lags(&mut self, now: Time, notes: &[LagNote]) {
+    pub fn apply_delay_reports(&mut self, now: Time, notes: &[LagNote]) {
         for replica in self.table.values_mut() {
             let number = replica.number();
             if let Some(note) = notes.iter().find(|note| note.upstream == number) {
@@ -359,7 +365,7 @@
     }
 
     /// Notes that a request goes to an upstream.
-    pub fn begin(&mut self, now: Time, id: &UpstreamId, parts: &[PromptPart]) {
+    pub fn start_request(&mut self, now: Time, id: &UpstreamId, parts: &[PromptPart]) {
         let Some(replica) = self.table.get_mut(id) else {
             return;
         };
@@ -368,7 +374,7 @@
     }
 
     /// Notes how a request at an upstream ended.
-    pub fn end(&mut self, now: Time, id: &UpstreamId, health: Health) {
+    pub fn end_request(&mut self, now: Time, id: &UpstreamId, health: AttemptOutcome) {
         let Some(replica) = self.table.get_mut(id) else {
             return;
         };
@@ -397,7 +403,7 @@
 
     /// Tells whether the list still names a process of an upstream.
     #[must_use]
-    pub fn is_process(&self, id: &UpstreamId, process: u32) -> bool {
+    pub fn is_current_process(&self, id: &UpstreamId, process: u32) -> bool {
         self.table.get(id).is_some_and(|replica| replica.process == process)
     }
 
--- a/crates/badgerfield-core/src/replicas/replica.rs
+++ b/crates/badgerfield-core/src/replicas/replica.rs
@@ -5,13 +5,13 @@
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use super::{Health, PromptPart, Wanted};
+use super::{AttemptOutcome, PromptPart, UpstreamCriteria};
 use crate::amount::Time;
 use crate::ids::Region;
 use crate::lag::Lag;
 use crate::locality::{Distance, Place};
 use crate::mix::{Division, Group, Mix, READ_MS_PRIOR, float};
-use crate::replica_list::{ReplicaEntry, ReplicaInfo, digest_of};
+use crate::replica_list::{ListedUpstream, UpstreamEntry, digest_of};
 use crate::replicas::starts::Starts;
 use crate::replicas::statements::Statements;
 use crate::request_limit;
@@ -52,7 +52,7 @@
 /// One upstream, with what this VM saw of it.
 #[derive(Debug)]
 pub(super) struct Replica {
-    pub(super) info: ReplicaInfo,
+    pub(super) info: ListedUpstream,
     /// The revision of the list at which it was written or went last.
     pub(super) revision: u64,
     /// The revision up to which all that it says was known. Upstreams write their entries anew
@@ -118,7 +118,7 @@
 }
 
 impl Weights {
-    pub(super) fn of(mix: Option<&Mix>, wanted: &Wanted<'_>) -> Self {
+    pub(super) fn of(mix: Option<&Mix>, wanted: &UpstreamCriteria<'_>) -> Self {
         let prompt = float(wanted.parts.iter().map(|part| part.tokens).sum());
         let read_ms = mix.map_or(READ_MS_PRIOR, Mix::read_ms);
         let division = mix.and_then(Mix::division).map(|division| {
@@ -140,7 +140,7 @@
 }
 
 impl Replica {
-    pub(super) fn new(info: ReplicaInfo, revision: u64) -> Self {
+    pub(super) fn new(info: ListedUpstream, revision: u64) -> Self {
         let seed = xxh3_64_with_seed(info.id.as_str().as_bytes(), 0);
         let (digest, process) = (digest_of(&info), process_of(&info));
         Self {
@@ -171,8 +171,9 @@
 
     /// Tells whether an entry speaks of another process than the one that is known here, under the
     /// same id.
-    pub(super) fn is_another(&self, info: &ReplicaInfo) -> bool {
-        let is_later = self.info.born.zip(info.born).is_some_and(|(known, told)| known != told);
+    pub(super) fn is_another(&self, info: &ListedUpstream) -> bool {
+        let is_later =
+            self.info.started_at.zip(info.started_at).is_some_and(|(known, told)| known != told);
         is_later || self.info.address != info.address
     }
 
@@ -190,8 +191,8 @@
     }
 
     /// Returns what the platform's list says of it, for other processes.
-    pub(super) fn entry(&self, now: Time) -> ReplicaEntry {
-        ReplicaEntry {
+    pub(super) fn entry(&self, now: Time) -> UpstreamEntry {
+        UpstreamEntry {
             revision: self.revision,
             info: self.info.clone(),
             warm_in: self.warm_in(now),
@@ -211,7 +212,7 @@
     }
 
     /// Takes in what an entry says of it.
-    pub(super) fn describe(&mut self, info: ReplicaInfo) {
+    pub(super) fn describe(&mut self, info: ListedUpstream) {
         self.digest = digest_of(&info);
         self.process = process_of(&info);
         self.info = info;
@@ -310,11 +311,12 @@
     pub(super) fn cost(
         &self,
         now: Time,
-        wanted: &Wanted<'_>,
+        wanted: &UpstreamCriteria<'_>,
         weights: &Weights,
         is_home: bool,
     ) -> f64 {
-        let jitter = f64::from(u32::try_from((self.seed ^ wanted.draw) % 1000).unwrap_or(0)) / 1e3;
+        let jitter =
+            f64::from(u32::try_from((self.seed ^ wanted.random) % 1000).unwrap_or(0)) / 1e3;
         let (failed, full) = self.shares(now);
         let failing = (failed + full) * FAILING_MS;
         let running = f64::from(self.running);
@@ -349,18 +351,18 @@
         (self.failing * left(FAILING_HALF), self.full * left(FULL_HALF))
     }
 
-    pub(super) fn note(&mut self, now: Time, health: Health) {
+    pub(super) fn note(&mut self, now: Time, health: AttemptOutcome) {
         let (failed, full) = match health {
-            Health::Good => (0.0, 0.0),
-            Health::Failed => (1.0, 0.0),
-            Health::Full => (0.0, FULL_OUTCOME),
-            Health::Unknown => return,
+            AttemptOutcome::Answered => (0.0, 0.0),
+            AttemptOutcome::Failed => (1.0, 0.0),
+            AttemptOutcome::Full => (0.0, FULL_OUTCOME),
+            AttemptOutcome::Unknown => return,
         };
         let known = self.shares(now);
         self.failing = known.0 + (failed - known.0) * OUTCOME_WEIGHT;
         self.full = known.1 + (full - known.1) * OUTCOME_WEIGHT;
         self.noted = now;
-        if health == Health::Good {
+        if health == AttemptOutcome::Answered {
             self.failures = 0;
             return;
         }
@@ -373,8 +375,8 @@
 }
 
 /// Returns the number that stands for the process that an entry names.
-fn process_of(info: &ReplicaInfo) -> u32 {
-    let text = format!("{} {}", info.address, info.born.unwrap_or_default());
+fn process_of(info: &ListedUpstream) -> u32 {
+    let text = format!("{} {}", info.address, info.started_at.unwrap_or_default());
     let [a, b, c, d, ..] = xxh3_64(text.as_bytes()).to_be_bytes();
     u32::from_be_bytes([a, b, c, d])
 }
--- a/crates/badgerfield-core/src/replicas/statements.rs
+++ b/crates/badgerfield-core/src/replicas/statements.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::Replicas;
+use super::UpstreamTable;
 use crate::amount::Time;
 use crate::ids::{Service, UpstreamId};
 use crate::request_limit::KnownLimit;
@@ -34,10 +34,10 @@
     }
 }
 
-impl Replicas {
+impl UpstreamTable {
     /// Takes in that an upstream has turned a request away and wants nothing from this process for
     /// a span. One that it asked for before is not cut short.
-    pub fn hear_rest(&mut self, now: Time, id: &UpstreamId, span: Duration) {
+    pub fn record_back_off(&mut self, now: Time, id: &UpstreamId, span: Duration) {
         if let Some(replica) = self.table.get_mut(id) {
             let until = now.after(span);
             replica.said.rests_until = replica.said.rests_until.max(until);
@@ -47,7 +47,7 @@
     /// Returns when the first upstream of a service may get a request of this process again, if
     /// all of them have asked for rest or have a limit.
     #[must_use]
-    pub fn admits_in(&self, now: Time, service: &Service) -> Option<Duration> {
+    pub fn time_until_admitted(&self, now: Time, service: &Service) -> Option<Duration> {
         let usable = self.table.values().filter(|r| r.info.service == *service && r.is_usable(now));
         let said: Vec<_> = usable.map(|replica| &replica.said).collect();
         let is_held = |said: &&Statements| said.rests_until > now || said.limit.limit().is_some();
@@ -59,14 +59,14 @@
 
     /// Takes in that an upstream has said that it is about to leave; tells whether that is news.
     /// Its process takes that back no more, whatever the list says.
-    pub fn hear_leaving(&mut self, id: &UpstreamId) -> bool {
+    pub fn record_leaving(&mut self, id: &UpstreamId) -> bool {
         let replica = self.table.get_mut(id);
         replica.is_some_and(|replica| !std::mem::replace(&mut replica.said.is_leaving, true))
     }
 
     /// Notes that an upstream has said something of itself that cannot be read; tells whether that
     /// is the first time.
-    pub fn note_unreadable(&mut self, id: &UpstreamId) -> bool {
+    pub fn record_unreadable(&mut self, id: &UpstreamId) -> bool {
         let replica = self.table.get_mut(id);
         replica.is_some_and(|replica| !std::mem::replace(&mut replica.said.is_unreadable, true))
     }
--- a/crates/badgerfield-core/src/replicas/trial.rs
+++ b/crates/badgerfield-core/src/replicas/trial.rs
@@ -2,39 +2,39 @@
 
 use std::time::Duration;
 
-use super::canary::{Given, Listed, Pass};
+use super::canary::{Listed, Pass, SentCounts};
 use super::replica::Replica;
-use super::{Replicas, Wanted};
+use super::{UpstreamCriteria, UpstreamTable};
 use crate::amount::Time;
 use crate::ids::{Service, UpstreamId};
 use crate::mix::{Mix, READ_MS_PRIOR, float};
 use crate::rollout::tally::{Pace, Seen, Tally};
 use crate::rollout::{Allowance, RolloutRule, RolloutTally, RuleSet};
 
-impl Replicas {
+impl UpstreamTable {
     /// Puts rules in force, and no others; returns those that are new or differ.
-    pub fn set_rollouts(&mut self, rules: Vec<RolloutRule>) -> Vec<RolloutRule> {
+    pub fn set_rollout_rules(&mut self, rules: Vec<RolloutRule>) -> Vec<RolloutRule> {
         self.tallies.set_rules(&rules);
         self.canary.set_rules(rules)
     }
 
     /// Puts a set of rules in force, unless a newer one is; returns those that are news.
-    pub fn put_rules(&mut self, set: RuleSet) -> Vec<RolloutRule> {
+    pub fn apply_rule_set(&mut self, set: RuleSet) -> Vec<RolloutRule> {
         if set.turn <= self.rules_turn {
             return Vec::new();
         }
         self.rules_turn = set.turn;
-        self.set_rollouts(set.rules)
+        self.set_rollout_rules(set.rules)
     }
 
     /// Returns the rules in force, with how many requests of this process went by each.
     #[must_use]
-    pub fn rollouts(&self) -> Vec<(RolloutRule, Given)> {
+    pub fn rollout_rules(&self) -> Vec<(RolloutRule, SentCounts)> {
         self.canary.rules().map(|(rule, given)| (rule.clone(), given)).collect()
     }
 
     /// Counts a request that goes to an upstream among those of the versions of its service.
-    pub fn charge(&mut self, now: Time, wanted: &Wanted<'_>, id: &UpstreamId) {
+    pub fn record_sent(&mut self, now: Time, wanted: &UpstreamCriteria<'_>, id: &UpstreamId) {
         let version = self.table.get(id).and_then(|replica| replica.info.version.as_ref());
         let Some(target) = self.canary.target(wanted.service) else {
             return;
@@ -54,7 +54,7 @@
     }
 
     /// Takes back that a request went to an upstream: nothing of it got there.
-    pub fn refund(&mut self, id: &UpstreamId, route: &str) {
+    pub fn undo_sent(&mut self, id: &UpstreamId, route: &str) {
         let Some(replica) = self.table.get(id) else {
             return;
         };
@@ -83,7 +83,7 @@
 
     /// Notes that an answer did not come or broke off; `came` is how its first part came, if it
     /// did. Returns whether it is a bad answer of the target.
-    pub fn failed(&mut self, id: &UpstreamId, route: &str, came: Option<Pace>) -> bool {
+    pub fn record_failure(&mut self, id: &UpstreamId, route: &str, came: Option<Pace>) -> bool {
         let is_target = self.tally(id, route, |tally, seen| {
             tally.failed(seen, came);
             seen.is_target
@@ -94,7 +94,13 @@
     /// Notes that a request was given up, so long after it was sent and before anything came
     /// of it; it counts if it had come late anyway. Returns whether it is a bad answer of the
     /// target.
-    pub fn given_up(&mut self, id: &UpstreamId, route: &str, wait: Duration, unread: u64) -> bool {
+    pub fn record_abandoned(
+        &mut self,
+        id: &UpstreamId,
+        route: &str,
+        wait: Duration,
+        unread: u64,
+    ) -> bool {
         let reading = self.reading(id, unread);
         let late = self
             .tally(id, route, |tally, seen| tally.given_up(seen, wait, reading) && seen.is_target);
--- a/crates/badgerfield-core/src/retry_budget.rs
+++ b/crates/badgerfield-core/src/retry_budget.rs
@@ -16,7 +16,7 @@
 
 /// The bound that operators set for the whole fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RetryBound {
+pub struct RetryLimits {
     /// Repeats for each request.
     pub ratio: f64,
     /// Repeats beyond that in one window, for all VMs together.
@@ -25,7 +25,7 @@
     pub window: Duration,
 }
 
-impl Default for RetryBound {
+impl Default for RetryLimits {
     fn default() -> Self {
         Self { ratio: 0.1, allowance: 20.0, window: Duration::from_secs(10) }
     }
@@ -41,14 +41,14 @@
 /// One VM's part of the retry budget.
 #[derive(Debug)]
 pub struct RetryBudget {
-    bound: RetryBound,
+    bound: RetryLimits,
     services: HashMap<Service, Window>,
 }
 
 impl RetryBudget {
     /// Makes an unused budget.
     #[must_use]
-    pub fn new(bound: RetryBound) -> Self {
+    pub fn new(bound: RetryLimits) -> Self {
         Self { bound, services: HashMap::new() }
     }
 
@@ -61,7 +61,7 @@
     }
 
     /// Takes one repeat for a service if the budget allows it; `vms` share it.
-    pub fn take(&mut self, now: Time, service: &Service, vms: usize) -> bool {
+    pub fn try_take(&mut self, now: Time, service: &Service, vms: usize) -> bool {
         if self.left(now, service, vms) < 1.0 {
             return false;
         }
--- a/crates/badgerfield-core/src/rollout/belief.rs
+++ b/crates/badgerfield-core/src/rollout/belief.rs
@@ -21,7 +21,7 @@
 
 /// How far an order has come. Later phases count more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Phase {
+pub enum RolloutPhase {
     /// The record names the order: a bounded share of the requests tries the target.
     Canary,
     /// The record says that all requests move to the target.
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stage {
     /// How far.
-    pub phase: Phase,
+    pub phase: RolloutPhase,
     /// Why.
     pub reason: Reason,
     /// Versions of earlier orders that no request may go to.
@@ -50,10 +50,10 @@
     #[must_use]
     pub fn of(record: &RolloutRecord) -> Self {
         let phase = match record.state {
-            RolloutState::InProgress if record.moving => Phase::Moving,
-            RolloutState::InProgress => Phase::Canary,
-            RolloutState::RolledBack => Phase::RolledBack,
-            RolloutState::Completed => Phase::Completed,
+            RolloutState::InProgress if record.moving => RolloutPhase::Moving,
+            RolloutState::InProgress => RolloutPhase::Canary,
+            RolloutState::RolledBack => RolloutPhase::RolledBack,
+            RolloutState::Completed => RolloutPhase::Completed,
         };
         Self { phase, reason: record.reason, refused: record.refused.clone() }
     }
@@ -154,7 +154,7 @@
 
     /// Tells how far the order has come; nothing while no record is known that names it.
     #[must_use]
-    pub fn phase(&self) -> Option<Phase> {
+    pub fn phase(&self) -> Option<RolloutPhase> {
         self.stage.as_ref().map(|stage| stage.phase)
     }
 
@@ -174,11 +174,11 @@
     fn digest(&self) -> u64 {
         let phase = match self.phase() {
             None => 0,
-            Some(Phase::Canary) => 1,
-            Some(Phase::Moving) => 2,
-            Some(Phase::Rejected) => 3,
-            Some(Phase::RolledBack) => 4,
-            Some(Phase::Completed) => 5,
+            Some(RolloutPhase::Canary) => 1,
+            Some(RolloutPhase::Moving) => 2,
+            Some(RolloutPhase::Rejected) => 3,
+            Some(RolloutPhase::RolledBack) => 4,
+            Some(RolloutPhase::Completed) => 5,
         };
         let seed = self.change.revision << 3 | phase;
         xxh3_64_with_seed(self.change.service.as_str().as_bytes(), seed)
--- a/crates/badgerfield-core/src/rollout/mod.rs
+++ b/crates/badgerfield-core/src/rollout/mod.rs
@@ -22,7 +22,7 @@
 use crate::amount::Percent;
 use crate::ids::{Service, SoftwareVersion};
 
-pub use belief::{Beliefs, Known, Phase, Stage};
+pub use belief::{Beliefs, Known, RolloutPhase, Stage};
 pub use evidence::Evidence;
 pub use judge::Judge;
 pub use note::RolloutNote;
--- a/crates/badgerfield-core/src/rollout/recorder.rs
+++ b/crates/badgerfield-core/src/rollout/recorder.rs
@@ -9,7 +9,7 @@
 
 use super::belief::refused_after;
 use super::plan;
-use super::{Judge, Known, Phase, Reason, RolloutOrder, RolloutRecord, RolloutState, Stage};
+use super::{Judge, Known, Reason, RolloutOrder, RolloutPhase, RolloutRecord, RolloutState, Stage};
 use crate::amount::Time;
 use crate::event::due;
 use crate::ids::Incarnation;
@@ -124,7 +124,7 @@
             return None;
         }
         let refused = record.map(|record| refused_after(record, None)).unwrap_or_default();
-        Some(Stage { phase: Phase::RolledBack, reason: Reason::Withdrawn, refused })
+        Some(Stage { phase: RolloutPhase::RolledBack, reason: Reason::Withdrawn, refused })
     }
 
     /// Returns the call that is due, if one is.
@@ -185,7 +185,7 @@
         if record.order > newest || record.state.is_end() {
             return None;
         }
-        let stage = at.known.stage.as_ref().filter(|stage| stage.phase == Phase::Rejected);
+        let stage = at.known.stage.as_ref().filter(|stage| stage.phase == RolloutPhase::Rejected);
         if let Some(stage) = stage {
             return Some(end(record, RolloutState::RolledBack, stage.reason));
         }
--- a/crates/badgerfield-core/src/rollout/table.rs
+++ b/crates/badgerfield-core/src/rollout/table.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::{
-    Allowance, Beliefs, Evidence, Known, OrderChange, Phase, Reason, Recorder, RolloutBound,
+    Allowance, Beliefs, Evidence, Known, OrderChange, Reason, Recorder, RolloutBound, RolloutPhase,
     RolloutRule, RolloutTally, RuleSet, Stage,
 };
 use crate::amount::Time;
@@ -159,8 +159,8 @@
             }
             own.keep_promise(known);
             // An order that was over when this process heard of it changes nothing here.
-            let was_moving = old.and_then(Known::phase) == Some(Phase::Moving);
-            if known.phase() == Some(Phase::Completed) && was_moving {
+            let was_moving = old.and_then(Known::phase) == Some(RolloutPhase::Moving);
+            if known.phase() == Some(RolloutPhase::Completed) && was_moving {
                 own.lingers = Some(now.after(LINGER));
             }
         }
@@ -180,7 +180,7 @@
             };
             // A promise is given while all requests move, and kept from then on.
             let is_promised = own.promised.as_ref().is_some_and(|(order, _)| *order == revision);
-            tally.moved &= known.phase() == Some(Phase::Moving) || is_promised;
+            tally.moved &= known.phase() == Some(RolloutPhase::Moving) || is_promised;
             if tally.is_confirmed() {
                 own.promised = Some((revision, target.clone()));
             }
@@ -248,7 +248,7 @@
         let Some(stage) = &known.stage else {
             return Vec::new();
         };
-        let stage = Stage { phase: Phase::Rejected, reason, refused: stage.refused.clone() };
+        let stage = Stage { phase: RolloutPhase::Rejected, reason, refused: stage.refused.clone() };
         self.learn(now, vec![Known { stage: Some(stage), ..known.clone() }])
     }
 
@@ -293,7 +293,7 @@
         if let Some(stage) = &old.stage {
             self.dropped.extend(stage.refused.iter().cloned());
         }
-        if old.phase() != Some(Phase::Completed) {
+        if old.phase() != Some(RolloutPhase::Completed) {
             self.dropped.extend(old.target().cloned());
         }
         if let Some(target) = new.target() {
@@ -307,7 +307,9 @@
             return;
         };
         let is_over = match known.phase() {
-            Some(Phase::RolledBack | Phase::Completed) => known.change.revision >= *order,
+            Some(RolloutPhase::RolledBack | RolloutPhase::Completed) => {
+                known.change.revision >= *order
+            }
             Some(_) => known.change.revision > *order,
             None => false,
         };
@@ -373,11 +375,11 @@
     ) -> Option<(&'a SoftwareVersion, Allowance)> {
         let lingers = self.lingers.is_some_and(|until| now < until);
         let allowance = match known.phase() {
-            None | Some(Phase::Rejected | Phase::RolledBack) => Allowance::Nothing,
-            Some(Phase::Canary) => Allowance::Share(bound.canary()),
-            Some(Phase::Moving) => Allowance::All,
-            Some(Phase::Completed) if lingers => Allowance::All,
-            Some(Phase::Completed) => return None,
+            None | Some(RolloutPhase::Rejected | RolloutPhase::RolledBack) => Allowance::Nothing,
+            Some(RolloutPhase::Canary) => Allowance::Share(bound.canary()),
+            Some(RolloutPhase::Moving) => Allowance::All,
+            Some(RolloutPhase::Completed) if lingers => Allowance::All,
+            Some(RolloutPhase::Completed) => return None,
         };
         Some((known.target()?, allowance))
     }
@@ -385,5 +387,5 @@
 
 /// Tells whether an order has not come to its end.
 fn is_open(known: &Known) -> bool {
-    !matches!(known.phase(), Some(Phase::RolledBack | Phase::Completed))
+    !matches!(known.phase(), Some(RolloutPhase::RolledBack | RolloutPhase::Completed))
 }
--- a/crates/badgerfield-core/src/runs.rs
+++ b/crates/badgerfield-core/src/runs.rs
@@ -18,7 +18,7 @@
 
 /// The key of a run.
 #[derive(Debug, Clone)]
-pub(crate) struct Keyed {
+pub(crate) struct RunKey {
     pub(crate) key: RequestKey,
     pub(crate) home: Option<Region>,
 }
@@ -71,7 +71,7 @@
     pub(crate) budget: BudgetId,
     pub(crate) period: Period,
     pub(crate) priority: u32,
-    pub(crate) keyed: Option<Keyed>,
+    pub(crate) keyed: Option<RunKey>,
     /// The regions in which it was let in to be served.
     pub(crate) residency: Residency,
     pub(crate) once: bool,
@@ -275,12 +275,12 @@
     }
 
     /// Returns how many runs have not ended.
-    pub(crate) fn active(&self) -> usize {
+    pub(crate) fn active_count(&self) -> usize {
         self.table.values().filter(|run| !run.has_ended()).count()
     }
 
     /// Returns how many bytes of ended answers are kept.
-    pub(crate) fn kept(&self) -> usize {
+    pub(crate) fn replay_bytes(&self) -> usize {
         self.kept
     }
 }
--- a/crates/badgerfield-core/src/seal.rs
+++ b/crates/badgerfield-core/src/seal.rs
@@ -72,7 +72,7 @@
     /// The earlier process.
     pub holder: Incarnation,
     /// How many of its sealed tokens are untouched; the others count as spent.
-    pub untouched: Tokens,
+    pub unspent: Tokens,
 }
 
 /// What the ledger knows of a holder's sealed tokens.
@@ -86,17 +86,17 @@
     pub amount: Tokens,
     /// When that was said.
     #[serde(rename = "t")]
-    pub at: FleetTime,
+    pub sealed_at: FleetTime,
     /// Over how many milliseconds the promise falls, or 0.
     #[serde(rename = "f", default)]
-    pub falls_ms: u64,
+    pub decay_ms: u64,
 }
 
 impl SealRecord {
     /// Returns how much its holder had not touched at a time, if it ran so long.
     #[must_use]
     pub fn untouched(&self, at: FleetTime) -> Tokens {
-        fallen(self.amount, at.0.saturating_sub(self.at.0), self.falls_ms)
+        fallen(self.amount, at.0.saturating_sub(self.sealed_at.0), self.decay_ms)
     }
 }
 
--- a/crates/badgerfield-core/tests/canary.rs
+++ b/crates/badgerfield-core/tests/canary.rs
@@ -6,8 +6,10 @@
 use badgerfield_core::amount::{Percent, Time};
 use badgerfield_core::evacuation::DomainChange;
 use badgerfield_core::ids::{Service, SoftwareVersion, UpstreamId, VmId};
-use badgerfield_core::replica_list::{ReplicaChanges, ReplicaEntry, ReplicaInfo, ReplicaList};
-use badgerfield_core::replicas::{Health, PromptPart, Replicas, Wanted};
+use badgerfield_core::replica_list::{
+    ListedUpstream, UpstreamEntry, UpstreamList, UpstreamListChanges,
+};
+use badgerfield_core::replicas::{AttemptOutcome, PromptPart, UpstreamCriteria, UpstreamTable};
 use badgerfield_core::residency::EVERYWHERE;
 use badgerfield_core::rollout::{Allowance, RolloutRule, RuleSet};
 use badgerfield_core::warm_up::{Senders, WarmUp, WarmUpBound};
@@ -25,8 +27,8 @@
     name.parse().expect("the name is valid")
 }
 
-fn entry(version_name: &str, n: usize) -> ReplicaEntry {
-    let info = ReplicaInfo {
+fn entry(version_name: &str, n: usize) -> UpstreamEntry {
+    let info = ListedUpstream {
         id: format!("{version_name}-{n}").parse().expect("the name is valid"),
         service: service(),
         address: format!("10.0.0.{n}:80").parse().expect("the address is valid"),
@@ -34,22 +36,22 @@
         version: Some(version(version_name)),
         slots: 8,
         leaving: false,
-        born: None,
+        started_at: None,
     };
-    ReplicaEntry { revision: 1, info, warm_in: Duration::ZERO }
+    UpstreamEntry { revision: 1, info, warm_in: Duration::ZERO }
 }
 
 /// Returns a table with so many upstreams of each version; the old ones were there first.
-fn table(old: usize, new: usize) -> Replicas {
-    let mut table = Replicas::default();
+fn table(old: usize, new: usize) -> UpstreamTable {
+    let mut table = UpstreamTable::default();
     let replicas = (1..=old).map(|n| entry("v1", n)).collect();
-    table.learn(Time::default(), ReplicaList { revision: 1, replicas });
-    table.change(Time::default(), added(2, (1..=new).map(|n| entry("v2", n)).collect()));
+    table.apply_list(Time::default(), UpstreamList { revision: 1, entries: replicas });
+    table.apply_changes(Time::default(), added(2, (1..=new).map(|n| entry("v2", n)).collect()));
     table
 }
 
-fn added(revision: u64, written: Vec<ReplicaEntry>) -> ReplicaChanges {
-    ReplicaChanges { revision, written, gone: Vec::new() }
+fn added(revision: u64, written: Vec<UpstreamEntry>) -> UpstreamListChanges {
+    UpstreamListChanges { revision, written, gone: Vec::new() }
 }
 
 fn rule(target: &str, allowance: Allowance) -> RolloutRule {
@@ -61,11 +63,11 @@
 }
 
 /// Sends a request and returns its upstream; it ends at once.
-fn send(table: &mut Replicas, now: Time, wanted: &Wanted<'_>) -> Option<UpstreamId> {
+fn send(table: &mut UpstreamTable, now: Time, wanted: &UpstreamCriteria<'_>) -> Option<UpstreamId> {
     let id = table.choose(now, wanted)?.id;
-    table.begin(now, &id, wanted.parts);
-    table.charge(now, wanted, &id);
-    table.end(now, &id, Health::Good);
+    table.start_request(now, &id, wanted.parts);
+    table.record_sent(now, wanted, &id);
+    table.end_request(now, &id, AttemptOutcome::Answered);
     Some(id)
 }
 
@@ -88,18 +90,18 @@
         self
     }
 
-    fn wanted(&self, draw: u64) -> Wanted<'_> {
-        Wanted {
+    fn wanted(&self, draw: u64) -> UpstreamCriteria<'_> {
+        UpstreamCriteria {
             service: &self.service,
             route: self.route,
             parts: &self.parts,
             bytes: 0,
             residency: &EVERYWHERE,
             tried: &self.tried,
-            resumes: self.resumes.as_ref(),
-            connections: 1000,
-            draw,
-            alike: None,
+            resumed_version: self.resumes.as_ref(),
+            max_connections: 1000,
+            random: draw,
+            rendezvous_key: None,
         }
     }
 }
@@ -109,7 +111,7 @@
 }
 
 /// Sends so many plain requests; returns how many went to each version.
-fn counts(table: &mut Replicas, now: Time, requests: usize) -> (usize, usize) {
+fn counts(table: &mut UpstreamTable, now: Time, requests: usize) -> (usize, usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let ask = Ask::on("r");
     let ids: Vec<_> =
@@ -125,7 +127,7 @@
     let (mut all, mut new) = (0, 0);
     for _ in 0..72 {
         let mut table = table(60, 60);
-        table.set_rollouts(vec![rule("v2", share(9))]);
+        table.set_rollout_rules(vec![rule("v2", share(9))]);
         for route in ["a", "b", "c", "d", "e"] {
             let ask = Ask::on(route);
             for _ in 0..rng.random_range(0..12) {
@@ -143,7 +145,7 @@
 #[test]
 fn each_route_gets_its_share_whatever_the_others_do() {
     let mut table = table(60, 60);
-    table.set_rollouts(vec![rule("v2", share(5))]);
+    table.set_rollout_rules(vec![rule("v2", share(5))]);
     let mut rng = ChaCha8Rng::seed_from_u64(2);
     let mut new: BTreeMap<&str, usize> = BTreeMap::new();
     for n in 0..10_500 {
@@ -160,7 +162,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     for percent in [1, 5, 10, 50] {
         let mut table = table(20, 20);
-        table.set_rollouts(vec![rule("v2", share(percent))]);
+        table.set_rollout_rules(vec![rule("v2", share(percent))]);
         let mut new = 0;
         for all in 1..=3000_u64 {
             // Chains come in bursts, some very often.
@@ -176,10 +178,10 @@
 #[test]
 fn a_version_that_may_get_nothing_gets_nothing_also_when_all_others_are_gone() {
     let mut table = table(3, 3);
-    table.set_rollouts(vec![rule("v2", Allowance::Nothing)]);
+    table.set_rollout_rules(vec![rule("v2", Allowance::Nothing)]);
     assert_eq!(counts(&mut table, LATER, 300), (300, 0));
     let gone = (1..=3).map(|n| (entry("v1", n).info.id, 3)).collect();
-    table.change(LATER, ReplicaChanges { revision: 3, written: Vec::new(), gone });
+    table.apply_changes(LATER, UpstreamListChanges { revision: 3, written: Vec::new(), gone });
     let now = LATER.after(Duration::from_secs(40));
     assert_eq!(counts(&mut table, now, 10), (0, 0));
 }
@@ -187,10 +189,10 @@
 #[test]
 fn a_service_that_has_the_target_only_is_served() {
     for allowance in [Allowance::Nothing, share(5), Allowance::All] {
-        let mut table = Replicas::default();
+        let mut table = UpstreamTable::default();
         let replicas = (1..=3).map(|n| entry("v2", n)).collect();
-        table.learn(Time::default(), ReplicaList { revision: 1, replicas });
-        table.set_rollouts(vec![rule("v2", allowance)]);
+        table.apply_list(Time::default(), UpstreamList { revision: 1, entries: replicas });
+        table.set_rollout_rules(vec![rule("v2", allowance)]);
         assert_eq!(counts(&mut table, Time::default(), 50), (0, 50), "{allowance:?}");
     }
 }
@@ -200,13 +202,13 @@
     let mut table = table(3, 3);
     let old: UpstreamId = entry("v1", 1).info.id;
     assert!(table.is_usable(LATER, &old));
-    table.set_rollouts(vec![rule("v2", Allowance::All)]);
+    table.set_rollout_rules(vec![rule("v2", Allowance::All)]);
     assert_eq!(counts(&mut table, LATER, 300), (0, 300));
     // A request that was on its way there is checked once more before it is sent.
     assert!(!table.is_usable(LATER, &old));
     // Nor do they when the target is gone: they may stop at any moment.
     let gone = (1..=3).map(|n| (entry("v2", n).info.id, 3)).collect();
-    table.change(LATER, ReplicaChanges { revision: 3, written: Vec::new(), gone });
+    table.apply_changes(LATER, UpstreamListChanges { revision: 3, written: Vec::new(), gone });
     let now = LATER.after(Duration::from_secs(3));
     assert_eq!(counts(&mut table, now, 10), (0, 0));
 }
@@ -215,9 +217,9 @@
 fn a_request_on_its_way_to_a_version_found_bad_is_not_sent() {
     let mut table = table(3, 3);
     let new: UpstreamId = entry("v2", 1).info.id;
-    table.set_rollouts(vec![rule("v2", share(5))]);
+    table.set_rollout_rules(vec![rule("v2", share(5))]);
     assert!(table.is_usable(LATER, &new));
-    table.set_rollouts(vec![rule("v2", Allowance::Nothing)]);
+    table.set_rollout_rules(vec![rule("v2", Allowance::Nothing)]);
     assert!(!table.is_usable(LATER, &new));
 }
 
@@ -241,27 +243,27 @@
         entry.info.leaving = true;
         entry
     };
-    table.change(soon, added(3, (1..=3).map(leaves).collect()));
+    table.apply_changes(soon, added(3, (1..=3).map(leaves).collect()));
     assert_eq!(counts(&mut table, soon, 100), (0, 100));
     assert!(table.is_usable(soon, &entry("v2", 1).info.id));
 }
 
 #[test]
 fn who_starts_while_a_version_is_tried_gives_it_nothing_before_hearing_of_the_order() {
-    let mut table = Replicas::default();
+    let mut table = UpstreamTable::default();
     // Red where versions are ordinary at once (125 of 300). Changes that others tell come
     // first, and then the list.
-    table.change(Time::default(), added(0, vec![entry("v2", 1)]));
+    table.apply_changes(Time::default(), added(0, vec![entry("v2", 1)]));
     let replicas = (1..=5).map(|n| entry("v1", n)).chain((1..=4).map(|n| entry("v2", n)));
-    let list = ReplicaList { revision: 2, replicas: replicas.collect() };
-    table.learn(Time::default(), list);
+    let list = UpstreamList { revision: 2, entries: replicas.collect() };
+    table.apply_list(Time::default(), list);
     assert_eq!(counts(&mut table, Time::from_millis(500), 300), (300, 0));
 }
 
 #[test]
 fn requests_of_the_same_chains_go_to_the_target() {
     let mut table = table(60, 60);
-    table.set_rollouts(vec![rule("v2", share(10))]);
+    table.set_rollout_rules(vec![rule("v2", share(10))]);
     let mut rng = ChaCha8Rng::seed_from_u64(4);
     let mut chains: BTreeMap<u64, usize> = BTreeMap::new();
     let mut new = 0;
@@ -284,7 +286,7 @@
 #[test]
 fn the_target_is_tried_at_a_few_upstreams_the_same_ones_everywhere() {
     // 9 in 100 of what 60 upstreams get make six about as loaded.
-    let new_ids = |table: &mut Replicas, seed: u64| -> BTreeSet<UpstreamId> {
+    let new_ids = |table: &mut UpstreamTable, seed: u64| -> BTreeSet<UpstreamId> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let ask = Ask::on("r");
         let sent = (0..5000).filter_map(|_| send(table, LATER, &ask.wanted(rng.next_u64())));
@@ -292,7 +294,7 @@
     };
     let (mut here, mut there) = (table(60, 60), table(60, 60));
     for table in [&mut here, &mut there] {
-        table.set_rollouts(vec![rule("v2", share(9))]);
+        table.set_rollout_rules(vec![rule("v2", share(9))]);
     }
     let first = new_ids(&mut here, 1);
     assert_eq!(first.len(), 6, "{first:?}");
@@ -300,8 +302,8 @@
     // One that rests is replaced.
     let failing = first.first().expect("there are six").clone();
     for _ in 0..3 {
-        here.begin(LATER, &failing, &[]);
-        here.end(LATER, &failing, Health::Failed);
+        here.start_request(LATER, &failing, &[]);
+        here.end_request(LATER, &failing, AttemptOutcome::Failed);
     }
     let second = new_ids(&mut here, 3);
     assert_eq!(second.len(), 6, "{second:?}");
@@ -309,14 +311,14 @@
     assert_eq!(second.intersection(&first).count(), 5);
     // Where few are needed there are two, to tell one that fails by itself.
     let mut small = table(7, 7);
-    small.set_rollouts(vec![rule("v2", share(9))]);
+    small.set_rollout_rules(vec![rule("v2", share(9))]);
     assert_eq!(new_ids(&mut small, 4).len(), 2);
 }
 
 #[test]
 fn a_repeat_counts_and_is_not_tried_out_on_the_target() {
     let mut table = table(10, 10);
-    table.set_rollouts(vec![rule("v2", share(10))]);
+    table.set_rollout_rules(vec![rule("v2", share(10))]);
     let mut rng = ChaCha8Rng::seed_from_u64(6);
     let mut repeat = Ask::on("r");
     repeat.tried = vec![entry("v1", 1).info.id];
@@ -331,8 +333,8 @@
 #[test]
 fn a_stream_goes_on_at_the_version_that_began_it_where_that_may_take_it() {
     let mut table = table(10, 10);
-    table.set_rollouts(vec![rule("v2", share(50))]);
-    let resumed = |table: &mut Replicas, from: &str, draw| {
+    table.set_rollout_rules(vec![rule("v2", share(50))]);
+    let resumed = |table: &mut UpstreamTable, from: &str, draw| {
         let mut ask = Ask::on("r");
         ask.tried = vec![entry(from, 1).info.id];
         ask.resumes = Some(version(from));
@@ -344,24 +346,24 @@
     for n in 0..20 {
         assert!(!is_new(&resumed(&mut table, "v1", n)));
     }
-    table.set_rollouts(vec![rule("v2", Allowance::Nothing)]);
+    table.set_rollout_rules(vec![rule("v2", Allowance::Nothing)]);
     assert!(!is_new(&resumed(&mut table, "v2", 1)));
 }
 
 #[test]
 fn what_reached_no_upstream_counts_neither_way() {
     let mut table = table(10, 10);
-    table.set_rollouts(vec![rule("v2", share(10))]);
+    table.set_rollout_rules(vec![rule("v2", share(10))]);
     let ask = Ask::on("r");
     for draw in 0..1000 {
         let wanted = ask.wanted(draw);
         let id = table.choose(LATER, &wanted).expect("an upstream").id;
-        table.begin(LATER, &id, &[]);
-        table.charge(LATER, &wanted, &id);
-        table.end(LATER, &id, Health::Unknown);
-        table.refund(&id, "r");
+        table.start_request(LATER, &id, &[]);
+        table.record_sent(LATER, &wanted, &id);
+        table.end_request(LATER, &id, AttemptOutcome::Unknown);
+        table.undo_sent(&id, "r");
     }
-    let (_, given) = table.rollouts()[0].clone();
+    let (_, given) = table.rollout_rules()[0].clone();
     assert_eq!((given.all, given.target), (0, 0));
     assert!(counts(&mut table, LATER, 9).1 <= 1);
 }
@@ -377,10 +379,10 @@
         entry.info.leaving = leaving;
         added(revision, vec![entry])
     };
-    table.change(Time::default(), listed(2, true));
-    table.set_rollouts(vec![rule("v2", share(10))]);
+    table.apply_changes(Time::default(), listed(2, true));
+    table.set_rollout_rules(vec![rule("v2", share(10))]);
     assert_eq!(counts(&mut table, LATER, 1000), (1000, 0));
-    table.change(LATER, listed(3, false));
+    table.apply_changes(LATER, listed(3, false));
     let c = counts(&mut table, LATER, 5).1;
     assert!(c <= 1, "{c} of 5");
     assert!(counts(&mut table, LATER, 100).1 >= 9);
@@ -395,14 +397,14 @@
         entry.info.domain = name.parse().expect("the name is valid");
         entry
     };
-    table.change(Time::default(), added(2, (1..=4).map(domain).collect()));
+    table.apply_changes(Time::default(), added(2, (1..=4).map(domain).collect()));
     let evacuated = DomainChange {
         domain: "away".parse().expect("the name is valid"),
         revision: 3,
         evacuated: true,
     };
-    table.evacuate(LATER, &[evacuated]);
-    table.set_rollouts(vec![rule("v2", share(10))]);
+    table.apply_evacuations(LATER, &[evacuated]);
+    table.set_rollout_rules(vec![rule("v2", share(10))]);
     let mut rng = ChaCha8Rng::seed_from_u64(9);
     let ask = Ask::on("r");
     let sent: Vec<_> =
@@ -423,9 +425,9 @@
     table.set_warm_ups(BTreeMap::from([(service(), slow)]));
     let me: VmId = "vm-0".parse().expect("the name is valid");
     table.set_senders(Time::default(), Senders::new(&me, std::slice::from_ref(&me)));
-    let cold = |n| ReplicaEntry { warm_in: Duration::from_secs(100), ..entry("v2", n) };
-    table.change(Time::default(), added(2, (1..=2).map(cold).collect()));
-    table.set_rollouts(vec![rule("v2", share(50))]);
+    let cold = |n| UpstreamEntry { warm_in: Duration::from_secs(100), ..entry("v2", n) };
+    table.apply_changes(Time::default(), added(2, (1..=2).map(cold).collect()));
+    table.set_rollout_rules(vec![rule("v2", share(50))]);
     let mut rng = ChaCha8Rng::seed_from_u64(10);
     let ask = Ask::on("r");
     let mut new = 0_u64;
@@ -437,9 +439,9 @@
     // Two seconds of 12.5 requests at each, by the bound, and what a bucket holds.
     assert!((5..=50).contains(&new), "{new}");
     // What they could not take is not made up for.
-    let warm = |n| ReplicaEntry { revision: 4, ..entry("v2", n) };
+    let warm = |n| UpstreamEntry { revision: 4, ..entry("v2", n) };
     let now = LATER.after(Duration::from_secs(3));
-    table.change(now, added(4, (1..=2).map(warm).collect()));
+    table.apply_changes(now, added(4, (1..=2).map(warm).collect()));
     let next = counts(&mut table, now, 20).1;
     assert!(next <= 12, "{next} of 20");
 }
@@ -447,12 +449,12 @@
 #[test]
 fn a_new_order_does_not_get_what_the_last_one_left_over() {
     let mut table = table(10, 10);
-    table.set_rollouts(vec![rule("v2", share(10))]);
+    table.set_rollout_rules(vec![rule("v2", share(10))]);
     counts(&mut table, LATER, 100);
     let next = RolloutRule { revision: 8, ..rule("v1", share(10)) };
-    let news = table.set_rollouts(vec![next.clone()]);
+    let news = table.set_rollout_rules(vec![next.clone()]);
     assert_eq!(news, vec![next.clone()]);
-    assert_eq!(table.set_rollouts(vec![next]), Vec::new());
+    assert_eq!(table.set_rollout_rules(vec![next]), Vec::new());
     let (old, new) = counts(&mut table, LATER, 100);
     assert!((9..=11).contains(&old), "{old} and {new}");
 }
@@ -460,8 +462,8 @@
 #[test]
 fn versions_of_earlier_orders_that_are_refused_get_nothing_beside_the_next() {
     let mut table = table(5, 5);
-    table.change(Time::default(), added(3, (1..=5).map(|n| entry("v3", n)).collect()));
-    table.set_rollouts(vec![rule("v2", Allowance::Nothing), rule("v3", share(10))]);
+    table.apply_changes(Time::default(), added(3, (1..=5).map(|n| entry("v3", n)).collect()));
+    table.set_rollout_rules(vec![rule("v2", Allowance::Nothing), rule("v3", share(10))]);
     let mut rng = ChaCha8Rng::seed_from_u64(8);
     let ask = Ask::on("r");
     let mut seen: BTreeMap<String, usize> = BTreeMap::new();
@@ -476,8 +478,8 @@
 #[test]
 fn without_an_order_and_with_one_version_nothing_changes() {
     let (mut with, mut without) = (table(10, 0), table(10, 0));
-    with.set_rollouts(vec![rule("v2", share(5))]);
-    with.set_rollouts(Vec::new());
+    with.set_rollout_rules(vec![rule("v2", share(5))]);
+    with.set_rollout_rules(Vec::new());
     for draw in 0..200 {
         let ask = Ask::on("r").chain(draw % 7);
         let wanted = ask.wanted(draw * 7919);
@@ -488,15 +490,15 @@
 #[test]
 fn upstreams_that_name_no_version_count_as_another() {
     // A target beside them was taken for the only version, and got its full part of the requests.
-    let mut table = Replicas::default();
+    let mut table = UpstreamTable::default();
     let unnamed = (1..=4).map(|n| {
-        let ReplicaEntry { revision, info, warm_in } = entry("old", n);
-        ReplicaEntry { revision, info: ReplicaInfo { version: None, ..info }, warm_in }
+        let UpstreamEntry { revision, info, warm_in } = entry("old", n);
+        UpstreamEntry { revision, info: ListedUpstream { version: None, ..info }, warm_in }
     });
-    table.learn(Time::default(), ReplicaList { revision: 1, replicas: unnamed.collect() });
-    table.change(Time::default(), added(2, (1..=4).map(|n| entry("v2", n)).collect()));
+    table.apply_list(Time::default(), UpstreamList { revision: 1, entries: unnamed.collect() });
+    table.apply_changes(Time::default(), added(2, (1..=4).map(|n| entry("v2", n)).collect()));
     for allowance in [Allowance::Nothing, share(10)] {
-        table.set_rollouts(vec![rule("v2", allowance)]);
+        table.set_rollout_rules(vec![rule("v2", allowance)]);
         let ask = Ask::on("r");
         let sent =
             (0..200).filter_map(|n| send(&mut table, Time::from_millis(n), &ask.wanted(n * 7919)));
@@ -511,8 +513,8 @@
     // Two threads: one made the share, the other the end of it, and the share was put last.
     let mut table = table(4, 4);
     let ruled = |turn, allowance| RuleSet { turn, rules: vec![rule("v2", allowance)] };
-    table.put_rules(ruled(2, Allowance::Nothing));
-    assert!(table.put_rules(ruled(1, share(50))).is_empty());
+    table.apply_rule_set(ruled(2, Allowance::Nothing));
+    assert!(table.apply_rule_set(ruled(1, share(50))).is_empty());
     let ask = Ask::on("r");
     let sent =
         (0..200).filter_map(|n| send(&mut table, Time::from_millis(n), &ask.wanted(n * 7919)));
@@ -525,7 +527,7 @@
     let now = Time::from_millis(10);
     for n in 1..=2 {
         let id = format!("v1-{n}").parse().expect("the name is valid");
-        table.hear_rest(now, &id, Duration::from_secs(1));
+        table.record_back_off(now, &id, Duration::from_secs(1));
     }
     assert_eq!(send(&mut table, now, &Ask::on("chat").wanted(1)), None);
     let over = Time::from_millis(1010);
--- a/crates/badgerfield-core/tests/confirmations.rs
+++ b/crates/badgerfield-core/tests/confirmations.rs
@@ -56,18 +56,21 @@
     let mut all: Vec<_> = (1..=20).map(claims).collect();
     let mut out = Outbox::default();
     for claims in &mut all {
-        claims.adopt(NOW, &view, &mut out);
+        claims.apply_view(NOW, &view, &mut out);
     }
     assert!(out.take().is_empty());
     // Word goes round a ring, from each to the next only.
     for _ in 0..20 {
         for n in 0..20 {
-            let word = all[n].confirmed();
-            all[(n + 1) % 20].confirm(Epoch(1), &word);
+            let word = all[n].confirmation_status();
+            all[(n + 1) % 20].merge_confirmations(Epoch(1), &word);
         }
     }
-    assert!(all.iter().all(|claims| claims.complete() == Epoch(1)));
-    assert!(all.iter().all(|claims| claims.confirmed().bits.is_empty()), "nothing more to say");
+    assert!(all.iter().all(|claims| claims.complete_epoch() == Epoch(1)));
+    assert!(
+        all.iter().all(|claims| claims.confirmation_status().bits.is_empty()),
+        "nothing more to say"
+    );
 }
 
 #[test]
@@ -86,33 +89,35 @@
         once: true,
         progress: Progress::Ended(badgerfield_core::amount::Tokens(5)),
     };
-    first.adopt(NOW, &old, &mut out);
-    assert!(first.keep(NOW, Epoch(1), &record));
+    first.apply_view(NOW, &old, &mut out);
+    assert!(first.record_claim(NOW, Epoch(1), &record));
     for claims in [&mut first, &mut second, &mut third, &mut fourth] {
-        claims.adopt(NOW, &new, &mut out);
+        claims.apply_view(NOW, &new, &mut out);
     }
     let moved: Vec<_> =
         handovers(&mut out).into_iter().filter(|(to, _)| *to == Incarnation(4)).collect();
     let [(_, part)] = moved.as_slice() else { panic!("one hand-over to the new arbiter") };
 
     let ask = ClaimAsk { key, home: None, serial: 9, epoch: Epoch(2), once: true, over: None };
-    for word in [first.confirmed(), second.confirmed(), third.confirmed()] {
-        fourth.confirm(Epoch(2), &word);
+    for word in
+        [first.confirmation_status(), second.confirmation_status(), third.confirmation_status()]
+    {
+        fourth.merge_confirmations(Epoch(2), &word);
     }
     let early = fourth.decide(NOW, Incarnation(3), &ask, &mut out);
     assert!(matches!(early, Some(Verdict::Wait { .. })), "{early:?}");
 
-    assert!(fourth.receive(NOW, Incarnation(1), part));
-    first.handed_over(NOW, Incarnation(4), Epoch(2), part.part, &mut out);
+    assert!(fourth.receive_handover(NOW, Incarnation(1), part));
+    first.handle_handover_ack(NOW, Incarnation(4), Epoch(2), part.part, &mut out);
     // The second keeper under the new view may be another member.
     for (to, part) in handovers(&mut out) {
-        first.handed_over(NOW, to, Epoch(2), part.part, &mut out);
+        first.handle_handover_ack(NOW, to, Epoch(2), part.part, &mut out);
     }
     for id in [2, 3] {
-        first.handed_over(NOW, Incarnation(id), Epoch(2), 0, &mut out);
+        first.handle_handover_ack(NOW, Incarnation(id), Epoch(2), 0, &mut out);
     }
-    fourth.confirm(Epoch(2), &first.confirmed());
-    assert_eq!(fourth.complete(), Epoch(2));
+    fourth.merge_confirmations(Epoch(2), &first.confirmation_status());
+    assert_eq!(fourth.complete_epoch(), Epoch(2));
     let verdict = fourth.decide(NOW, Incarnation(3), &ask, &mut out);
     assert!(matches!(verdict, Some(Verdict::Owned { ended: true, .. })), "{verdict:?}");
 }
--- a/crates/badgerfield-core/tests/event_stream.rs
+++ b/crates/badgerfield-core/tests/event_stream.rs
@@ -36,8 +36,8 @@
             at = end;
         }
         prop_assert_eq!(out, bytes);
-        prop_assert_eq!(scanner.events(), events);
-        prop_assert!(scanner.rest().is_empty());
+        prop_assert_eq!(scanner.event_count(), events);
+        prop_assert!(scanner.partial_event().is_empty());
     }
 
     #[test]
@@ -49,9 +49,9 @@
         let bytes = stream(events);
         let mut scanner = EventScanner::default();
         let mut out = scanner.push(&bytes[..broken_at.min(bytes.len())]).to_vec();
-        scanner.drop_rest();
+        scanner.discard_partial();
         // The second upstream goes on after the last event, or begins earlier.
-        let last = scanner.last().unwrap_or(0);
+        let last = scanner.last_event_id().unwrap_or(0);
         let from = again_from.min(last);
         let skip = stream(from).len();
         out.extend_from_slice(&scanner.push(&bytes[skip..]));
@@ -65,8 +65,8 @@
     let bytes = b": hello\r\nid: 4\r\ndata: a\r\n\r\nid: 5\r\ndata:";
     let whole = scanner.push(bytes);
     assert_eq!(whole.as_ref(), b": hello\r\nid: 4\r\ndata: a\r\n\r\n");
-    assert_eq!(scanner.last(), Some(4));
-    assert_eq!(scanner.rest(), b"id: 5\r\ndata:");
+    assert_eq!(scanner.last_event_id(), Some(4));
+    assert_eq!(scanner.partial_event(), b"id: 5\r\ndata:");
 }
 
 #[test]
--- a/crates/badgerfield-core/tests/holdings.rs
+++ b/crates/badgerfield-core/tests/holdings.rs
@@ -178,7 +178,7 @@
     // The budget is renewed before anybody asks for the period.
     let terms = BudgetTerms { version: Version(2), period: Period(2), limit: Tokens(2_000_000) };
     holdings.update_terms(at(31), &budget(), terms, Percent::new(50).expect("a share"));
-    assert_eq!(reserved, ReserveOutcome::Done(Period(1)));
+    assert_eq!(reserved, ReserveOutcome::Reserved(Period(1)));
     holdings.settle(at(40), &budget(), Period(1), Tokens(1_000), Tokens::ZERO);
     assert_eq!(holdings.balance(&budget()).free, Tokens::ZERO, "the new period got old tokens");
 }
@@ -205,7 +205,7 @@
     pass(&mut holdings, 0, 100, HELD);
     let waiter = (RunId(7), Tokens(1_000), at(5_000));
     let reserved = holdings.reserve(at(250), &budget(), waiter, &mut Outbox::default());
-    assert_eq!(reserved, ReserveOutcome::Done(Period(1)));
+    assert_eq!(reserved, ReserveOutcome::Reserved(Period(1)));
     pass(&mut holdings, 300, 1_500, Tokens::ZERO);
     let before = holdings.balance(&budget());
     assert!(before.sealed > before.free, "nearly all is sealed: {before:?}");
--- a/crates/badgerfield-core/tests/lag.rs
+++ b/crates/badgerfield-core/tests/lag.rs
@@ -4,8 +4,8 @@
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::{Service, UpstreamId};
-use badgerfield_core::replica_list::{ReplicaEntry, ReplicaInfo, ReplicaList};
-use badgerfield_core::replicas::{Health, PromptPart, Replicas, Wanted};
+use badgerfield_core::replica_list::{ListedUpstream, UpstreamEntry, UpstreamList};
+use badgerfield_core::replicas::{AttemptOutcome, PromptPart, UpstreamCriteria, UpstreamTable};
 use badgerfield_core::residency::EVERYWHERE;
 
 const ENGINES: u32 = 20;
@@ -24,10 +24,10 @@
     "engines".parse().expect("a name")
 }
 
-fn new_table() -> Replicas {
-    let entry = |n: u32| ReplicaEntry {
+fn new_table() -> UpstreamTable {
+    let entry = |n: u32| UpstreamEntry {
         revision: 1,
-        info: ReplicaInfo {
+        info: ListedUpstream {
             id: id(n),
             service: service(),
             address: ([127, 0, 0, 1], 9000).into(),
@@ -35,13 +35,13 @@
             version: None,
             slots: 32,
             leaving: false,
-            born: None,
+            started_at: None,
         },
         warm_in: Duration::ZERO,
     };
-    let mut table = Replicas::default();
+    let mut table = UpstreamTable::default();
     let replicas = (0..ENGINES).map(entry).collect();
-    table.learn(Time::default(), ReplicaList { revision: 1, replicas });
+    table.apply_list(Time::default(), UpstreamList { revision: 1, entries: replicas });
     table
 }
 
@@ -59,28 +59,28 @@
             let ms = second * 1000 + tenth * 100;
             let now = Time::from_millis(ms);
             for (_, vm, engine, span) in waits.extract_if(.., |(at, ..)| *at <= ms) {
-                tables[vm].waited(now, &engine, span, 0);
-                tables[vm].end(now, &engine, Health::Good);
+                tables[vm].record_first_event_wait(now, &engine, span, 0);
+                tables[vm].end_request(now, &engine, AttemptOutcome::Answered);
             }
             for (vm, table) in tables.iter_mut().enumerate() {
                 let phase = u64::try_from(vm).expect("few VMs") * 100 % EVERY_MS;
                 if (ms + phase).is_multiple_of(EVERY_MS) {
                     draw = draw.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
                     let parts = [PromptPart { id: draw >> 20, tokens: 500 }];
-                    let wanted = Wanted {
+                    let wanted = UpstreamCriteria {
                         service: &service(),
                         route: "chat",
                         parts: &parts,
                         bytes: 0,
                         residency: &EVERYWHERE,
                         tried: &[],
-                        resumes: None,
-                        connections: 5,
-                        draw: draw.rotate_left(17),
-                        alike: None,
+                        resumed_version: None,
+                        max_connections: 5,
+                        random: draw.rotate_left(17),
+                        rendezvous_key: None,
                     };
                     let chosen = table.choose(now, &wanted).expect("there are engines").id;
-                    table.begin(now, &chosen, &parts);
+                    table.start_request(now, &chosen, &parts);
                     let is_slow = chosen == id(0) && slow.contains(&second);
                     let span = if is_slow { SLOW } else { WELL };
                     all += 1;
@@ -93,9 +93,9 @@
             if tell && tenth.is_multiple_of(4) {
                 let turn = usize::try_from(second * 10 + tenth).expect("short");
                 for from in 0..VMS {
-                    let notes = tables[from].lags(now, turn);
+                    let notes = tables[from].delay_reports(now, turn);
                     for step in [1, 2, 4, 8, 16, 32] {
-                        tables[(from + step) % VMS].learn_lags(now, &notes);
+                        tables[(from + step) % VMS].apply_delay_reports(now, &notes);
                     }
                 }
             }
--- a/crates/badgerfield-core/tests/ledger.rs
+++ b/crates/badgerfield-core/tests/ledger.rs
@@ -72,7 +72,7 @@
         holder: Incarnation(id),
         seq: holder.seq,
         need: Tokens(need),
-        back: Tokens(back),
+        returned: Tokens(back),
         held: Tokens(holder.held),
         rate: TokenRate(10),
         request_size: Tokens(100),
@@ -219,13 +219,13 @@
 /// Makes the first change of a successor that found the holder's seal unbroken.
 fn unsealed() -> LedgerOp {
     let mut change = op(SUCCESSOR, &mut Holder::default(), 0, 0, true);
-    let claim = SealClaim { holder: Incarnation(HOLDER), untouched: Tokens(u64::MAX) };
+    let claim = SealClaim { holder: Incarnation(HOLDER), unspent: Tokens(u64::MAX) };
     change.seal = Some(seal("vm-1", 0, &[claim]));
     change
 }
 
 fn left(shard: &LedgerShard) -> u64 {
-    shard.budgets[&budget()].left().0
+    shard.budgets[&budget()].remaining().0
 }
 
 #[test]
@@ -296,7 +296,7 @@
     let older = r#"{"v":"vm-1","a":5000,"t":1000}"#;
     let record: SealRecord = serde_json::from_str(older).expect("an older record");
     assert_eq!(record.untouched(FleetTime(1000)), Tokens::ZERO);
-    let newer = SealRecord { falls_ms: 10_000, ..record };
+    let newer = SealRecord { decay_ms: 10_000, ..record };
     assert_eq!(newer.untouched(FleetTime(3500)), Tokens(3750));
     assert_eq!(newer.untouched(FleetTime(11_000)), Tokens::ZERO);
 }
--- a/crates/badgerfield-core/tests/locality.rs
+++ b/crates/badgerfield-core/tests/locality.rs
@@ -7,8 +7,10 @@
 use badgerfield_core::evacuation::DomainChange;
 use badgerfield_core::ids::{Domain, Incarnation, Region, Service, UpstreamId};
 use badgerfield_core::locality::{Crossing, Distance, Locality, Place, nearest};
-use badgerfield_core::replica_list::{ReplicaEntry, ReplicaInfo, ReplicaList};
-use badgerfield_core::replicas::{Chosen, Health, PromptPart, Replicas, Wanted};
+use badgerfield_core::replica_list::{ListedUpstream, UpstreamEntry, UpstreamList};
+use badgerfield_core::replicas::{
+    AttemptOutcome, ChosenUpstream, PromptPart, UpstreamCriteria, UpstreamTable,
+};
 use badgerfield_core::residency::{EVERYWHERE, RegionMap};
 use badgerfield_core::view::{Member, Standing};
 
@@ -60,14 +62,14 @@
 }
 
 /// Returns the table of a process in a domain, with so many upstreams in each domain.
-fn table(own: &str, each: usize) -> Replicas {
+fn table(own: &str, each: usize) -> UpstreamTable {
     let map = DOMAINS.iter().map(|at| (domain(at), region(&at[..1])));
-    let mut table = Replicas::default();
+    let mut table = UpstreamTable::default();
     table.set_regions(RegionMap::new(map.collect()));
-    table.set_locality(place(own), Locality::default());
+    table.set_location(place(own), Locality::default());
     let entry = |n: usize| {
         let at = DOMAINS[n % DOMAINS.len()];
-        let info = ReplicaInfo {
+        let info = ListedUpstream {
             id: format!("{at}.{n}").parse().expect("a name"),
             service: service(),
             address: ([127, 0, 0, 1], 9000).into(),
@@ -75,12 +77,12 @@
             version: None,
             slots: 8,
             leaving: false,
-            born: None,
+            started_at: None,
         };
-        ReplicaEntry { revision: 1, info, warm_in: Duration::ZERO }
+        UpstreamEntry { revision: 1, info, warm_in: Duration::ZERO }
     };
     let replicas = (0..each * DOMAINS.len()).map(entry).collect();
-    table.learn(Time::default(), ReplicaList { revision: 1, replicas });
+    table.apply_list(Time::default(), UpstreamList { revision: 1, entries: replicas });
     table
 }
 
@@ -88,18 +90,23 @@
     Time(Duration::from_millis(millis))
 }
 
-fn choose(table: &Replicas, now: Time, parts: &[PromptPart], draw: u64) -> Option<Chosen> {
-    let wanted = Wanted {
+fn choose(
+    table: &UpstreamTable,
+    now: Time,
+    parts: &[PromptPart],
+    draw: u64,
+) -> Option<ChosenUpstream> {
+    let wanted = UpstreamCriteria {
         service: &service(),
         route: "r",
         parts,
         bytes: 4000,
         residency: &EVERYWHERE,
         tried: &[],
-        resumes: None,
-        connections: 100,
-        draw,
-        alike: None,
+        resumed_version: None,
+        max_connections: 100,
+        random: draw,
+        rendezvous_key: None,
     };
     table.choose(now, &wanted)
 }
@@ -119,10 +126,10 @@
             let parts = parts(n % 20);
             let parts: &[PromptPart] = if is_call { &[] } else { &parts };
             let chosen = choose(&table, now, parts, n * 7919).expect("somebody serves");
-            *counts.entry(chosen.near).or_default() += 1;
+            *counts.entry(chosen.distance).or_default() += 1;
             assert_eq!(chosen.crossing, None, "request {n}");
-            table.begin(now, &chosen.id, parts);
-            table.end(now, &chosen.id, Health::Good);
+            table.start_request(now, &chosen.id, parts);
+            table.end_request(now, &chosen.id, AttemptOutcome::Answered);
         }
         assert_eq!(counts.get(&Distance::Far), None, "{counts:?}");
     }
@@ -133,22 +140,22 @@
     let mut table = table("a-1", 2);
     let change =
         |name: &str, evacuated| DomainChange { domain: domain(name), revision: 2, evacuated };
-    table.evacuate(at(0), &[change("a-1", true)]);
+    table.apply_evacuations(at(0), &[change("a-1", true)]);
     let chosen = choose(&table, at(1), &[], 5).expect("somebody serves");
-    assert_eq!((chosen.near, chosen.crossing), (Distance::Region, None));
-    table.evacuate(at(2), &[change("a-2", true)]);
+    assert_eq!((chosen.distance, chosen.crossing), (Distance::Region, None));
+    table.apply_evacuations(at(2), &[change("a-2", true)]);
     let chosen = choose(&table, at(3), &[], 5).expect("somebody serves");
-    assert_eq!((chosen.near, chosen.crossing), (Distance::Far, Some(Crossing::NoneNear)));
+    assert_eq!((chosen.distance, chosen.crossing), (Distance::Far, Some(Crossing::NoneNear)));
     let back = DomainChange { domain: domain("a-2"), revision: 3, evacuated: false };
-    table.evacuate(at(4), &[back]);
+    table.apply_evacuations(at(4), &[back]);
     for id in ["a-2.1", "a-2.5"] {
         let id: UpstreamId = id.parse().expect("a name");
         for _ in 0..8 {
-            table.begin(at(5), &id, &[]);
+            table.start_request(at(5), &id, &[]);
         }
     }
     let chosen = choose(&table, at(6), &[], 5).expect("somebody serves");
-    assert_eq!((chosen.near, chosen.crossing), (Distance::Far, Some(Crossing::Cost)));
+    assert_eq!((chosen.distance, chosen.crossing), (Distance::Far, Some(Crossing::Cost)));
 }
 
 /// Where nothing is known of regions, domains are of one region: nobody pays for distance.
@@ -170,7 +177,7 @@
 
 /// One of the processes of a fleet, and its requests under way with their ends.
 struct Sender {
-    table: Replicas,
+    table: UpstreamTable,
     under_way: Vec<(Time, UpstreamId)>,
 }
 
@@ -190,7 +197,7 @@
                 let table = &mut sender.table;
                 sender.under_way.retain(|(ends, id)| {
                     if *ends <= now {
-                        table.end(now, id, Health::Good);
+                        table.end_request(now, id, AttemptOutcome::Answered);
                     }
                     *ends > now
                 });
@@ -202,16 +209,16 @@
                 let Some(chosen) = choose(&senders[place].table, now, &[], draw >> 16) else {
                     break;
                 };
-                senders[place].table.begin(now, &chosen.id, &[]);
+                senders[place].table.start_request(now, &chosen.id, &[]);
                 let all = senders.iter().flat_map(|sender| &sender.under_way);
                 if all.filter(|(_, id)| *id == chosen.id).count() >= 8 {
-                    senders[place].table.end(now, &chosen.id, Health::Full);
+                    senders[place].table.end_request(now, &chosen.id, AttemptOutcome::Full);
                     continue;
                 }
                 let ends = now.after(Duration::from_millis(100));
                 senders[place].under_way.push((ends, chosen.id.clone()));
                 sent += 1;
-                far += usize::from(chosen.near == Distance::Far);
+                far += usize::from(chosen.distance == Distance::Far);
                 served = true;
                 break;
             }
@@ -261,16 +268,18 @@
 /// each request that is sent to find out may be lost. Fifteen seconds later only the first is back.
 #[test]
 fn being_turned_away_is_forgotten_sooner_than_a_failure() {
-    for (health, near) in [(Health::Full, Distance::Domain), (Health::Failed, Distance::Far)] {
+    for (health, near) in
+        [(AttemptOutcome::Full, Distance::Domain), (AttemptOutcome::Failed, Distance::Far)]
+    {
         let mut table = table("a-1", 1);
         for id in ["a-1.0", "a-2.1"] {
             let id: UpstreamId = id.parse().expect("a name");
             for n in 0..3 {
-                table.begin(at(n), &id, &[]);
-                table.end(at(n), &id, health);
+                table.start_request(at(n), &id, &[]);
+                table.end_request(at(n), &id, health);
             }
         }
-        let chosen = |millis| choose(&table, at(millis), &[], 5).expect("somebody serves").near;
+        let chosen = |millis| choose(&table, at(millis), &[], 5).expect("somebody serves").distance;
         assert_eq!(chosen(2), Distance::Far, "{health:?}: both near ones are avoided");
         assert_eq!(chosen(15_000), near, "{health:?}");
         assert_eq!(chosen(120_000), Distance::Domain, "{health:?}: in the end it is tried again");
--- a/crates/badgerfield-core/tests/overload.rs
+++ b/crates/badgerfield-core/tests/overload.rs
@@ -7,8 +7,8 @@
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::{Service, UpstreamId};
 use badgerfield_core::overload;
-use badgerfield_core::replica_list::{ReplicaEntry, ReplicaInfo, ReplicaList};
-use badgerfield_core::replicas::{Health, Replicas, Wanted};
+use badgerfield_core::replica_list::{ListedUpstream, UpstreamEntry, UpstreamList};
+use badgerfield_core::replicas::{AttemptOutcome, UpstreamCriteria, UpstreamTable};
 use badgerfield_core::residency::EVERYWHERE;
 
 const VMS: usize = 48;
@@ -91,7 +91,7 @@
 
 /// A fleet before a plain service.
 struct Play {
-    tables: Vec<Replicas>,
+    tables: Vec<UpstreamTable>,
     speeds: Vec<f64>,
     upstreams: Vec<Upstream>,
     requests: BTreeMap<u64, Request>,
@@ -109,10 +109,10 @@
     "plain".parse().expect("a name")
 }
 
-fn new_table(upstreams: usize) -> Replicas {
-    let entry = |n: usize| ReplicaEntry {
+fn new_table(upstreams: usize) -> UpstreamTable {
+    let entry = |n: usize| UpstreamEntry {
         revision: 1,
-        info: ReplicaInfo {
+        info: ListedUpstream {
             id: id(n),
             service: service(),
             address: ([127, 0, 0, 1], 9000).into(),
@@ -120,13 +120,13 @@
             version: None,
             slots: 6,
             leaving: false,
-            born: None,
+            started_at: None,
         },
         warm_in: Duration::ZERO,
     };
-    let mut table = Replicas::default();
+    let mut table = UpstreamTable::default();
     let replicas = (0..upstreams).map(entry).collect();
-    table.learn(Time::default(), ReplicaList { revision: 1, replicas });
+    table.apply_list(Time::default(), UpstreamList { revision: 1, entries: replicas });
     table
 }
 
@@ -197,23 +197,23 @@
     fn send(&mut self, now: u64, number: u64) {
         let time = Time(Duration::from_micros(now));
         let request = self.requests.get_mut(&number).expect("it is there");
-        let wanted = Wanted {
+        let wanted = UpstreamCriteria {
             service: &service(),
             route: "call",
             parts: &[],
             bytes: 0,
             residency: &EVERYWHERE,
             tried: &request.tried,
-            resumes: None,
-            connections: 2,
-            draw: self.draws.next(),
-            alike: None,
+            resumed_version: None,
+            max_connections: 2,
+            random: self.draws.next(),
+            rendezvous_key: None,
         };
         let vm = request.vm;
         let Some(chosen) = self.tables[vm].choose(time, &wanted) else {
             return self.refused(now, number);
         };
-        self.tables[vm].begin(time, &chosen.id, &[]);
+        self.tables[vm].start_request(time, &chosen.id, &[]);
         request.tried.push(chosen.id.clone());
         request.sent = now;
         self.seen.tries += 1.0;
@@ -229,9 +229,9 @@
         self.seen.turned_away += 1.0;
         let request = &self.requests[&number];
         let more = request.again && request.tried.len() < 2;
-        self.tables[vm].end(time, &chosen.id, Health::Full);
+        self.tables[vm].end_request(time, &chosen.id, AttemptOutcome::Full);
         let counts = overload::turned_away(Duration::from_micros(OBJECTIVE_US));
-        self.tables[vm].took(time, &chosen.id, counts);
+        self.tables[vm].record_response_time(time, &chosen.id, counts);
         if more {
             return self.send(now, number);
         }
@@ -248,8 +248,8 @@
         let time = Time(Duration::from_micros(now));
         let request = self.requests.remove(&number).expect("it is there");
         let span = Duration::from_micros(now - request.sent);
-        self.tables[request.vm].took(time, &id(place), span);
-        self.tables[request.vm].end(time, &id(place), Health::Good);
+        self.tables[request.vm].record_response_time(time, &id(place), span);
+        self.tables[request.vm].end_request(time, &id(place), AttemptOutcome::Answered);
         self.seen.served += 1.0;
         let in_time = now - request.since <= OBJECTIVE_US;
         self.seen.in_time += f64::from(u8::from(in_time));
@@ -275,9 +275,9 @@
         let time = Time(Duration::from_micros(now));
         let turn = usize::try_from(turn).expect("short");
         for from in (0..VMS).filter(|vm| vm % 4 == turn % 4) {
-            let notes = self.tables[from].lags(time, turn);
+            let notes = self.tables[from].delay_reports(time, turn);
             for step in [1, 2, 4, 8, 16, 32] {
-                self.tables[(from + step) % VMS].learn_lags(time, &notes);
+                self.tables[(from + step) % VMS].apply_delay_reports(time, &notes);
             }
         }
     }
--- a/crates/badgerfield-core/tests/queue.rs
+++ b/crates/badgerfield-core/tests/queue.rs
@@ -2,7 +2,7 @@
 
 use badgerfield_core::amount::{Time, Tokens};
 use badgerfield_core::ids::{Account, RunId};
-use badgerfield_core::queue::{Queue, Waiting};
+use badgerfield_core::queue::{Queue, QueuedRequest};
 
 fn account(name: &str) -> Account {
     name.parse().expect("the name is valid")
@@ -10,16 +10,16 @@
 
 fn push(queue: &mut Queue, name: &str, id: u64) {
     let until = Time::from_millis(1_000_000);
-    queue.push(&account(name), Waiting { run: RunId(id), until });
+    queue.push(&account(name), QueuedRequest { run: RunId(id), deadline: until });
 }
 
 /// Serves one request of 100 tokens; returns whose it was.
 fn serve(queue: &mut Queue, priority: impl Fn(&str) -> u32) -> Option<String> {
     let (name, waiting) = queue.heads().into_iter().next()?;
     queue.remove(&name, waiting.run);
-    queue.start(&name);
-    queue.serve(&name, priority(name.as_str()), Tokens(100));
-    queue.finish(Time::default(), &name);
+    queue.start_request(&name);
+    queue.count_tokens(&name, priority(name.as_str()), Tokens(100));
+    queue.finish_request(Time::default(), &name);
     Some(name.to_string())
 }
 
--- a/crates/badgerfield-core/tests/replicas.rs
+++ b/crates/badgerfield-core/tests/replicas.rs
@@ -7,9 +7,11 @@
 use badgerfield_core::ids::{Service, UpstreamId};
 use badgerfield_core::mix::Size;
 use badgerfield_core::replica_list::{
-    ListMark, ReplicaChanges, ReplicaEntry, ReplicaInfo, ReplicaList,
+    ListVersion, ListedUpstream, UpstreamEntry, UpstreamList, UpstreamListChanges,
+};
+use badgerfield_core::replicas::{
+    AttemptOutcome, ListGap, PromptPart, UpstreamCriteria, UpstreamTable,
 };
-use badgerfield_core::replicas::{Health, Lacking, PromptPart, Replicas, Wanted};
 use badgerfield_core::residency::EVERYWHERE;
 
 fn service(name: &str) -> Service {
@@ -20,8 +22,8 @@
     format!("u-{n}").parse().expect("the name is valid")
 }
 
-fn info(n: usize, leaving: bool) -> ReplicaInfo {
-    ReplicaInfo {
+fn info(n: usize, leaving: bool) -> ListedUpstream {
+    ListedUpstream {
         id: id(n),
         service: service("pool"),
         address: format!("10.0.0.{n}:80").parse().expect("the address is valid"),
@@ -29,44 +31,44 @@
         version: None,
         slots: 8,
         leaving,
-        born: None,
+        started_at: None,
     }
 }
 
-fn entry(revision: u64, info: ReplicaInfo) -> ReplicaEntry {
-    ReplicaEntry { revision, info, warm_in: Duration::ZERO }
+fn entry(revision: u64, info: ListedUpstream) -> UpstreamEntry {
+    UpstreamEntry { revision, info, warm_in: Duration::ZERO }
 }
 
-fn list(revision: u64, replicas: Vec<ReplicaInfo>) -> ReplicaList {
+fn list(revision: u64, replicas: Vec<ListedUpstream>) -> UpstreamList {
     let entry = |info| entry(revision, info);
-    ReplicaList { revision, replicas: replicas.into_iter().map(entry).collect() }
+    UpstreamList { revision, entries: replicas.into_iter().map(entry).collect() }
 }
 
-fn table(count: usize) -> Replicas {
-    let mut table = Replicas::default();
-    table.learn(Time::default(), list(1, (1..=count).map(|n| info(n, false)).collect()));
+fn table(count: usize) -> UpstreamTable {
+    let mut table = UpstreamTable::default();
+    table.apply_list(Time::default(), list(1, (1..=count).map(|n| info(n, false)).collect()));
     table
 }
 
-fn choose(table: &Replicas, now: Time, parts: &[PromptPart], draw: u64) -> Option<UpstreamId> {
+fn choose(table: &UpstreamTable, now: Time, parts: &[PromptPart], draw: u64) -> Option<UpstreamId> {
     let service = service("pool");
-    let wanted = Wanted {
+    let wanted = UpstreamCriteria {
         service: &service,
         route: "r",
         parts,
         bytes: 0,
         residency: &EVERYWHERE,
         tried: &[],
-        resumes: None,
-        connections: 4,
-        draw,
-        alike: None,
+        resumed_version: None,
+        max_connections: 4,
+        random: draw,
+        rendezvous_key: None,
     };
     table.choose(now, &wanted).map(|chosen| chosen.id)
 }
 
 /// Returns everybody who is chosen over many draws.
-fn chosen(table: &Replicas, now: Time) -> BTreeSet<UpstreamId> {
+fn chosen(table: &UpstreamTable, now: Time) -> BTreeSet<UpstreamId> {
     (0..500).filter_map(|draw| choose(table, now, &[], draw * 7919)).collect()
 }
 
@@ -78,15 +80,15 @@
 fn who_leaves_gets_nothing() {
     let mut table = table(3);
     assert_eq!(chosen(&table, at(0)).len(), 3);
-    table.learn(at(10), list(2, vec![info(1, true), info(2, false), info(3, false)]));
+    table.apply_list(at(10), list(2, vec![info(1, true), info(2, false), info(3, false)]));
     assert_eq!(chosen(&table, at(10)), BTreeSet::from([id(2), id(3)]));
 }
 
 #[test]
 fn an_older_list_brings_nobody_back() {
     let mut table = table(2);
-    table.learn(at(10), list(5, vec![info(1, true), info(2, false)]));
-    table.learn(at(20), list(4, vec![info(1, false), info(2, false)]));
+    table.apply_list(at(10), list(5, vec![info(1, true), info(2, false)]));
+    table.apply_list(at(20), list(4, vec![info(1, false), info(2, false)]));
     assert_eq!(chosen(&table, at(20)), BTreeSet::from([id(2)]));
 }
 
@@ -95,20 +97,20 @@
     // Seen as a broken DRAIN rule: of three entries two had vanished within two seconds,
     // which was taken for a lapse of all leases.
     let mut table = table(3);
-    table.learn(at(10), list(2, vec![info(2, false), info(3, false)]));
-    table.learn(at(900), list(3, vec![info(3, false)]));
+    table.apply_list(at(10), list(2, vec![info(2, false), info(3, false)]));
+    table.apply_list(at(900), list(3, vec![info(3, false)]));
     assert_eq!(chosen(&table, at(900)), BTreeSet::from([id(3)]));
-    table.learn(at(1000), list(4, Vec::new()));
+    table.apply_list(at(1000), list(4, Vec::new()));
     assert_eq!(chosen(&table, at(1000)), BTreeSet::new());
 }
 
 #[test]
 fn entries_that_vanish_all_at_once_may_be_used_for_a_moment() {
     let mut table = table(3);
-    table.learn(at(10), list(2, Vec::new()));
+    table.apply_list(at(10), list(2, Vec::new()));
     assert_eq!(chosen(&table, at(500)).len(), 3);
     assert_eq!(chosen(&table, at(2000)), BTreeSet::new());
-    table.learn(at(2100), list(3, vec![info(2, false)]));
+    table.apply_list(at(2100), list(3, vec![info(2, false)]));
     assert_eq!(chosen(&table, at(2100)), BTreeSet::from([id(2)]));
 }
 
@@ -116,15 +118,15 @@
 fn who_fails_rests_and_comes_back() {
     let mut table = table(2);
     for _ in 0..3 {
-        table.begin(at(0), &id(1), &[]);
-        table.end(at(0), &id(1), Health::Failed);
+        table.start_request(at(0), &id(1), &[]);
+        table.end_request(at(0), &id(1), AttemptOutcome::Failed);
     }
     assert_eq!(chosen(&table, at(1)), BTreeSet::from([id(2)]));
     for _ in 0..40 {
-        table.begin(at(9000), &id(1), &[]);
-        table.end(at(9000), &id(1), Health::Good);
+        table.start_request(at(9000), &id(1), &[]);
+        table.end_request(at(9000), &id(1), AttemptOutcome::Answered);
     }
-    table.begin(at(9000), &id(2), &[]);
+    table.start_request(at(9000), &id(2), &[]);
     assert_eq!(chosen(&table, at(9000)), BTreeSet::from([id(1)]));
 }
 
@@ -133,10 +135,10 @@
     let mut table = table(1);
     for _ in 0..4 {
         assert_eq!(choose(&table, at(0), &[], 1), Some(id(1)));
-        table.begin(at(0), &id(1), &[]);
+        table.start_request(at(0), &id(1), &[]);
     }
     assert_eq!(choose(&table, at(0), &[], 1), None);
-    table.end(at(1), &id(1), Health::Good);
+    table.end_request(at(1), &id(1), AttemptOutcome::Answered);
     assert_eq!(choose(&table, at(1), &[], 1), Some(id(1)));
 }
 
@@ -159,23 +161,23 @@
     let home = choose(&table, at(0), &parts, 0).expect("somebody serves");
     let service = service("pool");
     for _ in 0..50 {
-        table.begin(at(0), &home, &parts);
+        table.start_request(at(0), &home, &parts);
     }
-    let wanted = Wanted {
+    let wanted = UpstreamCriteria {
         service: &service,
         route: "r",
         parts: &parts,
         bytes: 0,
         residency: &EVERYWHERE,
         tried: &[],
-        resumes: None,
-        connections: 100,
-        draw: 0,
-        alike: None,
+        resumed_version: None,
+        max_connections: 100,
+        random: 0,
+        rendezvous_key: None,
     };
     let other = table.choose(at(1), &wanted).expect("somebody serves").id;
     assert_ne!(other, home);
-    let table_age = table.age().1.map(|t| at(1).since(t));
+    let table_age = table.last_update().1.map(|t| at(1).since(t));
     assert_eq!(table_age, Some(Duration::from_millis(1)));
 }
 
@@ -183,66 +185,75 @@
 fn an_entry_never_steps_back() {
     let mut table = table(2);
     // The list was read while the upstream began to leave: its entry is newer than the list.
-    table.learn(
+    table.apply_list(
         at(10),
-        ReplicaList {
+        UpstreamList {
             revision: 5,
-            replicas: vec![entry(8, info(1, true)), entry(4, info(2, false))],
+            entries: vec![entry(8, info(1, true)), entry(4, info(2, false))],
         },
     );
     // The watch goes on from the revision of the list, and tells an older state first.
-    let older =
-        ReplicaChanges { revision: 7, written: vec![entry(6, info(1, false))], gone: Vec::new() };
-    assert!(table.change(at(20), older).is_empty());
+    let older = UpstreamListChanges {
+        revision: 7,
+        written: vec![entry(6, info(1, false))],
+        gone: Vec::new(),
+    };
+    assert!(table.apply_changes(at(20), older).is_empty());
     assert_eq!(chosen(&table, at(20)), BTreeSet::from([id(2)]));
 }
 
 #[test]
 fn an_entry_written_after_a_late_word_of_its_end_stays() {
     let mut table = table(2);
-    let rewritten =
-        ReplicaChanges { revision: 9, written: vec![entry(9, info(1, false))], gone: Vec::new() };
-    table.change(at(10), rewritten);
-    let late = ReplicaChanges { revision: 8, written: Vec::new(), gone: vec![(id(1), 8)] };
-    assert!(table.change(at(20), late).is_empty());
+    let rewritten = UpstreamListChanges {
+        revision: 9,
+        written: vec![entry(9, info(1, false))],
+        gone: Vec::new(),
+    };
+    table.apply_changes(at(10), rewritten);
+    let late = UpstreamListChanges { revision: 8, written: Vec::new(), gone: vec![(id(1), 8)] };
+    assert!(table.apply_changes(at(20), late).is_empty());
     assert_eq!(chosen(&table, at(20)), BTreeSet::from([id(1), id(2)]));
 }
 
 #[test]
 fn a_change_takes_an_upstream_out_at_once() {
     let mut table = table(3);
-    let leaving = ReplicaChanges {
+    let leaving = UpstreamListChanges {
         revision: 2,
         written: vec![entry(2, info(1, true))],
         gone: vec![(id(2), 2)],
     };
-    assert_eq!(table.change(at(10), leaving), vec![id(1), id(2)]);
+    assert_eq!(table.apply_changes(at(10), leaving), vec![id(1), id(2)]);
     assert_eq!(chosen(&table, at(10)), BTreeSet::from([id(3)]));
 }
 
 #[test]
 fn equal_lists_have_equal_digests_and_others_do_not() {
     let (mut here, there) = (table(3), table(3));
-    assert_eq!(here.mark(), there.mark());
-    let leaving =
-        ReplicaChanges { revision: 2, written: vec![entry(2, info(1, true))], gone: Vec::new() };
-    let news = here.change(at(10), leaving);
-    assert_ne!(here.mark().digest, there.mark().digest);
+    assert_eq!(here.list_version(), there.list_version());
+    let leaving = UpstreamListChanges {
+        revision: 2,
+        written: vec![entry(2, info(1, true))],
+        gone: Vec::new(),
+    };
+    let news = here.apply_changes(at(10), leaving);
+    assert_ne!(here.list_version().digest, there.list_version().digest);
     // What one passes on makes the other's list the same, but says nothing of its age.
     let mut there = there;
-    there.change(at(20), here.changes_of(at(20), &news));
-    assert_eq!(here.mark().digest, there.mark().digest);
-    assert_eq!(there.mark().revision, 1);
+    there.apply_changes(at(20), here.changes_of(at(20), &news));
+    assert_eq!(here.list_version().digest, there.list_version().digest);
+    assert_eq!(there.list_version().revision, 1);
     there.confirm(at(30), 2);
-    assert_eq!(here.mark(), there.mark());
+    assert_eq!(here.list_version(), there.list_version());
 }
 
 #[test]
 fn a_whole_list_of_another_process_brings_its_end_of_an_upstream() {
     let (mut here, mut there) = (table(3), table(3));
-    let gone = ReplicaChanges { revision: 5, written: Vec::new(), gone: vec![(id(2), 5)] };
-    there.change(at(10), gone);
-    assert_eq!(here.learn(at(20), there.list(at(20))), vec![id(2)]);
+    let gone = UpstreamListChanges { revision: 5, written: Vec::new(), gone: vec![(id(2), 5)] };
+    there.apply_changes(at(10), gone);
+    assert_eq!(here.apply_list(at(20), there.list(at(20))), vec![id(2)]);
     assert_eq!(chosen(&here, at(20)), BTreeSet::from([id(1), id(3)]));
 }
 
@@ -252,7 +263,7 @@
     let divided = tables.each_mut().map(|table| {
         for n in 0..20 {
             for (route, prompt) in [("long", 9000), ("short", 800)] {
-                table.arrived(
+                table.record_arrival(
                     at(n * 50),
                     &service("pool"),
                     route,
@@ -260,8 +271,8 @@
                 );
             }
         }
-        let needs = table.needs(at(1000));
-        table.divide(&needs).len()
+        let needs = table.engine_demand(at(1000));
+        table.divide_engines(&needs).len()
     });
     assert_eq!(divided, [0, 1]);
 }
@@ -271,27 +282,32 @@
     let mut table = table(60);
     for n in 0..40 {
         for (route, prompt) in [("long", 9000), ("short", 800)] {
-            table.arrived(at(n * 50), &service("pool"), route, Size { prompt, own: prompt / 3 });
+            table.record_arrival(
+                at(n * 50),
+                &service("pool"),
+                route,
+                Size { prompt, own: prompt / 3 },
+            );
         }
     }
-    let needs = table.needs(at(2000));
-    table.divide(&needs);
+    let needs = table.engine_demand(at(2000));
+    table.divide_engines(&needs);
     let service = service("pool");
     let taken = [("long", 9000), ("short", 800)].map(|(route, tokens)| {
         let mut taken = BTreeSet::new();
         for id in 0..200 {
             let parts = [PromptPart { id, tokens }, PromptPart { id: 1000 + id, tokens: 100 }];
-            let wanted = Wanted {
+            let wanted = UpstreamCriteria {
                 service: &service,
                 route,
                 parts: &parts,
                 bytes: 0,
                 residency: &EVERYWHERE,
                 tried: &[],
-                resumes: None,
-                connections: 100,
-                draw: id * 7919,
-                alike: None,
+                resumed_version: None,
+                max_connections: 100,
+                random: id * 7919,
+                rendezvous_key: None,
             };
             taken.extend(table.choose(at(2000), &wanted).map(|chosen| chosen.id));
         }
@@ -305,27 +321,33 @@
 fn what_changed_since_a_revision_leads_to_the_same_list() {
     let mut ahead = table(40);
     let mut behind = table(40);
-    let since = behind.mark().revision;
+    let since = behind.list_version().revision;
     let written = vec![entry(5, info(3, true)), entry(6, info(41, false))];
     let gone = vec![(id(7), 8)];
-    ahead.change(at(10), ReplicaChanges { revision: 9, written, gone });
+    ahead.apply_changes(at(10), UpstreamListChanges { revision: 9, written, gone });
     let changes = ahead.changes_since(at(20), since).expect("nothing was forgotten");
     assert_eq!((changes.written.len(), changes.gone.len()), (2, 1), "{changes:?}");
-    behind.change(at(20), changes);
-    assert_eq!(behind.mark().digest, ahead.mark().digest);
+    behind.apply_changes(at(20), changes);
+    assert_eq!(behind.list_version().digest, ahead.list_version().digest);
 }
 
 #[test]
 fn what_went_too_long_ago_is_not_left_out_of_a_difference() {
     // A difference without the one that went would leave it in the other's list for good.
     let mut ahead = table(3);
-    ahead.change(at(10), ReplicaChanges { revision: 9, written: vec![], gone: vec![(id(2), 8)] });
+    ahead.apply_changes(
+        at(10),
+        UpstreamListChanges { revision: 9, written: vec![], gone: vec![(id(2), 8)] },
+    );
     assert!(ahead.changes_since(at(20), 1).is_some());
-    ahead.change(at(40_000), ReplicaChanges { revision: 12, ..ReplicaChanges::default() });
+    ahead.apply_changes(
+        at(40_000),
+        UpstreamListChanges { revision: 12, ..UpstreamListChanges::default() },
+    );
     assert_eq!(ahead.changes_since(at(40_000), 1), None);
     assert!(ahead.changes_since(at(40_000), 9).is_some());
-    let mut young = Replicas::default();
-    young.learn(at(0), list(30, vec![info(1, false)]));
+    let mut young = UpstreamTable::default();
+    young.apply_list(at(0), list(30, vec![info(1, false)]));
     assert_eq!(young.changes_since(at(10), 20), None, "it never knew what went before 30");
 }
 
@@ -334,49 +356,50 @@
     let mut teller = table(5);
     let mut here = table(5);
     // Something newer came first from elsewhere, so that the lists never are the same.
-    here.change(
+    here.apply_changes(
         at(5),
-        ReplicaChanges { written: vec![entry(9, info(4, true))], ..Default::default() },
+        UpstreamListChanges { written: vec![entry(9, info(4, true))], ..Default::default() },
     );
-    teller.change(
+    teller.apply_changes(
         at(10),
-        ReplicaChanges { revision: 6, written: vec![entry(5, info(3, true))], gone: vec![] },
+        UpstreamListChanges { revision: 6, written: vec![entry(5, info(3, true))], gone: vec![] },
     );
     let changes = teller.changes_since(at(10), 1).expect("nothing was forgotten");
-    let (news, lacking) = here.hear(at(20), changes, 1, teller.mark());
-    assert_eq!((news, lacking), (vec![id(3)], Lacking::Nothing));
-    assert_eq!(here.age(), (6, Some(at(20))));
+    let (news, lacking) = here.apply_update(at(20), changes, 1, teller.list_version());
+    assert_eq!((news, lacking), (vec![id(3)], ListGap::Nothing));
+    assert_eq!(here.last_update(), (6, Some(at(20))));
 }
 
 #[test]
 fn news_after_a_gap_is_used_and_does_not_count_as_all() {
     let mut teller = table(5);
     let mut here = table(5);
-    teller.change(
+    teller.apply_changes(
         at(10),
-        ReplicaChanges { revision: 6, written: vec![entry(5, info(3, true))], gone: vec![] },
+        UpstreamListChanges { revision: 6, written: vec![entry(5, info(3, true))], gone: vec![] },
     );
-    teller.change(
+    teller.apply_changes(
         at(11),
-        ReplicaChanges { revision: 8, written: vec![entry(7, info(2, true))], gone: vec![] },
+        UpstreamListChanges { revision: 8, written: vec![entry(7, info(2, true))], gone: vec![] },
     );
     let changes = teller.changes_since(at(11), 6).expect("nothing was forgotten");
-    let (news, lacking) = here.hear(at(20), changes, 6, teller.mark());
-    assert_eq!((news, lacking), (vec![id(2)], Lacking::Changes));
-    assert_eq!(here.age().0, 1, "it has not heard of upstream 3");
+    let (news, lacking) = here.apply_update(at(20), changes, 6, teller.list_version());
+    assert_eq!((news, lacking), (vec![id(2)], ListGap::Changes));
+    assert_eq!(here.last_update().0, 1, "it has not heard of upstream 3");
     // What it asks for then closes the gap.
     let changes = teller.changes_since(at(30), 1).expect("nothing was forgotten");
-    assert_eq!(here.hear(at(30), changes, 1, teller.mark()).1, Lacking::Nothing);
-    assert_eq!(here.mark(), teller.mark());
+    assert_eq!(here.apply_update(at(30), changes, 1, teller.list_version()).1, ListGap::Nothing);
+    assert_eq!(here.list_version(), teller.list_version());
 }
 
 #[test]
 fn a_list_that_is_wrong_in_what_is_old_is_found_out() {
     let mut teller = table(5);
     let mut here = table(4);
-    teller.change(at(10), ReplicaChanges { revision: 6, ..Default::default() });
-    let (_, lacking) = here.hear(at(20), ReplicaChanges::default(), 1, teller.mark());
-    assert_eq!(lacking, Lacking::Whole);
+    teller.apply_changes(at(10), UpstreamListChanges { revision: 6, ..Default::default() });
+    let (_, lacking) =
+        here.apply_update(at(20), UpstreamListChanges::default(), 1, teller.list_version());
+    assert_eq!(lacking, ListGap::FullList);
 }
 
 #[test]
@@ -384,7 +407,7 @@
     // Upstreams write their entries each second; of 3,000 these would be most of what is told.
     let mut table = table(3);
     let again = vec![entry(8, info(1, false)), entry(9, info(2, true))];
-    table.change(at(10), ReplicaChanges { revision: 9, written: again, gone: vec![] });
+    table.apply_changes(at(10), UpstreamListChanges { revision: 9, written: again, gone: vec![] });
     let changes = table.changes_since(at(20), 1).expect("nothing was forgotten");
     let told: Vec<_> = changes.written.iter().map(|entry| entry.info.id.clone()).collect();
     assert_eq!(told, vec![id(2)]);
@@ -392,15 +415,16 @@
 
 #[test]
 fn who_heard_of_one_upstream_before_any_list_tells_no_difference_that_it_cannot_know() {
-    let mut young = Replicas::default();
-    let first = ReplicaChanges { written: vec![entry(25, info(1, false))], ..Default::default() };
-    young.hear(at(0), first, 24, ListMark { revision: 26, digest: 1 });
-    young.learn(at(10), list(30, vec![info(1, false), info(2, false)]));
+    let mut young = UpstreamTable::default();
+    let first =
+        UpstreamListChanges { written: vec![entry(25, info(1, false))], ..Default::default() };
+    young.apply_update(at(0), first, 24, ListVersion { revision: 26, digest: 1 });
+    young.apply_list(at(10), list(30, vec![info(1, false), info(2, false)]));
     assert_eq!(young.changes_since(at(20), 20), None);
 }
 
-fn started(n: usize, born: u64) -> ReplicaInfo {
-    ReplicaInfo { born: Some(born), ..info(n, false) }
+fn started(n: usize, born: u64) -> ListedUpstream {
+    ListedUpstream { started_at: Some(born), ..info(n, false) }
 }
 
 #[test]
@@ -409,23 +433,29 @@
     // left alone for up to 8 s for failures of the process that was gone, was sent prompts for
     // parts that it had no more, and got requests on connections that led nowhere.
     let mut table = table(0);
-    table.learn(at(0), list(1, vec![started(1, 1_000), started(2, 1_000)]));
+    table.apply_list(at(0), list(1, vec![started(1, 1_000), started(2, 1_000)]));
     let chain = [PromptPart { id: 7, tokens: 5000 }, PromptPart { id: 8, tokens: 10 }];
-    table.begin(at(0), &id(1), &chain);
+    table.start_request(at(0), &id(1), &chain);
     for _ in 0..4 {
-        table.begin(at(0), &id(1), &[]);
-        table.end(at(0), &id(1), Health::Failed);
+        table.start_request(at(0), &id(1), &[]);
+        table.end_request(at(0), &id(1), AttemptOutcome::Failed);
     }
     assert_eq!(chosen(&table, at(1)), BTreeSet::from([id(2)]));
-    let same =
-        ReplicaChanges { revision: 2, written: vec![entry(2, started(1, 1_000))], gone: vec![] };
-    table.change(at(2), same);
-    assert!(table.take_started_again().is_empty());
+    let same = UpstreamListChanges {
+        revision: 2,
+        written: vec![entry(2, started(1, 1_000))],
+        gone: vec![],
+    };
+    table.apply_changes(at(2), same);
+    assert!(table.take_restarted().is_empty());
     assert_eq!(chosen(&table, at(2)), BTreeSet::from([id(2)]));
-    let again =
-        ReplicaChanges { revision: 3, written: vec![entry(3, started(1, 5_000))], gone: vec![] };
-    assert_eq!(table.change(at(3), again), [id(1)]);
-    assert_eq!(table.take_started_again(), [id(1)]);
-    table.end(at(3), &id(1), Health::Unknown);
+    let again = UpstreamListChanges {
+        revision: 3,
+        written: vec![entry(3, started(1, 5_000))],
+        gone: vec![],
+    };
+    assert_eq!(table.apply_changes(at(3), again), [id(1)]);
+    assert_eq!(table.take_restarted(), [id(1)]);
+    table.end_request(at(3), &id(1), AttemptOutcome::Unknown);
     assert!(chosen(&table, at(4)).contains(&id(1)), "it rests for failures of another process");
 }
--- a/crates/badgerfield-core/tests/request_limits.rs
+++ b/crates/badgerfield-core/tests/request_limits.rs
@@ -4,8 +4,8 @@
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::{Service, UpstreamId, VmId};
-use badgerfield_core::replica_list::{ReplicaEntry, ReplicaInfo, ReplicaList};
-use badgerfield_core::replicas::{Health, Replicas, Wanted};
+use badgerfield_core::replica_list::{ListedUpstream, UpstreamEntry, UpstreamList};
+use badgerfield_core::replicas::{AttemptOutcome, UpstreamCriteria, UpstreamTable};
 use badgerfield_core::request_limit::{LimitNote, RequestLimit};
 use badgerfield_core::residency::EVERYWHERE;
 use badgerfield_core::warm_up::Senders;
@@ -45,10 +45,10 @@
     RequestLimit::per_second(rate).expect("the limit is valid")
 }
 
-fn table(upstreams: usize) -> Replicas {
-    let entry = |n| ReplicaEntry {
+fn table(upstreams: usize) -> UpstreamTable {
+    let entry = |n| UpstreamEntry {
         revision: 1,
-        info: ReplicaInfo {
+        info: ListedUpstream {
             id: upstream(n),
             service: service(),
             address: ([10, 0, 0, 1], 80).into(),
@@ -56,33 +56,33 @@
             version: None,
             slots: 48,
             leaving: false,
-            born: None,
+            started_at: None,
         },
         warm_in: Duration::ZERO,
     };
-    let mut table = Replicas::default();
+    let mut table = UpstreamTable::default();
     let replicas = (0..upstreams).map(entry).collect();
-    table.learn(Time::default(), ReplicaList { revision: 1, replicas });
+    table.apply_list(Time::default(), UpstreamList { revision: 1, entries: replicas });
     table
 }
 
-fn choose(table: &mut Replicas, now: Time, draw: u64) -> Option<UpstreamId> {
+fn choose(table: &mut UpstreamTable, now: Time, draw: u64) -> Option<UpstreamId> {
     let service = service();
-    table.want(now, &service);
-    let wanted = Wanted {
+    table.record_request(now, &service);
+    let wanted = UpstreamCriteria {
         service: &service,
         route: "r",
         parts: &[],
         bytes: 0,
         residency: &EVERYWHERE,
         tried: &[],
-        resumes: None,
-        connections: 100,
-        draw,
-        alike: None,
+        resumed_version: None,
+        max_connections: 100,
+        random: draw,
+        rendezvous_key: None,
     };
     let id = table.choose(now, &wanted)?.id;
-    table.begin(now, &id, &[]);
+    table.start_request(now, &id, &[]);
     Some(id)
 }
 
@@ -90,7 +90,7 @@
 struct Fleet {
     rng: ChaCha8Rng,
     now: u64,
-    tables: Vec<Replicas>,
+    tables: Vec<UpstreamTable>,
     /// Which VMs have requests.
     wants: Vec<bool>,
     /// Which VMs are members.
@@ -171,14 +171,14 @@
         }
         let time = Time::from_millis(now);
         for (_, me) in self.answers.extract_if(.., |(at, _)| *at <= now) {
-            self.tables[me].hear_limit(time, &upstream(0), self.limit.map(limit));
-            self.tables[me].end(time, &upstream(0), Health::Good);
+            self.tables[me].record_limit(time, &upstream(0), self.limit.map(limit));
+            self.tables[me].end_request(time, &upstream(0), AttemptOutcome::Answered);
             if self.limit.is_some() {
                 self.told[me].get_or_insert(now);
             }
         }
         for (_, me, notes) in self.notes.extract_if(.., |(at, ..)| *at <= now) {
-            self.tables[me].learn_limits(time, &notes);
+            self.tables[me].apply_limit_reports(time, &notes);
         }
     }
 
@@ -203,7 +203,7 @@
             if !self.active[me] || !(self.now + phase).is_multiple_of(TELL_EVERY) {
                 continue;
             }
-            let notes = self.tables[me].limit_notes(Time::from_millis(self.now));
+            let notes = self.tables[me].limit_reports(Time::from_millis(self.now));
             if notes.is_empty() {
                 continue;
             }
@@ -332,11 +332,11 @@
     table.set_senders(Time::default(), Senders::new(&vm(0), &[vm(0)]));
     let at = Time::from_millis;
     let begun = at(1000);
-    assert!(table.admits_begun(at(1100), &upstream(0), begun));
-    table.hear_limit(at(1200), &upstream(0), Some(limit(1.0)));
-    assert!(!table.admits_begun(at(1300), &upstream(0), begun), "nothing may be sent yet");
-    assert!(table.admits_begun(at(2300), &upstream(0), begun));
-    assert!(!table.admits_begun(at(2300), &upstream(0), begun), "the permit is taken");
+    assert!(table.can_still_send(at(1100), &upstream(0), begun));
+    table.record_limit(at(1200), &upstream(0), Some(limit(1.0)));
+    assert!(!table.can_still_send(at(1300), &upstream(0), begun), "nothing may be sent yet");
+    assert!(table.can_still_send(at(2300), &upstream(0), begun));
+    assert!(!table.can_still_send(at(2300), &upstream(0), begun), "the permit is taken");
 }
 
 #[test]
@@ -346,7 +346,7 @@
     awake.set_senders(Time::default(), Senders::new(&vm(0), &[vm(0), vm(1)]));
     let mut alone = table(1);
     for table in [&mut awake, &mut alone] {
-        table.hear_limit(at(1000), &upstream(0), Some(limit(2.0)));
+        table.record_limit(at(1000), &upstream(0), Some(limit(2.0)));
     }
     let sent = (0..100).filter(|draw| choose(&mut awake, at(600_000), *draw).is_some()).count();
     assert_eq!(sent, 1);
@@ -359,11 +359,11 @@
     let at = Time::from_millis;
     let (mut one, mut other) = (table(1), table(1));
     for table in [&mut one, &mut other] {
-        table.hear_limit(at(1000), &upstream(0), Some(limit(1.234_567_8)));
+        table.record_limit(at(1000), &upstream(0), Some(limit(1.234_567_8)));
     }
-    one.hear_limit(at(2000), &upstream(0), Some(limit(1.234_567_8)));
-    let notes = one.limit_notes(at(2000));
-    assert_eq!(other.learn_limits(at(2100), &notes), [], "nothing has changed");
+    one.record_limit(at(2000), &upstream(0), Some(limit(1.234_567_8)));
+    let notes = one.limit_reports(at(2000));
+    assert_eq!(other.apply_limit_reports(at(2100), &notes), [], "nothing has changed");
 }
 
 #[test]
--- a/crates/badgerfield-core/tests/residency.rs
+++ b/crates/badgerfield-core/tests/residency.rs
@@ -7,8 +7,8 @@
 use badgerfield_core::amount::{Percent, Time, Tokens};
 use badgerfield_core::evacuation::DomainChange;
 use badgerfield_core::ids::{Account, Domain, Region, Service, UpstreamId, Version};
-use badgerfield_core::replica_list::{ReplicaEntry, ReplicaInfo, ReplicaList};
-use badgerfield_core::replicas::{Health, PromptPart, Replicas, Wanted};
+use badgerfield_core::replica_list::{ListedUpstream, UpstreamEntry, UpstreamList};
+use badgerfield_core::replicas::{AttemptOutcome, PromptPart, UpstreamCriteria, UpstreamTable};
 use badgerfield_core::residency::{Admission, EVERYWHERE, RegionMap, Residency, ResidencyFault};
 use badgerfield_core::routing::{Repeat, Route, RouteTable, Routing, Split};
 use badgerfield_core::template::{AccountTemplate, TemplateSet};
@@ -42,10 +42,10 @@
     "tenant".parse().expect("a name")
 }
 
-fn replicas() -> Replicas {
+fn replicas() -> UpstreamTable {
     let entry = |n: usize| {
         let domain: Domain = DOMAINS[n % DOMAINS.len()].parse().expect("a name");
-        let info = ReplicaInfo {
+        let info = ListedUpstream {
             id: format!("{domain}.{n}").parse().expect("a name"),
             service: service(),
             address: ([127, 0, 0, 1], 9000).into(),
@@ -53,14 +53,14 @@
             version: None,
             slots: 8,
             leaving: false,
-            born: None,
+            started_at: None,
         };
-        ReplicaEntry { revision: 1, info, warm_in: Duration::ZERO }
+        UpstreamEntry { revision: 1, info, warm_in: Duration::ZERO }
     };
-    let mut table = Replicas::default();
+    let mut table = UpstreamTable::default();
     table.set_regions(map());
-    let list = ReplicaList { revision: 1, replicas: (0..21).map(entry).collect() };
-    table.learn(Time::default(), list);
+    let list = UpstreamList { revision: 1, entries: (0..21).map(entry).collect() };
+    table.apply_list(Time::default(), list);
     table
 }
 
@@ -158,7 +158,7 @@
 struct Process {
     version: Version,
     table: RouteTable,
-    replicas: Replicas,
+    replicas: UpstreamTable,
 }
 
 impl Process {
@@ -176,22 +176,27 @@
         let newest = || self.table.residency_at(HOST, "/x", Some(&account()));
         let residency = waiting.admission.residency_now(self.version, newest);
         let parts = [PromptPart { id: draw % 5, tokens: 900 }, PromptPart { id: draw, tokens: 90 }];
-        let wanted = Wanted {
+        let wanted = UpstreamCriteria {
             service: &service(),
             route: "route",
             parts: if draw.is_multiple_of(3) { &[] } else { &parts },
             bytes: 0,
             residency: &residency,
             tried: &waiting.tried,
-            resumes: None,
-            connections: 6,
-            draw,
-            alike: None,
+            resumed_version: None,
+            max_connections: 6,
+            random: draw,
+            rendezvous_key: None,
         };
         let id = self.replicas.choose(now, &wanted)?.id;
-        self.replicas.begin(now, &id, wanted.parts);
-        let healths = [Health::Good, Health::Good, Health::Failed, Health::Full];
-        self.replicas.end(now, &id, healths[usize::try_from(draw % 4).unwrap_or(0)]);
+        self.replicas.start_request(now, &id, wanted.parts);
+        let healths = [
+            AttemptOutcome::Answered,
+            AttemptOutcome::Answered,
+            AttemptOutcome::Failed,
+            AttemptOutcome::Full,
+        ];
+        self.replicas.end_request(now, &id, healths[usize::try_from(draw % 4).unwrap_or(0)]);
         waiting.tried.push(id.clone());
         Some(id)
     }
@@ -241,7 +246,7 @@
                         revision: step,
                         evacuated: rng.random_bool(0.5),
                     };
-                    process.replicas.evacuate(now, &[change]);
+                    process.replicas.apply_evacuations(now, &[change]);
                 }
                 3..10 => {
                     let admission = process.admit();
--- a/crates/badgerfield-core/tests/retry_budget.rs
+++ b/crates/badgerfield-core/tests/retry_budget.rs
@@ -5,11 +5,11 @@
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::Service;
-use badgerfield_core::retry_budget::{RetryBound, RetryBudget};
+use badgerfield_core::retry_budget::{RetryBudget, RetryLimits};
 use proptest::prelude::*;
 
-const BOUND: RetryBound =
-    RetryBound { ratio: 0.2, allowance: 50.0, window: Duration::from_secs(10) };
+const BOUND: RetryLimits =
+    RetryLimits { ratio: 0.2, allowance: 50.0, window: Duration::from_secs(10) };
 const VMS: usize = 5;
 
 proptest! {
@@ -28,7 +28,7 @@
                 requests.push(now);
                 continue;
             }
-            if vms[vm].take(time, &service, VMS) {
+            if vms[vm].try_take(time, &service, VMS) {
                 repeats.push(now);
             }
             let within = |times: &[u64]| times.iter().filter(|t| now - **t <= 10_000).count();
@@ -43,7 +43,7 @@
 fn a_fleet_without_requests_has_its_allowance_only() {
     let service: Service = "pool".parse().expect("the name is valid");
     let mut budget = RetryBudget::new(BOUND);
-    let taken = (0..100).filter(|_| budget.take(Time::default(), &service, VMS)).count();
+    let taken = (0..100).filter(|_| budget.try_take(Time::default(), &service, VMS)).count();
     assert!(taken >= 1, "some repeats are allowed");
     assert!(taken <= 10, "{taken} of the ten that are this VM's share");
 }
--- a/crates/badgerfield-core/tests/rollout_beliefs.rs
+++ b/crates/badgerfield-core/tests/rollout_beliefs.rs
@@ -4,10 +4,12 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use badgerfield_core::rollout::{Beliefs, Known, OrderChange, Phase, Reason, RolloutOrder, Stage};
+use badgerfield_core::rollout::{
+    Beliefs, Known, OrderChange, Reason, RolloutOrder, RolloutPhase, Stage,
+};
 use proptest::prelude::*;
 
-fn known(service: u8, revision: u64, phase: Option<Phase>) -> Known {
+fn known(service: u8, revision: u64, phase: Option<RolloutPhase>) -> Known {
     let order = RolloutOrder {
         target: format!("v{revision}").parse().expect("a version"),
         span: Duration::from_secs(60),
@@ -23,18 +25,18 @@
 fn news() -> impl Strategy<Value = Vec<Known>> {
     let phase = prop_oneof![
         Just(None),
-        Just(Some(Phase::Canary)),
-        Just(Some(Phase::Moving)),
-        Just(Some(Phase::Rejected)),
-        Just(Some(Phase::RolledBack)),
-        Just(Some(Phase::Completed)),
+        Just(Some(RolloutPhase::Canary)),
+        Just(Some(RolloutPhase::Moving)),
+        Just(Some(RolloutPhase::Rejected)),
+        Just(Some(RolloutPhase::RolledBack)),
+        Just(Some(RolloutPhase::Completed)),
     ];
     let one = (0..3_u8, 1..6_u64, phase).prop_map(|(s, r, p)| known(s, r, p));
     proptest::collection::vec(one, 0..20)
 }
 
 /// Returns what a process knows of a service, in the order in which it may only grow.
-fn place(beliefs: &Beliefs, service: u8) -> Option<(u64, Option<Phase>)> {
+fn place(beliefs: &Beliefs, service: u8) -> Option<(u64, Option<RolloutPhase>)> {
     let service = format!("service-{service}").parse().expect("a service");
     beliefs.get(&service).map(|known| (known.change.revision, known.phase()))
 }
@@ -84,7 +86,7 @@
 #[test]
 fn an_old_read_withdraws_nothing_newer() {
     let mut beliefs = Beliefs::default();
-    beliefs.learn([known(0, 5, Some(Phase::Canary))]);
+    beliefs.learn([known(0, 5, Some(RolloutPhase::Canary))]);
     assert_eq!(beliefs.learn_all(4, Vec::new()), Vec::new());
     let turned = beliefs.learn_all(9, Vec::new());
     assert_eq!(turned.len(), 1);
--- a/crates/badgerfield-core/tests/rollout_recorder.rs
+++ b/crates/badgerfield-core/tests/rollout_recorder.rs
@@ -5,7 +5,7 @@
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::Incarnation;
 use badgerfield_core::rollout::{
-    Call, Counts, Known, OrderChange, Phase, Reason, Recorder, RolloutOrder, RolloutRecord,
+    Call, Counts, Known, OrderChange, Reason, Recorder, RolloutOrder, RolloutPhase, RolloutRecord,
     RolloutState, RolloutTally, RouteTally, Situation, Stage,
 };
 use badgerfield_core::seal::FleetClock;
@@ -82,7 +82,7 @@
     recorder.lost();
     assert_eq!(recorder.step(&at(&known, 700, 0, &[])), Some(Call::Read));
     let stage = recorder.found(9, Some(record(7, RolloutState::InProgress, false)), &known);
-    assert_eq!(stage.map(|stage| stage.phase), Some(Phase::Canary));
+    assert_eq!(stage.map(|stage| stage.phase), Some(RolloutPhase::Canary));
     assert_eq!(recorder.step(&at(&known, 1300, 0, &[])), None);
 }
 
@@ -91,7 +91,7 @@
 fn an_end_is_final() {
     for state in [RolloutState::RolledBack, RolloutState::Completed] {
         let record = record(7, state, true);
-        let rejected = Stage { phase: Phase::Rejected, ..Stage::of(&record) };
+        let rejected = Stage { phase: RolloutPhase::Rejected, ..Stage::of(&record) };
         let known = known(7, Some(rejected));
         let mut recorder = Recorder::default();
         recorder.step(&at(&known, 0, 0, &[]));
@@ -197,7 +197,8 @@
 #[test]
 fn a_rejected_version_is_recorded_as_rolled_back() {
     let open = record(7, RolloutState::InProgress, false);
-    let stage = Stage { phase: Phase::Rejected, reason: Reason::Failures, ..Stage::of(&open) };
+    let stage =
+        Stage { phase: RolloutPhase::Rejected, reason: Reason::Failures, ..Stage::of(&open) };
     let known = known(7, Some(stage));
     let call = reader(open, &known).step(&at(&known, 1000, 0, &[ME]));
     let is_back = |next: &RolloutRecord| {
--- a/crates/badgerfield-core/tests/tally.rs
+++ b/crates/badgerfield-core/tests/tally.rs
@@ -4,8 +4,8 @@
 
 use badgerfield_core::amount::{Percent, Time};
 use badgerfield_core::ids::{Service, UpstreamId};
-use badgerfield_core::replica_list::{ReplicaEntry, ReplicaInfo, ReplicaList};
-use badgerfield_core::replicas::{Health, Replicas};
+use badgerfield_core::replica_list::{ListedUpstream, UpstreamEntry, UpstreamList};
+use badgerfield_core::replicas::{AttemptOutcome, UpstreamTable};
 use badgerfield_core::rollout::tally::{Pace, Seen, Tallies};
 use badgerfield_core::rollout::{Allowance, Counts, RolloutRule, RolloutTally};
 
@@ -177,10 +177,10 @@
     assert_eq!(told.sums().0, counts(500, 0, 0));
 }
 
-fn upstream(name: &str, n: u32) -> ReplicaEntry {
-    ReplicaEntry {
+fn upstream(name: &str, n: u32) -> UpstreamEntry {
+    UpstreamEntry {
         revision: 1,
-        info: ReplicaInfo {
+        info: ListedUpstream {
             id: format!("{name}-{n}").parse().expect("the name is valid"),
             service: service(),
             address: "10.0.0.1:80".parse().expect("the address is valid"),
@@ -188,17 +188,17 @@
             version: Some(name.parse().expect("the name is valid")),
             slots: 8,
             leaving: false,
-            born: None,
+            started_at: None,
         },
         warm_in: Duration::ZERO,
     }
 }
 
 /// Returns a table with two old upstreams and a new one.
-fn table(now: Time) -> Replicas {
-    let mut table = Replicas::default();
+fn table(now: Time) -> UpstreamTable {
+    let mut table = UpstreamTable::default();
     let replicas = vec![upstream("v1", 1), upstream("v1", 2), upstream("v2", 1)];
-    table.learn(now, ReplicaList { revision: 1, replicas });
+    table.apply_list(now, UpstreamList { revision: 1, entries: replicas });
     table
 }
 
@@ -207,17 +207,17 @@
     // An outage of the old version must not make each of its failures a message.
     let [old, new] = ["v1-1", "v2-1"].map(|id| id.parse::<UpstreamId>().expect("a name"));
     let mut table = table(Time::default());
-    assert!(!table.failed(&new, "r", None), "nobody asks yet");
-    table.set_rollouts(vec![rule(7, "v2", share())]);
-    assert!(!table.failed(&old, "r", None));
-    assert!(table.failed(&new, "r", None));
+    assert!(!table.record_failure(&new, "r", None), "nobody asks yet");
+    table.set_rollout_rules(vec![rule(7, "v2", share())]);
+    assert!(!table.record_failure(&old, "r", None));
+    assert!(table.record_failure(&new, "r", None));
     for _ in 0..20 {
         assert_eq!(table.answered(&old, "r", millis(40), 0), Some((Pace::Usual, false)));
     }
     assert_eq!(table.answered(&old, "r", millis(900), 0), Some((Pace::Slow, false)));
     assert_eq!(table.answered(&new, "r", millis(900), 0), Some((Pace::Slow, true)));
-    assert!(!table.given_up(&old, "r", millis(900), 0));
-    assert!(table.given_up(&new, "r", millis(900), 0));
+    assert!(!table.record_abandoned(&old, "r", millis(900), 0));
+    assert!(table.record_abandoned(&new, "r", millis(900), 0));
 }
 
 #[test]
@@ -225,16 +225,16 @@
     let now = Time::from_millis(100);
     let mut table = table(now);
     let old: UpstreamId = "v1-1".parse().expect("the name is valid");
-    table.begin(now, &old, &[]);
-    table.set_rollouts(vec![rule(7, "v2", share())]);
-    let told = |table: &Replicas| table.rollout_tallies(now)[0].clone();
+    table.start_request(now, &old, &[]);
+    table.set_rollout_rules(vec![rule(7, "v2", share())]);
+    let told = |table: &UpstreamTable| table.rollout_tallies(now)[0].clone();
     assert_eq!((told(&table).running, told(&table).ready, told(&table).moved), (1, 1, false));
-    table.set_rollouts(vec![rule(7, "v2", Allowance::All)]);
+    table.set_rollout_rules(vec![rule(7, "v2", Allowance::All)]);
     assert_eq!((told(&table).running, told(&table).moved), (1, true));
     // Also when the list names it no longer: a stream there has not ended.
     let replicas = vec![upstream("v1", 2), upstream("v2", 1)];
-    table.learn(Time::from_millis(60_000), ReplicaList { revision: 2, replicas });
+    table.apply_list(Time::from_millis(60_000), UpstreamList { revision: 2, entries: replicas });
     assert_eq!(told(&table).running, 1);
-    table.end(now, &old, Health::Good);
+    table.end_request(now, &old, AttemptOutcome::Answered);
     assert_eq!(told(&table).running, 0);
 }
--- a/crates/badgerfield-core/tests/waiting.rs
+++ b/crates/badgerfield-core/tests/waiting.rs
@@ -48,7 +48,7 @@
     assert_eq!(served(&mut holdings), [RunId(1)]);
     for _ in 0..BEFORE {
         end(&mut holdings, 30);
-        assert_eq!(ask(&mut holdings, 30, RunId(1), 5_000), ReserveOutcome::Done(Period(1)));
+        assert_eq!(ask(&mut holdings, 30, RunId(1), 5_000), ReserveOutcome::Reserved(Period(1)));
     }
     assert_eq!(holdings.balance(&budget()).free, Tokens(67));
     holdings
