--- a/crates/badgerfield-core/tests/warm_up.rs
+++ b/crates/badgerfield-core/tests/warm_up.rs
@@ -6,8 +6,10 @@
 use badgerfield_core::amount::Time;
 use badgerfield_core::evacuation::DomainChange;
 use badgerfield_core::ids::{Service, UpstreamId, VmId};
-use badgerfield_core::replica_list::{ReplicaChanges, ReplicaEntry, ReplicaInfo, ReplicaList};
-use badgerfield_core::replicas::{Replicas, Wanted};
+use badgerfield_core::replica_list::{
+    ListedUpstream, UpstreamEntry, UpstreamList, UpstreamListChanges,
+};
+use badgerfield_core::replicas::{UpstreamCriteria, UpstreamTable};
 use badgerfield_core::residency::EVERYWHERE;
 use badgerfield_core::warm_up::{Senders, Share, WarmUp, WarmUpBound};
 use rand::{RngExt, SeedableRng};
@@ -29,8 +31,8 @@
     Time::from_millis(millis)
 }
 
-fn entry(n: u32, revision: u64, warm_in: u64) -> ReplicaEntry {
-    let info = ReplicaInfo {
+fn entry(n: u32, revision: u64, warm_in: u64) -> UpstreamEntry {
+    let info = ListedUpstream {
         id: format!("u-{n}").parse().expect("the name is valid"),
         service: service(),
         address: ([10, 0, 0, 1], 80).into(),
@@ -38,9 +40,9 @@
         version: None,
         slots: 48,
         leaving: false,
-        born: None,
+        started_at: None,
     };
-    ReplicaEntry { revision, info, warm_in: Duration::from_millis(warm_in) }
+    UpstreamEntry { revision, info, warm_in: Duration::from_millis(warm_in) }
 }
 
 fn vm(n: usize) -> VmId {
@@ -48,38 +50,38 @@
 }
 
 /// Returns the table of one of several VMs.
-fn table(me: usize, vms: usize, replicas: Vec<ReplicaEntry>) -> Replicas {
-    let mut table = Replicas::default();
+fn table(me: usize, vms: usize, replicas: Vec<UpstreamEntry>) -> UpstreamTable {
+    let mut table = UpstreamTable::default();
     table.set_warm_up_bound(Some(BOUND), SENDERS);
     table.set_warm_ups(BTreeMap::from([(service(), warm_up())]));
     view(&mut table, at(0), me, vms);
-    table.learn(at(0), ReplicaList { revision: 1, replicas });
+    table.apply_list(at(0), UpstreamList { revision: 1, entries: replicas });
     table
 }
 
 /// Lets a table know a view of the first so many VMs.
-fn view(table: &mut Replicas, now: Time, me: usize, vms: usize) {
+fn view(table: &mut UpstreamTable, now: Time, me: usize, vms: usize) {
     let members: Vec<_> = (0..vms).map(vm).collect();
     table.set_senders(now, Senders::new(&vm(me), &members));
 }
 
 /// Sends a request, if the table has an upstream for it.
-fn send(table: &mut Replicas, now: Time, draw: u64) -> Option<UpstreamId> {
+fn send(table: &mut UpstreamTable, now: Time, draw: u64) -> Option<UpstreamId> {
     let service = service();
-    let wanted = Wanted {
+    let wanted = UpstreamCriteria {
         service: &service,
         route: "r",
         parts: &[],
         bytes: 0,
         residency: &EVERYWHERE,
         tried: &[],
-        resumes: None,
-        connections: 100,
-        draw,
-        alike: None,
+        resumed_version: None,
+        max_connections: 100,
+        random: draw,
+        rendezvous_key: None,
     };
     let id = table.choose(now, &wanted)?.id;
-    table.begin(now, &id, &[]);
+    table.start_request(now, &id, &[]);
     Some(id)
 }
 
@@ -160,7 +162,7 @@
     let mut table = table(0, 3, vec![entry(1, 1, 3000)]);
     table.set_senders(at(0), Senders::default());
     assert_eq!(send(&mut table, at(1000), 1), None);
-    assert_eq!(table.warm_in(at(1000), &service()), Some(Duration::from_millis(2000)));
+    assert_eq!(table.time_until_warm(at(1000), &service()), Some(Duration::from_millis(2000)));
     assert!(send(&mut table, at(3001), 1).is_some(), "it is warm");
 }
 
@@ -168,18 +170,26 @@
 fn an_upstream_may_turn_cold_and_warm_at_any_moment() {
     let mut table = table(0, 1, vec![entry(1, 1, 0)]);
     assert!(send(&mut table, at(0), 1).is_some());
-    let change = |revision, warm_in| ReplicaChanges {
+    let change = |revision, warm_in| UpstreamListChanges {
         revision,
         written: vec![entry(1, revision, warm_in)],
         gone: Vec::new(),
     };
-    assert_eq!(table.change(at(100), change(2, 2000)).len(), 1, "turning cold is news");
+    assert_eq!(table.apply_changes(at(100), change(2, 2000)).len(), 1, "turning cold is news");
     assert_eq!(send(&mut table, at(100), 1), None);
-    assert_eq!(table.change(at(1300), change(3, 800)), Vec::new(), "that it still is, is none");
+    assert_eq!(
+        table.apply_changes(at(1300), change(3, 800)),
+        Vec::new(),
+        "that it still is, is none"
+    );
     // The same entry read once more does not make it cold for longer.
-    table.learn(at(2000), ReplicaList { revision: 4, replicas: vec![entry(1, 3, 800)] });
-    assert_eq!(table.warm_in(at(2000), &service()), Some(Duration::from_millis(100)));
-    assert_eq!(table.change(at(2050), change(5, 0)).len(), 1, "that it is warm again is news");
+    table.apply_list(at(2000), UpstreamList { revision: 4, entries: vec![entry(1, 3, 800)] });
+    assert_eq!(table.time_until_warm(at(2000), &service()), Some(Duration::from_millis(100)));
+    assert_eq!(
+        table.apply_changes(at(2050), change(5, 0)).len(),
+        1,
+        "that it is warm again is news"
+    );
     assert!(send(&mut table, at(2050), 1).is_some());
     assert!(send(&mut table, at(2051), 1).is_some());
 }
@@ -189,9 +199,10 @@
     let mut here = table(0, 87, vec![entry(1, 1, 0)]);
     let mut there = table(1, 87, vec![entry(1, 1, 0)]);
     let written = vec![entry(1, 2, 3000)];
-    let news = here.change(at(0), ReplicaChanges { revision: 2, written, gone: Vec::new() });
-    there.change(at(700), here.changes_of(at(700), &news));
-    assert_eq!(there.warm_in(at(700), &service()), Some(Duration::from_millis(2300)));
+    let news =
+        here.apply_changes(at(0), UpstreamListChanges { revision: 2, written, gone: Vec::new() });
+    there.apply_changes(at(700), here.changes_of(at(700), &news));
+    assert_eq!(there.time_until_warm(at(700), &service()), Some(Duration::from_millis(2300)));
 }
 
 fn evacuation(domain: u32, revision: u64, evacuated: bool) -> DomainChange {
@@ -202,19 +213,19 @@
 #[test]
 fn an_evacuated_domain_gets_nothing_and_comes_back_slowly() {
     let mut table = table(0, 1, (0..6).map(|n| entry(n, 1, 0)).collect());
-    let concerned = table.evacuate(at(0), &[evacuation(1, 9, true)]);
+    let concerned = table.apply_evacuations(at(0), &[evacuation(1, 9, true)]);
     assert_eq!(concerned.len(), 2);
     for draw in 0..300 {
         let id = send(&mut table, at(10), draw).expect("others serve");
         assert!(!concerned.contains(&id), "{id} was sent to");
-        table.end(at(10), &id, badgerfield_core::replicas::Health::Good);
+        table.end_request(at(10), &id, badgerfield_core::replicas::AttemptOutcome::Answered);
     }
     // One that starts there meanwhile gets nothing either.
     let written = vec![entry(7, 10, 0)];
-    table.change(at(20), ReplicaChanges { revision: 10, written, gone: Vec::new() });
-    assert_eq!(table.spared(at(20)), (3, 0));
-    table.evacuate(at(100), &[evacuation(1, 12, false)]);
-    assert_eq!(table.spared(at(100)), (0, 3), "they count as cold");
+    table.apply_changes(at(20), UpstreamListChanges { revision: 10, written, gone: Vec::new() });
+    assert_eq!(table.restricted_counts(at(20)), (3, 0));
+    table.apply_evacuations(at(100), &[evacuation(1, 12, false)]);
+    assert_eq!(table.restricted_counts(at(100)), (0, 3), "they count as cold");
     let mut back = 0;
     for draw in 0..300 {
         let id = send(&mut table, at(101 + draw * 5), draw * 7919).expect("others serve");
@@ -227,9 +238,9 @@
 fn all_domains_evacuated_leave_nobody() {
     let mut table = table(0, 1, (0..6).map(|n| entry(n, 1, 0)).collect());
     let all: Vec<_> = (0..3).map(|n| evacuation(n, 9, true)).collect();
-    table.evacuate(at(0), &all);
+    table.apply_evacuations(at(0), &all);
     assert_eq!(send(&mut table, at(10), 1), None);
-    assert_eq!(table.warm_in(at(10), &service()), None, "nobody knows when");
+    assert_eq!(table.time_until_warm(at(10), &service()), None, "nobody knows when");
 }
 
 #[test]
--- a/crates/badgerfield-node/src/adapter.rs
+++ b/crates/badgerfield-node/src/adapter.rs
@@ -10,7 +10,7 @@
 
 use badgerfield_core::event::{KvCall, KvResult, OperatorChanges};
 use badgerfield_core::ids::{Account, Domain, Region, UpstreamId};
-use badgerfield_core::replica_list::{ReplicaChanges, ReplicaList};
+use badgerfield_core::replica_list::{UpstreamList, UpstreamListChanges};
 use badgerfield_core::replicas::PromptPart;
 use badgerfield_core::request_limit::RequestLimit;
 use bytes::Bytes;
@@ -76,10 +76,10 @@
 /// The platform's list of upstreams.
 pub trait Discovery: Debug + Send + Sync {
     /// Reads the whole list.
-    fn list(&self) -> BoxFuture<'_, Result<ReplicaList, DiscoveryError>>;
+    fn list(&self) -> BoxFuture<'_, Result<UpstreamList, DiscoveryError>>;
 
     /// Waits for changes of the list after a revision.
-    fn watch(&self, after: u64) -> BoxFuture<'_, Watched<ReplicaChanges>>;
+    fn watch(&self, after: u64) -> BoxFuture<'_, Watched<UpstreamListChanges>>;
 }
 
 /// What a caller's head says about its request.
--- a/crates/badgerfield-node/src/callers.rs
+++ b/crates/badgerfield-node/src/callers.rs
@@ -269,7 +269,7 @@
         Some(Answer::Head(head)) => begin(line, head, form).await,
         Some(Answer::Refused(refusal) | Answer::Broken(refusal)) => refuse(&refusal),
         Some(Answer::Data(_) | Answer::End(_)) | None => {
-            refuse(&Refusal::unknown(Cause::BrokenOff))
+            refuse(&Refusal::may_have_run(Cause::BrokenOff))
         }
     }
 }
@@ -324,7 +324,7 @@
             }
             Some(Answer::Broken(refusal) | Answer::Refused(refusal)) => return refuse(&refusal),
             Some(Answer::Head(_)) => {}
-            None => return refuse(&Refusal::unknown(Cause::BrokenOff)),
+            None => return refuse(&Refusal::may_have_run(Cause::BrokenOff)),
         }
     }
 }
@@ -363,7 +363,7 @@
         "message": refusal.cause.to_string(),
         "outcome": refusal.outcome.as_str(),
     });
-    if let Some(after) = refusal.after {
+    if let Some(after) = refusal.retry_after {
         error["retry_after_ms"] = json!(u64::try_from(after.as_millis()).unwrap_or(u64::MAX));
     }
     json!({ "error": error })
@@ -372,7 +372,7 @@
 fn refuse(refusal: &Refusal) -> Response<Body> {
     let status = StatusCode::from_u16(refusal.cause.status()).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = http::json(status, &error_of(refusal));
-    if let Some(after) = refusal.after {
+    if let Some(after) = refusal.retry_after {
         let seconds = after.as_millis().div_ceil(1000);
         let value = HeaderValue::from(u64::try_from(seconds).unwrap_or(u64::MAX));
         response.headers_mut().insert(header::RETRY_AFTER, value);
--- a/crates/badgerfield-node/src/driver.rs
+++ b/crates/badgerfield-node/src/driver.rs
@@ -155,7 +155,7 @@
             let place = Place { domain: Some(domain), region: Some(region) };
             let mut replicas = gateway.replicas();
             replicas.set_regions(settings.regions.clone());
-            replicas.set_locality(place, settings.locality);
+            replicas.set_location(place, settings.locality);
         }
         let upstreams = Upstreams::new(limits.silence);
         Ok(Arc::new(Self {
@@ -341,7 +341,7 @@
             Order::DivideEngines(needs) => self.divide_engines(&needs),
             Order::LearnLags(notes) => {
                 if let Some(gateway) = &self.gateway {
-                    gateway.replicas().learn_lags(self.now(), &notes);
+                    gateway.replicas().apply_delay_reports(self.now(), &notes);
                 }
             }
             Order::LearnLimits(from, notes) => self.learn_limits(from, &notes),
@@ -367,7 +367,7 @@
         let Some(gateway) = &self.gateway else {
             return;
         };
-        let news = gateway.replicas().divide(needs);
+        let news = gateway.replicas().divide_engines(needs);
         for (service, Division { long_from, short_share }) in news {
             log::info!(
                 target: NODE,
@@ -554,6 +554,7 @@
 /// Records that a request on the product's own interface ends without its answer.
 fn log_refusal(id: RequestId, refusal: &Refusal) {
     let (cause, outcome) = (refusal.cause.code(), refusal.outcome.as_str());
-    let after = refusal.after.map_or_else(|| "-".to_owned(), |span| span.as_millis().to_string());
+    let after =
+        refusal.retry_after.map_or_else(|| "-".to_owned(), |span| span.as_millis().to_string());
     log::info!(target: REQUESTS, "refused request={} outcome={cause} run={outcome} come_back_ms={after}", id.0);
 }
--- a/crates/badgerfield-node/src/evacuations.rs
+++ b/crates/badgerfield-node/src/evacuations.rs
@@ -15,8 +15,8 @@
         let now = self.now();
         let from = from.map_or_else(|| "platform".to_owned(), |id| id.to_string());
         for change in changes {
-            let concerned = gateway.replicas().evacuate(now, std::slice::from_ref(change));
-            let (evacuated, cold) = gateway.replicas().spared(now);
+            let concerned = gateway.replicas().apply_evacuations(now, std::slice::from_ref(change));
+            let (evacuated, cold) = gateway.replicas().restricted_counts(now);
             self.metrics.evacuations.inc();
             log::info!(
                 target: PLATFORM,
--- a/crates/badgerfield-node/src/follow.rs
+++ b/crates/badgerfield-node/src/follow.rs
@@ -6,7 +6,7 @@
 use badgerfield_core::amount::Time;
 use badgerfield_core::event::{KvCall, KvName, KvResult};
 use badgerfield_core::ids::Version;
-use badgerfield_core::replica_list::ReplicaChanges;
+use badgerfield_core::replica_list::UpstreamListChanges;
 use badgerfield_core::{Event, TICK};
 
 use crate::adapter::Watched;
@@ -136,7 +136,8 @@
                 }
                 Ok(Watched::Quiet(revision)) => {
                     after = after.max(revision);
-                    let changes = ReplicaChanges { revision, ..ReplicaChanges::default() };
+                    let changes =
+                        UpstreamListChanges { revision, ..UpstreamListChanges::default() };
                     driver.learn_changes(changes);
                 }
                 Ok(Watched::Lost) | Err(_) => break,
@@ -183,7 +184,7 @@
     let Some(gateway) = driver.gateway() else {
         return true;
     };
-    let (_, learned) = gateway.replicas().age();
+    let (_, learned) = gateway.replicas().last_update();
     let now = driver.now();
     let Some(learned) = learned else {
         return driver.node.is_bootstrap_reader(now);
@@ -204,8 +205,8 @@
     gateway.sweep(now);
     let (needs, lags, limits) = {
         let mut replicas = gateway.replicas();
-        let lags = replicas.lags(now, gateway.next_turn());
-        (replicas.needs(now), lags, replicas.limit_notes(now))
+        let lags = replicas.delay_reports(now, gateway.next_turn());
+        (replicas.engine_demand(now), lags, replicas.limit_reports(now))
     };
     driver.feed(Event::Limits(limits));
     driver.feed(Event::EngineNeeds(needs));
--- a/crates/badgerfield-node/src/gateway/admit.rs
+++ b/crates/badgerfield-node/src/gateway/admit.rs
@@ -86,7 +86,7 @@
     gateway.retries().count_request(now, &service);
     let divides = driver.settings.pacing.policy.divide;
     if let Some(size) = size_of(&terms).filter(|_| divides) {
-        gateway.replicas().arrived(now, &service, &route.name, size);
+        gateway.replicas().record_arrival(now, &service, &route.name, size);
     }
     Ok(Exchange {
         route: Arc::clone(route),
--- a/crates/badgerfield-node/src/gateway/attempt.rs
+++ b/crates/badgerfield-node/src/gateway/attempt.rs
@@ -6,7 +6,7 @@
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::UpstreamId;
-use badgerfield_core::replicas::{Chosen, Health};
+use badgerfield_core::replicas::{AttemptOutcome, ChosenUpstream};
 use badgerfield_core::routing::Route;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -104,7 +104,7 @@
     process: u32,
     /// When the request was handed to it.
     sent: Time,
-    health: Health,
+    health: AttemptOutcome,
     connection: Option<Connection>,
     keep: Option<Duration>,
     closes: bool,
@@ -128,7 +128,7 @@
     pub(crate) fn new(
         driver: &Arc<Driver>,
         gateway: &Arc<Gateway>,
-        chosen: &Chosen,
+        chosen: &ChosenUpstream,
         unread: Option<u64>,
         route: &Arc<Route>,
     ) -> Self {
@@ -140,7 +140,7 @@
             address: chosen.address,
             process: chosen.process,
             sent: now,
-            health: Health::Unknown,
+            health: AttemptOutcome::Unknown,
             connection: None,
             keep: None,
             closes: false,
@@ -161,12 +161,12 @@
 
     /// Notes that the answer does not come, or broke off.
     pub(crate) fn note_failed(&mut self) {
-        self.note(Health::Failed);
+        self.note(AttemptOutcome::Failed);
         self.tell_trial(Trial::note_failed);
     }
 
     /// Notes that nothing of the request was run, so that it tells nothing of a version.
-    pub(crate) fn note_unrun(&mut self, health: Health) {
+    pub(crate) fn note_unrun(&mut self, health: AttemptOutcome) {
         self.wait = None;
         self.trial = None;
         self.note(health);
@@ -186,7 +186,12 @@
     fn tell_wait(&self, wait: Wait) {
         let now = self.driver.now();
         if !self.gateway.clock.stood_still_since(wait.since) {
-            self.gateway.replicas().waited(now, &self.id, now.since(wait.since), wait.unread);
+            self.gateway.replicas().record_first_event_wait(
+                now,
+                &self.id,
+                now.since(wait.since),
+                wait.unread,
+            );
         }
     }
 
@@ -198,26 +203,26 @@
         if !replicas.is_usable(now, &self.id) {
             return Err(Unsent::NotSent);
         }
-        if !replicas.admits_begun(now, &self.id, self.sent) {
+        if !replicas.can_still_send(now, &self.id, self.sent) {
             return Err(Unsent::NotAdmitted);
         }
         Ok(())
     }
 
     /// Notes how the upstream is doing.
-    pub(crate) fn note(&mut self, health: Health) {
+    pub(crate) fn note(&mut self, health: AttemptOutcome) {
         self.health = health;
     }
 
     /// Ends the work well: the whole answer has come, and the connection may be kept.
     pub(crate) fn finish(mut self) {
-        self.health = Health::Good;
+        self.health = AttemptOutcome::Answered;
         self.note_first_event();
         let Some(connection) = self.connection.take() else {
             return;
         };
         // A connection to a process that has ended must not serve for the one that has its id now.
-        let is_current = self.gateway.replicas().is_process(&self.id, self.process);
+        let is_current = self.gateway.replicas().is_current_process(&self.id, self.process);
         if is_current && !self.closes {
             self.gateway.connections.keep(self.id.clone(), connection, self.keep);
         }
@@ -232,11 +237,11 @@
         }
         self.tell_trial(Trial::note_end);
         // What a process that stood still takes for silence may be its own.
-        let is_unsure =
-            self.health == Health::Failed && self.gateway.clock.stood_still_since(self.sent);
-        let health = if is_unsure { Health::Unknown } else { self.health };
+        let is_unsure = self.health == AttemptOutcome::Failed
+            && self.gateway.clock.stood_still_since(self.sent);
+        let health = if is_unsure { AttemptOutcome::Unknown } else { self.health };
         let now = self.driver.now();
-        self.gateway.replicas().end(now, &self.id, health);
+        self.gateway.replicas().end_request(now, &self.id, health);
     }
 }
 
@@ -258,18 +263,18 @@
             return AttemptEnd::Broken(SILENT);
         }
         () = blocked => {
-            hold.note_unrun(Health::Unknown);
+            hold.note_unrun(AttemptOutcome::Unknown);
             return AttemptEnd::Broken(BLOCKED);
         }
     };
     let (mut response, connection) = match sent {
         Ok(found) => found,
         Err(Unsent::NotSent) => {
-            hold.note_unrun(Health::Failed);
+            hold.note_unrun(AttemptOutcome::Failed);
             return AttemptEnd::NotSent("unreachable");
         }
         Err(Unsent::NotAdmitted) => {
-            hold.note_unrun(Health::Unknown);
+            hold.note_unrun(AttemptOutcome::Unknown);
             return AttemptEnd::NotSent("not_admitted");
         }
         Err(Unsent::Broken) => {
@@ -287,7 +292,7 @@
     }
     match verdict {
         Verdict::NotRun => {
-            hold.note_unrun(Health::Full);
+            hold.note_unrun(AttemptOutcome::Full);
             return AttemptEnd::NotRun(response.status());
         }
         Verdict::Foreign => {
--- a/crates/badgerfield-node/src/gateway/dispatch.rs
+++ b/crates/badgerfield-node/src/gateway/dispatch.rs
@@ -4,7 +4,7 @@
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::refusal::{Cause, Refusal};
-use badgerfield_core::replicas::{Chosen, Wanted};
+use badgerfield_core::replicas::{ChosenUpstream, UpstreamCriteria};
 use badgerfield_core::residency::Residency;
 use hyper::StatusCode;
 
@@ -47,7 +47,7 @@
                 Err(cause) => return Err(self.give_up(cause)),
             };
             if self.attempts > 0 {
-                self.gateway.retries().take(now, &self.service, vms);
+                self.gateway.retries().try_take(now, &self.service, vms);
             }
             self.tried.push(chosen.id.clone());
             let terms = CallTerms {
@@ -59,7 +59,7 @@
                 fetch: None,
             };
             self.sent = Sending { at: now, life: self.life_of(&chosen.id) };
-            self.unread = chosen.unread.saturating_add(self.own_tokens());
+            self.unread = chosen.uncached_tokens.saturating_add(self.own_tokens());
             self.timing.note_sent(self.took());
             // Only engines read prompts; what waits elsewhere is counted as under way.
             let reading = self.spec.engine.as_ref().map(|_| self.unread);
@@ -87,7 +87,7 @@
                 }
                 AttemptEnd::NotSent(why) => {
                     unreachable += 1;
-                    self.gateway.replicas().refund(&chosen.id, &self.route.name);
+                    self.gateway.replicas().undo_sent(&chosen.id, &self.route.name);
                     why
                 }
                 AttemptEnd::NotRun(status) => {
@@ -140,11 +140,11 @@
         })
     }
 
-    fn choose(&self, now: Time, vms: usize, resumes: bool) -> Result<Chosen, Cause> {
+    fn choose(&self, now: Time, vms: usize, resumes: bool) -> Result<ChosenUpstream, Cause> {
         let residency = self.residency();
         // What is chosen is begun under the same lock: what a cold upstream may get is counted.
         let mut replicas = self.gateway.replicas();
-        replicas.want(now, &self.service);
+        replicas.record_request(now, &self.service);
         if let Err(fault) = residency.check(replicas.regions()) {
             drop(replicas);
             record::outside(&self.original.id, &self.route.name, &fault, self.admission.version);
@@ -153,11 +153,11 @@
         let alike = self.check_standing()?;
         let wanted = self.wanted(&residency, alike, vms, resumes);
         let chosen = replicas.choose(now, &wanted).ok_or(Cause::NoUpstream)?;
-        let list = replicas.age();
-        replicas.begin(now, &chosen.id, &self.terms.parts);
-        replicas.charge(now, &wanted, &chosen.id);
+        let list = replicas.last_update();
+        replicas.start_request(now, &chosen.id, &self.terms.parts);
+        replicas.record_sent(now, &wanted, &chosen.id);
         drop(replicas);
-        self.driver.gateway_counts().count_sent(chosen.near, chosen.crossing);
+        self.driver.gateway_counts().count_sent(chosen.distance, chosen.crossing);
         record::chosen(&self.original.id, self.attempts + 1, &chosen, list, now);
         Ok(chosen)
     }
@@ -169,20 +169,20 @@
         alike: Option<u64>,
         vms: usize,
         resumes: bool,
-    ) -> Wanted<'a> {
+    ) -> UpstreamCriteria<'a> {
         let vms = u64::try_from(vms).unwrap_or(u64::MAX).saturating_add(1);
         let connections = u64::from(self.spec.connections) * CONNECTION_PERCENT / 100 / vms;
-        Wanted {
-            alike,
+        UpstreamCriteria {
+            rendezvous_key: alike,
             service: &self.service,
             route: &self.route.name,
             parts: &self.terms.parts,
             bytes: self.bytes_across(),
             residency,
             tried: &self.tried,
-            resumes: self.version.as_ref().filter(|_| resumes),
-            connections: u32::try_from(connections).unwrap_or(u32::MAX).max(2),
-            draw: rand::random(),
+            resumed_version: self.version.as_ref().filter(|_| resumes),
+            max_connections: u32::try_from(connections).unwrap_or(u32::MAX).max(2),
+            random: rand::random(),
         }
     }
 
--- a/crates/badgerfield-node/src/gateway/flow.rs
+++ b/crates/badgerfield-node/src/gateway/flow.rs
@@ -173,7 +173,7 @@
                     exchange.took(),
                 );
                 if !exchange.route.repeat.is_idempotent() {
-                    return exchange.refuse(&Refusal::unknown(Cause::BrokenOff));
+                    return exchange.refuse(&Refusal::may_have_run(Cause::BrokenOff));
                 }
             }
         }
@@ -248,7 +248,7 @@
         if self.may_have_run {
             self.count_unseen();
             let cause = if cause == Cause::OutOfTime { cause } else { Cause::BrokenOff };
-            return Refusal::unknown(cause);
+            return Refusal::may_have_run(cause);
         }
         let cause = if cause == Cause::OutOfTime { Cause::Overloaded } else { cause };
         let after = match cause {
@@ -266,7 +266,10 @@
         let now = self.now();
         let (warm_in, admits_in) = {
             let replicas = self.gateway.replicas();
-            (replicas.warm_in(now, &self.service), replicas.admits_in(now, &self.service))
+            (
+                replicas.time_until_warm(now, &self.service),
+                replicas.time_until_admitted(now, &self.service),
+            )
         };
         let spread = overload::come_back(rand::random());
         let admits_in = admits_in.map(|span| span.saturating_add(spread));
@@ -338,7 +341,7 @@
             first: first.saturating_sub(sent),
             stream: last.saturating_sub(first),
         };
-        self.gateway.replicas().observed(&self.service, &self.route.name, &seen);
+        self.gateway.replicas().record_timing(&self.service, &self.route.name, &seen);
     }
 
     /// Notes that events came from an upstream.
--- a/crates/badgerfield-node/src/gateway/record.rs
+++ b/crates/badgerfield-node/src/gateway/record.rs
@@ -9,7 +9,7 @@
 use badgerfield_core::mix::Group;
 use badgerfield_core::poison::Fingerprint;
 use badgerfield_core::refusal::Refusal;
-use badgerfield_core::replicas::{Chosen, LimitChange};
+use badgerfield_core::replicas::{ChosenUpstream, LimitChange};
 use badgerfield_core::request_limit::RequestLimit;
 use badgerfield_core::residency::ResidencyFault;
 
@@ -43,11 +43,11 @@
 pub(crate) fn chosen(
     id: &str,
     attempt: u32,
-    chosen: &Chosen,
+    chosen: &ChosenUpstream,
     list: (u64, Option<Time>),
     now: Time,
 ) {
-    let (upstream, cost, weighed) = (&chosen.id, chosen.cost, chosen.weighed);
+    let (upstream, cost, weighed) = (&chosen.id, chosen.cost, chosen.candidates);
     let (revision, age) = (list.0, list.1.map_or(0, |at| now.since(at).as_millis()));
     let group = match chosen.group {
         Some((Group::Short, true)) => "short",
@@ -56,11 +56,11 @@
         Some((Group::Long, false)) => "long_astray",
         None => "-",
     };
-    let (unread, lag) = (chosen.unread, chosen.lag);
+    let (unread, lag) = (chosen.uncached_tokens, chosen.queueing_delay);
     let version = chosen.version.as_ref().map_or("-", SoftwareVersion::as_str);
-    let near = chosen.near.as_str();
+    let near = chosen.distance.as_str();
     let why = chosen.crossing.map_or("-", Crossing::as_str);
-    let (second, second_cost) = match &chosen.second {
+    let (second, second_cost) = match &chosen.runner_up {
         Some((id, cost)) => (id.as_str(), *cost),
         None => ("-", 0.0),
     };
--- a/crates/badgerfield-node/src/gateway/refusals.rs
+++ b/crates/badgerfield-node/src/gateway/refusals.rs
@@ -49,7 +49,7 @@
     *response.status_mut() = status.unwrap_or(StatusCode::BAD_GATEWAY);
     let head = response.headers_mut();
     head.insert(header::CONTENT_TYPE, header::HeaderValue::from_static("application/json"));
-    let after = refusal.after.filter(|_| refusal.outcome == Outcome::NotRun);
+    let after = refusal.retry_after.filter(|_| refusal.outcome == Outcome::NotRun);
     let after = after.map(|span| format!("{:.3}", span.as_secs_f64()));
     if let Some(value) = after.and_then(|text| text.parse().ok()) {
         head.insert(header::RETRY_AFTER, value);
--- a/crates/badgerfield-node/src/gateway/relay.rs
+++ b/crates/badgerfield-node/src/gateway/relay.rs
@@ -2,8 +2,8 @@
 //! where the route allows that.
 
 use badgerfield_core::amount::{Time, Tokens};
-use badgerfield_core::event_stream::{EventScanner, MAX_EVENT};
-use badgerfield_core::replicas::Health;
+use badgerfield_core::event_stream::{EventScanner, MAX_EVENT_BYTES};
+use badgerfield_core::replicas::AttemptOutcome;
 use bytes::Bytes;
 use futures::stream;
 use http_body_util::{BodyExt, StreamBody};
@@ -69,7 +69,7 @@
             match self.step().await {
                 Step::Data(bytes) => {
                     let whole = self.scanner.push(&bytes);
-                    if self.scanner.rest().len() > MAX_EVENT {
+                    if self.scanner.partial_event().len() > MAX_EVENT_BYTES {
                         return Some(self.break_off("event_too_large"));
                     }
                     if whole.is_empty() {
@@ -82,11 +82,14 @@
                 }
                 // The upstream said that its answer is whole, whatever its form.
                 Step::End if self.source.as_ref().is_some_and(|source| source.framed) => {
-                    let rest = self.scanner.take_rest();
+                    let rest = self.scanner.take_partial();
                     self.finish();
                     return (!rest.is_empty()).then_some(Ok(rest));
                 }
-                Step::End if self.scanner.rest().is_empty() && !self.ends_with_upstream().await => {
+                Step::End
+                    if self.scanner.partial_event().is_empty()
+                        && !self.ends_with_upstream().await =>
+                {
                     self.finish();
                     return None;
                 }
@@ -169,7 +172,7 @@
         let Some(pause) = route.pause.filter(|_| self.resumes()) else {
             return ends;
         };
-        let span = if self.scanner.events() == 0 { route.objective.max(pause) } else { pause };
+        let span = if self.scanner.event_count() == 0 { route.objective.max(pause) } else { pause };
         now.after(span.saturating_mul(PATIENCE))
     }
 
@@ -183,7 +186,7 @@
             return false;
         };
         let (id, address) = (&source.hold.id, source.hold.address);
-        self.exchange.note_broken(id, address, self.scanner.last()).await
+        self.exchange.note_broken(id, address, self.scanner.last_event_id()).await
     }
 
     /// Goes on at another upstream; returns the end of the answer if that cannot be.
@@ -192,7 +195,7 @@
             return Some(self.break_off(why));
         };
         if why == BLOCKED {
-            source.hold.note_unrun(Health::Unknown);
+            source.hold.note_unrun(AttemptOutcome::Unknown);
         } else {
             source.hold.note_failed();
         }
@@ -201,14 +204,14 @@
         drop(source);
         let is_cut = why == BROKEN || why == CUT;
         let has_ended =
-            is_cut && self.exchange.note_broken(&from, address, self.scanner.last()).await;
+            is_cut && self.exchange.note_broken(&from, address, self.scanner.last_event_id()).await;
         // One that lives may have made more than came here.
         self.exchange.unseen |= !has_ended;
         if !self.resumes() {
             return Some(self.break_off(why));
         }
-        self.scanner.drop_rest();
-        let last = self.scanner.last();
+        self.scanner.discard_partial();
+        let last = self.scanner.last_event_id();
         record::resumed(&self.exchange.original.id, &from, last, why);
         match self.exchange.dispatch(last).await {
             Ok(answered) if answered.head.status.is_success() => {
@@ -224,7 +227,7 @@
     /// Notes what was handed out, with some events that may be on their way.
     fn count(&mut self, under_way: u64) {
         let (prompt, output) = self.exchange.terms.tokens.unwrap_or_default();
-        let events = self.scanner.events() + under_way;
+        let events = self.scanner.event_count() + under_way;
         let made = events.saturating_mul(self.exchange.stride()).min(output);
         let Some(reservation) = self.exchange.reservation.as_mut() else {
             return;
@@ -241,14 +244,14 @@
         }
         self.exchange.observe();
         self.exchange.note_whole();
-        self.exchange.end("served", self.status, upstream.as_ref(), self.scanner.events());
+        self.exchange.end("served", self.status, upstream.as_ref(), self.scanner.event_count());
     }
 
     fn break_off(&mut self, why: &str) -> Result<Bytes, BrokenOff> {
         self.ended = true;
         let upstream = self.source.take().map(|source| source.hold.id.clone());
         self.count(UNDER_WAY);
-        self.exchange.end(why, self.status, upstream.as_ref(), self.scanner.events());
+        self.exchange.end(why, self.status, upstream.as_ref(), self.scanner.event_count());
         Err(BrokenOff)
     }
 }
@@ -265,6 +268,11 @@
             self.exchange.watch_left(&source.hold.id, source.hold.address);
         }
         let upstream = source.map(|source| source.hold.id.clone());
-        self.exchange.end("caller_left", self.status, upstream.as_ref(), self.scanner.events());
+        self.exchange.end(
+            "caller_left",
+            self.status,
+            upstream.as_ref(),
+            self.scanner.event_count(),
+        );
     }
 }
--- a/crates/badgerfield-node/src/gateway/state.rs
+++ b/crates/badgerfield-node/src/gateway/state.rs
@@ -6,8 +6,8 @@
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::{UpstreamId, Version};
-use badgerfield_core::replicas::Replicas;
-use badgerfield_core::retry_budget::{RetryBound, RetryBudget};
+use badgerfield_core::replicas::UpstreamTable;
+use badgerfield_core::retry_budget::{RetryBudget, RetryLimits};
 use badgerfield_core::rollout::{RolloutRule, RuleSet};
 use badgerfield_core::routing::RouteTable;
 use tokio::sync::{Semaphore, watch};
@@ -37,7 +37,7 @@
     pub(crate) connections: Arc<Connections>,
     pub(crate) clock: Arc<Clock>,
     routes: Mutex<InForce>,
-    replicas: Mutex<Replicas>,
+    replicas: Mutex<UpstreamTable>,
     retries: Mutex<RetryBudget>,
     open: AtomicUsize,
     stopping: AtomicBool,
@@ -54,7 +54,7 @@
 }
 
 impl Gateway {
-    pub(crate) fn new(adapter: RouteAdapter, bound: RetryBound, clock: Arc<Clock>) -> Self {
+    pub(crate) fn new(adapter: RouteAdapter, bound: RetryLimits, clock: Arc<Clock>) -> Self {
         Self {
             adapter,
             connections: Arc::new(Connections::new(Arc::clone(&clock))),
@@ -86,7 +86,7 @@
     }
 
     /// Locks the table of upstreams.
-    pub(crate) fn replicas(&self) -> MutexGuard<'_, Replicas> {
+    pub(crate) fn replicas(&self) -> MutexGuard<'_, UpstreamTable> {
         lock(&self.replicas)
     }
 
@@ -141,8 +141,8 @@
     /// are new or differ.
     pub(crate) fn set_rollouts(&self, rules: RuleSet) -> Vec<RolloutRule> {
         let mut replicas = self.replicas();
-        let news = replicas.put_rules(rules);
-        self.rolls_out.store(!replicas.rollouts().is_empty(), Ordering::Relaxed);
+        let news = replicas.apply_rule_set(rules);
+        self.rolls_out.store(!replicas.rollout_rules().is_empty(), Ordering::Relaxed);
         news
     }
 
--- a/crates/badgerfield-node/src/gateway/statements.rs
+++ b/crates/badgerfield-node/src/gateway/statements.rs
@@ -26,7 +26,7 @@
             return;
         };
         // The answer of a process that has ended says nothing of the one that has its id now.
-        if !gateway.replicas().is_process(upstream, process) {
+        if !gateway.replicas().is_current_process(upstream, process) {
             return;
         }
         if statement.is_unreadable() {
@@ -37,7 +37,7 @@
             self.hear_leaving(gateway, id, upstream);
         }
         if let Some(rest) = rest.value() {
-            gateway.replicas().hear_rest(self.now(), upstream, rest);
+            gateway.replicas().record_back_off(self.now(), upstream, rest);
             record::asks_rest(id, upstream, rest);
         }
         self.hear_limit(gateway, id, upstream, limit.value());
@@ -46,7 +46,7 @@
     fn hear_leaving(&self, gateway: &Gateway, id: &str, upstream: &UpstreamId) {
         let (is_news, (revision, learned)) = {
             let mut replicas = gateway.replicas();
-            (replicas.hear_leaving(upstream), replicas.age())
+            (replicas.record_leaving(upstream), replicas.last_update())
         };
         if !is_news {
             return;
@@ -63,12 +63,12 @@
         upstream: &UpstreamId,
         limit: Option<RequestLimit>,
     ) {
-        let change = gateway.replicas().hear_limit(self.now(), upstream, limit);
+        let change = gateway.replicas().record_limit(self.now(), upstream, limit);
         let Some(change) = change else {
             return;
         };
         record::limit_named(id, &change);
-        let notes = gateway.replicas().limit_notes(self.now());
+        let notes = gateway.replicas().limit_reports(self.now());
         self.feed(Event::Limits(notes));
     }
 
@@ -77,7 +77,7 @@
         let Some(gateway) = self.gateway() else {
             return;
         };
-        let changes = gateway.replicas().learn_limits(self.now(), notes);
+        let changes = gateway.replicas().apply_limit_reports(self.now(), notes);
         for change in &changes {
             record::limit_learned(from, change);
         }
@@ -85,7 +85,7 @@
 
     fn note_unreadable(&self, gateway: &Gateway, upstream: &UpstreamId) {
         self.gateway_counts().unreadable.inc();
-        if gateway.replicas().note_unreadable(upstream) {
+        if gateway.replicas().record_unreadable(upstream) {
             record::unreadable_statement(upstream);
         }
     }
--- a/crates/badgerfield-node/src/gateway/trial.rs
+++ b/crates/badgerfield-node/src/gateway/trial.rs
@@ -62,7 +62,7 @@
             return false;
         }
         self.is_over = true;
-        gateway.replicas().failed(&self.upstream, &self.route.name, self.came)
+        gateway.replicas().record_failure(&self.upstream, &self.route.name, self.came)
     }
 
     /// Notes that the request is at its end, whatever came of it; tells whether it is a bad answer
@@ -73,6 +73,6 @@
         }
         self.is_over = true;
         let wait = gateway.clock.now().since(self.sent);
-        gateway.replicas().given_up(&self.upstream, &self.route.name, wait, self.unread)
+        gateway.replicas().record_abandoned(&self.upstream, &self.route.name, wait, self.unread)
     }
 }
--- a/crates/badgerfield-node/src/metrics.rs
+++ b/crates/badgerfield-node/src/metrics.rs
@@ -8,7 +8,7 @@
 use badgerfield_core::ids::Service;
 use badgerfield_core::locality::{Crossing, Distance};
 use badgerfield_core::refusal::Refusal;
-use badgerfield_core::replicas::Given;
+use badgerfield_core::replicas::SentCounts;
 use badgerfield_core::rollout::{RolloutRule, RolloutTally};
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
@@ -95,7 +95,7 @@
     }
 
     /// Notes what the table of upstreams knows, and forgets what it knew before.
-    pub(crate) fn note(&self, rules: &[(RolloutRule, Given)], tallies: &[RolloutTally]) {
+    pub(crate) fn note(&self, rules: &[(RolloutRule, SentCounts)], tallies: &[RolloutTally]) {
         for family in [&self.answers, &self.failed, &self.slow, &self.sent] {
             family.clear();
         }
--- a/crates/badgerfield-node/src/operators.rs
+++ b/crates/badgerfield-node/src/operators.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use badgerfield_core::Status;
-use badgerfield_core::replicas::Given;
+use badgerfield_core::replicas::SentCounts;
 use badgerfield_core::rollout::{RolloutRule, RolloutStatus};
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
@@ -55,8 +55,10 @@
             if let Some(gateway) = driver.gateway() {
                 let replicas = gateway.replicas();
                 let now = driver.now();
-                driver.metrics.note_spared(replicas.spared(now), replicas.limited());
-                let (rules, tallies) = (replicas.rollouts(), replicas.rollout_tallies(now));
+                driver
+                    .metrics
+                    .note_spared(replicas.restricted_counts(now), replicas.limited_count());
+                let (rules, tallies) = (replicas.rollout_rules(), replicas.rollout_tallies(now));
                 driver.metrics.rollouts.note(&rules, &tallies);
             }
             Response::new(http::full(driver.metrics.render(&driver.node.status())))
@@ -129,9 +131,9 @@
     };
     let (rules, tallies) = {
         let replicas = gateway.replicas();
-        (replicas.rollouts(), replicas.rollout_tallies(driver.now()))
+        (replicas.rollout_rules(), replicas.rollout_tallies(driver.now()))
     };
-    let line = |(rule, given): &(RolloutRule, Given)| {
+    let line = |(rule, given): &(RolloutRule, SentCounts)| {
         json!({
             "service": rule.service,
             "target": rule.target,
--- a/crates/badgerfield-node/src/settings.rs
+++ b/crates/badgerfield-node/src/settings.rs
@@ -11,7 +11,7 @@
 use badgerfield_core::locality::Locality;
 use badgerfield_core::policy::Policy;
 use badgerfield_core::residency::RegionMap;
-use badgerfield_core::retry_budget::RetryBound;
+use badgerfield_core::retry_budget::RetryLimits;
 use badgerfield_core::rollout::RolloutBound;
 use badgerfield_core::warm_up::WarmUpBound;
 use hyper::Uri;
@@ -63,7 +63,7 @@
     /// How far ahead and how often regular work is done.
     pub pacing: Pacing,
     /// What may be sent twice.
-    pub retries: RetryBound,
+    pub retries: RetryLimits,
     /// What upstreams get that are cold; nothing where the platform bounds that not.
     pub warm_up: Option<WarmUpBound>,
     /// What is logged.
@@ -337,10 +337,10 @@
     }
 }
 
-fn read_retries(file: &mut File) -> RetryBound {
-    let other = RetryBound::default();
+fn read_retries(file: &mut File) -> RetryLimits {
+    let other = RetryLimits::default();
     let (least, most) = (Duration::from_millis(100), Duration::from_secs(3600));
-    RetryBound {
+    RetryLimits {
         ratio: file.value_or("retries", "ratio", other.ratio),
         allowance: file.value_or("retries", "allowance", other.allowance),
         window: file.span_or("retries", "window", other.window, (least, most)),
--- a/crates/badgerfield-node/src/upstream_list.rs
+++ b/crates/badgerfield-node/src/upstream_list.rs
@@ -4,8 +4,8 @@
 
 use badgerfield_core::ids::{Incarnation, UpstreamId};
 use badgerfield_core::message::{Message, UpstreamNews};
-use badgerfield_core::replica_list::{ReplicaChanges, ReplicaList};
-use badgerfield_core::replicas::Lacking;
+use badgerfield_core::replica_list::{UpstreamList, UpstreamListChanges};
+use badgerfield_core::replicas::ListGap;
 use badgerfield_core::{Event, Order};
 
 use crate::driver::{Driver, Source};
@@ -17,11 +17,11 @@
 
 impl Driver {
     /// Takes in changes of the list of upstreams that the platform told.
-    pub(crate) fn learn_changes(self: &Arc<Self>, changes: ReplicaChanges) {
+    pub(crate) fn learn_changes(self: &Arc<Self>, changes: UpstreamListChanges) {
         let Some(gateway) = self.gateway() else {
             return;
         };
-        let news = gateway.replicas().change(self.now(), changes);
+        let news = gateway.replicas().apply_changes(self.now(), changes);
         self.learned(gateway, &news, Source::Platform);
     }
 
@@ -31,23 +31,23 @@
             return;
         };
         let UpstreamNews { changes, since, mark, .. } = news;
-        let (news, lacking) = gateway.replicas().hear(self.now(), changes, since, mark);
+        let (news, lacking) = gateway.replicas().apply_update(self.now(), changes, since, mark);
         self.learned(gateway, &news, Source::Peer);
         match lacking {
-            Lacking::Nothing => {}
-            Lacking::Changes => self.feed(Event::UpstreamsMissed(from, mark.revision)),
-            Lacking::Whole => self.feed(Event::UpstreamsDiffer(from)),
+            ListGap::Nothing => {}
+            ListGap::Changes => self.feed(Event::UpstreamsMissed(from, mark.revision)),
+            ListGap::FullList => self.feed(Event::UpstreamsDiffer(from)),
         }
     }
 
     /// Takes in a whole list of upstreams.
-    pub(crate) fn learn_list(self: &Arc<Self>, list: ReplicaList, source: Source) {
+    pub(crate) fn learn_list(self: &Arc<Self>, list: UpstreamList, source: Source) {
         let Some(gateway) = self.gateway() else {
             return;
         };
         let (is_first, news) = {
             let mut replicas = gateway.replicas();
-            (replicas.age().0 == 0, replicas.learn(self.now(), list))
+            (replicas.last_update().0 == 0, replicas.apply_list(self.now(), list))
         };
         // What is news to a process that has just started is not news to others.
         let source = if is_first { Source::Peer } else { source };
@@ -58,8 +58,8 @@
     fn learned(self: &Arc<Self>, gateway: &Gateway, news: &[UpstreamId], source: Source) {
         let (mark, count, (evacuated, cold), started_again) = {
             let mut replicas = gateway.replicas();
-            let spared = replicas.spared(self.now());
-            (replicas.mark(), replicas.len(), spared, replicas.take_started_again())
+            let spared = replicas.restricted_counts(self.now());
+            (replicas.list_version(), replicas.len(), spared, replicas.take_restarted())
         };
         gateway.connections.close(&started_again);
         for id in &started_again {
@@ -91,7 +91,7 @@
         let news = {
             // Changes and mark are read together: a mark that is newer claims too much.
             let replicas = gateway.replicas();
-            let mark = replicas.mark();
+            let mark = replicas.list_version();
             let (changes, since) = match replicas.changes_since(self.now(), told) {
                 Some(changes) => (changes, told),
                 // Others see from the revision that they lack something, and ask for it.
@@ -116,7 +116,7 @@
             let changes = replicas.changes_since(self.now(), since).filter(|_| since > 0);
             match changes {
                 Some(changes) => {
-                    let mark = replicas.mark();
+                    let mark = replicas.list_version();
                     Message::UpstreamChanges(UpstreamNews { changes, since, mark, reach: 0 })
                 }
                 None => Message::Upstreams(replicas.list(self.now())),
--- a/crates/badgerfield-standin/src/capacity.rs
+++ b/crates/badgerfield-standin/src/capacity.rs
@@ -213,7 +213,7 @@
         let mut claims = Claims::new(me, Duration::from_secs(900));
         let mut out = Outbox::default();
         let view = View::default().with(member(0, 0, 0, me), true);
-        claims.adopt(Time::default(), &Arc::new(view.clone()), &mut out);
+        claims.apply_view(Time::default(), &Arc::new(view.clone()), &mut out);
         let before = resident();
         let work = Instant::now();
         for n in 0..count {
@@ -278,7 +278,7 @@
         holder: Incarnation(holder.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
         seq,
         need: Tokens(400),
-        back: Tokens::ZERO,
+        returned: Tokens::ZERO,
         held: Tokens(123_456),
         rate: TokenRate(2000),
         request_size: Tokens(400),
--- a/crates/badgerfield-standin/src/fleet/link.rs
+++ b/crates/badgerfield-standin/src/fleet/link.rs
@@ -6,7 +6,7 @@
 use badgerfield_core::amount::Time;
 use badgerfield_core::event::{KvCall, KvResult};
 use badgerfield_core::ids::Incarnation;
-use badgerfield_core::patience::Patience;
+use badgerfield_core::patience::AdaptiveTimeout;
 
 /// The region in which the key-value service stands.
 pub(super) const STORE_REGION: usize = 0;
@@ -30,7 +30,7 @@
     /// When what was sent has left, each way.
     free: BTreeMap<(usize, usize), Time>,
     /// How long each process waits for answers of the store.
-    patience: BTreeMap<Incarnation, Patience>,
+    patience: BTreeMap<Incarnation, AdaptiveTimeout>,
 }
 
 impl Link {
@@ -41,8 +41,8 @@
     }
 
     /// Returns how long a process waits for an answer of the store.
-    pub(super) fn patience(&mut self, of: Incarnation) -> &mut Patience {
-        self.patience.entry(of).or_insert_with(|| Patience::new(TIMEOUT))
+    pub(super) fn patience(&mut self, of: Incarnation) -> &mut AdaptiveTimeout {
+        self.patience.entry(of).or_insert_with(|| AdaptiveTimeout::new(TIMEOUT))
     }
 
     /// Returns when bytes that are sent now arrive; nothing if they were still waiting
--- a/crates/badgerfield-standin/src/fleet/mod.rs
+++ b/crates/badgerfield-standin/src/fleet/mod.rs
@@ -245,7 +245,7 @@
     pub fn left(&self, budget: usize) -> u64 {
         let id = Self::budget(budget);
         let shard = badgerfield_core::ledger::shard_of(&id, self.shape.shards);
-        self.platform.ledger(shard).budgets.get(&id).map_or(0, |entry| entry.left().0)
+        self.platform.ledger(shard).budgets.get(&id).map_or(0, |entry| entry.remaining().0)
     }
 
     /// Returns what the VMs that run hold of a budget.
--- a/crates/badgerfield-standin/src/fleet/platform.rs
+++ b/crates/badgerfield-standin/src/fleet/platform.rs
@@ -202,13 +202,13 @@
     ) -> Option<Result<Time, Time>> {
         let now = self.now;
         let link = self.link.as_mut().filter(|_| region != link::STORE_REGION)?;
-        let until = sent.after(link.patience(to).limit());
+        let until = sent.after(link.patience(to).current());
         // Nothing is sent to a caller that has given up.
         let at = link.send(now, (link::STORE_REGION, region), bytes, Some(until));
         let arrives = at.filter(|at| *at <= until);
         match arrives {
-            Some(at) => link.patience(to).answered(at.since(sent)),
-            None => link.patience(to).timed_out(),
+            Some(at) => link.patience(to).record_answer(at.since(sent)),
+            None => link.patience(to).record_timeout(),
         }
         Some(arrives.ok_or(until))
     }
--- a/crates/badgerfield-standin/tests/lending.rs
+++ b/crates/badgerfield-standin/tests/lending.rs
@@ -408,7 +408,7 @@
         let sealed = figures.sealed.0 + figures.returning_sealed.0 + granted;
         let now = EPOCH_MS + u64::try_from(fleet.now.0.as_millis()).expect("a short run");
         if record.untouched(FleetTime(now)).0 > sealed {
-            short.insert(vm, (record.at, record.amount.0));
+            short.insert(vm, (record.sealed_at, record.amount.0));
         }
     }
     short
--- a/crates/badgerfield-standin/tests/rollouts.rs
+++ b/crates/badgerfield-standin/tests/rollouts.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use badgerfield_core::amount::Time;
-use badgerfield_core::rollout::{Phase, RolloutOrder, RolloutState};
+use badgerfield_core::rollout::{RolloutOrder, RolloutPhase, RolloutState};
 use badgerfield_standin::fleet::{Badness, Fleet, Shape, Traffic, version};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -240,7 +240,7 @@
     bad: bool,
     withdrawn: bool,
     until: Time,
-    phases: Vec<Option<(u64, Option<Phase>)>>,
+    phases: Vec<Option<(u64, Option<RolloutPhase>)>>,
     /// Whether anything went wrong that may cost the deadline.
     faults: usize,
 }
--- a/crates/badgerfield-standin/tests/upstream_list.rs
+++ b/crates/badgerfield-standin/tests/upstream_list.rs
@@ -8,7 +8,7 @@
 use badgerfield_core::ids::Incarnation;
 use badgerfield_core::message::{Envelope, Heartbeat, Message, UpstreamNews};
 use badgerfield_core::mix::{Division, Needs};
-use badgerfield_core::replica_list::{ListMark, ReplicaChanges};
+use badgerfield_core::replica_list::{ListVersion, UpstreamListChanges};
 use badgerfield_core::{Event, Node};
 use badgerfield_standin::fleet::{Fleet, Shape};
 
@@ -29,11 +29,11 @@
 }
 
 /// Lets a node hear a neighbour's sign of life with a mark of its list; returns the orders.
-fn hear(node: &Node, from: Incarnation, list: ListMark) -> Vec<Order> {
+fn hear(node: &Node, from: Incarnation, list: ListVersion) -> Vec<Order> {
     hear_at(5_000, node, from, list)
 }
 
-fn hear_at(millis: u64, node: &Node, from: Incarnation, list: ListMark) -> Vec<Order> {
+fn hear_at(millis: u64, node: &Node, from: Incarnation, list: ListVersion) -> Vec<Order> {
     let epoch = node.view().epoch;
     let beat = Heartbeat { epoch, version: node.version(), list, ..Heartbeat::default() };
     let address = ([127, 0, 0, 1], 1).into();
@@ -43,8 +43,8 @@
 }
 
 /// Returns what a follower of the platform tells of changes.
-fn followed(changes: ReplicaChanges) -> UpstreamNews {
-    UpstreamNews { changes, since: 0, mark: ListMark::default(), reach: 0 }
+fn followed(changes: UpstreamListChanges) -> UpstreamNews {
+    UpstreamNews { changes, since: 0, mark: ListVersion::default(), reach: 0 }
 }
 
 /// Returns since which revision the list is asked for, if it is.
@@ -79,16 +79,16 @@
 fn a_newer_list_is_fetched_and_an_equal_one_confirms_what_is_known() {
     let fleet = fleet(3);
     let (here, other) = (node(&fleet, 0), node(&fleet, 1).id());
-    here.handle(Time::from_millis(5_000), Event::ListMark(ListMark { revision: 7, digest: 1 }));
-    let older = hear(here, other, ListMark { revision: 6, digest: 2 });
+    here.handle(Time::from_millis(5_000), Event::ListMark(ListVersion { revision: 7, digest: 1 }));
+    let older = hear(here, other, ListVersion { revision: 6, digest: 2 });
     assert!(!asks_for_list(&older), "{older:?}");
-    let equal = hear(here, other, ListMark { revision: 9, digest: 1 });
+    let equal = hear(here, other, ListVersion { revision: 9, digest: 1 });
     assert!(equal.contains(&Order::ConfirmUpstreams(9)), "{equal:?}");
     assert!(!asks_for_list(&equal), "{equal:?}");
     // What is newer may be under way by the broadcast; it is asked for at the next sign of life.
-    let newer = hear(here, other, ListMark { revision: 11, digest: 3 });
+    let newer = hear(here, other, ListVersion { revision: 11, digest: 3 });
     assert!(!asks_for_list(&newer), "{newer:?}");
-    let next = hear_at(5_300, here, other, ListMark { revision: 12, digest: 4 });
+    let next = hear_at(5_300, here, other, ListVersion { revision: 12, digest: 4 });
     assert!(asks_for_list(&next), "{next:?}");
 }
 
@@ -97,8 +97,8 @@
     // A VM that had missed one change fetched the whole list: 330 KB for 3,000 upstreams.
     let fleet = fleet(3);
     let (here, other) = (node(&fleet, 0), node(&fleet, 1).id());
-    here.handle(Time::from_millis(5_000), Event::ListMark(ListMark { revision: 7, digest: 1 }));
-    let mark = ListMark { revision: 11, digest: 3 };
+    here.handle(Time::from_millis(5_000), Event::ListMark(ListVersion { revision: 7, digest: 1 }));
+    let mark = ListVersion { revision: 11, digest: 3 };
     assert_eq!(asked_since(&hear(here, other, mark)), None);
     assert_eq!(asked_since(&hear_at(5_300, here, other, mark)), Some(7));
     // The answer is under way: nobody else is asked for the same.
@@ -113,7 +113,7 @@
     let fleet = fleet(3);
     let (here, other) = (node(&fleet, 0), node(&fleet, 1).id());
     let at = Time::from_millis;
-    here.handle(at(5_000), Event::ListMark(ListMark { revision: 7, digest: 1 }));
+    here.handle(at(5_000), Event::ListMark(ListVersion { revision: 7, digest: 1 }));
     assert_eq!(asked_since(&here.handle(at(5_000), Event::UpstreamsDiffer(other))), Some(0));
     // Not again with each piece of news that finds it different before the answer.
     assert_eq!(asked_since(&here.handle(at(5_500), Event::UpstreamsDiffer(other))), None);
@@ -124,9 +124,9 @@
 fn what_is_news_goes_to_all_neighbours() {
     let fleet = fleet(4);
     let here = node(&fleet, 0);
-    let changes = ReplicaChanges {
+    let changes = UpstreamListChanges {
         gone: vec![("u-1".parse().expect("a name"), 3)],
-        ..ReplicaChanges::default()
+        ..UpstreamListChanges::default()
     };
     let orders = here.handle(Time::from_millis(5_000), Event::UpstreamChanges(followed(changes)));
     let told =
@@ -141,7 +141,7 @@
         let now = Time::from_millis(5_000);
         let index: BTreeMap<_, _> = (0..vms).map(|vm| (node(&fleet, vm).id(), vm)).collect();
         let gone = vec![("u-1".parse().expect("a name"), 3)];
-        let changes = ReplicaChanges { gone, ..ReplicaChanges::default() };
+        let changes = UpstreamListChanges { gone, ..UpstreamListChanges::default() };
         let orders = node(&fleet, 0).handle(now, Event::UpstreamChanges(followed(changes)));
         let mut waiting: Vec<_> = orders.into_iter().map(|order| (0, 1, order)).collect();
         let mut reached = vec![0; vms];
@@ -175,7 +175,7 @@
         // Processes count time from their start, a second after the fleet's.
         let now = Time(fleet.now.0.saturating_sub(Duration::from_secs(1)));
         let index: BTreeMap<_, _> = (0..vms).map(|vm| (node(&fleet, vm).id(), vm)).collect();
-        let changes = ReplicaChanges {
+        let changes = UpstreamListChanges {
             gone: vec![("u-1".parse().expect("a name"), 3)],
             ..Default::default()
         };
--- a/crates/badgerfield/src/budget.rs
+++ b/crates/badgerfield/src/budget.rs
@@ -36,7 +36,7 @@
         "period": entry.terms.period,
         "limit": entry.terms.limit,
         "billed": entry.total_billed(),
-        "left": entry.left(),
+        "left": entry.remaining(),
         "held_by_vms": held,
         "holders": entry.holders.len(),
     })
