--- a/crates/badgerfield-core/src/board.rs
+++ b/crates/badgerfield-core/src/board.rs
@@ -13,14 +13,14 @@
 use crate::holdings::Holdings;
 use crate::ledger_writer::LedgerWriter;
 use crate::membership::Membership;
-use crate::poison::Poison;
+use crate::poison::PoisonTable;
 use crate::poison_record::PoisonRecord;
 use crate::queue::Queue;
 use crate::rollout::Rollouts;
 use crate::runs::Runs;
 use crate::template::TemplateSet;
 use crate::template_history::TemplateHistory;
-use crate::upstream::Upstreams;
+use crate::upstream::VmUpstreams;
 
 /// The tables, in the order in which they may be locked.
 #[derive(Debug)]
@@ -30,12 +30,12 @@
     template_history: Mutex<TemplateHistory>,
     evacuations: Mutex<Evacuations>,
     rollouts: Mutex<Rollouts>,
-    poison: Mutex<Poison>,
+    poison: Mutex<PoisonTable>,
     poison_record: Mutex<PoisonRecord>,
     runs: Mutex<Runs>,
     charges: Mutex<Charges>,
     queue: Mutex<Queue>,
-    upstreams: Mutex<Upstreams>,
+    upstreams: Mutex<VmUpstreams>,
     claims: Mutex<Claims>,
     holdings: Mutex<Holdings>,
     ledger_writer: Mutex<LedgerWriter>,
@@ -93,7 +93,7 @@
     }
 
     /// Locks what is known of requests under which upstreams have ended.
-    pub(crate) fn poison(&self) -> MutexGuard<'_, Poison> {
+    pub(crate) fn poison(&self) -> MutexGuard<'_, PoisonTable> {
         lock(&self.poison)
     }
 
@@ -118,7 +118,7 @@
     }
 
     /// Locks the upstreams.
-    pub(crate) fn upstreams(&self) -> MutexGuard<'_, Upstreams> {
+    pub(crate) fn upstreams(&self) -> MutexGuard<'_, VmUpstreams> {
         lock(&self.upstreams)
     }
 
--- a/crates/badgerfield-core/src/control/admission.rs
+++ b/crates/badgerfield-core/src/control/admission.rs
@@ -105,10 +105,10 @@
         let closed =
             members.stopping.is_some_and(|since| now.since(since) >= self.config.directory_ttl);
         if closed || members.removed {
-            return Err(Refusal::not_run(Cause::Stopping).after(ELSEWHERE));
+            return Err(Refusal::not_run(Cause::Stopping).with_retry_after(ELSEWHERE));
         }
         if !members.is_member() {
-            return Err(Refusal::not_run(Cause::NotReady).after(ELSEWHERE));
+            return Err(Refusal::not_run(Cause::NotReady).with_retry_after(ELSEWHERE));
         }
         Ok(())
     }
@@ -116,7 +116,7 @@
     fn look_up(&self, arrival: &Arrival) -> Result<Admitted, Refusal> {
         let templates = self.board.templates();
         if templates.version.0 == 0 {
-            return Err(Refusal::not_run(Cause::NotReady).after(ELSEWHERE));
+            return Err(Refusal::not_run(Cause::NotReady).with_retry_after(ELSEWHERE));
         }
         let unknown = Refusal::not_run(Cause::UnknownCaller);
         let found = find_budget(&templates, &arrival.secret).ok_or(unknown)?;
--- a/crates/badgerfield-core/src/control/answer.rs
+++ b/crates/badgerfield-core/src/control/answer.rs
@@ -36,7 +36,7 @@
             UpstreamEvent::Busy(rest) => {
                 if let Some((id, upstream)) = self.over(now, attempt) {
                     self.board.upstreams().failed(now, &upstream);
-                    self.board.upstreams().rest(now, &upstream, rest.unwrap_or_default());
+                    self.board.upstreams().back_off(now, &upstream, rest.unwrap_or_default());
                     self.not_taken(now, id, out);
                 }
             }
@@ -242,7 +242,7 @@
             (id, first, (run.account.clone(), run.priority, served))
         };
         if let Some((upstream, took, work)) = first {
-            self.board.upstreams().first(&upstream, &work, took);
+            self.board.upstreams().record_first_token(&upstream, &work, took);
         }
         let (account, priority, tokens) = served;
         self.board.queue().count_tokens(&account, priority, tokens);
--- a/crates/badgerfield-core/src/control/claiming.rs
+++ b/crates/badgerfield-core/src/control/claiming.rs
@@ -221,7 +221,7 @@
             if !self.stops_claiming(id) {
                 continue;
             }
-            let refusal = Refusal::may_have_run(Cause::KeyUndecided).after(UNDECIDED);
+            let refusal = Refusal::may_have_run(Cause::KeyUndecided).with_retry_after(UNDECIDED);
             self.refuse(now, id, refusal, out);
         }
         for id in lost {
--- a/crates/badgerfield-core/src/control/dispatch.rs
+++ b/crates/badgerfield-core/src/control/dispatch.rs
@@ -11,7 +11,7 @@
 use crate::queue::QueuedRequest;
 use crate::refusal::{Cause, Refusal};
 use crate::runs::{Run, Stage};
-use crate::upstream::{Choice, Wish};
+use crate::upstream::{VmUpstreamChoice, VmUpstreamCriteria};
 
 /// How often a request may be sent again after an upstream did not take it.
 const MAX_TRIES: u32 = 3;
@@ -39,7 +39,7 @@
         let patience = until.since(now);
         if let Some(wait) = wait.filter(|wait| *wait > patience) {
             let after = wait.saturating_sub(patience).clamp(BACK.0, BACK.1);
-            self.refuse(now, id, Refusal::not_run(Cause::Overloaded).after(after), out);
+            self.refuse(now, id, Refusal::not_run(Cause::Overloaded).with_retry_after(after), out);
         }
     }
 
@@ -47,7 +47,7 @@
     pub(crate) fn tick_queue(&self, now: Time, out: &mut Outbox) {
         let expired = self.board.queue().expired(now);
         for id in expired {
-            self.refuse(now, id, Refusal::not_run(Cause::Overloaded).after(BACK.0), out);
+            self.refuse(now, id, Refusal::not_run(Cause::Overloaded).with_retry_after(BACK.0), out);
         }
     }
 
@@ -61,18 +61,19 @@
                 return;
             };
             match self.choose(now, waiting.run) {
-                Some(Choice::Take(upstream)) => {
+                Some(VmUpstreamChoice::Selected(upstream)) => {
                     // Other threads look at the same head: whoever takes it out sends it.
                     if self.board.queue().remove(&account, waiting.run) {
                         self.send_new(now, waiting.run, &upstream, out);
                     }
                 }
-                Some(Choice::Full(_)) => {
+                Some(VmUpstreamChoice::Full(_)) => {
                     blocked.insert(account);
                 }
-                Some(Choice::None) => {
+                Some(VmUpstreamChoice::Unavailable) => {
                     if self.board.queue().remove(&account, waiting.run) {
-                        let refusal = Refusal::not_run(Cause::NoUpstream).after(NO_UPSTREAM);
+                        let refusal =
+                            Refusal::not_run(Cause::NoUpstream).with_retry_after(NO_UPSTREAM);
                         self.refuse(now, waiting.run, refusal, out);
                     }
                 }
@@ -83,7 +84,7 @@
         }
     }
 
-    fn choose(&self, now: Time, id: RunId) -> Option<Choice> {
+    fn choose(&self, now: Time, id: RunId) -> Option<VmUpstreamChoice> {
         let (work, account, residency) = {
             let mut runs = self.board.runs();
             let run = runs.get_mut(id)?;
@@ -92,7 +93,13 @@
         let template = self.board.templates().accounts.get(&account)?.clone();
         let seed = self.config.seed ^ id.0;
         let region = &self.config.member.region;
-        let wish = Wish { work: &work, template: &template, residency: &residency, region, seed };
+        let wish = VmUpstreamCriteria {
+            work: &work,
+            template: &template,
+            residency: &residency,
+            region,
+            seed,
+        };
         Some(self.board.upstreams().choose(now, &wish))
     }
 
@@ -165,7 +172,12 @@
             (run.account.clone(), run.tries, run.until)
         };
         if tries > MAX_TRIES || now >= until {
-            self.refuse(now, id, Refusal::not_run(Cause::NoUpstream).after(NO_UPSTREAM), out);
+            self.refuse(
+                now,
+                id,
+                Refusal::not_run(Cause::NoUpstream).with_retry_after(NO_UPSTREAM),
+                out,
+            );
             return;
         }
         self.board.queue().push(&account, QueuedRequest { run: id, deadline: until });
@@ -235,7 +247,7 @@
                 queue.count_tokens(&account, priority, input_cost(&work));
             }
         }
-        self.board.upstreams().dispatched(now, upstream, &work);
+        self.board.upstreams().record_dispatch(now, upstream, &work);
         out.push(Order::Dispatch(attempt, dispatch));
     }
 
@@ -271,7 +283,7 @@
         let (account, work, started) = about;
         self.board.runs().drop_attempt(attempt);
         self.board.queue().finish_request(now, account);
-        self.board.upstreams().ended(upstream, work, started);
+        self.board.upstreams().record_end(upstream, work, started);
     }
 }
 
--- a/crates/badgerfield-core/src/control/members.rs
+++ b/crates/badgerfield-core/src/control/members.rs
@@ -62,7 +62,7 @@
                 rollouts,
                 blocked,
                 wall: members.wall(now),
-                needs: members.needs.blend(now),
+                needs: members.needs.average(now),
                 lags: members.lags.clone(),
             };
             (members.neighbours(), beat)
--- a/crates/badgerfield-core/src/control/poison.rs
+++ b/crates/badgerfield-core/src/control/poison.rs
@@ -25,18 +25,18 @@
     /// Takes in that an upstream ended while a request of this process was there.
     pub(crate) fn record_crash(&self, now: Time, crash: Crash, out: &mut Outbox) {
         let request = crash.request;
-        let news = self.board.poison().saw(now, crash);
+        let news = self.board.poison().record_crash(now, crash);
         let blocks = news.iter().any(|(_, blocks)| *blocks);
         let mut told: Vec<_> = news.iter().map(|(crash, _)| crash.clone()).collect();
         if blocks {
             // With what came before, for members that have missed it.
             told = self.board.poison().crashes_of(now, request);
         }
-        self.board.poison_record().tell(told);
+        self.board.poison_record().enqueue(told);
         // At once if a caller may come back with it elsewhere.
         self.tell_crashes(now, blocks, out);
         if blocks {
-            self.board.poison_record().note_more();
+            self.board.poison_record().mark_dirty();
         }
         out.crash_news(None, news);
         self.call_poison_record(now, out);
@@ -44,8 +44,8 @@
 
     /// Takes in that a request was served whole which was there when an upstream ended.
     pub(crate) fn record_suspect_served(&self, now: Time, request: Fingerprint, out: &mut Outbox) {
-        let cleared = self.board.poison().served(now, request);
-        self.board.poison_record().tell(cleared.iter().cloned());
+        let cleared = self.board.poison().record_served(now, request);
+        self.board.poison_record().enqueue(cleared.iter().cloned());
         self.tell_crashes(now, false, out);
         out.crash_news(None, cleared.into_iter().map(|crash| (crash, false)).collect());
     }
@@ -84,7 +84,7 @@
                 return;
             }
             members.crashes_compared.insert(from, now);
-            known.blocked(now)
+            known.blocked_crashes(now)
         };
         out.send(from, Message::CompareCrashes(crashes));
     }
@@ -98,7 +98,7 @@
         out: &mut Outbox,
     ) {
         self.learn_crashes(now, Some(from), theirs.to_vec(), out);
-        let crashes = self.board.poison().beyond(now, theirs);
+        let crashes = self.board.poison().missing_from(now, theirs);
         if !crashes.is_empty() {
             out.send(from, Message::Crashes(CrashNews { crashes, reach: 0 }));
         }
@@ -117,7 +117,7 @@
             KvResult::Value(found) => self.poison_found(now, &found, out),
             KvResult::Conflict(found) => {
                 // What was to be written is known here still.
-                self.board.poison_record().note_more();
+                self.board.poison_record().mark_dirty();
                 self.poison_found(now, &found, out);
             }
             _ => self.board.poison_record().failed(write),
@@ -154,11 +154,12 @@
             let mut poison = self.board.poison();
             let news = poison.learn(now, crashes);
             // Two crashes may be seen at one moment by two processes: either writes it down.
-            let records = news.iter().any(|(c, blocks)| *blocks && poison.is_witness(c.request));
+            let records =
+                news.iter().any(|(c, blocks)| *blocks && poison.has_seen_crash(c.request));
             (news, records)
         };
         if records {
-            self.board.poison_record().note_more();
+            self.board.poison_record().mark_dirty();
             self.call_poison_record(now, out);
         }
         out.crash_news(from, news);
@@ -167,7 +168,7 @@
     /// Tells all members what waits to be told.
     fn tell_crashes(&self, now: Time, is_urgent: bool, out: &mut Outbox) {
         let members = self.board.members();
-        let crashes = self.board.poison_record().take_news(now, is_urgent);
+        let crashes = self.board.poison_record().take_update(now, is_urgent);
         if crashes.is_empty() {
             return;
         }
@@ -180,7 +181,7 @@
     /// Makes the call about the record that is due.
     fn call_poison_record(&self, now: Time, out: &mut Outbox) {
         let mut members = self.board.members();
-        let blocked = self.board.poison().blocked(now);
+        let blocked = self.board.poison().blocked_crashes(now);
         let Some(call) = self.board.poison_record().next_call(now) else {
             return;
         };
--- a/crates/badgerfield-core/src/control/rollouts.rs
+++ b/crates/badgerfield-core/src/control/rollouts.rs
@@ -19,8 +19,8 @@
 use crate::message::{Message, RolloutNews};
 use crate::node::Node;
 use crate::rollout::{
-    Call, Evidence, Known, OrderChange, Reason, RolloutNote, RolloutPhase, RolloutRecord,
-    RolloutTally, Situation,
+    Evidence, KnownRollout, OrderChange, RecorderCall, RolloutLogEntry, RolloutPhase,
+    RolloutReason, RolloutRecord, RolloutTally, StepContext,
 };
 use crate::seal::FleetClock;
 use crate::view::View;
@@ -53,7 +53,7 @@
 
     /// Takes in orders that were given or withdrawn.
     pub(crate) fn orders_changed(&self, now: Time, orders: Vec<OrderChange>, out: &mut Outbox) {
-        let news = orders.into_iter().map(|change| Known { change, stage: None }).collect();
+        let news = orders.into_iter().map(|change| KnownRollout { change, stage: None }).collect();
         self.learn_rollouts(now, news, out);
     }
 
@@ -81,7 +81,7 @@
             let mut members = self.board.members();
             let mut table = self.board.rollouts();
             if table.digest() == theirs {
-                table.agreed(members.is_active() && members.view.has(from));
+                table.record_agreement(members.is_active() && members.view.has(from));
                 return;
             }
             if !due(now, members.rollouts_compared.get(&from).copied(), COMPARE) {
@@ -98,7 +98,7 @@
         &self,
         now: Time,
         from: Incarnation,
-        theirs: &[Known],
+        theirs: &[KnownRollout],
         out: &mut Outbox,
     ) {
         let (turned, known) = {
@@ -107,7 +107,7 @@
             let turned = table.learn(now, theirs.to_vec());
             let known = table.all();
             if known == theirs {
-                table.agreed(members.is_active() && members.view.has(from));
+                table.record_agreement(members.is_active() && members.view.has(from));
             }
             (turned, known)
         };
@@ -127,7 +127,7 @@
         if tallies.is_empty() {
             return;
         }
-        self.board.rollouts().count(tallies);
+        self.board.rollouts().record_tallies(tallies);
         self.report_rollouts(now, &self.bench(now), out);
     }
 
@@ -141,7 +141,7 @@
                 return;
             }
         }
-        let open = self.board.rollouts().open();
+        let open = self.board.rollouts().unfinished();
         if !open.is_empty() {
             let bench = self.bench(now);
             self.report_rollouts(now, &bench, out);
@@ -162,7 +162,7 @@
         out: &mut Outbox,
     ) {
         let missed = |outcome| {
-            let note = RolloutNote::Missed { service: service.clone(), outcome };
+            let note = RolloutLogEntry::CallFailed { service: service.clone(), outcome };
             Order::Note(Note::Rollout(Box::new(note)))
         };
         match (result, written) {
@@ -177,8 +177,8 @@
             (result, _) => {
                 let refused = matches!(result, KvResult::Refused);
                 out.push(missed(if refused { "refused" } else { "no answer" }));
-                if let Some(recorder) = self.board.rollouts().recorder(service) {
-                    recorder.lost();
+                if let Some(recorder) = self.board.rollouts().recorder_mut(service) {
+                    recorder.invalidate();
                 }
             }
         }
@@ -210,11 +210,11 @@
             let Some(known) = table.known(service).cloned() else {
                 return;
             };
-            let Some(recorder) = table.recorder(service) else {
+            let Some(recorder) = table.recorder_mut(service) else {
                 return;
             };
-            let stage = recorder.found(revision, record, &known);
-            stage.map(|stage| Known { stage: Some(stage), ..known })
+            let stage = recorder.apply_record(revision, record, &known);
+            stage.map(|stage| KnownRollout { stage: Some(stage), ..known })
         };
         self.learn_rollouts(now, news.into_iter().collect(), out);
     }
@@ -224,7 +224,7 @@
         &self,
         now: Time,
         bench: &Bench,
-        known: &Known,
+        known: &KnownRollout,
         heard: Time,
         out: &mut Outbox,
     ) {
@@ -234,11 +234,11 @@
         let longest = self.longest(service);
         let members: Vec<_> = bench.view.members.iter().map(|m| m.incarnation).collect();
         let mut table = self.board.rollouts();
-        let Some(recorder) = table.recorder(service) else {
+        let Some(recorder) = table.recorder_mut(service) else {
             return;
         };
         let Some(rank) = place.and_then(|place| u32::try_from(place).ok()) else {
-            recorder.leave();
+            recorder.stop_judging();
             return;
         };
         recorder.judge.tick(now);
@@ -252,17 +252,17 @@
             return;
         }
         let clock = bench.clock;
-        let at = Situation {
+        let at = StepContext {
             now,
             known,
-            heard,
+            received: heard,
             clock,
-            longest,
+            max_duration: longest,
             members: &members,
-            view_asked: bench.view_asked,
+            view_requested: bench.view_asked,
             rank,
         };
-        let call = recorder.step(&at);
+        let call = recorder.next_call(&at);
         let evidence = recorder.judge.evidence().clone();
         drop(table);
         if let Some(call) = call {
@@ -274,14 +274,14 @@
     fn target_rejected(
         &self,
         now: Time,
-        known: &Known,
-        reason: Reason,
+        known: &KnownRollout,
+        reason: RolloutReason,
         evidence: Evidence,
-        turned: Vec<Known>,
+        turned: Vec<KnownRollout>,
         out: &mut Outbox,
     ) {
         let (service, revision) = (known.change.service.clone(), known.change.revision);
-        let note = RolloutNote::Rejected { service, revision, reason, evidence };
+        let note = RolloutLogEntry::Rejected { service, revision, reason, evidence };
         out.push(Order::Note(Note::Rollout(Box::new(note))));
         self.tell_rollouts(now, &turned, out);
         self.put_rules(now, turned, out);
@@ -292,20 +292,20 @@
         &self,
         now: Time,
         service: &Service,
-        call: Call,
+        call: RecorderCall,
         evidence: Evidence,
         out: &mut Outbox,
     ) {
         let name = KvName::Rollout(service.clone());
         let (written, call) = match call {
-            Call::Read => (None, KvCall::Get(name)),
-            Call::ReadView => {
+            RecorderCall::Read => (None, KvCall::Get(name)),
+            RecorderCall::ReadView => {
                 read(&mut self.board.members(), now, KvName::View, out);
                 return;
             }
-            Call::Write(expect, record) => {
+            RecorderCall::Write(expect, record) => {
                 let value = Bytes::from(record.encode());
-                let note = RolloutNote::Writes {
+                let note = RolloutLogEntry::WritingRecord {
                     service: service.clone(),
                     record: record.clone(),
                     evidence,
@@ -323,7 +323,7 @@
     fn report_rollouts(&self, now: Time, bench: &Bench, out: &mut Outbox) {
         let members = u32::try_from(bench.view.members.len()).unwrap_or(u32::MAX);
         let mut table = self.board.rollouts();
-        for (judges, report) in table.reports(now, members, |service| bench.judges(service)) {
+        for (judges, report) in table.due_reports(now, members, |service| bench.judges(service)) {
             for judge in judges {
                 if judge == bench.me {
                     table.hear(judge, report.clone());
@@ -335,7 +335,7 @@
     }
 
     /// Takes in news, tells all members what was news here, and puts the rules in force.
-    fn learn_rollouts(&self, now: Time, news: Vec<Known>, out: &mut Outbox) {
+    fn learn_rollouts(&self, now: Time, news: Vec<KnownRollout>, out: &mut Outbox) {
         if news.is_empty() {
             return;
         }
@@ -345,7 +345,7 @@
     }
 
     /// Tells all members what was news here.
-    fn tell_rollouts(&self, now: Time, turned: &[Known], out: &mut Outbox) {
+    fn tell_rollouts(&self, now: Time, turned: &[KnownRollout], out: &mut Outbox) {
         if turned.is_empty() {
             return;
         }
@@ -357,9 +357,9 @@
     }
 
     /// Logs what was news, and puts the rules in force that follow from it.
-    fn put_rules(&self, now: Time, turned: Vec<Known>, out: &mut Outbox) {
+    fn put_rules(&self, now: Time, turned: Vec<KnownRollout>, out: &mut Outbox) {
         for known in turned {
-            out.push(Order::Note(Note::Rollout(Box::new(RolloutNote::Learned(known)))));
+            out.push(Order::Note(Note::Rollout(Box::new(RolloutLogEntry::Updated(known)))));
         }
         let bound = &self.config.pacing.rollout;
         if let Some(rules) = self.board.rollouts().changed_rules(now, bound) {
--- a/crates/badgerfield-core/src/control/upstream_news.rs
+++ b/crates/badgerfield-core/src/control/upstream_news.rs
@@ -14,7 +14,7 @@
 use crate::message::{Message, UpstreamNews};
 use crate::node::Node;
 use crate::replica_list::ListVersion;
-use crate::request_limit::LimitNote;
+use crate::request_limit::LimitReport;
 use crate::view::SMALL_VIEW;
 
 /// The least time between two fetches of what is missing of the list: about as long as an
@@ -71,7 +71,7 @@
     }
 
     /// Tells the neighbours of the limits that upstreams name.
-    pub(crate) fn send_limits(&self, notes: &[LimitNote], out: &mut Outbox) {
+    pub(crate) fn send_limits(&self, notes: &[LimitReport], out: &mut Outbox) {
         if notes.is_empty() {
             return;
         }
--- a/crates/badgerfield-core/src/event.rs
+++ b/crates/badgerfield-core/src/event.rs
@@ -13,15 +13,15 @@
     Account, Adapter, AttemptId, BudgetId, Incarnation, Model, Period, RequestId, RequestKey,
     ReservationId, RunId, Service, Ticket, UpstreamId, VmId,
 };
-use crate::lag::LagNote;
+use crate::lag::DelayReport;
 use crate::ledger::HoldingPlan;
 use crate::message::{Envelope, Head, Message, UpstreamNews};
-use crate::mix::Needs;
+use crate::mix::EngineDemand;
 use crate::poison::{Crash, Fingerprint};
 use crate::refusal::Refusal;
 use crate::replica_list::{ListVersion, UpstreamList};
-use crate::request_limit::LimitNote;
-use crate::rollout::{OrderChange, RolloutNote, RolloutTally, RuleSet};
+use crate::request_limit::LimitReport;
+use crate::rollout::{OrderChange, RolloutLogEntry, RolloutRules, RolloutTally};
 use crate::template::KeyDigest;
 use crate::upstream::{LoadReport, VmList};
 
@@ -72,11 +72,11 @@
     /// How much of the list of upstreams is known here.
     ListMark(ListVersion),
     /// What the requests of this process need of engines.
-    EngineNeeds(Vec<Needs>),
+    EngineNeeds(Vec<EngineDemand>),
     /// The upstreams at which requests wait.
-    Lags(Vec<LagNote>),
+    Lags(Vec<DelayReport>),
     /// What other processes should know of the limits that upstreams name.
-    Limits(Vec<LimitNote>),
+    Limits(Vec<LimitReport>),
     /// How the requests of this process went at services that are rolled out, told now and then.
     RolloutTallies(Vec<RolloutTally>),
     /// An upstream has ended while a request of this process was there.
@@ -370,15 +370,15 @@
     /// The list of upstreams is still as it is known here, up to a revision.
     ConfirmUpstreams(u64),
     /// Divide the engines by what the requests of all processes need.
-    DivideEngines(Vec<Needs>),
+    DivideEngines(Vec<EngineDemand>),
     /// Take in at which upstreams requests of other processes wait.
-    LearnLags(Vec<LagNote>),
+    LearnLags(Vec<DelayReport>),
     /// Take in what another process knows of the limits that upstreams name.
-    LearnLimits(Incarnation, Vec<LimitNote>),
+    LearnLimits(Incarnation, Vec<LimitReport>),
     /// Stop or begin to use the upstreams of failure domains, as the platform or a process told.
     Evacuated(Option<Incarnation>, Vec<DomainChange>),
     /// Divide the requests of services between versions by these rules, and by no others.
-    RolloutRules(RuleSet),
+    RolloutRules(RolloutRules),
     /// Tell a process what has changed in the list of upstreams since a revision; the whole list
     /// since 0.
     TellUpstreams(Incarnation, u64),
@@ -488,7 +488,7 @@
     /// The budget period has ended and a new one is in force.
     Renewed(BudgetId),
     /// Something about a roll-out.
-    Rollout(Box<RolloutNote>),
+    Rollout(Box<RolloutLogEntry>),
     /// An upstream ended under a request, or such a request was served whole since.
     Crash {
         /// What happened.
--- a/crates/badgerfield-core/src/holdings/holding.rs
+++ b/crates/badgerfield-core/src/holdings/holding.rs
@@ -375,7 +375,7 @@
         if !close {
             self.balance(now);
         }
-        let at = sealing.clock.at(now);
+        let at = sealing.clock.time_at(now);
         // Where the platform may be away only what it will hand out is promised: what is
         // held must stay in use.
         let sure = at.is_some() && sealing.is_sure(now);
@@ -401,7 +401,7 @@
             return;
         };
         seal.amount = Tokens::ZERO;
-        seal.sealed_at = clock.at(now);
+        seal.sealed_at = clock.time_at(now);
         if seal.sealed_at.is_some() {
             self.promises.say_again(now);
         }
--- a/crates/badgerfield-core/src/holdings/lending.rs
+++ b/crates/badgerfield-core/src/holdings/lending.rs
@@ -192,8 +192,8 @@
     ) {
         let refusal = match lack {
             Lack::Spent => Refusal::not_run(Cause::BudgetSpent),
-            Lack::Reserved(after) => Refusal::not_run(Cause::BudgetHeld).after(after),
-            Lack::NoHolder => Refusal::not_run(Cause::BudgetHeld).after(COME_BACK),
+            Lack::Reserved(after) => Refusal::not_run(Cause::BudgetHeld).with_retry_after(after),
+            Lack::NoHolder => Refusal::not_run(Cause::BudgetHeld).with_retry_after(COME_BACK),
         };
         self.refuse_waiters(now, budget, need, refusal);
     }
--- a/crates/badgerfield-core/src/holdings/search.rs
+++ b/crates/badgerfield-core/src/holdings/search.rs
@@ -219,7 +219,7 @@
     /// Refuses those who wait: no lender answers, nor any that stands in for them, and a
     /// process that is neither does not draw from the ledger.
     fn refuse_silent(&mut self, now: Time, budget: &BudgetId) {
-        let refusal = Refusal::not_run(Cause::BudgetHeld).after(COME_BACK);
+        let refusal = Refusal::not_run(Cause::BudgetHeld).with_retry_after(COME_BACK);
         self.refuse_waiters(now, budget, Tokens::ZERO, refusal);
     }
 
@@ -369,7 +369,7 @@
         // Whoever is refused waits behind all that are not: it is told when its turn may come.
         let opens = holding.opens_in(now, holding.wanted());
         let after = opens.map_or(after, |opens| opens.clamp(SOON, after));
-        let refusal = Refusal::not_run(Cause::BudgetHeld).after(after);
+        let refusal = Refusal::not_run(Cause::BudgetHeld).with_retry_after(after);
         self.refuse_waiters(now, budget, Tokens::ZERO, refusal);
     }
 
@@ -387,7 +387,7 @@
         if holding.waiters.is_empty() {
             holding.search = None;
         }
-        let refusal = Refusal::not_run(Cause::BudgetHeld).after(COME_BACK);
+        let refusal = Refusal::not_run(Cause::BudgetHeld).with_retry_after(COME_BACK);
         self.decide(budget, late, Some(refusal));
         let Some(holding) = self.table.get_mut(budget) else {
             return;
--- a/crates/badgerfield-core/src/lag.rs
+++ b/crates/badgerfield-core/src/lag.rs
@@ -50,7 +50,7 @@
 
 /// What a sign of life says about one upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LagNote {
+pub struct DelayReport {
     /// Stands for the upstream.
     pub upstream: u32,
     /// The lag when it was seen, in units of 10 ms.
@@ -98,7 +98,7 @@
     }
 
     /// Takes in what another process saw, if that is newer.
-    pub(crate) fn hear(&mut self, now: Time, note: LagNote) {
+    pub(crate) fn hear(&mut self, now: Time, note: DelayReport) {
         let age = Duration::from_millis(note.age.into());
         let is_newer = self.at.is_none_or(|at| now.since(at) > age);
         if is_newer {
@@ -109,13 +109,13 @@
 
     /// Makes a note of the lag of an engine, or of an upstream of a plain service, if others
     /// should know of it.
-    pub(crate) fn note(&self, now: Time, upstream: u32, is_plain: bool) -> Option<LagNote> {
+    pub(crate) fn note(&self, now: Time, upstream: u32, is_plain: bool) -> Option<DelayReport> {
         let noted = if is_plain { NOTED_PLAIN_MS } else { NOTED_MS };
         let at = self.at.filter(|_| self.millis(now) >= noted)?;
         let age = u16::try_from(now.since(at).as_millis()).ok()?;
         let units = (self.millis / LAG_UNIT_MS).min(f64::from(u16::MAX));
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "within range")]
         let lag = units as u16;
-        Some(LagNote { upstream, lag, age })
+        Some(DelayReport { upstream, lag, age })
     }
 }
--- a/crates/badgerfield-core/src/locality.rs
+++ b/crates/badgerfield-core/src/locality.rs
@@ -18,11 +18,11 @@
 pub enum Distance {
     /// In the same failure domain.
     #[default]
-    Domain,
+    SameDomain,
     /// In another domain of the same region.
-    Region,
+    SameRegion,
     /// In another region, or in an unknown one.
-    Far,
+    OtherRegion,
 }
 
 impl Distance {
@@ -30,28 +30,28 @@
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Domain => "domain",
-            Self::Region => "region",
-            Self::Far => "far",
+            Self::SameDomain => "domain",
+            Self::SameRegion => "region",
+            Self::OtherRegion => "far",
         }
     }
 }
 
 /// Why a request left its region.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Crossing {
+pub enum CrossingReason {
     /// No upstream in the region could take it.
-    NoneNear,
+    NoneInRegion,
     /// Those in the region were expected to take longer.
     Cost,
 }
 
-impl Crossing {
+impl CrossingReason {
     /// Returns the word that logs and metrics show.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::NoneNear => "none_near",
+            Self::NoneInRegion => "none_near",
             Self::Cost => "cost",
         }
     }
@@ -59,7 +59,7 @@
 
 /// What distance costs.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Locality {
+pub struct DistanceCosts {
     /// The round trip to another domain of the region.
     pub domain_trip: Duration,
     /// The round trip to another region.
@@ -70,7 +70,7 @@
     pub region_price: f64,
 }
 
-impl Default for Locality {
+impl Default for DistanceCosts {
     fn default() -> Self {
         Self {
             // As the users' sheets list them, there and back.
@@ -86,15 +86,15 @@
     }
 }
 
-impl Locality {
+impl DistanceCosts {
     /// Returns the cost of sending a request so far, of which so many bytes cross both ways
     /// together, in milliseconds.
     #[must_use]
     pub fn cost(&self, distance: Distance, bytes: u64) -> f64 {
         let (trip, price) = match distance {
-            Distance::Domain => return 0.0,
-            Distance::Region => (self.domain_trip, self.domain_price),
-            Distance::Far => (self.region_trip, self.region_price),
+            Distance::SameDomain => return 0.0,
+            Distance::SameRegion => (self.domain_trip, self.domain_price),
+            Distance::OtherRegion => (self.region_trip, self.region_price),
         };
         let bytes = f64::from(u32::try_from(bytes).unwrap_or(u32::MAX));
         trip.as_secs_f64() * 1e3 + bytes / 1e3 * price
@@ -117,13 +117,13 @@
     #[must_use]
     pub fn distance(&self, domain: &Domain, regions: &RegionMap) -> Distance {
         if self.domain.as_ref() == Some(domain) {
-            return Distance::Domain;
+            return Distance::SameDomain;
         }
         let known = regions.region(domain);
         if !regions.tells_apart() || (known.is_some() && known == self.region.as_ref()) {
-            return Distance::Region;
+            return Distance::SameRegion;
         }
-        Distance::Far
+        Distance::OtherRegion
     }
 }
 
--- a/crates/badgerfield-core/src/membership.rs
+++ b/crates/badgerfield-core/src/membership.rs
@@ -12,9 +12,9 @@
 use crate::first_read;
 use crate::ids::{Epoch, Incarnation, VmId};
 use crate::joining::Joining;
-use crate::lag::LagNote;
+use crate::lag::DelayReport;
 use crate::message::Heartbeat;
-use crate::mix::NeedsBlend;
+use crate::mix::DemandAverage;
 use crate::ranks::Ranks;
 use crate::replica_list::ListVersion;
 use crate::seal::FleetClock;
@@ -102,9 +102,9 @@
     /// How much of the list of upstreams is known here.
     pub(crate) list: ListVersion,
     /// What requests need of engines, here and elsewhere.
-    pub(crate) needs: NeedsBlend,
+    pub(crate) needs: DemandAverage,
     /// The upstreams at which requests wait.
-    pub(crate) lags: Vec<LagNote>,
+    pub(crate) lags: Vec<DelayReport>,
     /// The last revision of that list up to which all were told every change.
     pub(crate) told: u64,
     /// What others know of that list beyond this process.
@@ -172,7 +172,7 @@
             offset: None,
             serving: true,
             list: ListVersion::default(),
-            needs: NeedsBlend::default(),
+            needs: DemandAverage::default(),
             lags: Vec::new(),
             told: 0,
             behind: None,
@@ -359,7 +359,7 @@
         if self.is_alone(now) || !self.is_member() {
             return true;
         }
-        self.ranks.reads()
+        self.ranks.is_reader()
     }
 
     /// Tells whether this process reads whole values from the platform that it knows nothing
@@ -415,7 +415,7 @@
         if is_member && (is_small || self.is_alone(now)) {
             return true;
         }
-        let wait = self.notice * self.ranks.follows_after() / 100;
+        let wait = self.notice * self.ranks.watch_delay_percent() / 100;
         heard.is_none_or(|age| age >= wait)
     }
 
@@ -423,7 +423,7 @@
     /// knows no rank of its own.
     pub(crate) fn probes_platform(&self) -> bool {
         let is_small = self.view.members.len() <= SMALL_VIEW;
-        is_small || self.ranks.probes()
+        is_small || self.ranks.can_probe()
     }
 
     /// Tells whether this process hears no other member.
@@ -433,7 +433,7 @@
 
     /// Tells whether this process marks complete views.
     pub(crate) fn is_marker(&self) -> bool {
-        self.ranks.marks()
+        self.ranks.is_completion_writer()
     }
 
     /// Tells whether this process has a view to mark as complete, up to this epoch, that it
--- a/crates/badgerfield-core/src/message.rs
+++ b/crates/badgerfield-core/src/message.rs
@@ -12,13 +12,13 @@
 use crate::ids::{
     Account, BudgetId, Epoch, Incarnation, Period, Region, RequestKey, UpstreamId, Version,
 };
-use crate::lag::LagNote;
+use crate::lag::DelayReport;
 use crate::ledger::{LedgerOp, LedgerReply};
-use crate::mix::Needs;
+use crate::mix::EngineDemand;
 use crate::poison::Crash;
 use crate::replica_list::{ListVersion, UpstreamList, UpstreamListChanges};
-use crate::request_limit::LimitNote;
-use crate::rollout::{Known, RolloutTally};
+use crate::request_limit::LimitReport;
+use crate::rollout::{KnownRollout, RolloutTally};
 use crate::template::{TemplateDelta, TemplateSet};
 use crate::view::Member;
 use crate::view_update::ViewUpdate;
@@ -77,7 +77,7 @@
     /// Roll-outs were ordered, or have come further; passed on to all.
     Rollouts(RolloutNews),
     /// All that the sender knows of roll-outs; asks for what the receiver knows beyond.
-    CompareRollouts(Vec<Known>),
+    CompareRollouts(Vec<KnownRollout>),
     /// Upstreams ended under requests, or such requests were served since; passed on to all.
     Crashes(CrashNews),
     /// All that the sender knows of blocked requests; asks for what the receiver knows beyond.
@@ -210,7 +210,7 @@
         serial: u64,
     },
     /// The limits that upstreams name, or have ceased to name, as far as the sender knows.
-    Limits(Vec<LimitNote>),
+    Limits(Vec<LimitReport>),
 }
 
 impl Message {
@@ -279,7 +279,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutNews {
     /// What is known of the services that the news is about.
-    pub known: Vec<Known>,
+    pub known: Vec<KnownRollout>,
     /// To how many members before it in the ring the receiver passes this on.
     pub reach: u32,
 }
@@ -324,9 +324,9 @@
     /// The time of day at the sender, in milliseconds since 1970, if it has told it.
     pub wall: Option<u64>,
     /// What the sender takes requests to need of engines, its own and others'.
-    pub needs: Vec<Needs>,
+    pub needs: Vec<EngineDemand>,
     /// The upstreams at which requests wait, as far as the sender knows.
-    pub lags: Vec<LagNote>,
+    pub lags: Vec<DelayReport>,
 }
 
 /// A holder's wish for tokens of another holder.
--- a/crates/badgerfield-core/src/mix.rs
+++ b/crates/badgerfield-core/src/mix.rs
@@ -57,27 +57,27 @@
 
 /// What a request asks of an engine, by its head.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Size {
+pub struct PromptSize {
     /// All tokens of the prompt.
-    pub prompt: u64,
+    pub total_tokens: u64,
     /// The tokens of the prompt that no other request shares.
-    pub own: u64,
+    pub unshared_tokens: u64,
 }
 
 /// How one request went at an engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Observed {
+pub struct ObservedTiming {
     /// The prompt tokens that the engine was expected to read.
-    pub unread: u64,
+    pub uncached_tokens: u64,
     /// From sending the request to its first event.
     pub first: Duration,
     /// From the first event to the last.
-    pub stream: Duration,
+    pub stream_time: Duration,
 }
 
 /// Which of the two groups a request belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Group {
+pub enum PromptGroup {
     /// Its prompt is short.
     Short,
     /// Its prompt is long.
@@ -89,7 +89,7 @@
 /// Processes tell each other and blend what they hear, so that all divide the engines
 /// alike: an engine that some take for long prompts and others for short ones serves both.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Needs {
+pub struct EngineDemand {
     /// Stands for the service's name.
     pub service: u32,
     /// What short prompts need, in thousandths of an engine.
@@ -97,41 +97,41 @@
     /// What long prompts need, in thousandths of an engine.
     pub long: u32,
     /// From this length on a prompt counts as long, in tokens; 0 if nothing tells.
-    pub long_from: u32,
+    pub long_threshold: u32,
 }
 
 /// How the engines of a service are divided.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Division {
+pub struct EngineDivision {
     /// From this length on a prompt counts as long, in tokens.
     pub long_from: f64,
     /// The part of the engines, from 0 to 1, that takes short prompts.
     pub short_share: f64,
 }
 
-impl Division {
+impl EngineDivision {
     /// Divides engines by what the groups need; nothing if only one group is known.
     #[must_use]
-    pub fn of(needs: &Needs) -> Option<Self> {
-        if needs.long_from == 0 || needs.short == 0 || needs.long == 0 {
+    pub fn of(needs: &EngineDemand) -> Option<Self> {
+        if needs.long_threshold == 0 || needs.short == 0 || needs.long == 0 {
             return None;
         }
         let (short, long) = (f64::from(needs.short), f64::from(needs.long));
         let share = short / (short + long);
         let short_share = share.clamp(LEAST_SHARE, 1.0 - LEAST_SHARE);
-        Some(Self { long_from: f64::from(needs.long_from), short_share })
+        Some(Self { long_from: f64::from(needs.long_threshold), short_share })
     }
 
     /// Returns the group of a prompt.
     #[must_use]
-    pub fn group(&self, prompt: f64) -> Group {
-        if prompt >= self.long_from { Group::Long } else { Group::Short }
+    pub fn group(&self, prompt: f64) -> PromptGroup {
+        if prompt >= self.long_from { PromptGroup::Long } else { PromptGroup::Short }
     }
 
     /// Tells whether the engine at a place, from 0 to 1, takes a group.
     #[must_use]
-    pub fn takes(&self, group: Group, place: f64) -> bool {
-        (place < self.short_share) == (group == Group::Short)
+    pub fn takes(&self, group: PromptGroup, place: f64) -> bool {
+        (place < self.short_share) == (group == PromptGroup::Short)
     }
 }
 
@@ -189,10 +189,10 @@
 }
 
 impl Pace {
-    fn note(&mut self, seen: &Observed) {
+    fn note(&mut self, seen: &ObservedTiming) {
         let wait = seen.first.as_secs_f64() * 1e3;
         if wait <= LONGEST_READ_MS {
-            let x = float(seen.unread) / 1e3;
+            let x = float(seen.uncached_tokens) / 1e3;
             let sums = [&mut self.count, &mut self.x, &mut self.y, &mut self.xx, &mut self.xy];
             for (sum, term) in sums.into_iter().zip([1.0, x, wait, x * x, x * wait]) {
                 *sum = *sum * KEEP + term;
@@ -214,17 +214,17 @@
 
 /// What this process has seen of the requests of one service.
 #[derive(Debug, Default)]
-pub struct Mix {
+pub struct RequestMix {
     routes: BTreeMap<String, RouteMix>,
     pace: Pace,
-    division: Option<Division>,
+    division: Option<EngineDivision>,
     /// The share of short prompts that was told last.
     told: f64,
 }
 
-impl Mix {
+impl RequestMix {
     /// Notes that a request of a route came.
-    pub fn arrived(&mut self, now: Time, route: &str, size: Size) {
+    pub fn record_arrival(&mut self, now: Time, route: &str, size: PromptSize) {
         if !self.routes.contains_key(route) {
             self.routes.insert(route.to_owned(), RouteMix::default());
         }
@@ -233,25 +233,25 @@
         };
         mix.level = mix.level(now) + 1.0;
         mix.at = now;
-        mix.prompt.note(float(size.prompt));
+        mix.prompt.note(float(size.total_tokens));
         if mix.busy.count == 0.0 {
-            mix.unread.note(float(size.own));
+            mix.unread.note(float(size.unshared_tokens));
         }
     }
 
     /// Notes how a request of a route went.
-    pub fn ended(&mut self, route: &str, seen: &Observed) {
+    pub fn ended(&mut self, route: &str, seen: &ObservedTiming) {
         self.pace.note(seen);
         let Some(mix) = self.routes.get_mut(route) else {
             return;
         };
-        mix.unread.note(float(seen.unread));
-        mix.busy.note((seen.first + seen.stream).as_secs_f64() * 1e3);
+        mix.unread.note(float(seen.uncached_tokens));
+        mix.busy.note((seen.first + seen.stream_time).as_secs_f64() * 1e3);
     }
 
     /// Returns the time in which an engine reads a prompt token, in milliseconds.
     #[must_use]
-    pub fn read_ms(&self) -> f64 {
+    pub fn ms_per_token(&self) -> f64 {
         self.pace.read_ms()
     }
 
@@ -263,14 +263,14 @@
 
     /// Returns how the engines are divided at present, if they are.
     #[must_use]
-    pub fn division(&self) -> Option<Division> {
+    pub fn division(&self) -> Option<EngineDivision> {
         self.division
     }
 
     /// Divides the engines by what all processes need; returns the
     /// division if that is news.
-    pub fn divide(&mut self, needs: &Needs) -> Option<Division> {
-        self.division = Division::of(needs);
+    pub fn divide(&mut self, needs: &EngineDemand) -> Option<EngineDivision> {
+        self.division = EngineDivision::of(needs);
         let division = self.division?;
         if (division.short_share - self.told).abs() < NEWS {
             return None;
@@ -280,12 +280,12 @@
     }
 
     /// Returns what the requests of this process need of engines with so many slots.
-    pub fn needs(&mut self, now: Time, service: &Service, slots: u32) -> Needs {
+    pub fn demand(&mut self, now: Time, service: &Service, slots: u32) -> EngineDemand {
         self.routes.retain(|_, mix| mix.level(now) > 0.01);
         let agreed = self.division.map(|division| division.long_from);
         let own = self.long_from(now);
         let Some(border) = own.or(agreed) else {
-            return Needs { service: service_number(service), ..Needs::default() };
+            return EngineDemand { service: service_number(service), ..EngineDemand::default() };
         };
         let (mut short, mut long) = ((0.0, 0.0), (0.0, 0.0));
         for mix in self.routes.values() {
@@ -295,11 +295,11 @@
             group.1 += busy / f64::from(slots.max(1));
         }
         let engines = |(read, busy): (f64, f64)| (read / READING).max(busy / SLOTS_IN_USE);
-        Needs {
+        EngineDemand {
             service: service_number(service),
             short: whole(engines(short) * 1e3),
             long: whole(engines(long) * 1e3),
-            long_from: own.map_or(0, whole),
+            long_threshold: own.map_or(0, whole),
         }
     }
 
@@ -329,51 +329,57 @@
 /// Each process tells its neighbours a blend of its own needs and of what they told; after
 /// a few rounds everybody has nearly the mean of all.
 #[derive(Debug, Default)]
-pub(crate) struct NeedsBlend {
-    own: Vec<Needs>,
-    heard: BTreeMap<Incarnation, (Time, Vec<Needs>)>,
+pub(crate) struct DemandAverage {
+    own: Vec<EngineDemand>,
+    heard: BTreeMap<Incarnation, (Time, Vec<EngineDemand>)>,
 }
 
-impl NeedsBlend {
+impl DemandAverage {
     /// Notes what the requests of this process need.
-    pub(crate) fn set_own(&mut self, own: Vec<Needs>) {
+    pub(crate) fn set_own(&mut self, own: Vec<EngineDemand>) {
         self.own = own;
     }
 
     /// Notes what a neighbour told.
-    pub(crate) fn hear(&mut self, now: Time, from: Incarnation, needs: &[Needs]) {
+    pub(crate) fn hear(&mut self, now: Time, from: Incarnation, needs: &[EngineDemand]) {
         if !needs.is_empty() {
             self.heard.insert(from, (now, needs.to_vec()));
         }
     }
 
     /// Returns the blend.
-    pub(crate) fn blend(&mut self, now: Time) -> Vec<Needs> {
+    pub(crate) fn average(&mut self, now: Time) -> Vec<EngineDemand> {
         self.heard.retain(|_, (at, _)| now.since(*at) < HEARD_FOR);
         let mut services: BTreeSet<u32> = self.own.iter().map(|needs| needs.service).collect();
         services.extend(self.heard.values().flat_map(|(_, all)| all.iter().map(|n| n.service)));
         services.into_iter().map(|service| self.blend_of(service)).collect()
     }
 
-    fn blend_of(&self, service: u32) -> Needs {
-        let of = |all: &[Needs]| all.iter().find(|n| n.service == service).copied();
-        let own = of(&self.own).unwrap_or(Needs { service, ..Needs::default() });
+    fn blend_of(&self, service: u32) -> EngineDemand {
+        let of = |all: &[EngineDemand]| all.iter().find(|n| n.service == service).copied();
+        let own = of(&self.own).unwrap_or(EngineDemand { service, ..EngineDemand::default() });
         let others: Vec<_> = self.heard.values().filter_map(|(_, all)| of(all)).collect();
         if others.is_empty() {
             return own;
         }
-        let mean = |field: fn(&Needs) -> u32| {
+        let mean = |field: fn(&EngineDemand) -> u32| {
             let sum: f64 = others.iter().map(|n| f64::from(field(n))).sum();
             sum / float(others.len().try_into().unwrap_or(u64::MAX))
         };
-        let blend = |field: fn(&Needs) -> u32| {
+        let blend = |field: fn(&EngineDemand) -> u32| {
             whole(f64::from(field(&own)) * OWN_WEIGHT + mean(field) * (1.0 - OWN_WEIGHT))
         };
         // Only those that know a border have a say about it.
-        let borders = others.iter().chain([&own]).map(|n| n.long_from).filter(|from| *from > 0);
+        let borders =
+            others.iter().chain([&own]).map(|n| n.long_threshold).filter(|from| *from > 0);
         let (sum, count) = borders.fold((0.0, 0.0), |(s, c), b| (s + f64::from(b), c + 1.0));
         let long_from = if count > 0.0 { whole(sum / count) } else { 0 };
-        Needs { service, short: blend(|n| n.short), long: blend(|n| n.long), long_from }
+        EngineDemand {
+            service,
+            short: blend(|n| n.short),
+            long: blend(|n| n.long),
+            long_threshold: long_from,
+        }
     }
 }
 
--- a/crates/badgerfield-core/src/node.rs
+++ b/crates/badgerfield-core/src/node.rs
@@ -13,13 +13,13 @@
 use crate::ledger_writer::LedgerWriter;
 use crate::membership::Membership;
 use crate::message::{Envelope, Message};
-use crate::poison::{Fingerprint, Standing as RequestStanding};
+use crate::poison::{Fingerprint, PoisonStatus as RequestStanding};
 use crate::policy::Policy;
 use crate::rollout::{RolloutBound, RolloutStatus};
 use crate::routing::RouteTable;
 use crate::runs::{RunKey, Runs};
 use crate::template::TemplateSet;
-use crate::upstream::Kind;
+use crate::upstream::UpstreamKind;
 use crate::view::{Member, SMALL_VIEW, Standing, View};
 use crate::warm_up::Senders;
 
@@ -203,7 +203,7 @@
     #[must_use]
     pub fn upstream_addresses(&self) -> Vec<(UpstreamId, SocketAddr)> {
         let table = self.board.upstreams();
-        let engines = table.iter().filter(|u| matches!(u.info.kind, Kind::Engine(_)));
+        let engines = table.iter().filter(|u| matches!(u.info.kind, UpstreamKind::Engine(_)));
         engines.map(|u| (u.info.id.clone(), u.info.address)).collect()
     }
 
@@ -247,13 +247,13 @@
     /// Returns what is held against a request.
     #[must_use]
     pub fn request_standing(&self, now: Time, request: Fingerprint) -> RequestStanding {
-        self.board.poison().standing(now, request)
+        self.board.poison().status(now, request)
     }
 
     /// Returns how often an upstream is known to have ended under a request.
     #[must_use]
     pub fn ends_under(&self, request: Fingerprint, upstream: &UpstreamId) -> u32 {
-        self.board.poison().ends_of(request, upstream)
+        self.board.poison().crash_count(request, upstream)
     }
 
     /// Returns who may send to cold upstreams by the view in force.
@@ -342,7 +342,7 @@
             Event::Arrived(request, arrival) => self.handle_request(now, request, *arrival, out),
             Event::HungUp(request) => self.handle_caller_disconnect(now, request, out),
             Event::Upstream(attempt, event) => self.handle_upstream_event(now, attempt, event, out),
-            Event::Load(id, report) => self.board.upstreams().report(now, &id, report),
+            Event::Load(id, report) => self.board.upstreams().apply_report(now, &id, report),
             Event::Peer(envelope) => self.peer(now, envelope, out),
             Event::KeyValue(ticket, result) => self.handle_store_result(now, ticket, result, out),
             Event::VmList(list) => {
@@ -366,7 +366,7 @@
             Event::EngineNeeds(own) => {
                 let mut members = self.board.members();
                 members.needs.set_own(own);
-                out.push(Order::DivideEngines(members.needs.blend(now)));
+                out.push(Order::DivideEngines(members.needs.average(now)));
             }
             Event::Lags(lags) => self.board.members().lags = lags,
             Event::Limits(notes) => self.send_limits(&notes, out),
--- a/crates/badgerfield-core/src/overload.rs
+++ b/crates/badgerfield-core/src/overload.rs
@@ -21,13 +21,13 @@
 
 /// Returns the time to answer that is noted for a request which an upstream turned away.
 #[must_use]
-pub fn turned_away(objective: Duration) -> Duration {
+pub fn rejection_wait(objective: Duration) -> Duration {
     objective.mul_f64(TURNED_AWAY)
 }
 
 /// Returns when a caller who was turned away should come back; `draw` is a random number.
 #[must_use]
-pub fn come_back(draw: u64) -> Duration {
+pub fn retry_delay(draw: u64) -> Duration {
     let (least, most) = COME_BACK;
     least + most.saturating_sub(least).mul_f64(fraction(draw))
 }
--- a/crates/badgerfield-core/src/poison/crash.rs
+++ b/crates/badgerfield-core/src/poison/crash.rs
@@ -65,13 +65,13 @@
     /// How often it was known to have ended under this request when the request was sent to it: one
     /// that is back, and ends again, has ended twice.
     #[serde(rename = "life", default)]
-    pub life: u32,
+    pub prior_crashes: u32,
     /// How certain it is.
     #[serde(default)]
     pub evidence: Evidence,
     /// How many events of the answer the caller had.
     #[serde(rename = "point")]
-    pub point: u64,
+    pub events_sent: u64,
     /// Whether the request was served whole since.
     pub cleared: bool,
     /// How long ago it was.
@@ -81,7 +81,7 @@
 impl Crash {
     /// Makes the note of an upstream that has just ended.
     #[must_use]
-    pub fn seen(
+    pub fn new(
         request: Fingerprint,
         account: Option<&Account>,
         upstream: &UpstreamId,
@@ -93,9 +93,9 @@
             request,
             account,
             upstream,
-            life: 0,
+            prior_crashes: 0,
             evidence: Evidence::Ended,
-            point,
+            events_sent: point,
             cleared: false,
             age: Duration::ZERO,
         }
@@ -103,19 +103,19 @@
 
     /// Says that the upstream can only not be reached any more.
     #[must_use]
-    pub fn unsure(self) -> Self {
+    pub fn unconfirmed(self) -> Self {
         Self { evidence: Evidence::Unreachable, ..self }
     }
 
     /// Says how often the upstream was known to have ended under the request when that was sent.
     #[must_use]
-    pub fn in_life(self, life: u32) -> Self {
-        Self { life, ..self }
+    pub fn with_prior_crashes(self, life: u32) -> Self {
+        Self { prior_crashes: life, ..self }
     }
 
     /// Names the process that ended.
     pub(super) fn process(&self) -> (&UpstreamId, u32) {
-        (&self.upstream, self.life)
+        (&self.upstream, self.prior_crashes)
     }
 }
 
@@ -130,6 +130,6 @@
 /// Returns a number that stands for what it says.
 pub(super) fn digest_of(crash: &Crash) -> u64 {
     let said = u64::from(crash.cleared) | u64::from(crash.evidence.weight()) << 1;
-    let seed = crash.request.number() ^ said ^ (u64::from(crash.life) << 32);
+    let seed = crash.request.rendezvous_key() ^ said ^ (u64::from(crash.prior_crashes) << 32);
     xxh3_64_with_seed(crash.upstream.as_str().as_bytes(), seed)
 }
--- a/crates/badgerfield-core/src/poison/fingerprint.rs
+++ b/crates/badgerfield-core/src/poison/fingerprint.rs
@@ -49,7 +49,7 @@
 
     /// Returns a number by which all processes choose alike for this request.
     #[must_use]
-    pub fn number(self) -> u64 {
+    pub fn rendezvous_key(self) -> u64 {
         let bytes = self.0.to_be_bytes();
         bytes.iter().take(8).fold(0, |sum, byte| sum << 8 | u64::from(*byte))
     }
--- a/crates/badgerfield-core/src/poison/mod.rs
+++ b/crates/badgerfield-core/src/poison/mod.rs
@@ -17,4 +17,4 @@
 
 pub use self::crash::{Crash, Evidence};
 pub use self::fingerprint::Fingerprint;
-pub use self::table::{Poison, Standing};
+pub use self::table::{PoisonStatus, PoisonTable};
--- a/crates/badgerfield-core/src/poison/table.rs
+++ b/crates/badgerfield-core/src/poison/table.rs
@@ -28,7 +28,7 @@
 
 /// What is held against a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Standing {
+pub enum PoisonStatus {
     /// Nothing.
     Clear,
     /// An upstream ended while it was there.
@@ -124,9 +124,9 @@
         }
         self.crashes.push(Known {
             upstream: crash.upstream.clone(),
-            life: crash.life,
+            life: crash.prior_crashes,
             evidence: crash.evidence,
-            point: crash.point,
+            point: crash.events_sent,
             cleared: crash.cleared,
             until,
             here: false,
@@ -158,9 +158,9 @@
             request,
             account: self.account,
             upstream: known.upstream.clone(),
-            life: known.life,
+            prior_crashes: known.life,
             evidence: known.evidence,
-            point: known.point,
+            events_sent: known.point,
             cleared: known.cleared,
             age: known.age(now),
         })
@@ -169,11 +169,11 @@
 
 /// What a process knows of requests under which upstreams have ended.
 #[derive(Debug, Default)]
-pub struct Poison {
+pub struct PoisonTable {
     records: BTreeMap<Fingerprint, Record>,
 }
 
-impl Poison {
+impl PoisonTable {
     /// Tells whether nothing is held against any request.
     #[must_use]
     pub fn is_empty(&self) -> bool {
@@ -188,25 +188,25 @@
 
     /// Returns what is held against a request.
     #[must_use]
-    pub fn standing(&self, now: Time, request: Fingerprint) -> Standing {
+    pub fn status(&self, now: Time, request: Fingerprint) -> PoisonStatus {
         let Some(record) = self.records.get(&request) else {
-            return Standing::Clear;
+            return PoisonStatus::Clear;
         };
         let open: Vec<_> = record.open(now).collect();
         let Some(age) = open.iter().map(|known| known.age(now)).min() else {
-            return Standing::Clear;
+            return PoisonStatus::Clear;
         };
         if !record.is_blocked(now) {
             let early = open.iter().any(|known| known.point <= NEAR);
-            return Standing::Suspect { early };
+            return PoisonStatus::Suspect { early };
         }
         let upstreams = open.iter().map(|known| known.upstream.clone()).collect();
-        Standing::Blocked { upstreams, age, left: record.blocked_for(now) }
+        PoisonStatus::Blocked { upstreams, age, left: record.blocked_for(now) }
     }
 
     /// Returns how often an upstream is known to have ended under a request.
     #[must_use]
-    pub fn ends_of(&self, request: Fingerprint, upstream: &UpstreamId) -> u32 {
+    pub fn crash_count(&self, request: Fingerprint, upstream: &UpstreamId) -> u32 {
         let known = self.records.get(&request).into_iter().flat_map(|record| &record.crashes);
         let lives = known
             .filter(|known| known.upstream == *upstream)
@@ -215,8 +215,9 @@
     }
 
     /// Takes in a crash that this process saw; returns what [`Poison::learn`] does.
-    pub fn saw(&mut self, now: Time, crash: Crash) -> Vec<(Crash, bool)> {
-        let (request, upstream, life) = (crash.request, crash.upstream.clone(), crash.life);
+    pub fn record_crash(&mut self, now: Time, crash: Crash) -> Vec<(Crash, bool)> {
+        let (request, upstream, life) =
+            (crash.request, crash.upstream.clone(), crash.prior_crashes);
         let news = self.learn(now, vec![crash]);
         let record = self.records.get_mut(&request).into_iter();
         for known in
@@ -229,7 +230,7 @@
 
     /// Tells whether this process saw any of the crashes of a request.
     #[must_use]
-    pub fn is_witness(&self, request: Fingerprint) -> bool {
+    pub fn has_seen_crash(&self, request: Fingerprint) -> bool {
         self.records.get(&request).is_some_and(|r| r.crashes.iter().any(|known| known.here))
     }
 
@@ -263,7 +264,7 @@
     }
 
     /// Takes in that a request was served whole; returns the crashes that are cleared by that.
-    pub fn served(&mut self, now: Time, request: Fingerprint) -> Vec<Crash> {
+    pub fn record_served(&mut self, now: Time, request: Fingerprint) -> Vec<Crash> {
         let all = self.crashes_of(now, request).into_iter();
         let cleared = all
             .filter(|crash| !crash.cleared)
@@ -283,12 +284,12 @@
     /// Returns a number that stands for all blocked requests; 0 if there are none.
     #[must_use]
     pub fn digest(&self, now: Time) -> u64 {
-        self.blocked(now).iter().fold(0, |sum, crash| sum ^ digest_of(crash))
+        self.blocked_crashes(now).iter().fold(0, |sum, crash| sum ^ digest_of(crash))
     }
 
     /// Returns all crashes of blocked requests, for processes that may know less.
     #[must_use]
-    pub fn blocked(&self, now: Time) -> Vec<Crash> {
+    pub fn blocked_crashes(&self, now: Time) -> Vec<Crash> {
         let is_told =
             |record: &Record| record.is_blocked(now) && record.until().since(now) > LAST_WORD;
         let told = self.records.iter().filter(|(_, record)| is_told(record));
@@ -298,12 +299,12 @@
     /// Returns what is known of blocked requests and of those that another process spoke of; nothing
     /// if that is no more than it said.
     #[must_use]
-    pub fn beyond(&self, now: Time, theirs: &[Crash]) -> Vec<Crash> {
+    pub fn missing_from(&self, now: Time, theirs: &[Crash]) -> Vec<Crash> {
         let spoken = theirs.iter().filter_map(|crash| {
             self.records.get(&crash.request).map(|record| (crash.request, record))
         });
         let spoken = spoken.flat_map(|(request, record)| record.told(now, request));
-        let all = self.blocked(now).into_iter().chain(spoken);
+        let all = self.blocked_crashes(now).into_iter().chain(spoken);
         let is_news = |crash: &Crash| !theirs.iter().any(|known| says(known, crash));
         let mut more: Vec<_> = all.filter(is_news).collect();
         more.sort_by(|a, b| (a.request, a.process()).cmp(&(b.request, b.process())));
--- a/crates/badgerfield-core/src/poison_record.rs
+++ b/crates/badgerfield-core/src/poison_record.rs
@@ -54,7 +54,7 @@
 
 impl PoisonRecord {
     /// Notes that a request is blocked which the record may not name.
-    pub(crate) fn note_more(&mut self) {
+    pub(crate) fn mark_dirty(&mut self) {
         self.has_more = true;
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// Adds news that are to be told to all.
-    pub(crate) fn tell(&mut self, crashes: impl IntoIterator<Item = Crash>) {
+    pub(crate) fn enqueue(&mut self, crashes: impl IntoIterator<Item = Crash>) {
         self.waiting.extend(crashes);
         // What came last may block a request; of many at one crash the first are dropped.
         let excess = self.waiting.len().saturating_sub(MAX_TOLD);
@@ -102,7 +102,7 @@
     }
 
     /// Takes the news that are to be told now; at once if one of them is urgent.
-    pub(crate) fn take_news(&mut self, now: Time, is_urgent: bool) -> Vec<Crash> {
+    pub(crate) fn take_update(&mut self, now: Time, is_urgent: bool) -> Vec<Crash> {
         if self.waiting.is_empty() || !(is_urgent || due(now, self.told_at, GATHER)) {
             return Vec::new();
         }
--- a/crates/badgerfield-core/src/ranks.rs
+++ b/crates/badgerfield-core/src/ranks.rs
@@ -42,24 +42,24 @@
     }
 
     /// Tells whether the member reads the platform's values all the time.
-    pub(crate) fn reads(&self) -> bool {
+    pub(crate) fn is_reader(&self) -> bool {
         self.reader.is_some_and(|place| place < READERS)
     }
 
     /// Tells whether the member is among the first followers of the platform's values, or has
     /// no rank.
-    pub(crate) fn probes(&self) -> bool {
+    pub(crate) fn can_probe(&self) -> bool {
         self.follower.is_none_or(|place| place < SUBSTITUTES)
     }
 
     /// Tells whether the member marks complete views.
-    pub(crate) fn marks(&self) -> bool {
+    pub(crate) fn is_completion_writer(&self) -> bool {
         self.marker == Some(0)
     }
 
     /// Returns after how long without news of the list of upstreams the member follows it, as a
     /// part of an upstream's notice in hundredths.
-    pub(crate) fn follows_after(&self) -> u32 {
+    pub(crate) fn watch_delay_percent(&self) -> u32 {
         match self.follower {
             Some(0..FOLLOWERS) => 0,
             Some(FOLLOWERS..SUBSTITUTES) => SUBSTITUTES_AFTER,
--- a/crates/badgerfield-core/src/refusal.rs
+++ b/crates/badgerfield-core/src/refusal.rs
@@ -179,7 +179,7 @@
 
     /// Adds when to come back.
     #[must_use]
-    pub fn after(mut self, span: Duration) -> Self {
+    pub fn with_retry_after(mut self, span: Duration) -> Self {
         self.retry_after = Some(span);
         self
     }
--- a/crates/badgerfield-core/src/replicas/choice.rs
+++ b/crates/badgerfield-core/src/replicas/choice.rs
@@ -10,7 +10,7 @@
 use crate::amount::Time;
 use crate::ids::UpstreamId;
 use crate::lag;
-use crate::locality::{Crossing, Distance};
+use crate::locality::{CrossingReason, Distance};
 use crate::overload;
 
 /// Within what a chain of prompt parts has one upstream that all VMs prefer for it.
@@ -86,10 +86,10 @@
     /// not spent twice.
     fn scope(&self, weights: &Weights, wanted: &UpstreamCriteria<'_>) -> Scope {
         let read = weights.read_ms(shared(wanted.parts));
-        if read < self.locality.cost(Distance::Region, wanted.bytes) {
+        if read < self.locality.cost(Distance::SameRegion, wanted.bytes) {
             return Scope::Domain;
         }
-        if read < self.locality.cost(Distance::Far, wanted.bytes) {
+        if read < self.locality.cost(Distance::OtherRegion, wanted.bytes) {
             return Scope::Region;
         }
         Scope::Fleet
@@ -145,7 +145,7 @@
 /// there are any.
 fn alike<'a>(pool: &[&'a Replica], number: u64) -> Option<&'a Replica> {
     let weight = |r: &&&Replica| xxh3_64_with_seed(&number.to_be_bytes(), r.seed);
-    let near = pool.iter().filter(|r| r.distance < Distance::Far).max_by_key(weight);
+    let near = pool.iter().filter(|r| r.distance < Distance::OtherRegion).max_by_key(weight);
     near.or_else(|| pool.iter().max_by_key(weight)).copied()
 }
 
@@ -159,10 +159,10 @@
 }
 
 /// Tells why a request leaves its region for an upstream, if it does.
-fn crossing(pool: &[&Replica], chosen: &Replica) -> Option<Crossing> {
-    if chosen.distance < Distance::Far {
+fn crossing(pool: &[&Replica], chosen: &Replica) -> Option<CrossingReason> {
+    if chosen.distance < Distance::OtherRegion {
         return None;
     }
-    let near = pool.iter().any(|replica| replica.distance < Distance::Far);
-    Some(if near { Crossing::Cost } else { Crossing::NoneNear })
+    let near = pool.iter().any(|replica| replica.distance < Distance::OtherRegion);
+    Some(if near { CrossingReason::Cost } else { CrossingReason::NoneInRegion })
 }
--- a/crates/badgerfield-core/src/replicas/limits.rs
+++ b/crates/badgerfield-core/src/replicas/limits.rs
@@ -7,7 +7,7 @@
 use crate::amount::Time;
 use crate::event::due;
 use crate::ids::{Service, UpstreamId};
-use crate::request_limit::{LimitNote, MAX_NOTES, RequestLimit, place};
+use crate::request_limit::{LimitReport, MAX_NOTES, RateLimit, place};
 
 /// The least time between two messages about limits to each neighbour.
 const TELL_PACE: Duration = Duration::from_millis(200);
@@ -18,9 +18,9 @@
     /// The upstream that names it.
     pub upstream: UpstreamId,
     /// The limit; nothing if it names none.
-    pub limit: Option<RequestLimit>,
+    pub limit: Option<RateLimit>,
     /// The one before.
-    pub before: Option<RequestLimit>,
+    pub before: Option<RateLimit>,
 }
 
 impl UpstreamTable {
@@ -29,7 +29,7 @@
         &mut self,
         now: Time,
         id: &UpstreamId,
-        limit: Option<RequestLimit>,
+        limit: Option<RateLimit>,
     ) -> Option<LimitChange> {
         let senders = self.starts.senders();
         let replica = self.table.get_mut(id)?;
@@ -40,7 +40,7 @@
     }
 
     /// Takes in what another process tells of limits; returns what has changed.
-    pub fn apply_limit_reports(&mut self, now: Time, notes: &[LimitNote]) -> Vec<LimitChange> {
+    pub fn apply_limit_reports(&mut self, now: Time, notes: &[LimitReport]) -> Vec<LimitChange> {
         let senders = self.starts.senders();
         let mut changes = Vec::new();
         for replica in self.table.values_mut() {
@@ -59,7 +59,7 @@
 
     /// Returns what other processes should be told of limits now, another few at each turn where
     /// there are many.
-    pub fn limit_reports(&mut self, now: Time) -> Vec<LimitNote> {
+    pub fn limit_reports(&mut self, now: Time) -> Vec<LimitReport> {
         if !due(now, self.limits_told, TELL_PACE) {
             return Vec::new();
         }
@@ -100,7 +100,7 @@
     }
 }
 
-fn change_of(replica: &Replica, before: Option<RequestLimit>) -> Option<LimitChange> {
+fn change_of(replica: &Replica, before: Option<RateLimit>) -> Option<LimitChange> {
     let limit = replica.said.limit.limit();
     let upstream = || replica.info.id.clone();
     (before != limit).then(|| LimitChange { upstream: upstream(), limit, before })
--- a/crates/badgerfield-core/src/replicas/listed.rs
+++ b/crates/badgerfield-core/src/replicas/listed.rs
@@ -147,7 +147,7 @@
     }
 
     /// Takes in that the list is as it was up to a revision.
-    pub fn confirm(&mut self, now: Time, revision: u64) {
+    pub fn confirm_revision(&mut self, now: Time, revision: u64) {
         if revision > self.revision {
             self.revision = revision;
             self.learned = Some(now);
@@ -218,7 +218,7 @@
                 if self.revision < mark.revision { ListGap::Changes } else { ListGap::Nothing };
             return (news, lacking);
         }
-        self.confirm(now, mark.revision);
+        self.confirm_revision(now, mark.revision);
         // One that knows more than was told cannot be compared.
         let knows_more = self.revision > mark.revision
             || self.table.values().any(|replica| replica.changed > newest);
--- a/crates/badgerfield-core/src/replicas/mod.rs
+++ b/crates/badgerfield-core/src/replicas/mod.rs
@@ -27,10 +27,11 @@
 use crate::amount::Time;
 use crate::evacuation::DomainChange;
 use crate::ids::{Domain, Service, SoftwareVersion, UpstreamId};
-use crate::lag::{self, LagNote};
-use crate::locality::{Crossing, Distance, Locality, Place};
+use crate::lag::{self, DelayReport};
+use crate::locality::{CrossingReason, Distance, DistanceCosts, Place};
 use crate::mix::{
-    Division, Group, Mix, Needs, Observed, READ_MS_PRIOR, Size, float, service_number,
+    EngineDemand, EngineDivision, ObservedTiming, PromptGroup, PromptSize, READ_MS_PRIOR,
+    RequestMix, float, service_number,
 };
 use crate::residency::{RegionMap, Residency};
 use crate::rollout::tally::Tallies;
@@ -118,11 +119,11 @@
     pub queueing_delay: f64,
     /// The group of the request, where engines are divided, and whether the upstream is
     /// among those that take it.
-    pub group: Option<(Group, bool)>,
+    pub group: Option<(PromptGroup, bool)>,
     /// How far it is.
     pub distance: Distance,
     /// Why the request leaves its region, if it does.
-    pub crossing: Option<Crossing>,
+    pub crossing: Option<CrossingReason>,
     /// How many upstreams were weighed.
     pub candidates: usize,
     /// The upstream that nearly won, with its expected delay.
@@ -151,14 +152,14 @@
     /// Upstreams that have started again, of which nobody was told yet.
     started_again: Vec<UpstreamId>,
     /// What was seen of the requests of each service.
-    mixes: BTreeMap<Service, Mix>,
+    mixes: BTreeMap<Service, RequestMix>,
     /// The failure domains that operators have evacuated.
     evacuated: BTreeSet<Domain>,
     /// Which failure domain lies in which region.
     regions: RegionMap,
     /// Where this process stands, and what distance costs it.
     place: Place,
-    locality: Locality,
+    locality: DistanceCosts,
     starts: Starts,
     canary: Canary,
     /// The turn of the rules of roll-outs in force.
@@ -188,7 +189,7 @@
     }
 
     /// Sets where this process stands, and what distance costs it.
-    pub fn set_location(&mut self, place: Place, locality: Locality) {
+    pub fn set_location(&mut self, place: Place, locality: DistanceCosts) {
         (self.place, self.locality) = (place, locality);
         self.locate_all();
     }
@@ -270,13 +271,13 @@
     }
 
     /// Notes that a request for an engine came on a route.
-    pub fn record_arrival(&mut self, now: Time, service: &Service, route: &str, size: Size) {
-        self.mixes.entry(service.clone()).or_default().arrived(now, route, size);
+    pub fn record_arrival(&mut self, now: Time, service: &Service, route: &str, size: PromptSize) {
+        self.mixes.entry(service.clone()).or_default().record_arrival(now, route, size);
     }
 
     /// Returns what the requests of this process need of the engines of each service that
     /// has enough engines to divide.
-    pub fn engine_demand(&mut self, now: Time) -> Vec<Needs> {
+    pub fn engine_demand(&mut self, now: Time) -> Vec<EngineDemand> {
         let table = &self.table;
         let mut needs = Vec::new();
         for (service, mix) in &mut self.mixes {
@@ -286,7 +287,7 @@
             else {
                 continue;
             };
-            needs.push(mix.needs(now, service, first.info.slots));
+            needs.push(mix.demand(now, service, first.info.slots));
         }
         needs
     }
@@ -294,7 +295,7 @@
     /// Divides the engines of each service by what all processes need.
     ///
     /// Returns the services that are divided anew.
-    pub fn divide_engines(&mut self, needs: &[Needs]) -> Vec<(Service, Division)> {
+    pub fn divide_engines(&mut self, needs: &[EngineDemand]) -> Vec<(Service, EngineDivision)> {
         let services: BTreeSet<_> = self.table.values().map(|r| r.info.service.clone()).collect();
         let mut news = Vec::new();
         for service in services {
@@ -309,7 +310,7 @@
     }
 
     /// Notes how a request went that an engine answered whole.
-    pub fn record_timing(&mut self, service: &Service, route: &str, seen: &Observed) {
+    pub fn record_timing(&mut self, service: &Service, route: &str, seen: &ObservedTiming) {
         if let Some(mix) = self.mixes.get_mut(service) {
             mix.ended(route, seen);
         }
@@ -327,7 +328,8 @@
         let Some(replica) = self.table.get_mut(id) else {
             return;
         };
-        let read_ms = self.mixes.get(&replica.info.service).map_or(READ_MS_PRIOR, Mix::read_ms);
+        let read_ms =
+            self.mixes.get(&replica.info.service).map_or(READ_MS_PRIOR, RequestMix::ms_per_token);
         let reading = Duration::from_secs_f64(float(unread) * read_ms / 1e3);
         replica.lag.observe(now, span.saturating_sub(reading));
     }
@@ -347,7 +349,7 @@
     /// Returns the upstreams with a lag that other processes should know of, another few at
     /// each turn where there are many.
     #[must_use]
-    pub fn delay_reports(&self, now: Time, turn: usize) -> Vec<LagNote> {
+    pub fn delay_reports(&self, now: Time, turn: usize) -> Vec<DelayReport> {
         let note = |r: &Replica| r.lag.note(now, r.number(), self.plain.contains(&r.info.service));
         let all: Vec<_> = self.table.values().filter_map(note).collect();
         let start = if all.is_empty() { 0 } else { turn * lag::MAX_NOTES % all.len() };
@@ -355,7 +357,7 @@
     }
 
     /// Takes in what another process knows of lags.
-    pub fn apply_delay_reports(&mut self, now: Time, notes: &[LagNote]) {
+    pub fn apply_delay_reports(&mut self, now: Time, notes: &[DelayReport]) {
         for replica in self.table.values_mut() {
             let number = replica.number();
             if let Some(note) = notes.iter().find(|note| note.upstream == number) {
--- a/crates/badgerfield-core/src/replicas/replica.rs
+++ b/crates/badgerfield-core/src/replicas/replica.rs
@@ -10,13 +10,13 @@
 use crate::ids::Region;
 use crate::lag::Lag;
 use crate::locality::{Distance, Place};
-use crate::mix::{Division, Group, Mix, READ_MS_PRIOR, float};
+use crate::mix::{EngineDivision, PromptGroup, READ_MS_PRIOR, RequestMix, float};
 use crate::replica_list::{ListedUpstream, UpstreamEntry, digest_of};
 use crate::replicas::starts::Starts;
 use crate::replicas::statements::Statements;
 use crate::request_limit;
 use crate::residency::RegionMap;
-use crate::warm_up::{Bucket, HOLD_OFF, Share};
+use crate::warm_up::{Bucket, HOLD_OFF, SenderShare};
 
 /// The expected delay by each request under way at an engine, in milliseconds.
 const RUNNING_MS: f64 = 1.5;
@@ -111,17 +111,17 @@
     /// The time to read a prompt token, in milliseconds.
     read_ms: f64,
     /// How the engines are divided, and the group of the request.
-    pub(super) division: Option<(Division, Group)>,
+    pub(super) division: Option<(EngineDivision, PromptGroup)>,
     /// What it costs to send the request among those of the other group, in milliseconds:
     /// as much as a long prompt takes to read, since one of the two waits for that.
     apart_ms: f64,
 }
 
 impl Weights {
-    pub(super) fn of(mix: Option<&Mix>, wanted: &UpstreamCriteria<'_>) -> Self {
+    pub(super) fn of(mix: Option<&RequestMix>, wanted: &UpstreamCriteria<'_>) -> Self {
         let prompt = float(wanted.parts.iter().map(|part| part.tokens).sum());
-        let read_ms = mix.map_or(READ_MS_PRIOR, Mix::read_ms);
-        let division = mix.and_then(Mix::division).map(|division| {
+        let read_ms = mix.map_or(READ_MS_PRIOR, RequestMix::ms_per_token);
+        let division = mix.and_then(RequestMix::division).map(|division| {
             let usual = mix.and_then(|mix| mix.prompt(wanted.route)).unwrap_or(prompt);
             (division, division.group(usual))
         });
@@ -283,7 +283,7 @@
 
     /// Tells whether a request may be sent there as far as its start allows; `share` is what
     /// each sender may send while it is cold.
-    pub(super) fn bears_more(&self, now: Time, share: Option<Share>) -> bool {
+    pub(super) fn bears_more(&self, now: Time, share: Option<SenderShare>) -> bool {
         let Some(cold) = self.cold.filter(|cold| cold.until > now) else {
             return true;
         };
@@ -292,7 +292,7 @@
     }
 
     /// Notes that a request goes there.
-    pub(super) fn begin(&mut self, now: Time, share: Option<Share>, parts: &[PromptPart]) {
+    pub(super) fn begin(&mut self, now: Time, share: Option<SenderShare>, parts: &[PromptPart]) {
         self.running += 1;
         self.said.limit.take(now);
         let bucket = self.cold.as_mut().and_then(|cold| cold.bucket.as_mut());
--- a/crates/badgerfield-core/src/replicas/starts.rs
+++ b/crates/badgerfield-core/src/replicas/starts.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::ids::Service;
-use crate::warm_up::{Senders, Share, WarmUp, WarmUpBound};
+use crate::warm_up::{SenderShare, Senders, WarmUp, WarmUpBound};
 
 /// What the table of upstreams needs to know to spare cold ones.
 #[derive(Debug, Default)]
@@ -47,7 +47,7 @@
     }
 
     /// Returns what one sender may send to a cold upstream of a service.
-    pub(super) fn share(&self, service: &Service) -> Option<Share> {
-        Share::of(&self.of(service)?, &self.bound?, self.count)
+    pub(super) fn share(&self, service: &Service) -> Option<SenderShare> {
+        SenderShare::of(&self.of(service)?, &self.bound?, self.count)
     }
 }
--- a/crates/badgerfield-core/src/replicas/trial.rs
+++ b/crates/badgerfield-core/src/replicas/trial.rs
@@ -7,9 +7,9 @@
 use super::{UpstreamCriteria, UpstreamTable};
 use crate::amount::Time;
 use crate::ids::{Service, UpstreamId};
-use crate::mix::{Mix, READ_MS_PRIOR, float};
-use crate::rollout::tally::{Pace, Seen, Tally};
-use crate::rollout::{Allowance, RolloutRule, RolloutTally, RuleSet};
+use crate::mix::{READ_MS_PRIOR, RequestMix, float};
+use crate::rollout::tally::{AnswerSource, AnswerSpeed, Tally};
+use crate::rollout::{Allowance, RolloutRule, RolloutRules, RolloutTally};
 
 impl UpstreamTable {
     /// Puts rules in force, and no others; returns those that are new or differ.
@@ -19,11 +19,11 @@
     }
 
     /// Puts a set of rules in force, unless a newer one is; returns those that are news.
-    pub fn apply_rule_set(&mut self, set: RuleSet) -> Vec<RolloutRule> {
-        if set.turn <= self.rules_turn {
+    pub fn apply_rule_set(&mut self, set: RolloutRules) -> Vec<RolloutRule> {
+        if set.sequence <= self.rules_turn {
             return Vec::new();
         }
-        self.rules_turn = set.turn;
+        self.rules_turn = set.sequence;
         self.set_rollout_rules(set.rules)
     }
 
@@ -67,25 +67,30 @@
     ///
     /// Returns how it came, and whether it is a bad answer of the target; nothing where nobody
     /// asks.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         id: &UpstreamId,
         route: &str,
         wait: Duration,
         unread: u64,
-    ) -> Option<(Pace, bool)> {
+    ) -> Option<(AnswerSpeed, bool)> {
         let reading = self.reading(id, unread);
         self.tally(id, route, |tally, seen| {
             let pace = tally.answered(seen, wait, reading);
-            (pace, pace == Pace::Slow && seen.is_target)
+            (pace, pace == AnswerSpeed::Slow && seen.is_target)
         })
     }
 
     /// Notes that an answer did not come or broke off; `came` is how its first part came, if it
     /// did. Returns whether it is a bad answer of the target.
-    pub fn record_failure(&mut self, id: &UpstreamId, route: &str, came: Option<Pace>) -> bool {
+    pub fn record_failure(
+        &mut self,
+        id: &UpstreamId,
+        route: &str,
+        came: Option<AnswerSpeed>,
+    ) -> bool {
         let is_target = self.tally(id, route, |tally, seen| {
-            tally.failed(seen, came);
+            tally.record_failure(seen, came);
             seen.is_target
         });
         is_target.unwrap_or(false)
@@ -102,8 +107,9 @@
         unread: u64,
     ) -> bool {
         let reading = self.reading(id, unread);
-        let late = self
-            .tally(id, route, |tally, seen| tally.given_up(seen, wait, reading) && seen.is_target);
+        let late = self.tally(id, route, |tally, seen| {
+            tally.record_abandoned(seen, wait, reading) && seen.is_target
+        });
         late.unwrap_or(false)
     }
 
@@ -111,7 +117,7 @@
     #[must_use]
     pub fn rollout_tallies(&self, now: Time) -> Vec<RolloutTally> {
         let mut tallies = Vec::new();
-        for (rule, tally) in self.tallies.all() {
+        for (rule, tally) in self.tallies.iter() {
             let listed = || self.table.values().filter(|r| r.info.service == rule.service);
             let is_target = |version: Option<&_>| version == Some(&rule.target);
             let ready = listed().filter(|r| is_target(r.info.version.as_ref()));
@@ -120,7 +126,7 @@
             let running = others.fold(0_u32, |sum, r| sum.saturating_add(r.running));
             let ready = u32::try_from(ready).unwrap_or(u32::MAX);
             let moved = rule.allowance == Allowance::All;
-            tallies.push(tally.told(rule, ready, running, moved));
+            tallies.push(tally.snapshot(rule, ready, running, moved));
         }
         tallies
     }
@@ -155,7 +161,9 @@
         }
         let replica = self.table.get(id);
         let mix = replica.and_then(|replica| self.mixes.get(&replica.info.service));
-        Duration::from_secs_f64(float(unread) * mix.map_or(READ_MS_PRIOR, Mix::read_ms) / 1e3)
+        Duration::from_secs_f64(
+            float(unread) * mix.map_or(READ_MS_PRIOR, RequestMix::ms_per_token) / 1e3,
+        )
     }
 
     /// Hands a tally what is known of an upstream; nothing where its service has none.
@@ -163,11 +171,11 @@
         &mut self,
         id: &UpstreamId,
         route: &str,
-        note: impl FnOnce(&mut Tally, &Seen<'_>) -> T,
+        note: impl FnOnce(&mut Tally, &AnswerSource<'_>) -> T,
     ) -> Option<T> {
         let replica = self.table.get(id)?;
-        let (rule, tally) = self.tallies.of(&replica.info.service)?;
+        let (rule, tally) = self.tallies.get_mut(&replica.info.service)?;
         let is_target = replica.info.version.as_ref() == Some(&rule.target);
-        Some(note(tally, &Seen { route, upstream: replica.number(), is_target }))
+        Some(note(tally, &AnswerSource { route, upstream: replica.number(), is_target }))
     }
 }
--- a/crates/badgerfield-core/src/request_limit.rs
+++ b/crates/badgerfield-core/src/request_limit.rs
@@ -19,7 +19,7 @@
 use thiserror::Error;
 
 use crate::amount::Time;
-use crate::warm_up::{Bucket, Senders, Share};
+use crate::warm_up::{Bucket, SenderShare, Senders};
 
 /// The senders to an upstream whose limit is small.
 const LEAST_SENDERS: f64 = 2.0;
@@ -52,9 +52,9 @@
 /// How many requests a second an upstream takes from all processes together, in thousandths; all
 /// processes that hear of it have the same one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct RequestLimit(u32);
+pub struct RateLimit(u32);
 
-impl RequestLimit {
+impl RateLimit {
     /// Makes a limit of so many requests a second; one beyond four millions counts as that.
     ///
     /// # Errors
@@ -89,13 +89,13 @@
     }
 
     /// Returns what each of so many senders may send.
-    fn share(self, senders: u32) -> Share {
+    fn share(self, senders: u32) -> SenderShare {
         let rate = self.rate().max(LEAST_RATE) / f64::from(senders);
-        Share { rate, burst: (rate * BURST.as_secs_f64()).max(1.0) }
+        SenderShare { rate, burst: (rate * BURST.as_secs_f64()).max(1.0) }
     }
 }
 
-impl FromStr for RequestLimit {
+impl FromStr for RateLimit {
     type Err = InvalidLimit;
 
     fn from_str(text: &str) -> Result<Self, InvalidLimit> {
@@ -103,7 +103,7 @@
     }
 }
 
-impl Display for RequestLimit {
+impl Display for RateLimit {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.rate())
     }
@@ -111,7 +111,7 @@
 
 /// What one process tells another of the limit of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitNote {
+pub struct LimitReport {
     /// Stands for the upstream.
     pub upstream: u32,
     /// Stands for its process: one that starts again has named no limit.
@@ -119,7 +119,7 @@
     /// Grows with each statement of the upstream that is heard by one who knows of the last.
     pub version: u32,
     /// The limit; nothing if it names none any more.
-    pub limit: Option<RequestLimit>,
+    pub limit: Option<RateLimit>,
     /// How long ago the upstream said so, in milliseconds.
     pub age_ms: u32,
 }
@@ -143,7 +143,7 @@
 /// What one process may send to an upstream with a limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Pacer {
-    limit: RequestLimit,
+    limit: RateLimit,
     /// From when on this process keeps to it.
     since: Time,
     /// How many VMs come before this one, and how many there are; nothing outside the view.
@@ -157,7 +157,7 @@
 }
 
 impl Pacer {
-    fn new(limit: RequestLimit, now: Time, place: Option<(usize, usize)>) -> Self {
+    fn new(limit: RateLimit, now: Time, place: Option<(usize, usize)>) -> Self {
         let wanted = None;
         let mut pacer = Self { limit, since: now, place, bucket: None, wanted, tried: now };
         pacer.choose_role(now);
@@ -168,7 +168,7 @@
         self.limit.senders(self.place.map_or(1, |(_, members)| members))
     }
 
-    fn share(&self) -> Share {
+    fn share(&self) -> SenderShare {
         self.limit.share(self.senders())
     }
 
@@ -220,7 +220,7 @@
 
 impl KnownLimit {
     /// Returns the limit in force.
-    pub(crate) fn limit(&self) -> Option<RequestLimit> {
+    pub(crate) fn limit(&self) -> Option<RateLimit> {
         self.pacer.map(|pacer| pacer.limit)
     }
 
@@ -228,7 +228,7 @@
     pub(crate) fn hear(
         &mut self,
         now: Time,
-        limit: Option<RequestLimit>,
+        limit: Option<RateLimit>,
         place: impl FnOnce() -> Option<(usize, usize)>,
     ) {
         if self.pacer.is_none() && limit.is_none() {
@@ -244,7 +244,7 @@
     pub(crate) fn learn(
         &mut self,
         now: Time,
-        note: &LimitNote,
+        note: &LimitReport,
         place: impl FnOnce() -> Option<(usize, usize)>,
     ) {
         let limit = note.limit;
@@ -271,7 +271,7 @@
     fn put(
         &mut self,
         now: Time,
-        limit: Option<RequestLimit>,
+        limit: Option<RateLimit>,
         place: impl FnOnce() -> Option<(usize, usize)>,
     ) {
         match (limit, &mut self.pacer) {
@@ -341,11 +341,11 @@
     }
 
     /// Makes a note for other processes, if there is anything that they should know.
-    pub(crate) fn note(&self, now: Time, upstream: u32, process: u32) -> Option<LimitNote> {
+    pub(crate) fn note(&self, now: Time, upstream: u32, process: u32) -> Option<LimitReport> {
         let is_told = self.pacer.is_some() || now < self.tell_until;
         let age_ms = u32::try_from(now.since(self.said).as_millis()).unwrap_or(u32::MAX);
         let limit = self.limit();
-        is_told.then_some(LimitNote { upstream, process, version: self.version, limit, age_ms })
+        is_told.then_some(LimitReport { upstream, process, version: self.version, limit, age_ms })
     }
 }
 
--- a/crates/badgerfield-core/src/retry_budget.rs
+++ b/crates/badgerfield-core/src/retry_budget.rs
@@ -62,7 +62,7 @@
 
     /// Takes one repeat for a service if the budget allows it; `vms` share it.
     pub fn try_take(&mut self, now: Time, service: &Service, vms: usize) -> bool {
-        if self.left(now, service, vms) < 1.0 {
+        if self.remaining(now, service, vms) < 1.0 {
             return false;
         }
         self.window(now, service).repeats.push_back(now);
@@ -70,7 +70,7 @@
     }
 
     /// Returns how many repeats are left for a service in this window.
-    pub fn left(&mut self, now: Time, service: &Service, vms: usize) -> f64 {
+    pub fn remaining(&mut self, now: Time, service: &Service, vms: usize) -> f64 {
         let bound = self.bound;
         let window = self.window(now, service);
         let share = bound.allowance / count(vms.max(1));
--- a/crates/badgerfield-core/src/rollout/belief.rs
+++ b/crates/badgerfield-core/src/rollout/belief.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::{OrderChange, Reason, RolloutRecord, RolloutState};
+use super::{OrderChange, RolloutReason, RolloutRecord, RolloutState};
 use crate::ids::{Service, SoftwareVersion};
 
 /// How many services are remembered. A deployment has a handful; the bound is for an operator
@@ -36,16 +36,16 @@
 
 /// What is known of how far an order has come.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stage {
+pub struct RolloutProgress {
     /// How far.
     pub phase: RolloutPhase,
     /// Why.
-    pub reason: Reason,
+    pub reason: RolloutReason,
     /// Versions of earlier orders that no request may go to.
     pub refused: BTreeSet<SoftwareVersion>,
 }
 
-impl Stage {
+impl RolloutProgress {
     /// Reads how far an order has come off the record that names it.
     #[must_use]
     pub fn of(record: &RolloutRecord) -> Self {
@@ -61,24 +61,24 @@
 
 /// What a process knows of the roll-out of one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
+pub struct KnownRollout {
     /// The newest order.
     pub change: OrderChange,
     /// How far it has come; nothing while no record is known that names it.
-    pub stage: Option<Stage>,
+    pub stage: Option<RolloutProgress>,
 }
 
 /// What a process knows of all roll-outs.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Beliefs {
-    services: BTreeMap<Service, Known>,
+pub struct KnownRollouts {
+    services: BTreeMap<Service, KnownRollout>,
     digest: u64,
 }
 
-impl Beliefs {
+impl KnownRollouts {
     /// Takes in news, in any order; returns what is known now of each service of which they
     /// told something new.
-    pub fn learn(&mut self, news: impl IntoIterator<Item = Known>) -> Vec<Known> {
+    pub fn apply(&mut self, news: impl IntoIterator<Item = KnownRollout>) -> Vec<KnownRollout> {
         let mut turned = Vec::new();
         for found in news {
             let service = found.change.service.clone();
@@ -100,7 +100,7 @@
     /// Takes in all orders that stood at a revision: any other was withdrawn by then.
     ///
     /// Returns what [`Beliefs::learn`] does.
-    pub fn learn_all(&mut self, revision: u64, orders: Vec<OrderChange>) -> Vec<Known> {
+    pub fn apply_snapshot(&mut self, revision: u64, orders: Vec<OrderChange>) -> Vec<KnownRollout> {
         let is_missing = |service: &Service| orders.iter().all(|o| o.service != *service);
         let withdrawn: Vec<_> = self
             .services
@@ -113,18 +113,18 @@
             })
             .collect();
         let orders = orders.into_iter().chain(withdrawn);
-        self.learn(orders.map(|change| Known { change, stage: None }))
+        self.apply(orders.map(|change| KnownRollout { change, stage: None }))
     }
 
     /// Returns what is known of a service.
     #[must_use]
-    pub fn get(&self, service: &Service) -> Option<&Known> {
+    pub fn get(&self, service: &Service) -> Option<&KnownRollout> {
         self.services.get(service)
     }
 
     /// Returns all that is known, for processes that may know less.
     #[must_use]
-    pub fn all(&self) -> Vec<Known> {
+    pub fn all(&self) -> Vec<KnownRollout> {
         self.services.values().cloned().collect()
     }
 
@@ -145,7 +145,7 @@
     }
 }
 
-impl Known {
+impl KnownRollout {
     /// Returns the target of the order, unless it was withdrawn.
     #[must_use]
     pub fn target(&self) -> Option<&SoftwareVersion> {
@@ -185,7 +185,7 @@
     }
 }
 
-impl Stage {
+impl RolloutProgress {
     /// Returns what two processes know together. Versions that are refused come from the
     /// record, and so are the same for all phases of an order.
     fn join(self, other: Self) -> Self {
--- a/crates/badgerfield-core/src/rollout/evidence.rs
+++ b/crates/badgerfield-core/src/rollout/evidence.rs
@@ -2,18 +2,18 @@
 
 use std::collections::BTreeMap;
 
-use super::{Counts, RolloutTally};
+use super::{AnswerCounts, RolloutTally};
 
 /// How requests went at the target and, on the same routes over the same time, at others.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Evidence {
     /// By route: at the target, and at others.
-    pub routes: BTreeMap<String, (Counts, Counts)>,
+    pub routes: BTreeMap<String, (AnswerCounts, AnswerCounts)>,
     /// By upstream of the target.
-    pub upstreams: BTreeMap<u32, Counts>,
+    pub upstreams: BTreeMap<u32, AnswerCounts>,
 }
 
-impl Counts {
+impl AnswerCounts {
     /// Returns the sum.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
@@ -49,15 +49,19 @@
                 self.routes.insert(route.route.clone(), Default::default());
             }
         }
-        self.change(tally, Counts::plus);
+        self.change(tally, AnswerCounts::plus);
     }
 
     /// Takes back what one process told before.
     pub fn take_back(&mut self, tally: &RolloutTally) {
-        self.change(tally, Counts::minus);
+        self.change(tally, AnswerCounts::minus);
     }
 
-    fn change(&mut self, tally: &RolloutTally, with: impl Fn(Counts, Counts) -> Counts) {
+    fn change(
+        &mut self,
+        tally: &RolloutTally,
+        with: impl Fn(AnswerCounts, AnswerCounts) -> AnswerCounts,
+    ) {
         for route in &tally.routes {
             if let Some(sum) = self.routes.get_mut(&route.route) {
                 *sum = (with(sum.0, route.target), with(sum.1, route.others));
@@ -88,13 +92,13 @@
 
     /// Returns all answers of the target.
     #[must_use]
-    pub fn target(&self) -> Counts {
-        self.routes.values().fold(Counts::default(), |sum, (target, _)| sum.plus(*target))
+    pub fn target(&self) -> AnswerCounts {
+        self.routes.values().fold(AnswerCounts::default(), |sum, (target, _)| sum.plus(*target))
     }
 
     /// Returns all answers of others.
     #[must_use]
-    pub fn others(&self) -> Counts {
-        self.routes.values().fold(Counts::default(), |sum, (_, others)| sum.plus(*others))
+    pub fn others(&self) -> AnswerCounts {
+        self.routes.values().fold(AnswerCounts::default(), |sum, (_, others)| sum.plus(*others))
     }
 }
--- a/crates/badgerfield-core/src/rollout/judge.rs
+++ b/crates/badgerfield-core/src/rollout/judge.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::verdict;
-use super::{Evidence, Reason, RolloutTally};
+use super::{Evidence, RolloutReason, RolloutTally};
 use crate::amount::Time;
 use crate::event::due;
 use crate::ids::Incarnation;
@@ -40,7 +40,7 @@
 impl Judge {
     /// Takes in what a process told that has counted for so long. Reports may arrive in any
     /// order; counts of a process only grow, so that the larger one of two is the newer one.
-    pub fn hear(&mut self, from: Incarnation, tally: RolloutTally, age: Duration) {
+    pub fn apply_report(&mut self, from: Incarnation, tally: RolloutTally, age: Duration) {
         let is_older = self
             .tallies
             .get(&from)
@@ -70,7 +70,7 @@
 
     /// Tells why the target is bad, if what was heard since the last look says so.
     #[must_use]
-    pub fn verdict(&mut self) -> Option<Reason> {
+    pub fn verdict(&mut self) -> Option<RolloutReason> {
         if !std::mem::take(&mut self.is_news) {
             return None;
         }
@@ -89,15 +89,15 @@
     /// Tells why not all requests should move to the target of an order, at the last look
     /// before.
     #[must_use]
-    pub fn last_verdict(&self, span: Duration) -> Option<Reason> {
+    pub fn last_verdict(&self, span: Duration) -> Option<RolloutReason> {
         if self.ready() == 0 {
-            return Some(Reason::NoUpstreams);
+            return Some(RolloutReason::NoUpstreams);
         }
         let is_unknown = self.sum.target().answers == 0 || self.is_young(span);
         if is_unknown && self.sum.others().answers >= SOME_OTHERS {
-            return Some(Reason::NoEvidence);
+            return Some(RolloutReason::NoEvidence);
         }
-        verdict::judge_last(&self.windows())
+        verdict::judge_final(&self.windows())
     }
 
     /// Returns how many upstreams of the target take requests, as the process tells that knows
@@ -130,7 +130,7 @@
     /// Returns a number that grows with all that is counted.
     #[must_use]
     pub fn size(&self) -> u64 {
-        let of = |counts: super::Counts| u64::from(counts.answers) + u64::from(counts.bad());
+        let of = |counts: super::AnswerCounts| u64::from(counts.answers) + u64::from(counts.bad());
         self.routes.iter().map(|route| of(route.target) + of(route.others)).sum()
     }
 
--- a/crates/badgerfield-core/src/rollout/mod.rs
+++ b/crates/badgerfield-core/src/rollout/mod.rs
@@ -22,12 +22,12 @@
 use crate::amount::Percent;
 use crate::ids::{Service, SoftwareVersion};
 
-pub use belief::{Beliefs, Known, RolloutPhase, Stage};
+pub use belief::{KnownRollout, KnownRollouts, RolloutPhase, RolloutProgress};
 pub use evidence::Evidence;
 pub use judge::Judge;
-pub use note::RolloutNote;
+pub use note::RolloutLogEntry;
 pub use record::{RecordError, RolloutRecord, RolloutState};
-pub use recorder::{Call, Recorder, Situation};
+pub use recorder::{Recorder, RecorderCall, StepContext};
 pub use table::RolloutStatus;
 pub(crate) use table::Rollouts;
 
@@ -65,7 +65,7 @@
 /// Why a roll-out takes a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Reason {
+pub enum RolloutReason {
     /// It was ordered.
     Ordered,
     /// The target does as well as the other versions, by what it answered.
@@ -86,7 +86,7 @@
     Moved,
 }
 
-impl fmt::Display for Reason {
+impl fmt::Display for RolloutReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Ordered => "ordered",
@@ -117,16 +117,16 @@
 
 /// All rules at one moment.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct RuleSet {
+pub struct RolloutRules {
     /// Rises with each set: threads may carry sets out in another order than they were made.
-    pub turn: u64,
+    pub sequence: u64,
     /// The rules; of what none names, all may go anywhere.
     pub rules: Vec<RolloutRule>,
 }
 
 /// How requests went.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct AnswerCounts {
     /// Requests that were answered, or ended without the answer that was due.
     pub answers: u32,
     /// Those of them that failed.
@@ -141,9 +141,9 @@
     /// The route.
     pub route: String,
     /// Those at the version that is rolled out.
-    pub target: Counts,
+    pub target: AnswerCounts,
     /// Those at other versions, in the same time.
-    pub others: Counts,
+    pub others: AnswerCounts,
 }
 
 /// How requests went at one process since it learned of an order. Counts only grow, so that a
@@ -158,7 +158,7 @@
     pub routes: Vec<RouteTally>,
     /// By upstream of the version that is rolled out, under the numbers that stand for
     /// upstreams in messages.
-    pub upstreams: Vec<(u32, Counts)>,
+    pub upstreams: Vec<(u32, AnswerCounts)>,
     /// How many upstreams of that version take requests.
     pub ready: u32,
     /// How many requests of this process are under way at other versions.
@@ -175,7 +175,7 @@
     /// The most of all requests that reach a service which its new version may get.
     pub share: Percent,
     /// How many requests it may get beside that.
-    pub allowance: u32,
+    pub extra_requests: u32,
     /// How long after a version was found to be bad it may still be sent requests.
     pub rollback: Duration,
 }
@@ -183,6 +183,6 @@
 impl Default for RolloutBound {
     /// Takes what is usual for canaries, where the platform names nothing.
     fn default() -> Self {
-        Self { share: Percent::FIVE, allowance: 20, rollback: Duration::from_secs(5) }
+        Self { share: Percent::FIVE, extra_requests: 20, rollback: Duration::from_secs(5) }
     }
 }
--- a/crates/badgerfield-core/src/rollout/note.rs
+++ b/crates/badgerfield-core/src/rollout/note.rs
@@ -2,14 +2,14 @@
 
 use std::fmt;
 
-use super::{Counts, Evidence, Known, Reason, RolloutRecord};
+use super::{AnswerCounts, Evidence, KnownRollout, RolloutReason, RolloutRecord};
 use crate::ids::Service;
 
 /// One line about a roll-out.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum RolloutNote {
+pub enum RolloutLogEntry {
     /// An order, or how far it has come, is news here.
-    Learned(Known),
+    Updated(KnownRollout),
     /// This process found the target of an order bad.
     Rejected {
         /// The service.
@@ -17,12 +17,12 @@
         /// The revision of the order.
         revision: u64,
         /// Why.
-        reason: Reason,
+        reason: RolloutReason,
         /// What it was judged by.
         evidence: Evidence,
     },
     /// This process writes the record.
-    Writes {
+    WritingRecord {
         /// The service.
         service: Service,
         /// The record.
@@ -31,7 +31,7 @@
         evidence: Evidence,
     },
     /// A call about the record did not do what it was made for.
-    Missed {
+    CallFailed {
         /// The service.
         service: Service,
         /// What came of it.
@@ -39,10 +39,10 @@
     },
 }
 
-impl fmt::Display for RolloutNote {
+impl fmt::Display for RolloutLogEntry {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Learned(known) => {
+            Self::Updated(known) => {
                 let service = &known.change.service;
                 write!(f, "roll-out of {service} order {}", known.change.revision)?;
                 match &known.change.order {
@@ -58,13 +58,13 @@
                 write!(f, "roll-out of {service} order {revision} found bad: {reason}; ")?;
                 describe(f, evidence)
             }
-            Self::Writes { service, record, evidence } => {
+            Self::WritingRecord { service, record, evidence } => {
                 let RolloutRecord { state, target, order, moving, reason, .. } = record;
                 write!(f, "roll-out of {service} order {order} to {target} written as {state:?}")?;
                 write!(f, ", moving {moving}, {reason}; ")?;
                 describe(f, evidence)
             }
-            Self::Missed { service, outcome } => {
+            Self::CallFailed { service, outcome } => {
                 write!(f, "record of the roll-out of {service}: {outcome}; it is looked up")
             }
         }
@@ -72,7 +72,7 @@
 }
 
 fn describe(f: &mut fmt::Formatter<'_>, evidence: &Evidence) -> fmt::Result {
-    let show = |f: &mut fmt::Formatter<'_>, name: &str, counts: Counts| {
+    let show = |f: &mut fmt::Formatter<'_>, name: &str, counts: AnswerCounts| {
         write!(
             f,
             "{name} {} answers, {} failed, {} slow",
--- a/crates/badgerfield-core/src/rollout/record.rs
+++ b/crates/badgerfield-core/src/rollout/record.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use super::Reason;
+use super::RolloutReason;
 use crate::ids::SoftwareVersion;
 
 /// Where a roll-out stands, as operators are told.
@@ -23,7 +23,7 @@
 impl RolloutState {
     /// Tells whether no other state follows.
     #[must_use]
-    pub fn is_end(self) -> bool {
+    pub fn is_final(self) -> bool {
         self != Self::InProgress
     }
 }
@@ -45,7 +45,7 @@
     #[serde(default)]
     pub began: Option<u64>,
     /// Why it stands there.
-    pub reason: Reason,
+    pub reason: RolloutReason,
     /// Targets of earlier orders that did not complete: no request goes to them.
     #[serde(default)]
     pub refused: BTreeSet<SoftwareVersion>,
--- a/crates/badgerfield-core/src/rollout/recorder.rs
+++ b/crates/badgerfield-core/src/rollout/recorder.rs
@@ -9,7 +9,10 @@
 
 use super::belief::refused_after;
 use super::plan;
-use super::{Judge, Known, Reason, RolloutOrder, RolloutPhase, RolloutRecord, RolloutState, Stage};
+use super::{
+    Judge, KnownRollout, RolloutOrder, RolloutPhase, RolloutProgress, RolloutReason, RolloutRecord,
+    RolloutState,
+};
 use crate::amount::Time;
 use crate::event::due;
 use crate::ids::Incarnation;
@@ -23,28 +26,28 @@
 
 /// What a judge knows beside the record and the tallies.
 #[derive(Debug, Clone, Copy)]
-pub struct Situation<'a> {
+pub struct StepContext<'a> {
     /// The present time.
     pub now: Time,
     /// What is known of the order.
-    pub known: &'a Known,
+    pub known: &'a KnownRollout,
     /// When the order was heard of here.
-    pub heard: Time,
+    pub received: Time,
     /// The fleet's time.
     pub clock: FleetClock,
     /// How long a request of the service may run.
-    pub longest: Duration,
+    pub max_duration: Duration,
     /// All members of the view, those that leave among them.
     pub members: &'a [Incarnation],
     /// When the platform was asked for the view that was read last.
-    pub view_asked: Option<Time>,
+    pub view_requested: Option<Time>,
     /// The place of this process among the judges.
     pub rank: u32,
 }
 
 /// A call that a judge makes.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Call {
+pub enum RecorderCall {
     /// Read the record.
     Read,
     /// Read the view.
@@ -79,12 +82,12 @@
     }
 
     /// Notes what stands in the record; returns how far the newest order has come by it.
-    pub fn found(
+    pub fn apply_record(
         &mut self,
         revision: u64,
         record: Option<RolloutRecord>,
-        known: &Known,
-    ) -> Option<Stage> {
+        known: &KnownRollout,
+    ) -> Option<RolloutProgress> {
         self.is_calling = false;
         // A stale read names an older revision, and one that was removed has none: what stands
         // there is then asked for again, at the pace of calls that told nothing.
@@ -100,42 +103,46 @@
     }
 
     /// Notes that a call did not say what stands in the record; it is looked up next.
-    pub fn lost(&mut self) {
+    pub fn invalidate(&mut self) {
         self.is_calling = false;
         self.stored = None;
     }
 
     /// Notes that this process is no judge any more: others write what it knows.
-    pub fn leave(&mut self) {
+    pub fn stop_judging(&mut self) {
         self.stored = None;
         self.wanted = None;
     }
 
     /// Returns how far the newest order has come by the record.
-    fn stage(&self, known: &Known) -> Option<Stage> {
+    fn stage(&self, known: &KnownRollout) -> Option<RolloutProgress> {
         let (_, record) = self.stored.as_ref()?;
         if known.change.order.is_some() {
             let record = record.as_ref()?;
-            return (record.order == known.change.revision).then(|| Stage::of(record));
+            return (record.order == known.change.revision).then(|| RolloutProgress::of(record));
         }
         // A withdrawn order is over once the record of the one before it is.
         let record = record.as_ref().filter(|record| record.order < known.change.revision);
-        if record.is_some_and(|record| !record.state.is_end()) {
+        if record.is_some_and(|record| !record.state.is_final()) {
             return None;
         }
         let refused = record.map(|record| refused_after(record, None)).unwrap_or_default();
-        Some(Stage { phase: RolloutPhase::RolledBack, reason: Reason::Withdrawn, refused })
+        Some(RolloutProgress {
+            phase: RolloutPhase::RolledBack,
+            reason: RolloutReason::Withdrawn,
+            refused,
+        })
     }
 
     /// Returns the call that is due, if one is.
-    pub fn step(&mut self, at: &Situation<'_>) -> Option<Call> {
+    pub fn next_call(&mut self, at: &StepContext<'_>) -> Option<RecorderCall> {
         if self.is_calling || !due(at.now, self.called_at, CALL_PAUSE) {
             return None;
         }
         let Some((revision, record)) = &self.stored else {
             self.is_calling = true;
             self.called_at = Some(at.now);
-            return Some(Call::Read);
+            return Some(RecorderCall::Read);
         };
         let revision = *revision;
         let next = self.next(at, record.as_ref());
@@ -152,11 +159,11 @@
         self.called_at = Some(at.now);
         // Who joined meanwhile counts as well. Whoever joins after the view was read meets only
         // members that know that all requests move.
-        if self.moved_at.is_some_and(|since| at.view_asked.is_none_or(|asked| asked < since)) {
-            return Some(Call::ReadView);
+        if self.moved_at.is_some_and(|since| at.view_requested.is_none_or(|asked| asked < since)) {
+            return Some(RecorderCall::ReadView);
         }
         self.is_calling = true;
-        Some(Call::Write(revision, next))
+        Some(RecorderCall::Write(revision, next))
     }
 
     /// Notes that a step is due; returns since when it is, without a break.
@@ -173,16 +180,16 @@
     }
 
     /// Returns the record that should stand there, if it is another.
-    fn next(&self, at: &Situation<'_>, record: Option<&RolloutRecord>) -> Option<RolloutRecord> {
+    fn next(&self, at: &StepContext<'_>, record: Option<&RolloutRecord>) -> Option<RolloutRecord> {
         let newest = at.known.change.revision;
         let Some(order) = &at.known.change.order else {
-            let open = record.filter(|record| record.order < newest && !record.state.is_end())?;
-            return Some(end(open, RolloutState::RolledBack, Reason::Withdrawn));
+            let open = record.filter(|record| record.order < newest && !record.state.is_final())?;
+            return Some(end(open, RolloutState::RolledBack, RolloutReason::Withdrawn));
         };
         let Some(record) = record.filter(|record| record.order >= newest) else {
             return Some(begin(at, order, record));
         };
-        if record.order > newest || record.state.is_end() {
+        if record.order > newest || record.state.is_final() {
             return None;
         }
         let stage = at.known.stage.as_ref().filter(|stage| stage.phase == RolloutPhase::Rejected);
@@ -190,7 +197,7 @@
             return Some(end(record, RolloutState::RolledBack, stage.reason));
         }
         if !record.moving {
-            let due = plan::moves_after(order.span, at.longest);
+            let due = plan::moves_after(order.span, at.max_duration);
             let is_young = self.judge.is_young(order.span);
             let due = if is_young { plan::latest(order.span, due) } else { due };
             if elapsed(at, record) < due {
@@ -198,38 +205,44 @@
             }
             return Some(match self.judge.last_verdict(order.span) {
                 Some(reason) => end(record, RolloutState::RolledBack, reason),
-                None => RolloutRecord { moving: true, reason: Reason::Good, ..record.clone() },
+                None => {
+                    RolloutRecord { moving: true, reason: RolloutReason::Good, ..record.clone() }
+                }
             });
         }
         let all_moved = at.members.iter().all(|id| self.judge.has_confirmed(*id));
-        all_moved.then(|| end(record, RolloutState::Completed, Reason::Moved))
+        all_moved.then(|| end(record, RolloutState::Completed, RolloutReason::Moved))
     }
 }
 
 /// Returns the first record of an order; `last` is that of an earlier one.
-fn begin(at: &Situation<'_>, order: &RolloutOrder, last: Option<&RolloutRecord>) -> RolloutRecord {
+fn begin(
+    at: &StepContext<'_>,
+    order: &RolloutOrder,
+    last: Option<&RolloutRecord>,
+) -> RolloutRecord {
     let refused = last.map(|last| refused_after(last, Some(&order.target))).unwrap_or_default();
     RolloutRecord {
         state: RolloutState::InProgress,
         target: order.target.clone(),
         order: at.known.change.revision,
         moving: false,
-        began: at.clock.at(at.heard).map(|time| time.0),
-        reason: Reason::Ordered,
+        began: at.clock.time_at(at.received).map(|time| time.0),
+        reason: RolloutReason::Ordered,
         refused,
     }
 }
 
-fn end(record: &RolloutRecord, state: RolloutState, reason: Reason) -> RolloutRecord {
+fn end(record: &RolloutRecord, state: RolloutState, reason: RolloutReason) -> RolloutRecord {
     RolloutRecord { state, reason, ..record.clone() }
 }
 
 /// Returns how long ago the order was made, by this process and by whoever wrote the record.
-fn elapsed(at: &Situation<'_>, record: &RolloutRecord) -> Duration {
-    let here = at.now.since(at.heard);
+fn elapsed(at: &StepContext<'_>, record: &RolloutRecord) -> Duration {
+    let here = at.now.since(at.received);
     let told = record
         .began
-        .zip(at.clock.at(at.now))
+        .zip(at.clock.time_at(at.now))
         .map(|(began, now)| Duration::from_millis(now.0.saturating_sub(began)));
     told.map_or(here, |told| told.max(here))
 }
--- a/crates/badgerfield-core/src/rollout/table.rs
+++ b/crates/badgerfield-core/src/rollout/table.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use super::{
-    Allowance, Beliefs, Evidence, Known, OrderChange, Reason, Recorder, RolloutBound, RolloutPhase,
-    RolloutRule, RolloutTally, RuleSet, Stage,
+    Allowance, Evidence, KnownRollout, KnownRollouts, OrderChange, Recorder, RolloutBound,
+    RolloutPhase, RolloutProgress, RolloutReason, RolloutRule, RolloutRules, RolloutTally,
 };
 use crate::amount::Time;
 use crate::ids::{Incarnation, Service, SoftwareVersion};
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutStatus {
     /// What is known of the order.
-    pub known: Known,
+    pub known: KnownRollout,
     /// How long ago it was heard of here.
     pub age: Duration,
     /// What processes told, as far as this one judges.
@@ -61,7 +61,7 @@
 /// The table of roll-outs.
 #[derive(Debug, Default)]
 pub(crate) struct Rollouts {
-    beliefs: Beliefs,
+    beliefs: KnownRollouts,
     own: BTreeMap<Service, Own>,
     rules: Vec<RolloutRule>,
     /// How many sets of rules there were.
@@ -79,12 +79,12 @@
     }
 
     /// Returns what is known of all orders.
-    pub(crate) fn all(&self) -> Vec<Known> {
+    pub(crate) fn all(&self) -> Vec<KnownRollout> {
         self.beliefs.all()
     }
 
     /// Returns what is known of an order.
-    pub(crate) fn known(&self, service: &Service) -> Option<&Known> {
+    pub(crate) fn known(&self, service: &Service) -> Option<&KnownRollout> {
         self.beliefs.get(service)
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Notes that a member of the view knows the same, while this process takes part.
-    pub(crate) fn agreed(&mut self, is_active: bool) {
+    pub(crate) fn record_agreement(&mut self, is_active: bool) {
         self.agreed |= is_active && self.beliefs.all().iter().all(|known| known.stage.is_some());
     }
 
@@ -118,9 +118,9 @@
     }
 
     /// Takes in news; returns what is news here.
-    pub(crate) fn learn(&mut self, now: Time, news: Vec<Known>) -> Vec<Known> {
+    pub(crate) fn learn(&mut self, now: Time, news: Vec<KnownRollout>) -> Vec<KnownRollout> {
         let before = self.before(news.iter().map(|known| &known.change.service));
-        let turned = self.beliefs.learn(news);
+        let turned = self.beliefs.apply(news);
         self.follow(now, &before, &turned);
         turned
     }
@@ -131,22 +131,30 @@
         now: Time,
         revision: u64,
         orders: Vec<OrderChange>,
-    ) -> Vec<Known> {
+    ) -> Vec<KnownRollout> {
         let before = self.beliefs.all();
         let before = before.into_iter().map(|k| (k.change.service.clone(), k)).collect();
-        let turned = self.beliefs.learn_all(revision, orders);
+        let turned = self.beliefs.apply_snapshot(revision, orders);
         self.follow(now, &before, &turned);
         turned
     }
 
     /// Returns what is known of some services, to be held against what news make of it.
-    fn before<'a>(&self, services: impl Iterator<Item = &'a Service>) -> BTreeMap<Service, Known> {
+    fn before<'a>(
+        &self,
+        services: impl Iterator<Item = &'a Service>,
+    ) -> BTreeMap<Service, KnownRollout> {
         let known = services.filter_map(|service| Some((service, self.beliefs.get(service)?)));
         known.map(|(service, known)| (service.clone(), known.clone())).collect()
     }
 
     /// Draws what follows for this process from news; `before` is what was known of them.
-    fn follow(&mut self, now: Time, before: &BTreeMap<Service, Known>, turned: &[Known]) {
+    fn follow(
+        &mut self,
+        now: Time,
+        before: &BTreeMap<Service, KnownRollout>,
+        turned: &[KnownRollout],
+    ) {
         for known in turned {
             let service = &known.change.service;
             let old = before.get(service);
@@ -159,7 +167,7 @@
             }
             own.keep_promise(known);
             // An order that was over when this process heard of it changes nothing here.
-            let was_moving = old.and_then(Known::phase) == Some(RolloutPhase::Moving);
+            let was_moving = old.and_then(KnownRollout::phase) == Some(RolloutPhase::Moving);
             if known.phase() == Some(RolloutPhase::Completed) && was_moving {
                 own.lingers = Some(now.after(LINGER));
             }
@@ -167,7 +175,7 @@
     }
 
     /// Takes in how requests of this process went at services with orders that are known.
-    pub(crate) fn count(&mut self, tallies: Vec<RolloutTally>) {
+    pub(crate) fn record_tallies(&mut self, tallies: Vec<RolloutTally>) {
         for mut tally in tallies {
             let Some((known, own)) =
                 self.beliefs.get(&tally.service).zip(self.own.get_mut(&tally.service))
@@ -189,7 +197,7 @@
     }
 
     /// Returns the tallies that are due to be told to the judges of their services.
-    pub(crate) fn reports(
+    pub(crate) fn due_reports(
         &mut self,
         now: Time,
         members: u32,
@@ -221,12 +229,12 @@
             return;
         }
         if let Some(own) = self.own.get_mut(&tally.service) {
-            own.recorder.judge.hear(from, tally, age);
+            own.recorder.judge.apply_report(from, tally, age);
         }
     }
 
     /// Returns the services whose record may have to be written, or read.
-    pub(crate) fn open(&self) -> Vec<(Known, Time)> {
+    pub(crate) fn unfinished(&self) -> Vec<(KnownRollout, Time)> {
         self.beliefs
             .all()
             .into_iter()
@@ -239,21 +247,34 @@
     }
 
     /// Returns what this process keeps as a judge of a service.
-    pub(crate) fn recorder(&mut self, service: &Service) -> Option<&mut Recorder> {
+    pub(crate) fn recorder_mut(&mut self, service: &Service) -> Option<&mut Recorder> {
         self.own.get_mut(service).map(|own| &mut own.recorder)
     }
 
     /// Notes that the target of an order was found to be bad; returns what is news.
-    pub(crate) fn reject(&mut self, now: Time, known: &Known, reason: Reason) -> Vec<Known> {
+    pub(crate) fn reject(
+        &mut self,
+        now: Time,
+        known: &KnownRollout,
+        reason: RolloutReason,
+    ) -> Vec<KnownRollout> {
         let Some(stage) = &known.stage else {
             return Vec::new();
         };
-        let stage = Stage { phase: RolloutPhase::Rejected, reason, refused: stage.refused.clone() };
-        self.learn(now, vec![Known { stage: Some(stage), ..known.clone() }])
+        let stage = RolloutProgress {
+            phase: RolloutPhase::Rejected,
+            reason,
+            refused: stage.refused.clone(),
+        };
+        self.learn(now, vec![KnownRollout { stage: Some(stage), ..known.clone() }])
     }
 
     /// Returns the rules that follow from what is known, if they are others than the last ones.
-    pub(crate) fn changed_rules(&mut self, now: Time, bound: &RolloutBound) -> Option<RuleSet> {
+    pub(crate) fn changed_rules(
+        &mut self,
+        now: Time,
+        bound: &RolloutBound,
+    ) -> Option<RolloutRules> {
         let mut rules = Vec::new();
         for (service, own) in &self.own {
             if let Some(known) = self.beliefs.get(service) {
@@ -265,12 +286,12 @@
         }
         self.rules.clone_from(&rules);
         self.turn += 1;
-        Some(RuleSet { turn: self.turn, rules })
+        Some(RolloutRules { sequence: self.turn, rules })
     }
 
     /// Returns the state of all roll-outs, for operators.
     pub(crate) fn status(&self, now: Time) -> Vec<RolloutStatus> {
-        let status = |known: Known| {
+        let status = |known: KnownRollout| {
             let own = self.own.get(&known.change.service)?;
             let evidence = own.recorder.judge.evidence().clone();
             Some(RolloutStatus { known, age: now.since(own.heard), evidence })
@@ -281,7 +302,7 @@
 
 impl Own {
     /// Begins anew for a newer order.
-    fn renew(&mut self, now: Time, old: Option<&Known>, new: &Known) {
+    fn renew(&mut self, now: Time, old: Option<&KnownRollout>, new: &KnownRollout) {
         self.heard = now;
         self.tally = None;
         self.told = None;
@@ -302,7 +323,7 @@
     }
 
     /// Ends a promise that the record has made void: what it was about is decided.
-    fn keep_promise(&mut self, known: &Known) {
+    fn keep_promise(&mut self, known: &KnownRollout) {
         let Some((order, _)) = &self.promised else {
             return;
         };
@@ -345,7 +366,13 @@
     }
 
     /// Adds the rules of one service.
-    fn rules(&self, now: Time, known: &Known, bound: &RolloutBound, rules: &mut Vec<RolloutRule>) {
+    fn rules(
+        &self,
+        now: Time,
+        known: &KnownRollout,
+        bound: &RolloutBound,
+        rules: &mut Vec<RolloutRule>,
+    ) {
         let (service, revision) = (&known.change.service, known.change.revision);
         let mut rule = |revision, target: &SoftwareVersion, allowance| {
             let (service, target) = (service.clone(), target.clone());
@@ -370,7 +397,7 @@
     fn allowance<'a>(
         &self,
         now: Time,
-        known: &'a Known,
+        known: &'a KnownRollout,
         bound: &RolloutBound,
     ) -> Option<(&'a SoftwareVersion, Allowance)> {
         let lingers = self.lingers.is_some_and(|until| now < until);
@@ -386,6 +413,6 @@
 }
 
 /// Tells whether an order has not come to its end.
-fn is_open(known: &Known) -> bool {
+fn is_open(known: &KnownRollout) -> bool {
     !matches!(known.phase(), Some(RolloutPhase::RolledBack | RolloutPhase::Completed))
 }
--- a/crates/badgerfield-core/src/rollout/tally.rs
+++ b/crates/badgerfield-core/src/rollout/tally.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{Allowance, Counts, RolloutRule, RolloutTally, RouteTally};
+use super::{Allowance, AnswerCounts, RolloutRule, RolloutTally, RouteTally};
 use crate::ids::Service;
 
 /// From how many times the usual on an answer is slow.
@@ -32,16 +32,16 @@
 
 /// How the first part of an answer came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Pace {
+pub enum AnswerSpeed {
     /// In time.
-    Usual,
+    Normal,
     /// Several times later than is usual.
     Slow,
 }
 
 /// Where an answer comes from.
 #[derive(Debug, Clone, Copy)]
-pub struct Seen<'a> {
+pub struct AnswerSource<'a> {
     /// The route.
     pub route: &'a str,
     /// The number that stands for the upstream in messages.
@@ -60,8 +60,8 @@
 
 #[derive(Debug, Default)]
 struct Route {
-    target: Counts,
-    others: Counts,
+    target: AnswerCounts,
+    others: AnswerCounts,
     usual: Usual,
 }
 
@@ -69,7 +69,7 @@
 #[derive(Debug, Default)]
 pub struct Tally {
     routes: BTreeMap<String, Route>,
-    upstreams: BTreeMap<u32, Counts>,
+    upstreams: BTreeMap<u32, AnswerCounts>,
 }
 
 /// The tallies of all services that are rolled out.
@@ -110,13 +110,13 @@
     }
 
     /// Returns the rule and the tally of a service.
-    pub fn of(&mut self, service: &Service) -> Option<(&RolloutRule, &mut Tally)> {
+    pub fn get_mut(&mut self, service: &Service) -> Option<(&RolloutRule, &mut Tally)> {
         let (rule, tally) = self.services.get_mut(service)?;
         Some((rule, tally))
     }
 
     /// Returns all rules with their tallies.
-    pub fn all(&self) -> impl Iterator<Item = (&RolloutRule, &Tally)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&RolloutRule, &Tally)> {
         self.services.values().map(|(rule, tally)| (rule, tally))
     }
 }
@@ -124,8 +124,8 @@
 impl RolloutTally {
     /// Returns how requests went on all routes, at the target and at others.
     #[must_use]
-    pub fn sums(&self) -> (Counts, Counts) {
-        let zero = (Counts::default(), Counts::default());
+    pub fn totals(&self) -> (AnswerCounts, AnswerCounts) {
+        let zero = (AnswerCounts::default(), AnswerCounts::default());
         self.routes
             .iter()
             .fold(zero, |sum, route| (sum.0.plus(route.target), sum.1.plus(route.others)))
@@ -135,10 +135,15 @@
 impl Tally {
     /// Notes that the first part of an answer has come after a wait, where reading the prompt
     /// was expected to take so long; returns how it came.
-    pub fn answered(&mut self, seen: &Seen<'_>, wait: Duration, reading: Duration) -> Pace {
+    pub fn answered(
+        &mut self,
+        seen: &AnswerSource<'_>,
+        wait: Duration,
+        reading: Duration,
+    ) -> AnswerSpeed {
         let pace = self.pace(seen, wait, reading);
-        let slow = u32::from(pace == Pace::Slow);
-        self.count(seen, Counts { answers: 1, failed: 0, slow });
+        let slow = u32::from(pace == AnswerSpeed::Slow);
+        self.count(seen, AnswerCounts { answers: 1, failed: 0, slow });
         if !seen.is_target {
             self.route(seen.route).usual.note(wait.saturating_sub(reading));
         }
@@ -147,27 +152,40 @@
 
     /// Notes that an answer did not come or broke off; `came` is how its first part came, if it
     /// did. One that was slow counts as that.
-    pub fn failed(&mut self, seen: &Seen<'_>, came: Option<Pace>) {
+    pub fn record_failure(&mut self, seen: &AnswerSource<'_>, came: Option<AnswerSpeed>) {
         match came {
-            None => self.count(seen, Counts { answers: 1, failed: 1, slow: 0 }),
-            Some(Pace::Usual) => self.count(seen, Counts { answers: 0, failed: 1, slow: 0 }),
-            Some(Pace::Slow) => {}
+            None => self.count(seen, AnswerCounts { answers: 1, failed: 1, slow: 0 }),
+            Some(AnswerSpeed::Normal) => {
+                self.count(seen, AnswerCounts { answers: 0, failed: 1, slow: 0 })
+            }
+            Some(AnswerSpeed::Slow) => {}
         }
     }
 
     /// Notes that nobody waits any longer for the first part of an answer. Whoever left early
     /// says nothing of the upstream; returns whether it was late.
-    pub fn given_up(&mut self, seen: &Seen<'_>, wait: Duration, reading: Duration) -> bool {
-        let is_late = self.pace(seen, wait, reading) == Pace::Slow;
+    pub fn record_abandoned(
+        &mut self,
+        seen: &AnswerSource<'_>,
+        wait: Duration,
+        reading: Duration,
+    ) -> bool {
+        let is_late = self.pace(seen, wait, reading) == AnswerSpeed::Slow;
         if is_late {
-            self.count(seen, Counts { answers: 1, failed: 0, slow: 1 });
+            self.count(seen, AnswerCounts { answers: 1, failed: 0, slow: 1 });
         }
         is_late
     }
 
     /// Returns the tally as it is told, with what the table of upstreams knows.
     #[must_use]
-    pub fn told(&self, rule: &RolloutRule, ready: u32, running: u32, moved: bool) -> RolloutTally {
+    pub fn snapshot(
+        &self,
+        rule: &RolloutRule,
+        ready: u32,
+        running: u32,
+        moved: bool,
+    ) -> RolloutTally {
         let route = |(name, route): (&String, &Route)| RouteTally {
             route: name.clone(),
             target: route.target,
@@ -185,15 +203,15 @@
     }
 
     /// Tells how an answer came that took this wait.
-    fn pace(&mut self, seen: &Seen<'_>, wait: Duration, reading: Duration) -> Pace {
+    fn pace(&mut self, seen: &AnswerSource<'_>, wait: Duration, reading: Duration) -> AnswerSpeed {
         let Some(usual) = self.route(seen.route).usual.span() else {
-            return Pace::Usual;
+            return AnswerSpeed::Normal;
         };
         let most = usual.saturating_add(reading).saturating_mul(SLOW_TIMES).max(LEAST_SLOW);
-        if wait > most { Pace::Slow } else { Pace::Usual }
+        if wait > most { AnswerSpeed::Slow } else { AnswerSpeed::Normal }
     }
 
-    fn count(&mut self, seen: &Seen<'_>, more: Counts) {
+    fn count(&mut self, seen: &AnswerSource<'_>, more: AnswerCounts) {
         let route = self.route(seen.route);
         if !seen.is_target {
             route.others = route.others.plus(more);
--- a/crates/badgerfield-core/src/rollout/verdict.rs
+++ b/crates/badgerfield-core/src/rollout/verdict.rs
@@ -8,7 +8,7 @@
 //! of 1/E by chance in at most E of all roll-outs of good versions, however often it is looked
 //! at (Ville's inequality).
 
-use super::{Counts, Evidence, Reason};
+use super::{AnswerCounts, Evidence, RolloutReason};
 
 /// In which part of roll-outs of good versions one is taken for bad while it is tried: an
 /// operator has to order it again.
@@ -63,7 +63,7 @@
 }
 
 impl Kind {
-    fn of(self, counts: Counts) -> Sample {
+    fn of(self, counts: AnswerCounts) -> Sample {
         match self {
             Self::Failures => Sample { all: counts.answers, bad: counts.failed },
             Self::Slowness => {
@@ -73,10 +73,10 @@
         }
     }
 
-    fn reason(self) -> Reason {
+    fn reason(self) -> RolloutReason {
         match self {
-            Self::Failures => Reason::Failures,
-            Self::Slowness => Reason::Slowness,
+            Self::Failures => RolloutReason::Failures,
+            Self::Slowness => RolloutReason::Slowness,
         }
     }
 }
@@ -101,19 +101,19 @@
 /// Tells why the target is bad, if the evidence says so; `windows` is the evidence of the whole
 /// trial and of its latest parts, for versions that turn bad later.
 #[must_use]
-pub fn judge(windows: &[Evidence]) -> Option<Reason> {
+pub fn judge(windows: &[Evidence]) -> Option<RolloutReason> {
     let found = look(windows, TRIAL);
     found.or_else(|| windows.iter().find_map(many_bad))
 }
 
 /// Tells why the target is rather bad than good, at the last look.
 #[must_use]
-pub fn judge_last(windows: &[Evidence]) -> Option<Reason> {
+pub fn judge_final(windows: &[Evidence]) -> Option<RolloutReason> {
     judge(windows).or_else(|| look(windows, LAST))
 }
 
 /// Looks at the whole trial with half of the weight, and at its parts with the other half.
-fn look(windows: &[Evidence], look: Look) -> Option<Reason> {
+fn look(windows: &[Evidence], look: Look) -> Option<RolloutReason> {
     let (whole, parts) = windows.split_first()?;
     let bound = 2.0_f64.ln() - look.alarm.ln();
     let count = u32::try_from(parts.len()).unwrap_or(u32::MAX);
@@ -123,7 +123,7 @@
 }
 
 /// Tells why the target is bad if the ratio is beyond a bound, and no single upstream explains it.
-fn beyond(evidence: &Evidence, bound: f64, look: Look) -> Option<Reason> {
+fn beyond(evidence: &Evidence, bound: f64, look: Look) -> Option<RolloutReason> {
     for kind in [Kind::Failures, Kind::Slowness] {
         let few = kind.of(evidence.target()).bad < look.least;
         if few || ratio(evidence, kind) - KINDS.ln() < bound {
@@ -142,7 +142,7 @@
 }
 
 /// Tells whether so many answers were bad that it is not waited for proof.
-fn many_bad(evidence: &Evidence) -> Option<Reason> {
+fn many_bad(evidence: &Evidence) -> Option<RolloutReason> {
     for kind in [Kind::Failures, Kind::Slowness] {
         let mut excess = 0.0;
         let mut variance = 0.0;
@@ -161,7 +161,7 @@
         let is_one = evidence.upstreams.len() >= ENOUGH_SIBLINGS
             && is_one_of_many(evidence, kind, SURELY_ONE);
         if is_many && !is_one {
-            return Some(Reason::ManyBad);
+            return Some(RolloutReason::ManyBad);
         }
     }
     None
--- a/crates/badgerfield-core/src/seal.rs
+++ b/crates/badgerfield-core/src/seal.rs
@@ -95,7 +95,7 @@
 impl SealRecord {
     /// Returns how much its holder had not touched at a time, if it ran so long.
     #[must_use]
-    pub fn untouched(&self, at: FleetTime) -> Tokens {
+    pub fn unspent_at(&self, at: FleetTime) -> Tokens {
         fallen(self.amount, at.0.saturating_sub(self.sealed_at.0), self.decay_ms)
     }
 }
@@ -171,7 +171,7 @@
 
     /// Returns the fleet's time at a time of this process.
     #[must_use]
-    pub fn at(self, now: Time) -> Option<FleetTime> {
+    pub fn time_at(self, now: Time) -> Option<FleetTime> {
         self.started.map(|started| FleetTime(started.0.saturating_add(millis(now.0))))
     }
 }
--- a/crates/badgerfield-core/src/upstream.rs
+++ b/crates/badgerfield-core/src/upstream.rs
@@ -39,7 +39,7 @@
 /// What an upstream is.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum UpstreamKind {
     /// A model engine.
     Engine(EngineInfo),
     /// A plain service.
@@ -62,7 +62,7 @@
 
 /// One upstream as the VM list shows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UpstreamInfo {
+pub struct VmUpstreamInfo {
     /// The name.
     pub id: UpstreamId,
     /// The address.
@@ -74,7 +74,7 @@
     /// How many requests it runs at once.
     pub slots: u32,
     /// What it is.
-    pub kind: Kind,
+    pub kind: UpstreamKind,
 }
 
 /// One line of the VM list.
@@ -87,7 +87,7 @@
     pub leaving: bool,
     /// The upstream on it, if it is not one of the system's own VMs.
     #[serde(default)]
-    pub upstream: Option<UpstreamInfo>,
+    pub upstream: Option<VmUpstreamInfo>,
 }
 
 /// The VM list.
@@ -117,7 +117,7 @@
 #[derive(Debug, Clone)]
 pub struct Upstream {
     /// What the VM list says.
-    pub info: UpstreamInfo,
+    pub info: VmUpstreamInfo,
     /// Whether any sign says that it is leaving.
     pub leaving: bool,
     report: LoadReport,
@@ -134,7 +134,7 @@
 }
 
 impl Upstream {
-    fn new(info: UpstreamInfo, leaving: bool) -> Self {
+    fn new(info: VmUpstreamInfo, leaving: bool) -> Self {
         Self {
             info,
             leaving,
@@ -179,7 +179,7 @@
     fn estimate(&self, now: Time, work: &Work, anchor: Option<&Anchor>) -> f64 {
         let slots = f64::from(self.info.slots.max(1));
         let excess = (f64::from(self.running()) + 1.0 - slots).max(0.0);
-        let Kind::Engine(engine) = &self.info.kind else {
+        let UpstreamKind::Engine(engine) = &self.info.kind else {
             return (1.0 + f64::from(self.running())) / slots * self.slowness;
         };
         let Work::Chat(chat) = work else {
@@ -205,7 +205,7 @@
 
 /// What a request may run on.
 #[derive(Debug, Clone, Copy)]
-pub struct Wish<'a> {
+pub struct VmUpstreamCriteria<'a> {
     /// What is asked for.
     pub work: &'a Work,
     /// What the template allows.
@@ -220,25 +220,25 @@
 
 /// What came of looking for an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Choice {
+pub enum VmUpstreamChoice {
     /// This one.
-    Take(UpstreamId),
+    Selected(UpstreamId),
     /// All are full; one is free in about this time.
     Full(Duration),
     /// None serves this.
-    None,
+    Unavailable,
 }
 
 /// All upstreams that the process knows.
 #[derive(Debug, Default)]
-pub struct Upstreams {
+pub struct VmUpstreams {
     table: BTreeMap<UpstreamId, Upstream>,
     /// Prefixes that were seen of late, on whatever upstream.
     seen: HashMap<u64, Time>,
     version: u64,
 }
 
-impl Upstreams {
+impl VmUpstreams {
     /// Takes in a VM list unless it is older than the last one.
     pub fn learn(&mut self, list: &VmList) -> bool {
         if list.version < self.version {
@@ -282,7 +282,7 @@
     }
 
     /// Takes in a report of load.
-    pub fn report(&mut self, now: Time, id: &UpstreamId, report: LoadReport) {
+    pub fn apply_report(&mut self, now: Time, id: &UpstreamId, report: LoadReport) {
         let Some(upstream) = self.table.get_mut(id) else {
             return;
         };
@@ -294,7 +294,7 @@
 
     /// Picks the upstream with the shortest estimated time to the first token.
     #[must_use]
-    pub fn choose(&self, now: Time, wish: &Wish<'_>) -> Choice {
+    pub fn choose(&self, now: Time, wish: &VmUpstreamCriteria<'_>) -> VmUpstreamChoice {
         let anchor = self.anchor(wish);
         let mut best: Option<(f64, &UpstreamId)> = None;
         let mut full = None;
@@ -315,14 +315,14 @@
             }
         }
         if let Some((_, id)) = best {
-            return Choice::Take(id.clone());
+            return VmUpstreamChoice::Selected(id.clone());
         }
-        full.map_or(Choice::None, |cost| Choice::Full(span(cost)))
+        full.map_or(VmUpstreamChoice::Unavailable, |cost| VmUpstreamChoice::Full(span(cost)))
     }
 
     /// Finds the longest prefix that was seen before, and the upstreams that rank first
     /// for it; every VM finds the same ones.
-    fn anchor(&self, wish: &Wish<'_>) -> Option<Anchor> {
+    fn anchor(&self, wish: &VmUpstreamCriteria<'_>) -> Option<Anchor> {
         let Work::Chat(chat) = wish.work else {
             return None;
         };
@@ -344,7 +344,7 @@
     }
 
     /// Notes a dispatch.
-    pub fn dispatched(&mut self, now: Time, id: &UpstreamId, work: &Work) {
+    pub fn record_dispatch(&mut self, now: Time, id: &UpstreamId, work: &Work) {
         let Some(upstream) = self.table.get_mut(id) else {
             return;
         };
@@ -362,13 +362,13 @@
     }
 
     /// Notes the first token of a dispatch that took a span.
-    pub fn first(&mut self, id: &UpstreamId, work: &Work, took: Duration) {
+    pub fn record_first_token(&mut self, id: &UpstreamId, work: &Work, took: Duration) {
         let Some(upstream) = self.table.get_mut(id) else {
             return;
         };
         upstream.failures = 0;
         upstream.closed = None;
-        let (Work::Chat(chat), Kind::Engine(engine)) = (work, &upstream.info.kind) else {
+        let (Work::Chat(chat), UpstreamKind::Engine(engine)) = (work, &upstream.info.kind) else {
             return;
         };
         upstream.reading = upstream.reading.saturating_sub(chat.prompt);
@@ -378,7 +378,7 @@
     }
 
     /// Notes the end of a dispatch.
-    pub fn ended(&mut self, id: &UpstreamId, work: &Work, started: bool) {
+    pub fn record_end(&mut self, id: &UpstreamId, work: &Work, started: bool) {
         let Some(upstream) = self.table.get_mut(id) else {
             return;
         };
@@ -393,7 +393,7 @@
 
     /// Takes in that an upstream wants nothing from this process for a span. A rest that it asked
     /// for before is not cut short.
-    pub fn rest(&mut self, now: Time, id: &UpstreamId, span: Duration) {
+    pub fn back_off(&mut self, now: Time, id: &UpstreamId, span: Duration) {
         if let Some(upstream) = self.table.get_mut(id) {
             upstream.rests_until = upstream.rests_until.max(now.after(span));
         }
@@ -430,7 +430,7 @@
 
 /// Digests the prefixes of a prompt, one every [`PREFIX_STEP`] bytes.
 #[must_use]
-pub fn prefixes(prompt: &[u8]) -> Vec<u64> {
+pub fn prefix_digests(prompt: &[u8]) -> Vec<u64> {
     let mut digests = Vec::new();
     let mut last = 0_u64;
     for step in prompt.chunks_exact(PREFIX_STEP) {
@@ -442,7 +442,7 @@
     digests
 }
 
-fn serves(upstream: &Upstream, wish: &Wish<'_>) -> bool {
+fn serves(upstream: &Upstream, wish: &VmUpstreamCriteria<'_>) -> bool {
     let hardware = &wish.template.hardware;
     if !hardware.is_empty() && !hardware.contains(&upstream.info.hardware) {
         return false;
@@ -452,12 +452,14 @@
         return false;
     }
     match (&upstream.info.kind, wish.work) {
-        (Kind::Engine(engine), Work::Chat(chat)) => {
+        (UpstreamKind::Engine(engine), Work::Chat(chat)) => {
             let loaded = |a: &Adapter| engine.adapters.contains(a);
             engine.model == chat.model && chat.adapter.as_ref().is_none_or(loaded)
         }
-        (Kind::Service(service), Work::Call(call)) => service == &call.service,
-        (Kind::Engine(_), Work::Call(_)) | (Kind::Service(_), Work::Chat(_)) => false,
+        (UpstreamKind::Service(service), Work::Call(call)) => service == &call.service,
+        (UpstreamKind::Engine(_), Work::Call(_)) | (UpstreamKind::Service(_), Work::Chat(_)) => {
+            false
+        }
     }
 }
 
--- a/crates/badgerfield-core/src/warm_up.rs
+++ b/crates/badgerfield-core/src/warm_up.rs
@@ -59,27 +59,27 @@
 impl WarmUpBound {
     /// Returns the most requests that a cold upstream may get in a second.
     #[must_use]
-    pub fn most(&self, warm_up: &WarmUp) -> f64 {
+    pub fn max_rate(&self, warm_up: &WarmUp) -> f64 {
         warm_up.rate() * self.overshoot + self.allowance
     }
 }
 
 /// What one of a few senders may send to an upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Share {
+pub struct SenderShare {
     /// Requests a second.
     pub rate: f64,
     /// How many requests at once.
     pub burst: f64,
 }
 
-impl Share {
+impl SenderShare {
     /// Returns the part of each sender; nothing where so many cannot keep the bound.
     #[must_use]
     pub fn of(warm_up: &WarmUp, bound: &WarmUpBound, senders: usize) -> Option<Self> {
         let senders = f64::from(u32::try_from(senders).ok().filter(|n| *n > 0)?);
         // In any second a sender sends its burst and its rate.
-        let rate = bound.most(warm_up) / VIEWS / senders - BURST;
+        let rate = bound.max_rate(warm_up) / VIEWS / senders - BURST;
         // What the upstream bears goes before what the fleet is allowed.
         let rate = rate.min(warm_up.rate() / senders);
         (rate >= LEAST_RATE).then_some(Self { rate, burst: BURST })
@@ -102,23 +102,23 @@
 
     /// Tells whether a request may be sent.
     #[must_use]
-    pub fn may_send(&self, now: Time, share: Share) -> bool {
+    pub fn may_send(&self, now: Time, share: SenderShare) -> bool {
         self.filled(now, share) >= 1.0
     }
 
     /// Takes out one request.
-    pub fn take(&mut self, now: Time, share: Share) {
+    pub fn take(&mut self, now: Time, share: SenderShare) {
         self.tokens = self.filled(now, share) - 1.0;
         self.at = self.at.max(now);
     }
 
-    fn filled(&self, now: Time, share: Share) -> f64 {
+    fn filled(&self, now: Time, share: SenderShare) -> f64 {
         (self.tokens + now.since(self.at).as_secs_f64() * share.rate).min(share.burst)
     }
 
     /// Returns how long it takes until a request may be sent.
     #[must_use]
-    pub fn wait(&self, now: Time, share: Share) -> Duration {
+    pub fn wait(&self, now: Time, share: SenderShare) -> Duration {
         let lacking = (1.0 - self.filled(now, share)).max(0.0);
         let filling = Duration::try_from_secs_f64(lacking / share.rate).unwrap_or(Duration::MAX);
         self.at.since(now).saturating_add(filling)
--- a/crates/badgerfield-core/tests/canary.rs
+++ b/crates/badgerfield-core/tests/canary.rs
@@ -11,7 +11,7 @@
 };
 use badgerfield_core::replicas::{AttemptOutcome, PromptPart, UpstreamCriteria, UpstreamTable};
 use badgerfield_core::residency::EVERYWHERE;
-use badgerfield_core::rollout::{Allowance, RolloutRule, RuleSet};
+use badgerfield_core::rollout::{Allowance, RolloutRule, RolloutRules};
 use badgerfield_core::warm_up::{Senders, WarmUp, WarmUpBound};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -512,7 +512,8 @@
 fn rules_that_are_carried_out_late_do_not_come_back() {
     // Two threads: one made the share, the other the end of it, and the share was put last.
     let mut table = table(4, 4);
-    let ruled = |turn, allowance| RuleSet { turn, rules: vec![rule("v2", allowance)] };
+    let ruled =
+        |turn, allowance| RolloutRules { sequence: turn, rules: vec![rule("v2", allowance)] };
     table.apply_rule_set(ruled(2, Allowance::Nothing));
     assert!(table.apply_rule_set(ruled(1, share(50))).is_empty());
     let ask = Ask::on("r");
--- a/crates/badgerfield-core/tests/ledger.rs
+++ b/crates/badgerfield-core/tests/ledger.rs
@@ -295,8 +295,8 @@
     // sealed may be spent while the promise of a newer one would still hold.
     let older = r#"{"v":"vm-1","a":5000,"t":1000}"#;
     let record: SealRecord = serde_json::from_str(older).expect("an older record");
-    assert_eq!(record.untouched(FleetTime(1000)), Tokens::ZERO);
+    assert_eq!(record.unspent_at(FleetTime(1000)), Tokens::ZERO);
     let newer = SealRecord { decay_ms: 10_000, ..record };
-    assert_eq!(newer.untouched(FleetTime(3500)), Tokens(3750));
-    assert_eq!(newer.untouched(FleetTime(11_000)), Tokens::ZERO);
+    assert_eq!(newer.unspent_at(FleetTime(3500)), Tokens(3750));
+    assert_eq!(newer.unspent_at(FleetTime(11_000)), Tokens::ZERO);
 }
--- a/crates/badgerfield-core/tests/locality.rs
+++ b/crates/badgerfield-core/tests/locality.rs
@@ -6,7 +6,7 @@
 use badgerfield_core::amount::Time;
 use badgerfield_core::evacuation::DomainChange;
 use badgerfield_core::ids::{Domain, Incarnation, Region, Service, UpstreamId};
-use badgerfield_core::locality::{Crossing, Distance, Locality, Place, nearest};
+use badgerfield_core::locality::{CrossingReason, Distance, DistanceCosts, Place, nearest};
 use badgerfield_core::replica_list::{ListedUpstream, UpstreamEntry, UpstreamList};
 use badgerfield_core::replicas::{
     AttemptOutcome, ChosenUpstream, PromptPart, UpstreamCriteria, UpstreamTable,
@@ -66,7 +66,7 @@
     let map = DOMAINS.iter().map(|at| (domain(at), region(&at[..1])));
     let mut table = UpstreamTable::default();
     table.set_regions(RegionMap::new(map.collect()));
-    table.set_location(place(own), Locality::default());
+    table.set_location(place(own), DistanceCosts::default());
     let entry = |n: usize| {
         let at = DOMAINS[n % DOMAINS.len()];
         let info = ListedUpstream {
@@ -131,7 +131,7 @@
             table.start_request(now, &chosen.id, parts);
             table.end_request(now, &chosen.id, AttemptOutcome::Answered);
         }
-        assert_eq!(counts.get(&Distance::Far), None, "{counts:?}");
+        assert_eq!(counts.get(&Distance::OtherRegion), None, "{counts:?}");
     }
 }
 
@@ -142,10 +142,13 @@
         |name: &str, evacuated| DomainChange { domain: domain(name), revision: 2, evacuated };
     table.apply_evacuations(at(0), &[change("a-1", true)]);
     let chosen = choose(&table, at(1), &[], 5).expect("somebody serves");
-    assert_eq!((chosen.distance, chosen.crossing), (Distance::Region, None));
+    assert_eq!((chosen.distance, chosen.crossing), (Distance::SameRegion, None));
     table.apply_evacuations(at(2), &[change("a-2", true)]);
     let chosen = choose(&table, at(3), &[], 5).expect("somebody serves");
-    assert_eq!((chosen.distance, chosen.crossing), (Distance::Far, Some(Crossing::NoneNear)));
+    assert_eq!(
+        (chosen.distance, chosen.crossing),
+        (Distance::OtherRegion, Some(CrossingReason::NoneInRegion))
+    );
     let back = DomainChange { domain: domain("a-2"), revision: 3, evacuated: false };
     table.apply_evacuations(at(4), &[back]);
     for id in ["a-2.1", "a-2.5"] {
@@ -155,7 +158,10 @@
         }
     }
     let chosen = choose(&table, at(6), &[], 5).expect("somebody serves");
-    assert_eq!((chosen.distance, chosen.crossing), (Distance::Far, Some(Crossing::Cost)));
+    assert_eq!(
+        (chosen.distance, chosen.crossing),
+        (Distance::OtherRegion, Some(CrossingReason::Cost))
+    );
 }
 
 /// Where nothing is known of regions, domains are of one region: nobody pays for distance.
@@ -163,16 +169,16 @@
 fn without_a_map_all_domains_are_of_one_region() {
     let map = RegionMap::new(BTreeMap::from([(domain("a-1"), region("a"))]));
     let own = place("a-1");
-    assert_eq!(own.distance(&domain("a-1"), &map), Distance::Domain);
-    assert_eq!(own.distance(&domain("x"), &map), Distance::Region);
+    assert_eq!(own.distance(&domain("a-1"), &map), Distance::SameDomain);
+    assert_eq!(own.distance(&domain("x"), &map), Distance::SameRegion);
     let map = RegionMap::new(BTreeMap::from([
         (domain("a-1"), region("a")),
         (domain("a-2"), region("a")),
         (domain("b-1"), region("b")),
     ]));
-    assert_eq!(own.distance(&domain("a-2"), &map), Distance::Region);
-    assert_eq!(own.distance(&domain("b-1"), &map), Distance::Far);
-    assert_eq!(own.distance(&domain("x"), &map), Distance::Far, "an unknown region is far");
+    assert_eq!(own.distance(&domain("a-2"), &map), Distance::SameRegion);
+    assert_eq!(own.distance(&domain("b-1"), &map), Distance::OtherRegion);
+    assert_eq!(own.distance(&domain("x"), &map), Distance::OtherRegion, "an unknown region is far");
 }
 
 /// One of the processes of a fleet, and its requests under way with their ends.
@@ -218,7 +224,7 @@
                 let ends = now.after(Duration::from_millis(100));
                 senders[place].under_way.push((ends, chosen.id.clone()));
                 sent += 1;
-                far += usize::from(chosen.distance == Distance::Far);
+                far += usize::from(chosen.distance == Distance::OtherRegion);
                 served = true;
                 break;
             }
@@ -268,9 +274,10 @@
 /// each request that is sent to find out may be lost. Fifteen seconds later only the first is back.
 #[test]
 fn being_turned_away_is_forgotten_sooner_than_a_failure() {
-    for (health, near) in
-        [(AttemptOutcome::Full, Distance::Domain), (AttemptOutcome::Failed, Distance::Far)]
-    {
+    for (health, near) in [
+        (AttemptOutcome::Full, Distance::SameDomain),
+        (AttemptOutcome::Failed, Distance::OtherRegion),
+    ] {
         let mut table = table("a-1", 1);
         for id in ["a-1.0", "a-2.1"] {
             let id: UpstreamId = id.parse().expect("a name");
@@ -280,8 +287,12 @@
             }
         }
         let chosen = |millis| choose(&table, at(millis), &[], 5).expect("somebody serves").distance;
-        assert_eq!(chosen(2), Distance::Far, "{health:?}: both near ones are avoided");
+        assert_eq!(chosen(2), Distance::OtherRegion, "{health:?}: both near ones are avoided");
         assert_eq!(chosen(15_000), near, "{health:?}");
-        assert_eq!(chosen(120_000), Distance::Domain, "{health:?}: in the end it is tried again");
+        assert_eq!(
+            chosen(120_000),
+            Distance::SameDomain,
+            "{health:?}: in the end it is tried again"
+        );
     }
 }
--- a/crates/badgerfield-core/tests/overload.rs
+++ b/crates/badgerfield-core/tests/overload.rs
@@ -230,7 +230,7 @@
         let request = &self.requests[&number];
         let more = request.again && request.tried.len() < 2;
         self.tables[vm].end_request(time, &chosen.id, AttemptOutcome::Full);
-        let counts = overload::turned_away(Duration::from_micros(OBJECTIVE_US));
+        let counts = overload::rejection_wait(Duration::from_micros(OBJECTIVE_US));
         self.tables[vm].record_response_time(time, &chosen.id, counts);
         if more {
             return self.send(now, number);
@@ -262,7 +262,7 @@
 
     fn refused(&mut self, now: u64, number: u64) {
         let request = &self.requests[&number];
-        let away = overload::come_back(self.draws.next());
+        let away = overload::retry_delay(self.draws.next());
         let back = now + whole(away.as_secs_f64() * 1e6);
         if request.comes < COMES && back < request.since + PATIENCE_US {
             return self.at(back, Turn::Returns(number));
@@ -333,7 +333,7 @@
     let mut draws = Draws(7);
     let mut tenths = [0; 10];
     for _ in 0..1000 {
-        let after = overload::come_back(draws.next()).as_millis();
+        let after = overload::retry_delay(draws.next()).as_millis();
         tenths[usize::try_from(after / 100).expect("short")] += 1;
     }
     assert!(tenths.iter().all(|count| *count < 250), "{tenths:?}");
--- a/crates/badgerfield-core/tests/poison.rs
+++ b/crates/badgerfield-core/tests/poison.rs
@@ -5,7 +5,7 @@
 use assert_matches::assert_matches;
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::{Account, UpstreamId};
-use badgerfield_core::poison::{Crash, Fingerprint, Poison, Standing};
+use badgerfield_core::poison::{Crash, Fingerprint, PoisonStatus, PoisonTable};
 use badgerfield_core::replicas::PromptPart;
 
 const NOW: Time = Time::from_millis(60_000);
@@ -24,11 +24,11 @@
 }
 
 fn crash(body: &str, n: u32, point: u64) -> Crash {
-    Crash::seen(request(body), Some(&account("a")), &upstream(n), point)
+    Crash::new(request(body), Some(&account("a")), &upstream(n), point)
 }
 
-fn is_blocked(table: &Poison, now: Time, body: &str) -> bool {
-    matches!(table.standing(now, request(body)), Standing::Blocked { .. })
+fn is_blocked(table: &PoisonTable, now: Time, body: &str) -> bool {
+    matches!(table.status(now, request(body)), PoisonStatus::Blocked { .. })
 }
 
 #[test]
@@ -51,18 +51,18 @@
 
 #[test]
 fn one_crash_makes_a_suspect_and_two_at_one_point_block() {
-    let mut table = Poison::default();
-    assert_eq!(table.standing(NOW, request("q")), Standing::Clear);
+    let mut table = PoisonTable::default();
+    assert_eq!(table.status(NOW, request("q")), PoisonStatus::Clear);
     table.learn(NOW, vec![crash("q", 1, 0)]);
-    assert_matches!(table.standing(NOW, request("q")), Standing::Suspect { .. });
+    assert_matches!(table.status(NOW, request("q")), PoisonStatus::Suspect { .. });
     // The same crash, told again, is no second one.
     assert!(table.learn(NOW, vec![crash("q", 1, 0)]).is_empty());
     let news = table.learn(NOW, vec![crash("q", 2, 3)]);
     assert_matches!(news.as_slice(), [(_, true)]);
     let later = NOW.after(Duration::from_secs(10));
     assert_matches!(
-        table.standing(later, request("q")),
-        Standing::Blocked { upstreams, age, left }
+        table.status(later, request("q")),
+        PoisonStatus::Blocked { upstreams, age, left }
             if upstreams == [upstream(1), upstream(2)]
                 && age == Duration::from_secs(10)
                 && left == Duration::from_secs(590)
@@ -71,27 +71,27 @@
 
 #[test]
 fn an_upstream_that_is_back_and_ends_again_counts_again() {
-    let mut table = Poison::default();
-    assert_eq!(table.ends_of(request("q"), &upstream(1)), 0);
+    let mut table = PoisonTable::default();
+    assert_eq!(table.crash_count(request("q"), &upstream(1)), 0);
     table.learn(NOW, vec![crash("q", 1, 0)]);
-    assert_eq!(table.ends_of(request("q"), &upstream(1)), 1);
-    assert_eq!(table.ends_of(request("q"), &upstream(2)), 0);
+    assert_eq!(table.crash_count(request("q"), &upstream(1)), 1);
+    assert_eq!(table.crash_count(request("q"), &upstream(2)), 0);
     // Whoever was there as well, and had not heard of it, saw the same end.
     assert!(table.learn(NOW, vec![crash("q", 1, 2)]).is_empty());
-    let news = table.learn(NOW, vec![crash("q", 1, 0).in_life(1)]);
+    let news = table.learn(NOW, vec![crash("q", 1, 0).with_prior_crashes(1)]);
     assert_matches!(news.as_slice(), [(_, true)]);
 }
 
 #[test]
 fn an_end_after_one_that_was_cleared_counts() {
-    let mut table = Poison::default();
+    let mut table = PoisonTable::default();
     table.learn(NOW, vec![crash("q", 1, 0)]);
-    table.served(NOW, request("q"));
-    table.learn(NOW, vec![crash("q", 1, 0).in_life(1)]);
-    assert_matches!(table.standing(NOW, request("q")), Standing::Suspect { .. });
+    table.record_served(NOW, request("q"));
+    table.learn(NOW, vec![crash("q", 1, 0).with_prior_crashes(1)]);
+    assert_matches!(table.status(NOW, request("q")), PoisonStatus::Suspect { .. });
     // Of two processes that heard in another order, both believe the same.
-    let mut other = Poison::default();
-    other.learn(NOW, vec![crash("q", 1, 0).in_life(1)]);
+    let mut other = PoisonTable::default();
+    other.learn(NOW, vec![crash("q", 1, 0).with_prior_crashes(1)]);
     other.learn(NOW, vec![Crash { cleared: true, ..crash("q", 1, 0) }]);
     assert_eq!(table.crashes_of(NOW, request("q")).len(), 2);
     assert_eq!(other.crashes_of(NOW, request("q")).len(), 2);
@@ -99,23 +99,23 @@
 
 #[test]
 fn upstreams_that_only_cannot_be_reached_weigh_half() {
-    let mut table = Poison::default();
-    table.learn(NOW, (1..4).map(|n| crash("q", n, 0).unsure()).collect());
-    assert_matches!(table.standing(NOW, request("q")), Standing::Suspect { .. });
+    let mut table = PoisonTable::default();
+    table.learn(NOW, (1..4).map(|n| crash("q", n, 0).unconfirmed()).collect());
+    assert_matches!(table.status(NOW, request("q")), PoisonStatus::Suspect { .. });
     let later = NOW.after(Duration::from_secs(5));
-    let news = table.learn(later, vec![crash("q", 4, 0).unsure()]);
+    let news = table.learn(later, vec![crash("q", 4, 0).unconfirmed()]);
     assert_matches!(news.as_slice(), [(_, true)]);
     // A cut way may have been the cause, and is mended soon.
     let left = Duration::from_secs(55);
-    assert_matches!(table.standing(later, request("q")), Standing::Blocked { left: l, .. } if l == left);
+    assert_matches!(table.status(later, request("q")), PoisonStatus::Blocked { left: l, .. } if l == left);
     assert!(!is_blocked(&table, later.after(left), "q"));
 }
 
 #[test]
 fn who_is_certain_of_an_end_says_more_than_who_is_not() {
-    let all = [crash("q", 1, 0).unsure(), crash("q", 1, 0), crash("q", 2, 0).unsure()];
+    let all = [crash("q", 1, 0).unconfirmed(), crash("q", 1, 0), crash("q", 2, 0).unconfirmed()];
     let all = all.into_iter().chain([crash("q", 2, 0)]).collect::<Vec<_>>();
-    let (mut one, mut two) = (Poison::default(), Poison::default());
+    let (mut one, mut two) = (PoisonTable::default(), PoisonTable::default());
     one.learn(NOW, all.clone());
     two.learn(NOW, all.into_iter().rev().collect());
     assert!(is_blocked(&one, NOW, "q") && is_blocked(&two, NOW, "q"));
@@ -125,17 +125,17 @@
 
 #[test]
 fn a_stream_in_full_flow_is_a_lesser_suspect() {
-    let mut table = Poison::default();
+    let mut table = PoisonTable::default();
     table.learn(NOW, vec![crash("q", 1, 0), crash("r", 1, 50)]);
-    assert_eq!(table.standing(NOW, request("q")), Standing::Suspect { early: true });
-    assert_eq!(table.standing(NOW, request("r")), Standing::Suspect { early: false });
+    assert_eq!(table.status(NOW, request("q")), PoisonStatus::Suspect { early: true });
+    assert_eq!(table.status(NOW, request("r")), PoisonStatus::Suspect { early: false });
 }
 
 #[test]
 fn a_stream_that_came_on_between_two_crashes_is_not_blocked_by_them() {
-    let mut table = Poison::default();
+    let mut table = PoisonTable::default();
     table.learn(NOW, vec![crash("q", 1, 20), crash("q", 2, 60)]);
-    assert_matches!(table.standing(NOW, request("q")), Standing::Suspect { .. });
+    assert_matches!(table.status(NOW, request("q")), PoisonStatus::Suspect { .. });
     // A third is one too many, wherever the stream was.
     table.learn(NOW, vec![crash("q", 3, 100)]);
     assert!(is_blocked(&table, NOW, "q"));
@@ -143,14 +143,14 @@
 
 #[test]
 fn a_request_that_is_served_whole_had_no_part_in_it() {
-    let mut table = Poison::default();
+    let mut table = PoisonTable::default();
     table.learn(NOW, vec![crash("q", 1, 0)]);
-    let cleared = table.served(NOW, request("q"));
+    let cleared = table.record_served(NOW, request("q"));
     assert_eq!(cleared.len(), 1);
-    assert_eq!(table.standing(NOW, request("q")), Standing::Clear);
+    assert_eq!(table.status(NOW, request("q")), PoisonStatus::Clear);
     // Older word of the crash does not bring it back, and another crash is the first.
     table.learn(NOW, vec![crash("q", 1, 0), crash("q", 2, 0)]);
-    assert_matches!(table.standing(NOW, request("q")), Standing::Suspect { .. });
+    assert_matches!(table.status(NOW, request("q")), PoisonStatus::Suspect { .. });
 }
 
 #[test]
@@ -159,7 +159,7 @@
     let all = [crash("q", 1, 0), crash("q", 3, 0), cleared, crash("q", 2, 1), crash("r", 2, 0)];
     let mut digests = Vec::new();
     for turn in 0..all.len() {
-        let mut table = Poison::default();
+        let mut table = PoisonTable::default();
         for n in 0..all.len() {
             table.learn(NOW, vec![all[(n * 2 + turn) % all.len()].clone()]);
         }
@@ -172,38 +172,40 @@
 #[test]
 fn of_many_crashes_all_processes_remember_the_same() {
     let all: Vec<_> = (0..40).map(|n| crash("q", n, 0)).collect();
-    let (mut one, mut two) = (Poison::default(), Poison::default());
+    let (mut one, mut two) = (PoisonTable::default(), PoisonTable::default());
     one.learn(NOW, all.clone());
     two.learn(NOW, all.into_iter().rev().collect());
     assert_eq!(one.digest(NOW), two.digest(NOW));
-    assert_eq!(one.blocked(NOW).len(), 8);
+    assert_eq!(one.blocked_crashes(NOW).len(), 8);
 }
 
 #[test]
 fn two_tables_that_tell_each_other_all_believe_the_same() {
-    let (mut one, mut two) = (Poison::default(), Poison::default());
+    let (mut one, mut two) = (PoisonTable::default(), PoisonTable::default());
     one.learn(NOW, vec![crash("q", 1, 0), crash("q", 2, 0)]);
     two.learn(NOW, vec![crash("r", 1, 0), crash("r", 2, 0), crash("q", 1, 0)]);
-    two.served(NOW, request("q"));
+    two.record_served(NOW, request("q"));
     assert_ne!(one.digest(NOW), two.digest(NOW));
-    let theirs = one.blocked(NOW);
+    let theirs = one.blocked_crashes(NOW);
     two.learn(NOW, theirs.clone());
-    one.learn(NOW, two.beyond(NOW, &theirs));
+    one.learn(NOW, two.missing_from(NOW, &theirs));
     assert_eq!(one.digest(NOW), two.digest(NOW));
     assert!(is_blocked(&one, NOW, "r"));
     assert!(!is_blocked(&one, NOW, "q"), "it was served whole at the other");
-    assert!(two.beyond(NOW, &one.blocked(NOW)).iter().all(|c| c.request == request("q")));
+    assert!(
+        two.missing_from(NOW, &one.blocked_crashes(NOW)).iter().all(|c| c.request == request("q"))
+    );
 }
 
 #[test]
 fn a_block_ends_after_a_while_and_is_not_told_on_at_its_end() {
-    let mut table = Poison::default();
+    let mut table = PoisonTable::default();
     table.learn(NOW, vec![crash("q", 1, 0), crash("q", 2, 0)]);
     let late = NOW.after(Duration::from_secs(597));
     assert!(is_blocked(&table, late, "q"));
-    assert!(table.blocked(late).is_empty(), "nobody else is told");
+    assert!(table.blocked_crashes(late).is_empty(), "nobody else is told");
     let end = NOW.after(Duration::from_secs(601));
-    assert_eq!(table.standing(end, request("q")), Standing::Clear);
+    assert_eq!(table.status(end, request("q")), PoisonStatus::Clear);
     table.sweep(end);
     assert!(table.is_empty());
     // What is as old as that is no news.
@@ -213,24 +215,24 @@
 
 #[test]
 fn word_of_a_crash_older_than_the_process_keeps_its_age() {
-    let mut table = Poison::default();
+    let mut table = PoisonTable::default();
     let early = Time::from_millis(1000);
     let told = |n| Crash { age: Duration::from_secs(300), ..crash("q", n, 0) };
     table.learn(early, vec![told(1), told(2)]);
     assert_matches!(
-        table.standing(early, request("q")),
-        Standing::Blocked { age, .. } if age == Duration::from_secs(300)
+        table.status(early, request("q")),
+        PoisonStatus::Blocked { age, .. } if age == Duration::from_secs(300)
     );
 }
 
 #[test]
 fn one_account_crowds_no_other_out() {
-    let mut table = Poison::default();
+    let mut table = PoisonTable::default();
     let mut of = |name: &str, n: u32, upstreams: &[u32]| {
         let owner = account(name);
         let body = n.to_be_bytes();
         let request = Fingerprint::of(Some(&owner), "POST", ("host", "/x"), &[], &body);
-        let seen = |u: &u32| Crash::seen(request, Some(&owner), &upstream(*u), 0);
+        let seen = |u: &u32| Crash::new(request, Some(&owner), &upstream(*u), 0);
         // Each a little later than the one before.
         let now = NOW.after(Duration::from_millis(u64::from(n)));
         table.learn(now, upstreams.iter().map(seen).collect());
@@ -248,6 +250,6 @@
     }
     assert!(table.len() <= 512, "{}", table.len());
     for request in [theirs, last] {
-        assert_matches!(table.standing(NOW, request), Standing::Blocked { .. });
+        assert_matches!(table.status(NOW, request), PoisonStatus::Blocked { .. });
     }
 }
--- a/crates/badgerfield-core/tests/replicas.rs
+++ b/crates/badgerfield-core/tests/replicas.rs
@@ -5,7 +5,7 @@
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::{Service, UpstreamId};
-use badgerfield_core::mix::Size;
+use badgerfield_core::mix::PromptSize;
 use badgerfield_core::replica_list::{
     ListVersion, ListedUpstream, UpstreamEntry, UpstreamList, UpstreamListChanges,
 };
@@ -244,7 +244,7 @@
     there.apply_changes(at(20), here.changes_of(at(20), &news));
     assert_eq!(here.list_version().digest, there.list_version().digest);
     assert_eq!(there.list_version().revision, 1);
-    there.confirm(at(30), 2);
+    there.confirm_revision(at(30), 2);
     assert_eq!(here.list_version(), there.list_version());
 }
 
@@ -267,7 +267,7 @@
                     at(n * 50),
                     &service("pool"),
                     route,
-                    Size { prompt, own: prompt / 3 },
+                    PromptSize { total_tokens: prompt, unshared_tokens: prompt / 3 },
                 );
             }
         }
@@ -286,7 +286,7 @@
                 at(n * 50),
                 &service("pool"),
                 route,
-                Size { prompt, own: prompt / 3 },
+                PromptSize { total_tokens: prompt, unshared_tokens: prompt / 3 },
             );
         }
     }
--- a/crates/badgerfield-core/tests/request_limits.rs
+++ b/crates/badgerfield-core/tests/request_limits.rs
@@ -6,7 +6,7 @@
 use badgerfield_core::ids::{Service, UpstreamId, VmId};
 use badgerfield_core::replica_list::{ListedUpstream, UpstreamEntry, UpstreamList};
 use badgerfield_core::replicas::{AttemptOutcome, UpstreamCriteria, UpstreamTable};
-use badgerfield_core::request_limit::{LimitNote, RequestLimit};
+use badgerfield_core::request_limit::{LimitReport, RateLimit};
 use badgerfield_core::residency::EVERYWHERE;
 use badgerfield_core::warm_up::Senders;
 use proptest::prelude::*;
@@ -41,8 +41,8 @@
     format!("vm-{n}").parse().expect("the name is valid")
 }
 
-fn limit(rate: f64) -> RequestLimit {
-    RequestLimit::per_second(rate).expect("the limit is valid")
+fn limit(rate: f64) -> RateLimit {
+    RateLimit::per_second(rate).expect("the limit is valid")
 }
 
 fn table(upstreams: usize) -> UpstreamTable {
@@ -100,7 +100,7 @@
     /// When which VM gets an answer to a request.
     answers: Vec<(u64, usize)>,
     /// What a VM gets told, and when.
-    notes: Vec<(u64, usize, Vec<LimitNote>)>,
+    notes: Vec<(u64, usize, Vec<LimitReport>)>,
     /// When each VM had its first answer that names the limit.
     told: Vec<Option<u64>>,
     /// What the upstream names.
--- a/crates/badgerfield-core/tests/rollout_recorder.rs
+++ b/crates/badgerfield-core/tests/rollout_recorder.rs
@@ -5,30 +5,36 @@
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::Incarnation;
 use badgerfield_core::rollout::{
-    Call, Counts, Known, OrderChange, Reason, Recorder, RolloutOrder, RolloutPhase, RolloutRecord,
-    RolloutState, RolloutTally, RouteTally, Situation, Stage,
+    AnswerCounts, KnownRollout, OrderChange, Recorder, RecorderCall, RolloutOrder, RolloutPhase,
+    RolloutProgress, RolloutReason, RolloutRecord, RolloutState, RolloutTally, RouteTally,
+    StepContext,
 };
 use badgerfield_core::seal::FleetClock;
 
 const ME: Incarnation = Incarnation(1);
 const PEER: Incarnation = Incarnation(2);
 
-fn known(revision: u64, stage: Option<Stage>) -> Known {
+fn known(revision: u64, stage: Option<RolloutProgress>) -> KnownRollout {
     let order =
         RolloutOrder { target: "v2".parse().expect("a version"), span: Duration::from_secs(40) };
     let service = "model".parse().expect("a service");
-    Known { change: OrderChange { service, revision, order: Some(order) }, stage }
+    KnownRollout { change: OrderChange { service, revision, order: Some(order) }, stage }
 }
 
-fn at<'a>(known: &'a Known, millis: u64, rank: u32, members: &'a [Incarnation]) -> Situation<'a> {
-    Situation {
+fn at<'a>(
+    known: &'a KnownRollout,
+    millis: u64,
+    rank: u32,
+    members: &'a [Incarnation],
+) -> StepContext<'a> {
+    StepContext {
         now: Time::from_millis(millis),
         known,
-        heard: Time::default(),
+        received: Time::default(),
         clock: FleetClock::default(),
-        longest: Duration::ZERO,
+        max_duration: Duration::ZERO,
         members,
-        view_asked: Some(Time::from_millis(millis)),
+        view_requested: Some(Time::from_millis(millis)),
         rank,
     }
 }
@@ -40,7 +46,7 @@
         order,
         moving,
         began: None,
-        reason: Reason::Ordered,
+        reason: RolloutReason::Ordered,
         refused: std::collections::BTreeSet::new(),
     }
 }
@@ -62,12 +68,12 @@
 fn a_judge_reads_first_and_waits_for_its_turn() {
     let known = known(7, None);
     let mut recorder = Recorder::default();
-    assert_eq!(recorder.step(&at(&known, 100, 1, &[])), Some(Call::Read));
-    assert_eq!(recorder.step(&at(&known, 5000, 1, &[])), None, "one call at a time");
-    assert_eq!(recorder.found(0, None, &known), None);
-    assert_eq!(recorder.step(&at(&known, 5100, 1, &[])), None, "the first judge's turn");
-    let call = recorder.step(&at(&known, 6600, 1, &[]));
-    assert!(matches!(call, Some(Call::Write(0, record)) if record.order == 7));
+    assert_eq!(recorder.next_call(&at(&known, 100, 1, &[])), Some(RecorderCall::Read));
+    assert_eq!(recorder.next_call(&at(&known, 5000, 1, &[])), None, "one call at a time");
+    assert_eq!(recorder.apply_record(0, None, &known), None);
+    assert_eq!(recorder.next_call(&at(&known, 5100, 1, &[])), None, "the first judge's turn");
+    let call = recorder.next_call(&at(&known, 6600, 1, &[]));
+    assert!(matches!(call, Some(RecorderCall::Write(0, record)) if record.order == 7));
 }
 
 /// Fails if a write that got no answer is repeated blind, or if what a judge finds then is
@@ -76,14 +82,17 @@
 fn a_write_without_an_answer_is_looked_up() {
     let known = known(7, None);
     let mut recorder = Recorder::default();
-    recorder.step(&at(&known, 0, 0, &[]));
-    recorder.found(0, None, &known);
-    assert!(matches!(recorder.step(&at(&known, 100, 0, &[])), Some(Call::Write(0, _))));
-    recorder.lost();
-    assert_eq!(recorder.step(&at(&known, 700, 0, &[])), Some(Call::Read));
-    let stage = recorder.found(9, Some(record(7, RolloutState::InProgress, false)), &known);
+    recorder.next_call(&at(&known, 0, 0, &[]));
+    recorder.apply_record(0, None, &known);
+    assert!(matches!(
+        recorder.next_call(&at(&known, 100, 0, &[])),
+        Some(RecorderCall::Write(0, _))
+    ));
+    recorder.invalidate();
+    assert_eq!(recorder.next_call(&at(&known, 700, 0, &[])), Some(RecorderCall::Read));
+    let stage = recorder.apply_record(9, Some(record(7, RolloutState::InProgress, false)), &known);
     assert_eq!(stage.map(|stage| stage.phase), Some(RolloutPhase::Canary));
-    assert_eq!(recorder.step(&at(&known, 1300, 0, &[])), None);
+    assert_eq!(recorder.next_call(&at(&known, 1300, 0, &[])), None);
 }
 
 /// Fails if the end of a roll-out can be followed by another one, by any judge.
@@ -91,12 +100,13 @@
 fn an_end_is_final() {
     for state in [RolloutState::RolledBack, RolloutState::Completed] {
         let record = record(7, state, true);
-        let rejected = Stage { phase: RolloutPhase::Rejected, ..Stage::of(&record) };
+        let rejected =
+            RolloutProgress { phase: RolloutPhase::Rejected, ..RolloutProgress::of(&record) };
         let known = known(7, Some(rejected));
         let mut recorder = Recorder::default();
-        recorder.step(&at(&known, 0, 0, &[]));
-        recorder.found(3, Some(record), &known);
-        assert_eq!(recorder.step(&at(&known, 60_000, 0, &[])), None);
+        recorder.next_call(&at(&known, 0, 0, &[]));
+        recorder.apply_record(3, Some(record), &known);
+        assert_eq!(recorder.next_call(&at(&known, 60_000, 0, &[])), None);
     }
 }
 
@@ -105,22 +115,24 @@
 #[test]
 fn the_end_waits_for_every_member_of_a_new_view() {
     let record = record(7, RolloutState::InProgress, true);
-    let known = known(7, Some(Stage::of(&record)));
+    let known = known(7, Some(RolloutProgress::of(&record)));
     let members = [ME, PEER];
     let mut recorder = Recorder::default();
-    recorder.step(&at(&known, 0, 0, &members));
-    recorder.found(3, Some(record), &known);
+    recorder.next_call(&at(&known, 0, 0, &members));
+    recorder.apply_record(3, Some(record), &known);
     let age = Duration::from_secs(30);
-    recorder.judge.hear(ME, tally(true, 0), age);
-    recorder.judge.hear(PEER, tally(false, 0), age);
-    assert_eq!(recorder.step(&at(&known, 35_000, 0, &members)), None);
-    recorder.judge.hear(PEER, tally(true, 1), age);
-    assert_eq!(recorder.step(&at(&known, 36_000, 0, &members)), None);
-    recorder.judge.hear(PEER, tally(true, 0), age);
-    let old_view = Situation { view_asked: None, ..at(&known, 37_000, 0, &members) };
-    assert_eq!(recorder.step(&old_view), Some(Call::ReadView));
-    let call = recorder.step(&at(&known, 38_000, 0, &members));
-    assert!(matches!(call, Some(Call::Write(3, next)) if next.state == RolloutState::Completed));
+    recorder.judge.apply_report(ME, tally(true, 0), age);
+    recorder.judge.apply_report(PEER, tally(false, 0), age);
+    assert_eq!(recorder.next_call(&at(&known, 35_000, 0, &members)), None);
+    recorder.judge.apply_report(PEER, tally(true, 1), age);
+    assert_eq!(recorder.next_call(&at(&known, 36_000, 0, &members)), None);
+    recorder.judge.apply_report(PEER, tally(true, 0), age);
+    let old_view = StepContext { view_requested: None, ..at(&known, 37_000, 0, &members) };
+    assert_eq!(recorder.next_call(&old_view), Some(RecorderCall::ReadView));
+    let call = recorder.next_call(&at(&known, 38_000, 0, &members));
+    assert!(
+        matches!(call, Some(RecorderCall::Write(3, next)) if next.state == RolloutState::Completed)
+    );
 }
 
 /// Fails if the record of an order follows one of a newer order, or leaves out that the target
@@ -130,17 +142,19 @@
     let newer = record(9, RolloutState::InProgress, false);
     let order = known(7, None);
     let mut recorder = Recorder::default();
-    recorder.step(&at(&order, 0, 0, &[]));
-    recorder.found(3, Some(newer), &order);
-    assert_eq!(recorder.step(&at(&order, 1000, 0, &[])), None);
+    recorder.next_call(&at(&order, 0, 0, &[]));
+    recorder.apply_record(3, Some(newer), &order);
+    assert_eq!(recorder.next_call(&at(&order, 1000, 0, &[])), None);
 
     let mut last = record(5, RolloutState::RolledBack, false);
     last.target = "v1-bad".parse().expect("a version");
     let mut recorder = Recorder::default();
-    recorder.step(&at(&order, 0, 0, &[]));
-    recorder.found(3, Some(last.clone()), &order);
-    let call = recorder.step(&at(&order, 1000, 0, &[]));
-    assert!(matches!(call, Some(Call::Write(3, next)) if next.refused.contains(&last.target)));
+    recorder.next_call(&at(&order, 0, 0, &[]));
+    recorder.apply_record(3, Some(last.clone()), &order);
+    let call = recorder.next_call(&at(&order, 1000, 0, &[]));
+    assert!(
+        matches!(call, Some(RecorderCall::Write(3, next)) if next.refused.contains(&last.target))
+    );
 }
 
 /// Fails if a judge writes on and on, without a pause, on a revision that is gone.
@@ -149,30 +163,31 @@
     let known = known(7, None);
     let members = [ME];
     let mut recorder = Recorder::default();
-    let step = |recorder: &mut Recorder, millis| recorder.step(&at(&known, millis, 0, &members));
-    assert_eq!(step(&mut recorder, 1_000), Some(Call::Read));
-    recorder.found(5, Some(record(3, RolloutState::Completed, true)), &known);
-    assert!(matches!(step(&mut recorder, 1_050), Some(Call::Write(5, _))));
+    let step =
+        |recorder: &mut Recorder, millis| recorder.next_call(&at(&known, millis, 0, &members));
+    assert_eq!(step(&mut recorder, 1_000), Some(RecorderCall::Read));
+    recorder.apply_record(5, Some(record(3, RolloutState::Completed, true)), &known);
+    assert!(matches!(step(&mut recorder, 1_050), Some(RecorderCall::Write(5, _))));
     // Somebody removed it meanwhile.
-    recorder.found(0, None, &known);
+    recorder.apply_record(0, None, &known);
     assert_eq!(step(&mut recorder, 1_100), None, "it does not ask again at once");
-    assert_eq!(step(&mut recorder, 1_600), Some(Call::Read));
-    recorder.found(0, None, &known);
-    assert!(matches!(step(&mut recorder, 1_650), Some(Call::Write(0, _))));
+    assert_eq!(step(&mut recorder, 1_600), Some(RecorderCall::Read));
+    recorder.apply_record(0, None, &known);
+    assert!(matches!(step(&mut recorder, 1_650), Some(RecorderCall::Write(0, _))));
 }
 
 /// Makes a judge that has read this record, and the order it is of.
-fn reader(record: RolloutRecord, known: &Known) -> Recorder {
+fn reader(record: RolloutRecord, known: &KnownRollout) -> Recorder {
     let mut recorder = Recorder::default();
-    recorder.step(&at(known, 0, 0, &[]));
-    recorder.found(3, Some(record), known);
+    recorder.next_call(&at(known, 0, 0, &[]));
+    recorder.apply_record(3, Some(record), known);
     recorder
 }
 
 /// Makes a tally in which the target answered so many requests, and failed so many.
 fn tried(answers: u32, failed: u32) -> RolloutTally {
-    let target = Counts { answers, failed, slow: 0 };
-    let others = Counts { answers: 1000, failed: 0, slow: 0 };
+    let target = AnswerCounts { answers, failed, slow: 0 };
+    let others = AnswerCounts { answers: 1000, failed: 0, slow: 0 };
     let routes = vec![RouteTally { route: "chat".into(), target, others }];
     RolloutTally { routes, upstreams: vec![(0, target)], ..tally(false, 0) }
 }
@@ -184,12 +199,12 @@
     for (failed, state, moving) in
         [(29, RolloutState::RolledBack, false), (0, RolloutState::InProgress, true)]
     {
-        let known = known(7, Some(Stage::of(&tried_record)));
+        let known = known(7, Some(RolloutProgress::of(&tried_record)));
         let mut recorder = reader(tried_record.clone(), &known);
-        recorder.judge.hear(ME, tried(29, failed), Duration::from_secs(39));
-        let call = recorder.step(&at(&known, 39_000, 0, &[ME]));
+        recorder.judge.apply_report(ME, tried(29, failed), Duration::from_secs(39));
+        let call = recorder.next_call(&at(&known, 39_000, 0, &[ME]));
         let is_next = |next: &RolloutRecord| (next.state, next.moving) == (state, moving);
-        assert!(matches!(&call, Some(Call::Write(3, next)) if is_next(next)), "{call:?}");
+        assert!(matches!(&call, Some(RecorderCall::Write(3, next)) if is_next(next)), "{call:?}");
     }
 }
 
@@ -197,14 +212,17 @@
 #[test]
 fn a_rejected_version_is_recorded_as_rolled_back() {
     let open = record(7, RolloutState::InProgress, false);
-    let stage =
-        Stage { phase: RolloutPhase::Rejected, reason: Reason::Failures, ..Stage::of(&open) };
+    let stage = RolloutProgress {
+        phase: RolloutPhase::Rejected,
+        reason: RolloutReason::Failures,
+        ..RolloutProgress::of(&open)
+    };
     let known = known(7, Some(stage));
-    let call = reader(open, &known).step(&at(&known, 1000, 0, &[ME]));
+    let call = reader(open, &known).next_call(&at(&known, 1000, 0, &[ME]));
     let is_back = |next: &RolloutRecord| {
-        (next.state, next.reason) == (RolloutState::RolledBack, Reason::Failures)
+        (next.state, next.reason) == (RolloutState::RolledBack, RolloutReason::Failures)
     };
-    assert!(matches!(&call, Some(Call::Write(3, next)) if is_back(next)), "{call:?}");
+    assert!(matches!(&call, Some(RecorderCall::Write(3, next)) if is_back(next)), "{call:?}");
 }
 
 /// Fails if the record of an order that was withdrawn stays in progress.
@@ -213,9 +231,9 @@
     let mut known = known(9, None);
     known.change.order = None;
     let open = record(7, RolloutState::InProgress, false);
-    let call = reader(open, &known).step(&at(&known, 1000, 0, &[ME]));
+    let call = reader(open, &known).next_call(&at(&known, 1000, 0, &[ME]));
     let is_back = |next: &RolloutRecord| {
-        (next.state, next.reason) == (RolloutState::RolledBack, Reason::Withdrawn)
+        (next.state, next.reason) == (RolloutState::RolledBack, RolloutReason::Withdrawn)
     };
-    assert!(matches!(&call, Some(Call::Write(3, next)) if is_back(next)), "{call:?}");
+    assert!(matches!(&call, Some(RecorderCall::Write(3, next)) if is_back(next)), "{call:?}");
 }
--- a/crates/badgerfield-core/tests/rollout_verdict.rs
+++ b/crates/badgerfield-core/tests/rollout_verdict.rs
@@ -1,8 +1,8 @@
 //! A model of roll-outs by counts alone: which versions the verdict lets through, which good
 //! ones it rolls back, and after how many bad answers. Two simpler verdicts stand beside it.
 
-use badgerfield_core::rollout::verdict::{judge, judge_last};
-use badgerfield_core::rollout::{Counts, Evidence, Reason};
+use badgerfield_core::rollout::verdict::{judge, judge_final};
+use badgerfield_core::rollout::{AnswerCounts, Evidence, RolloutReason};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -65,7 +65,7 @@
 
 /// The product's verdict.
 fn ours(windows: &[Evidence], last: bool) -> bool {
-    if last { judge_last(windows).is_some() } else { judge(windows).is_some() }
+    if last { judge_final(windows).is_some() } else { judge(windows).is_some() }
 }
 
 /// More than five in a hundred bad.
@@ -108,7 +108,7 @@
                     && rng.random_range(0..2) == 0;
                 let base = rng.random_range(0..1000) < version.base[route] || out;
                 let failed = base || worse && !version.slow;
-                let count = Counts {
+                let count = AnswerCounts {
                     answers: 1,
                     failed: u32::from(failed),
                     slow: u32::from(worse && version.slow && !failed),
@@ -179,13 +179,13 @@
 /// Makes evidence of one route, with so many answers of the target's upstreams, and bad ones.
 fn evidence(upstreams: &[(u32, u32)], others: u32) -> Evidence {
     let mut evidence = Evidence::default();
-    let mut target = Counts::default();
+    let mut target = AnswerCounts::default();
     for (number, (answers, failed)) in (0..).zip(upstreams) {
-        let counts = Counts { answers: *answers, failed: *failed, slow: 0 };
+        let counts = AnswerCounts { answers: *answers, failed: *failed, slow: 0 };
         evidence.upstreams.insert(number, counts);
         target = target.plus(counts);
     }
-    let others = Counts { answers: others, failed: 0, slow: 0 };
+    let others = AnswerCounts { answers: others, failed: 0, slow: 0 };
     evidence.routes.insert("route".into(), (target, others));
     evidence
 }
@@ -196,12 +196,12 @@
 fn a_version_with_few_upstreams_is_found_bad_at_the_last_look() {
     for upstreams in [&[(29, 29)][..], &[(5, 5)], &[(29, 29), (3, 0)], &[(20, 20), (0, 0)]] {
         let windows = [evidence(upstreams, 1000)];
-        assert_eq!(judge_last(&windows), Some(Reason::Failures), "{upstreams:?}");
+        assert_eq!(judge_final(&windows), Some(RolloutReason::Failures), "{upstreams:?}");
     }
     // One that is worse than a sibling which was tried as much is not the version's fault.
     let windows = [evidence(&[(20, 18), (20, 0)], 1000)];
-    assert_eq!(judge_last(&windows), None);
-    assert_eq!(judge_last(&[evidence(&[(29, 0)], 1000)]), None);
+    assert_eq!(judge_final(&windows), None);
+    assert_eq!(judge_final(&[evidence(&[(29, 0)], 1000)]), None);
 }
 
 /// Fails if an only upstream that is bad gets fifty bad answers, which no sibling can explain.
--- a/crates/badgerfield-core/tests/tally.rs
+++ b/crates/badgerfield-core/tests/tally.rs
@@ -6,8 +6,8 @@
 use badgerfield_core::ids::{Service, UpstreamId};
 use badgerfield_core::replica_list::{ListedUpstream, UpstreamEntry, UpstreamList};
 use badgerfield_core::replicas::{AttemptOutcome, UpstreamTable};
-use badgerfield_core::rollout::tally::{Pace, Seen, Tallies};
-use badgerfield_core::rollout::{Allowance, Counts, RolloutRule, RolloutTally};
+use badgerfield_core::rollout::tally::{AnswerSource, AnswerSpeed, Tallies};
+use badgerfield_core::rollout::{Allowance, AnswerCounts, RolloutRule, RolloutTally};
 
 fn service() -> Service {
     "pool".parse().expect("the name is valid")
@@ -22,8 +22,8 @@
     Allowance::Share(Percent::FIVE)
 }
 
-fn seen(route: &str, is_target: bool) -> Seen<'_> {
-    Seen { route, upstream: 3, is_target }
+fn seen(route: &str, is_target: bool) -> AnswerSource<'_> {
+    AnswerSource { route, upstream: 3, is_target }
 }
 
 fn millis(millis: u64) -> Duration {
@@ -37,25 +37,25 @@
 }
 
 /// Notes an answer that took so long, with no prompt to read.
-fn answer(tallies: &mut Tallies, route: &str, is_target: bool, span: u64) -> Pace {
-    let (_, tally) = tallies.of(&service()).expect("it is counted");
+fn answer(tallies: &mut Tallies, route: &str, is_target: bool, span: u64) -> AnswerSpeed {
+    let (_, tally) = tallies.get_mut(&service()).expect("it is counted");
     tally.answered(&seen(route, is_target), millis(span), Duration::ZERO)
 }
 
 fn told(tallies: &Tallies) -> RolloutTally {
-    let (rule, tally) = tallies.all().next().expect("it is counted");
-    tally.told(rule, 0, 0, false)
+    let (rule, tally) = tallies.iter().next().expect("it is counted");
+    tally.snapshot(rule, 0, 0, false)
 }
 
-fn counts(answers: u32, failed: u32, slow: u32) -> Counts {
-    Counts { answers, failed, slow }
+fn counts(answers: u32, failed: u32, slow: u32) -> AnswerCounts {
+    AnswerCounts { answers, failed, slow }
 }
 
 #[test]
 fn nothing_is_counted_without_a_rule() {
     let mut tallies = Tallies::default();
     assert!(tallies.is_empty());
-    assert!(tallies.of(&service()).is_none());
+    assert!(tallies.get_mut(&service()).is_none());
 }
 
 #[test]
@@ -65,10 +65,10 @@
         answer(&mut tallies, "fast", false, 40);
         answer(&mut tallies, "long", false, 400);
     }
-    assert_eq!(answer(&mut tallies, "fast", true, 300), Pace::Slow);
-    assert_eq!(answer(&mut tallies, "long", true, 300), Pace::Usual);
-    assert_eq!(answer(&mut tallies, "fast", true, 110), Pace::Usual);
-    let sums = told(&tallies).sums();
+    assert_eq!(answer(&mut tallies, "fast", true, 300), AnswerSpeed::Slow);
+    assert_eq!(answer(&mut tallies, "long", true, 300), AnswerSpeed::Normal);
+    assert_eq!(answer(&mut tallies, "fast", true, 110), AnswerSpeed::Normal);
+    let sums = told(&tallies).totals();
     assert_eq!(sums, (counts(3, 0, 1), counts(100, 0, 0)));
     assert_eq!(told(&tallies).upstreams, vec![(3, counts(3, 0, 1))]);
 }
@@ -79,12 +79,12 @@
     for _ in 0..5 {
         answer(&mut tallies, "r", false, 40);
     }
-    assert_eq!(answer(&mut tallies, "r", true, 4000), Pace::Usual);
+    assert_eq!(answer(&mut tallies, "r", true, 4000), AnswerSpeed::Normal);
     // What the target does is never what is usual.
     for _ in 0..50 {
         answer(&mut tallies, "r", true, 4000);
     }
-    assert_eq!(answer(&mut tallies, "r", true, 9000), Pace::Usual);
+    assert_eq!(answer(&mut tallies, "r", true, 9000), AnswerSpeed::Normal);
 }
 
 #[test]
@@ -93,12 +93,12 @@
     for _ in 0..50 {
         answer(&mut tallies, "r", false, 40);
     }
-    let (_, tally) = tallies.of(&service()).expect("it is counted");
+    let (_, tally) = tallies.get_mut(&service()).expect("it is counted");
     // 160 ms is four times what is usual, and what reading and waiting come to together.
     let pace = tally.answered(&seen("r", true), millis(160), millis(100));
-    assert_eq!(pace, Pace::Usual);
+    assert_eq!(pace, AnswerSpeed::Normal);
     let pace = tally.answered(&seen("r", true), millis(160), millis(5));
-    assert_eq!(pace, Pace::Slow);
+    assert_eq!(pace, AnswerSpeed::Slow);
 }
 
 #[test]
@@ -108,11 +108,11 @@
         answer(&mut tallies, "r", false, 40);
     }
     answer(&mut tallies, "r", false, 4000);
-    assert_eq!(answer(&mut tallies, "r", true, 150), Pace::Slow);
+    assert_eq!(answer(&mut tallies, "r", true, 150), AnswerSpeed::Slow);
     for _ in 0..200 {
         answer(&mut tallies, "r", false, 200);
     }
-    assert_eq!(answer(&mut tallies, "r", true, 400), Pace::Usual);
+    assert_eq!(answer(&mut tallies, "r", true, 400), AnswerSpeed::Normal);
 }
 
 #[test]
@@ -124,15 +124,15 @@
     let target = seen("r", true);
     // Slow, and then broken off.
     let came = answer(&mut tallies, "r", true, 900);
-    let (_, tally) = tallies.of(&service()).expect("it is counted");
-    tally.failed(&target, Some(came));
-    assert_eq!(told(&tallies).sums().0, counts(1, 0, 1));
+    let (_, tally) = tallies.get_mut(&service()).expect("it is counted");
+    tally.record_failure(&target, Some(came));
+    assert_eq!(told(&tallies).totals().0, counts(1, 0, 1));
     // In time, and then broken off; and nothing at all.
     let came = answer(&mut tallies, "r", true, 40);
-    let (_, tally) = tallies.of(&service()).expect("it is counted");
-    tally.failed(&target, Some(came));
-    tally.failed(&target, None);
-    assert_eq!(told(&tallies).sums().0, counts(3, 2, 1));
+    let (_, tally) = tallies.get_mut(&service()).expect("it is counted");
+    tally.record_failure(&target, Some(came));
+    tally.record_failure(&target, None);
+    assert_eq!(told(&tallies).totals().0, counts(3, 2, 1));
 }
 
 #[test]
@@ -141,10 +141,10 @@
     for _ in 0..50 {
         answer(&mut tallies, "r", false, 40);
     }
-    let (_, tally) = tallies.of(&service()).expect("it is counted");
-    assert!(!tally.given_up(&seen("r", true), millis(60), Duration::ZERO));
-    assert!(tally.given_up(&seen("r", true), millis(600), Duration::ZERO));
-    assert_eq!(told(&tallies).sums().0, counts(1, 0, 1));
+    let (_, tally) = tallies.get_mut(&service()).expect("it is counted");
+    assert!(!tally.record_abandoned(&seen("r", true), millis(60), Duration::ZERO));
+    assert!(tally.record_abandoned(&seen("r", true), millis(600), Duration::ZERO));
+    assert_eq!(told(&tallies).totals().0, counts(1, 0, 1));
 }
 
 #[test]
@@ -152,13 +152,13 @@
     let mut tallies = started();
     answer(&mut tallies, "r", true, 40);
     tallies.set_rules(&[rule(7, "v2", Allowance::All)]);
-    assert_eq!(told(&tallies).sums().0, counts(1, 0, 0));
+    assert_eq!(told(&tallies).totals().0, counts(1, 0, 0));
     // A version that an earlier order left refused beside it counts for nothing.
     let refused = rule(7, "v0", Allowance::Nothing);
     tallies.set_rules(&[refused, rule(7, "v2", share())]);
-    assert_eq!(told(&tallies).sums().0, counts(1, 0, 0));
+    assert_eq!(told(&tallies).totals().0, counts(1, 0, 0));
     tallies.set_rules(&[rule(9, "v2", share())]);
-    assert_eq!((told(&tallies).revision, told(&tallies).sums().0), (9, counts(0, 0, 0)));
+    assert_eq!((told(&tallies).revision, told(&tallies).totals().0), (9, counts(0, 0, 0)));
     tallies.set_rules(&[]);
     assert!(tallies.is_empty());
 }
@@ -167,14 +167,14 @@
 fn a_tally_stays_small_whatever_routes_and_upstreams_there_are() {
     let mut tallies = started();
     for n in 0..500 {
-        let (_, tally) = tallies.of(&service()).expect("it is counted");
+        let (_, tally) = tallies.get_mut(&service()).expect("it is counted");
         let route = format!("route-{n}");
-        let seen = Seen { route: &route, upstream: n, is_target: true };
+        let seen = AnswerSource { route: &route, upstream: n, is_target: true };
         tally.answered(&seen, millis(40), Duration::ZERO);
     }
     let told = told(&tallies);
     assert!(told.routes.len() <= 33 && told.upstreams.len() <= 64, "{told:?}");
-    assert_eq!(told.sums().0, counts(500, 0, 0));
+    assert_eq!(told.totals().0, counts(500, 0, 0));
 }
 
 fn upstream(name: &str, n: u32) -> UpstreamEntry {
@@ -212,10 +212,13 @@
     assert!(!table.record_failure(&old, "r", None));
     assert!(table.record_failure(&new, "r", None));
     for _ in 0..20 {
-        assert_eq!(table.answered(&old, "r", millis(40), 0), Some((Pace::Usual, false)));
+        assert_eq!(
+            table.record_answer(&old, "r", millis(40), 0),
+            Some((AnswerSpeed::Normal, false))
+        );
     }
-    assert_eq!(table.answered(&old, "r", millis(900), 0), Some((Pace::Slow, false)));
-    assert_eq!(table.answered(&new, "r", millis(900), 0), Some((Pace::Slow, true)));
+    assert_eq!(table.record_answer(&old, "r", millis(900), 0), Some((AnswerSpeed::Slow, false)));
+    assert_eq!(table.record_answer(&new, "r", millis(900), 0), Some((AnswerSpeed::Slow, true)));
     assert!(!table.record_abandoned(&old, "r", millis(900), 0));
     assert!(table.record_abandoned(&new, "r", millis(900), 0));
 }
--- a/crates/badgerfield-core/tests/warm_up.rs
+++ b/crates/badgerfield-core/tests/warm_up.rs
@@ -11,7 +11,7 @@
 };
 use badgerfield_core::replicas::{UpstreamCriteria, UpstreamTable};
 use badgerfield_core::residency::EVERYWHERE;
-use badgerfield_core::warm_up::{Senders, Share, WarmUp, WarmUpBound};
+use badgerfield_core::warm_up::{SenderShare, Senders, WarmUp, WarmUpBound};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -100,15 +100,15 @@
         let warm_up = WarmUp { interval: Duration::from_secs_f64(1.0 / rate), ..warm_up() };
         for senders in 1..10_u32 {
             let count = usize::try_from(senders).expect("small");
-            let Some(share) = Share::of(&warm_up, &BOUND, count) else {
+            let Some(share) = SenderShare::of(&warm_up, &BOUND, count) else {
                 continue;
             };
             let all = 2.0 * f64::from(senders) * (1.0 + share.rate);
-            assert!(all <= BOUND.most(&warm_up) + 1e-6, "{rate} {senders}: {all}");
+            assert!(all <= BOUND.max_rate(&warm_up) + 1e-6, "{rate} {senders}: {all}");
             assert!(share.rate * f64::from(senders) <= rate + 1e-6);
         }
     }
-    assert_eq!(Share::of(&warm_up(), &BOUND, 0), None);
+    assert_eq!(SenderShare::of(&warm_up(), &BOUND, 0), None);
 }
 
 #[test]
--- a/crates/badgerfield-node/src/adapter.rs
+++ b/crates/badgerfield-node/src/adapter.rs
@@ -12,7 +12,7 @@
 use badgerfield_core::ids::{Account, Domain, Region, UpstreamId};
 use badgerfield_core::replica_list::{UpstreamList, UpstreamListChanges};
 use badgerfield_core::replicas::PromptPart;
-use badgerfield_core::request_limit::RequestLimit;
+use badgerfield_core::request_limit::RateLimit;
 use bytes::Bytes;
 use futures::future::BoxFuture;
 use hyper::{HeaderMap, StatusCode, Uri};
@@ -150,7 +150,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct UpstreamStatement {
     /// How many requests a second it takes from all VMs together.
-    pub limit: Stated<RequestLimit>,
+    pub limit: Stated<RateLimit>,
     /// Whether it is about to leave.
     pub leaving: bool,
     /// For how long it wants nothing more from this VM, if it turns the request away.
