--- a/crates/badgerfield-node/src/callers.rs
+++ b/crates/badgerfield-node/src/callers.rs
@@ -190,7 +190,7 @@
         return refuse(&refusal);
     }
     let Some((id, answers)) = driver.open(outgoing) else {
-        let refusal = Refusal::not_run(Cause::Overloaded).after(Duration::from_secs(1));
+        let refusal = Refusal::not_run(Cause::Overloaded).with_retry_after(Duration::from_secs(1));
         driver.metrics.count_refusal(&refusal);
         return refuse(&refusal);
     };
--- a/crates/badgerfield-node/src/chat.rs
+++ b/crates/badgerfield-node/src/chat.rs
@@ -9,7 +9,7 @@
 use badgerfield_core::amount::Tokens;
 use badgerfield_core::event::{Chat, Usage};
 use badgerfield_core::ids::{Adapter, Model};
-use badgerfield_core::upstream::prefixes;
+use badgerfield_core::upstream::prefix_digests;
 use serde_json::{Map, Value, json};
 use thiserror::Error;
 
@@ -78,7 +78,7 @@
         let prompt = prompt_text(&body);
         // A byte-level tokenizer never yields more tokens than there are bytes.
         let bound = u64::try_from(prompt.len()).unwrap_or(u64::MAX).saturating_add(TEMPLATE_ROOM);
-        let prefixes = prefixes(prompt.as_bytes());
+        let prefixes = prefix_digests(prompt.as_bytes());
         let chat = Chat { model, adapter, prompt: Tokens(bound), output, prefixes };
         Ok(Self { chat, stream, usage, body })
     }
--- a/crates/badgerfield-node/src/driver.rs
+++ b/crates/badgerfield-node/src/driver.rs
@@ -14,7 +14,7 @@
 use badgerfield_core::ids::{AttemptId, Incarnation, Period, RequestId, ReservationId};
 use badgerfield_core::locality::Place;
 use badgerfield_core::message::Envelope;
-use badgerfield_core::mix::{Division, Needs};
+use badgerfield_core::mix::{EngineDemand, EngineDivision};
 use badgerfield_core::refusal::Refusal;
 use badgerfield_core::upstream::VmList;
 use badgerfield_core::view::{Member, Standing};
@@ -335,7 +335,7 @@
             Order::LearnUpstreams(list) => self.learn_list(list, Source::Peer),
             Order::ConfirmUpstreams(revision) => {
                 if let Some(gateway) = &self.gateway {
-                    gateway.replicas().confirm(self.now(), revision);
+                    gateway.replicas().confirm_revision(self.now(), revision);
                 }
             }
             Order::DivideEngines(needs) => self.divide_engines(&needs),
@@ -363,12 +363,12 @@
     }
 
     /// Divides the engines between long and short prompts.
-    fn divide_engines(&self, needs: &[Needs]) {
+    fn divide_engines(&self, needs: &[EngineDemand]) {
         let Some(gateway) = &self.gateway else {
             return;
         };
         let news = gateway.replicas().divide_engines(needs);
-        for (service, Division { long_from, short_share }) in news {
+        for (service, EngineDivision { long_from, short_share }) in news {
             log::info!(
                 target: NODE,
                 "engines divided service={service} short_share={short_share:.2} \
@@ -468,9 +468,9 @@
                      age_ms={} blocks={blocks} from={from}",
                     crash.request,
                     crash.upstream,
-                    crash.life,
+                    crash.prior_crashes,
                     crash.evidence.as_str(),
-                    crash.point,
+                    crash.events_sent,
                     crash.cleared,
                     crash.age.as_millis()
                 );
--- a/crates/badgerfield-node/src/gateway/admit.rs
+++ b/crates/badgerfield-node/src/gateway/admit.rs
@@ -5,7 +5,7 @@
 
 use badgerfield_core::amount::{Time, Tokens};
 use badgerfield_core::ids::Account;
-use badgerfield_core::mix::Size;
+use badgerfield_core::mix::PromptSize;
 use badgerfield_core::refusal::{Cause, Refusal};
 use badgerfield_core::residency::{Admission, Residency, ResidencyFault};
 use badgerfield_core::routing::{Caller, Route, RouteTable};
@@ -41,7 +41,7 @@
     let in_force = gateway.in_force();
     let not_run = |cause| (None, Refusal::not_run(cause));
     if in_force.version.0 == 0 {
-        return Err((None, Refusal::not_run(Cause::NotReady).after(COME_BACK)));
+        return Err((None, Refusal::not_run(Cause::NotReady).with_retry_after(COME_BACK)));
     }
     let (mut head, body) = request.into_parts();
     let terms = gateway.adapter.dialect.read(&head.headers);
@@ -52,7 +52,7 @@
     let id = terms.id.clone();
     let not_run = |cause| (Some(id.clone()), Refusal::not_run(cause));
     if driver.refuses_new() {
-        return Err((Some(id), Refusal::not_run(Cause::Stopping).after(ELSEWHERE)));
+        return Err((Some(id), Refusal::not_run(Cause::Stopping).with_retry_after(ELSEWHERE)));
     }
     let table = &in_force.table;
     let host = host_of(&head.headers, &head.uri);
@@ -117,10 +117,10 @@
 }
 
 /// Returns what a request asks of an engine; nothing if it is not for one.
-fn size_of(terms: &RequestTerms) -> Option<Size> {
+fn size_of(terms: &RequestTerms) -> Option<PromptSize> {
     let own = terms.parts.last()?.tokens;
     let prompt = terms.parts.iter().map(|part| part.tokens).sum();
-    Some(Size { prompt, own })
+    Some(PromptSize { total_tokens: prompt, unshared_tokens: own })
 }
 
 /// Returns the regions in which a request may be served, or why there are none.
@@ -140,7 +140,9 @@
         record::outside(id, &route.name, &fault, in_force.version);
         match fault {
             ResidencyFault::NoRegion => Refusal::not_run(Cause::NoRegionAllowed),
-            ResidencyFault::Unknown(_) => Refusal::not_run(Cause::RegionUnknown).after(COME_BACK),
+            ResidencyFault::Unknown(_) => {
+                Refusal::not_run(Cause::RegionUnknown).with_retry_after(COME_BACK)
+            }
         }
     })?;
     Ok(residency)
--- a/crates/badgerfield-node/src/gateway/dispatch.rs
+++ b/crates/badgerfield-node/src/gateway/dispatch.rs
@@ -122,7 +122,7 @@
             return Err(Cause::TriesSpent);
         }
         let is_repeat = self.attempts > 0;
-        if is_repeat && self.gateway.retries().left(now, &self.service, vms) < 1.0 {
+        if is_repeat && self.gateway.retries().remaining(now, &self.service, vms) < 1.0 {
             return Err(Cause::TriesSpent);
         }
         Ok(())
@@ -215,7 +215,7 @@
     /// Tells whether another upstream can be tried now, after so many tries.
     pub(crate) fn has_another(&self, tries: u32, resumes: bool) -> bool {
         let (now, vms) = (self.now(), self.driver.node.member_count());
-        let is_left = self.gateway.retries().left(now, &self.service, vms) >= 1.0;
+        let is_left = self.gateway.retries().remaining(now, &self.service, vms) >= 1.0;
         if !is_left || tries >= self.route.attempts {
             return false;
         }
@@ -234,7 +234,7 @@
         let now = self.now();
         self.route.repeat.is_idempotent()
             && self.has_tries()
-            && self.gateway.retries().left(now, &self.service, vms) >= 1.0
+            && self.gateway.retries().remaining(now, &self.service, vms) >= 1.0
     }
 
     /// Returns how many bytes are expected to cross between this VM and an upstream: the
--- a/crates/badgerfield-node/src/gateway/flow.rs
+++ b/crates/badgerfield-node/src/gateway/flow.rs
@@ -17,7 +17,7 @@
 
 use badgerfield_core::amount::{Time, Tokens};
 use badgerfield_core::ids::{Service, SoftwareVersion, UpstreamId};
-use badgerfield_core::mix::Observed;
+use badgerfield_core::mix::ObservedTiming;
 use badgerfield_core::overload;
 use badgerfield_core::poison::Fingerprint;
 use badgerfield_core::refusal::{Cause, Refusal};
@@ -256,8 +256,8 @@
             Cause::EndsUpstreams => self.blocked_for(),
             _ => None,
         };
-        let after = after.unwrap_or_else(|| overload::come_back(rand::random()));
-        Refusal::not_run(cause).after(after)
+        let after = after.unwrap_or_else(|| overload::retry_delay(rand::random()));
+        Refusal::not_run(cause).with_retry_after(after)
     }
 
     /// Returns when the first upstream that is cold, rests or has a limit takes a request again, if
@@ -271,7 +271,7 @@
                 replicas.time_until_admitted(now, &self.service),
             )
         };
-        let spread = overload::come_back(rand::random());
+        let spread = overload::retry_delay(rand::random());
         let admits_in = admits_in.map(|span| span.saturating_add(spread));
         warm_in.into_iter().chain(admits_in).min()
     }
@@ -336,10 +336,10 @@
         if self.attempts != 1 {
             return;
         }
-        let seen = Observed {
-            unread: self.unread,
+        let seen = ObservedTiming {
+            uncached_tokens: self.unread,
             first: first.saturating_sub(sent),
-            stream: last.saturating_sub(first),
+            stream_time: last.saturating_sub(first),
         };
         self.gateway.replicas().record_timing(&self.service, &self.route.name, &seen);
     }
--- a/crates/badgerfield-node/src/gateway/overload.rs
+++ b/crates/badgerfield-node/src/gateway/overload.rs
@@ -27,7 +27,7 @@
     pub(super) fn note_not_run(&self, id: &UpstreamId, status: StatusCode) {
         let full = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS];
         if let Some(objective) = self.plain_objective().filter(|_| full.contains(&status)) {
-            let span = overload::turned_away(objective);
+            let span = overload::rejection_wait(objective);
             self.gateway.replicas().record_response_time(self.now(), id, span);
         }
     }
--- a/crates/badgerfield-node/src/gateway/record.rs
+++ b/crates/badgerfield-node/src/gateway/record.rs
@@ -5,12 +5,12 @@
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::{Incarnation, SoftwareVersion, UpstreamId, Version};
-use badgerfield_core::locality::Crossing;
-use badgerfield_core::mix::Group;
+use badgerfield_core::locality::CrossingReason;
+use badgerfield_core::mix::PromptGroup;
 use badgerfield_core::poison::Fingerprint;
 use badgerfield_core::refusal::Refusal;
 use badgerfield_core::replicas::{ChosenUpstream, LimitChange};
-use badgerfield_core::request_limit::RequestLimit;
+use badgerfield_core::request_limit::RateLimit;
 use badgerfield_core::residency::ResidencyFault;
 
 use crate::logs::REQUESTS;
@@ -50,16 +50,16 @@
     let (upstream, cost, weighed) = (&chosen.id, chosen.cost, chosen.candidates);
     let (revision, age) = (list.0, list.1.map_or(0, |at| now.since(at).as_millis()));
     let group = match chosen.group {
-        Some((Group::Short, true)) => "short",
-        Some((Group::Long, true)) => "long",
-        Some((Group::Short, false)) => "short_astray",
-        Some((Group::Long, false)) => "long_astray",
+        Some((PromptGroup::Short, true)) => "short",
+        Some((PromptGroup::Long, true)) => "long",
+        Some((PromptGroup::Short, false)) => "short_astray",
+        Some((PromptGroup::Long, false)) => "long_astray",
         None => "-",
     };
     let (unread, lag) = (chosen.uncached_tokens, chosen.queueing_delay);
     let version = chosen.version.as_ref().map_or("-", SoftwareVersion::as_str);
     let near = chosen.distance.as_str();
-    let why = chosen.crossing.map_or("-", Crossing::as_str);
+    let why = chosen.crossing.map_or("-", CrossingReason::as_str);
     let (second, second_cost) = match &chosen.runner_up {
         Some((id, cost)) => (id.as_str(), *cost),
         None => ("-", 0.0),
@@ -156,7 +156,7 @@
 }
 
 /// Writes a limit in requests a second.
-fn named(limit: Option<RequestLimit>) -> String {
+fn named(limit: Option<RateLimit>) -> String {
     limit.map_or_else(|| "-".to_owned(), |limit| limit.to_string())
 }
 
--- a/crates/badgerfield-node/src/gateway/state.rs
+++ b/crates/badgerfield-node/src/gateway/state.rs
@@ -8,7 +8,7 @@
 use badgerfield_core::ids::{UpstreamId, Version};
 use badgerfield_core::replicas::UpstreamTable;
 use badgerfield_core::retry_budget::{RetryBudget, RetryLimits};
-use badgerfield_core::rollout::{RolloutRule, RuleSet};
+use badgerfield_core::rollout::{RolloutRule, RolloutRules};
 use badgerfield_core::routing::RouteTable;
 use tokio::sync::{Semaphore, watch};
 
@@ -139,7 +139,7 @@
 
     /// Divides requests between versions by these rules, and by no others; returns those that
     /// are new or differ.
-    pub(crate) fn set_rollouts(&self, rules: RuleSet) -> Vec<RolloutRule> {
+    pub(crate) fn set_rollouts(&self, rules: RolloutRules) -> Vec<RolloutRule> {
         let mut replicas = self.replicas();
         let news = replicas.apply_rule_set(rules);
         self.rolls_out.store(!replicas.rollout_rules().is_empty(), Ordering::Relaxed);
--- a/crates/badgerfield-node/src/gateway/statements.rs
+++ b/crates/badgerfield-node/src/gateway/statements.rs
@@ -5,7 +5,7 @@
 
 use badgerfield_core::Event;
 use badgerfield_core::ids::{Incarnation, UpstreamId};
-use badgerfield_core::request_limit::{LimitNote, RequestLimit};
+use badgerfield_core::request_limit::{LimitReport, RateLimit};
 use hyper::{HeaderMap, StatusCode};
 
 use crate::adapter::UpstreamStatement;
@@ -61,7 +61,7 @@
         gateway: &Gateway,
         id: &str,
         upstream: &UpstreamId,
-        limit: Option<RequestLimit>,
+        limit: Option<RateLimit>,
     ) {
         let change = gateway.replicas().record_limit(self.now(), upstream, limit);
         let Some(change) = change else {
@@ -73,7 +73,7 @@
     }
 
     /// Takes in what another process knows of the limits that upstreams name.
-    pub(crate) fn learn_limits(&self, from: Incarnation, notes: &[LimitNote]) {
+    pub(crate) fn learn_limits(&self, from: Incarnation, notes: &[LimitReport]) {
         let Some(gateway) = self.gateway() else {
             return;
         };
--- a/crates/badgerfield-node/src/gateway/suspicion.rs
+++ b/crates/badgerfield-node/src/gateway/suspicion.rs
@@ -8,7 +8,7 @@
 use badgerfield_core::Event;
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::{Account, UpstreamId};
-use badgerfield_core::poison::{Crash, Fingerprint, Standing};
+use badgerfield_core::poison::{Crash, Fingerprint, PoisonStatus};
 use badgerfield_core::refusal::{Cause, Refusal};
 use badgerfield_core::routing::Route;
 use tokio::runtime::Handle;
@@ -47,11 +47,11 @@
     }
     let request = fingerprint(account, route, terms, original);
     let standing = driver.node.request_standing(driver.now(), request);
-    let Standing::Blocked { upstreams, age, left } = standing else {
+    let PoisonStatus::Blocked { upstreams, age, left } = standing else {
         return Ok(OnceLock::from(request));
     };
     record::blocked(&original.id, request, &upstreams, age);
-    Err(Refusal::not_run(Cause::EndsUpstreams).after(left))
+    Err(Refusal::not_run(Cause::EndsUpstreams).with_retry_after(left))
 }
 
 impl Exchange {
@@ -63,9 +63,9 @@
         *self.fingerprint.get_or_init(make)
     }
 
-    fn standing(&self) -> Standing {
+    fn standing(&self) -> PoisonStatus {
         if !self.driver.node.has_suspects() {
-            return Standing::Clear;
+            return PoisonStatus::Clear;
         }
         self.driver.node.request_standing(self.now(), self.fingerprint())
     }
@@ -86,14 +86,14 @@
     /// Fails if the request is blocked.
     pub(super) fn check_standing(&self) -> Result<Option<u64>, Cause> {
         match self.standing() {
-            Standing::Clear => Ok(None),
-            Standing::Suspect { early } => {
+            PoisonStatus::Clear => Ok(None),
+            PoisonStatus::Suspect { early } => {
                 let request = self.fingerprint();
                 record::suspect(&self.original.id, request, self.attempts + 1, early);
                 // A stream in full flow goes where its parts are and work is least.
-                Ok(early.then(|| request.number()))
+                Ok(early.then(|| request.rendezvous_key()))
             }
-            Standing::Blocked { upstreams, age, .. } => {
+            PoisonStatus::Blocked { upstreams, age, .. } => {
                 record::blocked(&self.original.id, self.fingerprint(), &upstreams, age);
                 Err(Cause::EndsUpstreams)
             }
@@ -103,15 +103,15 @@
     /// Returns how much longer the request is blocked, if it is.
     pub(super) fn blocked_for(&self) -> Option<Duration> {
         match self.standing() {
-            Standing::Blocked { left, .. } => Some(left),
-            Standing::Clear | Standing::Suspect { .. } => None,
+            PoisonStatus::Blocked { left, .. } => Some(left),
+            PoisonStatus::Clear | PoisonStatus::Suspect { .. } => None,
         }
     }
 
     /// Waits until the request is blocked, if that comes to pass.
     pub(super) async fn until_blocked(&self) {
         let mut line = self.gateway.blocked();
-        while !matches!(self.standing(), Standing::Blocked { .. }) {
+        while !matches!(self.standing(), PoisonStatus::Blocked { .. }) {
             if line.changed().await.is_err() {
                 // The gateway is gone, and with it whoever could block anything.
                 std::future::pending::<()>().await;
@@ -144,8 +144,8 @@
         }
         let account = self.caller.as_ref().map(|caller| &caller.account);
         let crash = || {
-            Crash::seen(self.fingerprint(), account, upstream, last.unwrap_or(0))
-                .in_life(self.sent.life)
+            Crash::new(self.fingerprint(), account, upstream, last.unwrap_or(0))
+                .with_prior_crashes(self.sent.life)
         };
         let connections = &self.gateway.connections;
         let asked = self.now();
@@ -175,7 +175,7 @@
             }
             // What takes its host with it refuses no connection.
             Listening::Unknown => {
-                self.driver.feed(Event::Crashed(crash().unsure()));
+                self.driver.feed(Event::Crashed(crash().unconfirmed()));
                 false
             }
         }
@@ -190,7 +190,8 @@
             return;
         };
         let account = self.caller.as_ref().map(|caller| &caller.account);
-        let crash = Crash::seen(self.fingerprint(), account, upstream, 0).in_life(self.sent.life);
+        let crash =
+            Crash::new(self.fingerprint(), account, upstream, 0).with_prior_crashes(self.sent.life);
         let (driver, connections) =
             (Arc::clone(&self.driver), Arc::clone(&self.gateway.connections));
         let since = self.now();
@@ -205,7 +206,7 @@
 
     /// Notes that the request was served whole: no crash that it was at was its doing.
     pub(super) fn note_whole(&self) {
-        if self.standing() != Standing::Clear {
+        if self.standing() != PoisonStatus::Clear {
             self.driver.feed(Event::SuspectServed(self.fingerprint()));
         }
     }
--- a/crates/badgerfield-node/src/gateway/trial.rs
+++ b/crates/badgerfield-node/src/gateway/trial.rs
@@ -5,7 +5,7 @@
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::UpstreamId;
-use badgerfield_core::rollout::tally::Pace;
+use badgerfield_core::rollout::tally::AnswerSpeed;
 use badgerfield_core::routing::Route;
 
 use crate::gateway::state::Gateway;
@@ -19,7 +19,7 @@
     /// The prompt tokens that the upstream is expected to read.
     unread: u64,
     /// How the first part of the answer came, once it has.
-    came: Option<Pace>,
+    came: Option<AnswerSpeed>,
     /// Whether the try has failed or come to its end, so that nothing more of it counts.
     is_over: bool,
 }
@@ -50,7 +50,7 @@
         }
         let wait = gateway.clock.now().since(self.sent);
         let mut replicas = gateway.replicas();
-        let noted = replicas.answered(&self.upstream, &self.route.name, wait, self.unread);
+        let noted = replicas.record_answer(&self.upstream, &self.route.name, wait, self.unread);
         self.came = noted.map(|(pace, _)| pace);
         noted.is_some_and(|(_, is_bad)| is_bad)
     }
--- a/crates/badgerfield-node/src/metrics.rs
+++ b/crates/badgerfield-node/src/metrics.rs
@@ -6,7 +6,7 @@
 use badgerfield_core::Status;
 use badgerfield_core::event::{Bill, KvResult};
 use badgerfield_core::ids::Service;
-use badgerfield_core::locality::{Crossing, Distance};
+use badgerfield_core::locality::{CrossingReason, Distance};
 use badgerfield_core::refusal::Refusal;
 use badgerfield_core::replicas::SentCounts;
 use badgerfield_core::rollout::{RolloutRule, RolloutTally};
@@ -105,7 +105,7 @@
             let others = label(&rule.service, OTHERS);
             self.sent.get_or_create(&others).set(given.all.saturating_sub(given.target));
             for tally in tallies.iter().filter(|tally| tally.service == rule.service) {
-                let (at_target, at_others) = tally.sums();
+                let (at_target, at_others) = tally.totals();
                 for (label, counts) in [(&target, at_target), (&others, at_others)] {
                     self.answers.get_or_create(label).set(counts.answers.into());
                     self.failed.get_or_create(label).set(counts.failed.into());
@@ -166,8 +166,8 @@
     }
 
     /// Counts a try of a request at an upstream.
-    pub(crate) fn count_sent(&self, near: Distance, crossing: Option<Crossing>) {
-        let crossed = crossing.map_or("-", Crossing::as_str);
+    pub(crate) fn count_sent(&self, near: Distance, crossing: Option<CrossingReason>) {
+        let crossed = crossing.map_or("-", CrossingReason::as_str);
         self.sent.get_or_create(&SentLabel { near: near.as_str(), crossed }).inc();
     }
 
--- a/crates/badgerfield-node/src/rollouts.rs
+++ b/crates/badgerfield-node/src/rollouts.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use badgerfield_core::Event;
-use badgerfield_core::rollout::{Allowance, RuleSet};
+use badgerfield_core::rollout::{Allowance, RolloutRules};
 
 use crate::driver::Driver;
 use crate::logs::PLATFORM;
@@ -19,7 +19,7 @@
 
 impl Driver {
     /// Divides requests between versions by these rules, and says in the log what has changed.
-    pub(crate) fn divide_versions(&self, rules: RuleSet) {
+    pub(crate) fn divide_versions(&self, rules: RolloutRules) {
         let Some(gateway) = self.gateway() else {
             return;
         };
--- a/crates/badgerfield-node/src/settings.rs
+++ b/crates/badgerfield-node/src/settings.rs
@@ -8,7 +8,7 @@
 use badgerfield_core::Pacing;
 use badgerfield_core::amount::Percent;
 use badgerfield_core::ids::{Domain, Region, VmId};
-use badgerfield_core::locality::Locality;
+use badgerfield_core::locality::DistanceCosts;
 use badgerfield_core::policy::Policy;
 use badgerfield_core::residency::RegionMap;
 use badgerfield_core::retry_budget::RetryLimits;
@@ -41,7 +41,7 @@
     /// Which failure domain lies in which region, its own included.
     pub regions: RegionMap,
     /// What distance costs.
-    pub locality: Locality,
+    pub locality: DistanceCosts,
     /// Where callers connect.
     pub callers: SocketAddr,
     /// Where the system's other processes connect.
@@ -288,10 +288,10 @@
     RegionMap::new(domains)
 }
 
-fn read_locality(file: &mut File) -> Locality {
-    let other = Locality::default();
+fn read_locality(file: &mut File) -> DistanceCosts {
+    let other = DistanceCosts::default();
     let (least, most) = (Duration::ZERO, Duration::from_secs(10));
-    Locality {
+    DistanceCosts {
         domain_trip: file.span_or("locality", "domain_trip", other.domain_trip, (least, most)),
         region_trip: file.span_or("locality", "region_trip", other.region_trip, (least, most)),
         domain_price: read_price(file, "domain_price", other.domain_price),
@@ -382,9 +382,9 @@
         file.fault("rollout", Some("share"), "expected a part from 0 to 1".to_owned());
     }
     let allowance = if is_blank(file, "allowance") {
-        other.allowance
+        other.extra_requests
     } else {
-        file.value_or("rollout", "allowance", other.allowance)
+        file.value_or("rollout", "allowance", other.extra_requests)
     };
     let (least, most) = (Duration::from_millis(100), Duration::from_secs(3600));
     let rollback = if is_blank(file, "rollback") {
@@ -392,7 +392,11 @@
     } else {
         file.span_or("rollout", "rollback", other.rollback, (least, most))
     };
-    RolloutBound { share: share.map_or(other.share, Percent::from_fraction), allowance, rollback }
+    RolloutBound {
+        share: share.map_or(other.share, Percent::from_fraction),
+        extra_requests: allowance,
+        rollback,
+    }
 }
 
 impl Limits {
--- a/crates/badgerfield-node/src/suspects.rs
+++ b/crates/badgerfield-node/src/suspects.rs
@@ -8,7 +8,7 @@
 
 use badgerfield_core::Event;
 use badgerfield_core::ids::UpstreamId;
-use badgerfield_core::poison::{Crash, Fingerprint, Standing};
+use badgerfield_core::poison::{Crash, Fingerprint, PoisonStatus};
 use badgerfield_core::refusal::{Cause, Refusal};
 use tokio::net::TcpStream;
 
@@ -48,7 +48,7 @@
         }
         let request = outgoing.fingerprint();
         let standing = self.node.request_standing(self.now(), request);
-        let Standing::Blocked { upstreams, age, left } = standing else {
+        let PoisonStatus::Blocked { upstreams, age, left } = standing else {
             return Ok(());
         };
         let upstreams: Vec<_> = upstreams.iter().map(UpstreamId::as_str).collect();
@@ -58,7 +58,7 @@
             upstreams.join(","),
             age.as_millis()
         );
-        Err(Refusal::not_run(Cause::EndsUpstreams).after(left))
+        Err(Refusal::not_run(Cause::EndsUpstreams).with_retry_after(left))
     }
 
     /// Returns how often an upstream is known to have ended under a request.
@@ -80,8 +80,8 @@
             return;
         }
         let account = self.node.find_account(&outgoing.secret);
-        let crash = Crash::seen(outgoing.fingerprint(), account.as_ref(), upstream, point);
-        self.feed(Event::Crashed(crash.in_life(life)));
+        let crash = Crash::new(outgoing.fingerprint(), account.as_ref(), upstream, point);
+        self.feed(Event::Crashed(crash.with_prior_crashes(life)));
     }
 
     /// Notes that a request was served whole.
@@ -90,7 +90,7 @@
             return;
         }
         let request = outgoing.fingerprint();
-        if self.node.request_standing(self.now(), request) != Standing::Clear {
+        if self.node.request_standing(self.now(), request) != PoisonStatus::Clear {
             self.feed(Event::SuspectServed(request));
         }
     }
--- a/crates/badgerfield-node/tests/settings.rs
+++ b/crates/badgerfield-node/tests/settings.rs
@@ -133,7 +133,7 @@
     let bound = |text: &str| read(&format!("{GOOD}{text}")).map(|read| read.pacing.rollout);
     let given = bound("[rollout]\nshare = 0.07\nallowance = 50\nrollback = 4000ms\n");
     let given = given.expect("it is good");
-    assert_eq!((u64::from(given.share), given.allowance), (7, 50));
+    assert_eq!((u64::from(given.share), given.extra_requests), (7, 50));
     assert_eq!(given.rollback, Duration::from_secs(4));
     // A template that has no value for the span leaves its unit alone.
     let blank = bound("[rollout]\nshare =\nallowance =\nrollback = ms\n").expect("it is good");
--- a/crates/badgerfield-standin/src/capacity.rs
+++ b/crates/badgerfield-standin/src/capacity.rs
@@ -12,7 +12,7 @@
 use badgerfield_core::ledger::{BudgetTerms, LedgerOp, LedgerShard};
 use badgerfield_core::message::ClaimAsk;
 use badgerfield_core::residency::EVERYWHERE;
-use badgerfield_core::upstream::{Upstreams, VmList, Wish as RouteWish};
+use badgerfield_core::upstream::{VmList, VmUpstreamCriteria as RouteWish, VmUpstreams};
 use badgerfield_core::view::View;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -299,7 +299,7 @@
     println!("routing: time of one choice by replicas that serve the model");
     println!("  {:>9} {:>12}", "replicas", "us a choice");
     for count in [20_usize, 100, 400, 1700] {
-        let mut table = Upstreams::default();
+        let mut table = VmUpstreams::default();
         table.learn(&VmList { version: 1, vms: engines(count) });
         let work = Work::Chat(Chat {
             model: "m".parse().unwrap_or_else(|_| unreachable!("the name is valid")),
--- a/crates/badgerfield-standin/src/engine.rs
+++ b/crates/badgerfield-standin/src/engine.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use anyhow::Result;
-use badgerfield_core::upstream::{PREFIX_STEP, prefixes};
+use badgerfield_core::upstream::{PREFIX_STEP, prefix_digests};
 use badgerfield_node::http::Body;
 use badgerfield_node::sync::lock;
 use badgerfield_node::upstreams::STREAM_HEADER;
@@ -118,7 +118,7 @@
 /// Returns the answer to a prompt, as the engine and its checkers know it.
 #[must_use]
 pub fn words(prompt: &str, limit: u64) -> Vec<String> {
-    let digest = prefixes(&vec![0; PREFIX_STEP]).len() as u64 + hash(prompt);
+    let digest = prefix_digests(&vec![0; PREFIX_STEP]).len() as u64 + hash(prompt);
     let count = (digest % LONGEST + 1).min(limit);
     (0..count).map(|i| format!("w{:x}.{i} ", digest & 0xffff)).collect()
 }
@@ -134,7 +134,7 @@
 fn hash(text: &str) -> u64 {
     let mut padded = text.as_bytes().to_vec();
     padded.resize(text.len().div_ceil(PREFIX_STEP).max(1) * PREFIX_STEP, 0);
-    prefixes(&padded).last().copied().unwrap_or(0) >> 1
+    prefix_digests(&padded).last().copied().unwrap_or(0) >> 1
 }
 
 impl Stream {
@@ -238,7 +238,7 @@
 
     /// Returns how many tokens of a prompt are not in the cache, and caches them.
     fn fresh(&self, prompt: &str, tokens: u64) -> u64 {
-        let digests = prefixes(prompt.as_bytes());
+        let digests = prefix_digests(prompt.as_bytes());
         let mut state = lock(&self.state);
         let known = digests.iter().take_while(|d| state.cache.contains(d)).count();
         for digest in digests {
--- a/crates/badgerfield-standin/src/fleet/crashes.rs
+++ b/crates/badgerfield-standin/src/fleet/crashes.rs
@@ -1,7 +1,7 @@
 //! Upstreams that end under requests, and what VMs know of them.
 
 use badgerfield_core::amount::Time;
-use badgerfield_core::poison::{Crash, Fingerprint, Standing};
+use badgerfield_core::poison::{Crash, Fingerprint, PoisonStatus};
 use badgerfield_core::{Event, Node};
 
 use super::Fleet;
@@ -23,7 +23,7 @@
         let blocks = |vm: &usize| {
             let local = Time(self.now.since(self.vms[*vm].started));
             let standing = |node: &Node| node.request_standing(local, request);
-            self.node(*vm).is_some_and(|n| matches!(standing(n), Standing::Blocked { .. }))
+            self.node(*vm).is_some_and(|n| matches!(standing(n), PoisonStatus::Blocked { .. }))
         };
         (0..self.size()).filter(blocks).count()
     }
--- a/crates/badgerfield-standin/src/fleet/rollouts.rs
+++ b/crates/badgerfield-standin/src/fleet/rollouts.rs
@@ -11,7 +11,7 @@
 use badgerfield_core::event::{KvCall, KvName, OperatorChanges};
 use badgerfield_core::ids::{Incarnation, Service, SoftwareVersion, Ticket};
 use badgerfield_core::rollout::{
-    Allowance, Counts, OrderChange, RolloutBound, RolloutOrder, RolloutRecord, RolloutRule,
+    Allowance, AnswerCounts, OrderChange, RolloutBound, RolloutOrder, RolloutRecord, RolloutRule,
     RolloutState, RolloutTally, RouteTally,
 };
 use rand::{RngExt, SeedableRng};
@@ -68,7 +68,7 @@
     credits: [f64; ROUTES],
     owed: u32,
     routes: Vec<RouteTally>,
-    upstreams: BTreeMap<u32, Counts>,
+    upstreams: BTreeMap<u32, AnswerCounts>,
     counted: u64,
     told: (Time, u32),
     running: Vec<(SoftwareVersion, Time)>,
@@ -279,13 +279,14 @@
         }
         if let Some(last) = &self.rollouts.record {
             let back = next.order < last.order
-                || next.order == last.order && (last.state.is_end() || last.moving && !next.moving);
+                || next.order == last.order
+                    && (last.state.is_final() || last.moving && !next.moving);
             if back {
                 self.faults.push(format!("the record went from {last:?} to {next:?}"));
             }
         }
         let newest = self.rollouts.orders.get(&service());
-        if next.state.is_end() && newest.is_some_and(|o| o.revision == next.order) {
+        if next.state.is_final() && newest.is_some_and(|o| o.revision == next.order) {
             self.rollouts.ended = Some((self.now, next.state));
         }
         if next.state == RolloutState::Completed {
@@ -322,12 +323,12 @@
         version: &SoftwareVersion,
         route: usize,
         upstream: u32,
-    ) -> Counts {
+    ) -> AnswerCounts {
         let is_new = *version != self.in_use;
         let fails = self.rng.random_range(0..1000) < self.traffic.base;
         let faulty =
             is_new && self.traffic.faulty == Some(upstream) && self.rng.random_range(0..2) == 0;
-        let mut counts = Counts { answers: 1, failed: u32::from(fails || faulty), slow: 0 };
+        let mut counts = AnswerCounts { answers: 1, failed: u32::from(fails || faulty), slow: 0 };
         let Some(bad) = self.traffic.bad.get(version) else {
             return counts;
         };
@@ -361,7 +362,13 @@
         None
     }
 
-    fn count(&mut self, version: &SoftwareVersion, route: usize, upstream: u32, counts: Counts) {
+    fn count(
+        &mut self,
+        version: &SoftwareVersion,
+        route: usize,
+        upstream: u32,
+        counts: AnswerCounts,
+    ) {
         let Some(target) = self.rules.first().map(|rule| rule.target.clone()) else {
             return;
         };
--- a/crates/badgerfield-standin/src/fleet/upstreams.rs
+++ b/crates/badgerfield-standin/src/fleet/upstreams.rs
@@ -8,7 +8,7 @@
 use badgerfield_core::event::{Chunk, Dispatch, Event, UpstreamEvent, Usage};
 use badgerfield_core::ids::{AttemptId, Incarnation, UpstreamId};
 use badgerfield_core::message::Head;
-use badgerfield_core::upstream::{EngineInfo, Kind, UpstreamInfo, VmEntry};
+use badgerfield_core::upstream::{EngineInfo, UpstreamKind, VmEntry, VmUpstreamInfo};
 use bytes::Bytes;
 use rand::RngExt;
 
@@ -79,20 +79,25 @@
     pub(super) fn entries(&self) -> Vec<VmEntry> {
         let engines = (0..self.engines).map(|i| entry(i, engine()));
         let service = "scoring".parse().unwrap_or_else(|_| unreachable!("the name is valid"));
-        engines.chain([entry(self.engines, Kind::Service(service))]).collect()
+        engines.chain([entry(self.engines, UpstreamKind::Service(service))]).collect()
     }
 }
 
-fn engine() -> Kind {
+fn engine() -> UpstreamKind {
     let model = "m".parse().unwrap_or_else(|_| unreachable!("the name is valid"));
     let adapters = std::collections::BTreeSet::new();
-    Kind::Engine(EngineInfo { model, adapters, prefill: TokenRate(20_000), decode: TokenRate(50) })
+    UpstreamKind::Engine(EngineInfo {
+        model,
+        adapters,
+        prefill: TokenRate(20_000),
+        decode: TokenRate(50),
+    })
 }
 
-fn entry(index: usize, kind: Kind) -> VmEntry {
+fn entry(index: usize, kind: UpstreamKind) -> VmEntry {
     let port = u16::try_from(index).unwrap_or(0) + 30_000;
     let name = format!("u-{index}");
-    let upstream = UpstreamInfo {
+    let upstream = VmUpstreamInfo {
         id: Upstreams::id(index),
         address: ([127, 0, 0, 1], port).into(),
         region: region_name(0),
@@ -255,7 +260,7 @@
 
 /// Returns the part of a stream at a place, which its name decides.
 pub(super) fn truth_part(name: &str, place: u64) -> u64 {
-    let digests = badgerfield_core::upstream::prefixes(&name.as_bytes().repeat(256)[..256]);
+    let digests = badgerfield_core::upstream::prefix_digests(&name.as_bytes().repeat(256)[..256]);
     (digests[0] ^ place) >> 1
 }
 
--- a/crates/badgerfield-standin/src/route.rs
+++ b/crates/badgerfield-standin/src/route.rs
@@ -14,7 +14,8 @@
 use badgerfield_core::residency::EVERYWHERE;
 use badgerfield_core::template::AccountTemplate;
 use badgerfield_core::upstream::{
-    Choice, EngineInfo, Kind, LoadReport, UpstreamInfo, Upstreams, VmEntry, VmList, Wish,
+    EngineInfo, LoadReport, UpstreamKind, VmEntry, VmList, VmUpstreamChoice, VmUpstreamCriteria,
+    VmUpstreamInfo, VmUpstreams,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -474,7 +475,8 @@
             return None;
         };
         let digest =
-            badgerfield_core::upstream::prefixes(&chat.prefixes[0].to_be_bytes().repeat(32))[0];
+            badgerfield_core::upstream::prefix_digests(&chat.prefixes[0].to_be_bytes().repeat(32))
+                [0];
         let first = usize::try_from(digest % u64::try_from(ENGINES).ok()?).ok()?;
         let Some(bound) = self.bound else {
             return Some(first);
@@ -500,7 +502,7 @@
 
 /// The system's own choice: one table for each VM.
 struct Ours {
-    tables: Vec<Upstreams>,
+    tables: Vec<VmUpstreams>,
     template: AccountTemplate,
     region: Region,
     count: u64,
@@ -510,7 +512,7 @@
     fn new(case: &Case) -> Self {
         let vms: Vec<_> = (0..ENGINES).map(|i| entry(case, i)).collect();
         let table = || {
-            let mut table = Upstreams::default();
+            let mut table = VmUpstreams::default();
             table.learn(&VmList { version: 1, vms: vms.clone() });
             table
         };
@@ -527,7 +529,7 @@
     fn choose(&mut self, now: Duration, job: &Job) -> Option<usize> {
         self.count += 1;
         let seed = self.count.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let wish = Wish {
+        let wish = VmUpstreamCriteria {
             work: &job.work,
             template: &self.template,
             residency: &EVERYWHERE,
@@ -535,21 +537,21 @@
             seed,
         };
         match self.tables[job.vm].choose(Time(now), &wish) {
-            Choice::Take(id) => id.as_str().trim_start_matches("e-").parse().ok(),
-            Choice::Full(_) | Choice::None => None,
+            VmUpstreamChoice::Selected(id) => id.as_str().trim_start_matches("e-").parse().ok(),
+            VmUpstreamChoice::Full(_) | VmUpstreamChoice::Unavailable => None,
         }
     }
 
     fn sent(&mut self, now: Duration, job: &Job, engine: usize) {
-        self.tables[job.vm].dispatched(Time(now), &name(engine), &job.work);
+        self.tables[job.vm].record_dispatch(Time(now), &name(engine), &job.work);
     }
 
     fn first(&mut self, job: &Job, engine: usize, took: Duration) {
-        self.tables[job.vm].first(&name(engine), &job.work, took);
+        self.tables[job.vm].record_first_token(&name(engine), &job.work, took);
     }
 
     fn ended(&mut self, job: &Job, engine: usize) {
-        self.tables[job.vm].ended(&name(engine), &job.work, true);
+        self.tables[job.vm].record_end(&name(engine), &job.work, true);
     }
 
     fn failed(&mut self, now: Duration, job: &Job, engine: usize) {
@@ -557,7 +559,7 @@
     }
 
     fn report(&mut self, now: Duration, vm: usize, engine: usize, report: LoadReport) {
-        self.tables[vm].report(Time(now), &name(engine), report);
+        self.tables[vm].apply_report(Time(now), &name(engine), report);
     }
 }
 
@@ -567,13 +569,13 @@
 
 fn entry(case: &Case, engine: usize) -> VmEntry {
     let slow = if engine % 2 == 1 { case.mixed } else { 1 };
-    let kind = Kind::Engine(EngineInfo {
+    let kind = UpstreamKind::Engine(EngineInfo {
         model: "m".parse().unwrap_or_else(|_| unreachable!("the name is valid")),
         adapters: std::collections::BTreeSet::new(),
         prefill: TokenRate(PREFILL / slow),
         decode: TokenRate(DECODE / slow),
     });
-    let upstream = UpstreamInfo {
+    let upstream = VmUpstreamInfo {
         id: name(engine),
         address: ([127, 0, 0, 1], 1).into(),
         region: region_name(0),
--- a/crates/badgerfield-standin/tests/lending.rs
+++ b/crates/badgerfield-standin/tests/lending.rs
@@ -407,7 +407,7 @@
         let granted = if figures.op_pending { holder.granted.0 } else { 0 };
         let sealed = figures.sealed.0 + figures.returning_sealed.0 + granted;
         let now = EPOCH_MS + u64::try_from(fleet.now.0.as_millis()).expect("a short run");
-        if record.untouched(FleetTime(now)).0 > sealed {
+        if record.unspent_at(FleetTime(now)).0 > sealed {
             short.insert(vm, (record.sealed_at, record.amount.0));
         }
     }
--- a/crates/badgerfield-standin/tests/poison.rs
+++ b/crates/badgerfield-standin/tests/poison.rs
@@ -29,7 +29,7 @@
 
 fn crash(request: Fingerprint, n: u32) -> Crash {
     let upstream: UpstreamId = format!("i-{n}").parse().expect("the name is valid");
-    Crash::seen(request, Some(&account()), &upstream, 0)
+    Crash::new(request, Some(&account()), &upstream, 0)
 }
 
 /// Lets time pass until so many VMs block a request; returns how long it took.
--- a/crates/badgerfield-standin/tests/rollouts.rs
+++ b/crates/badgerfield-standin/tests/rollouts.rs
@@ -353,7 +353,7 @@
 
     /// Tells whether the newest order has ended.
     fn is_over(&self) -> bool {
-        let open = self.fleet.record().is_some_and(|record| !record.state.is_end());
+        let open = self.fleet.record().is_some_and(|record| !record.state.is_final());
         if self.withdrawn { !open } else { self.fleet.rollouts.ended.is_some() }
     }
 
--- a/crates/badgerfield-standin/tests/upstream_list.rs
+++ b/crates/badgerfield-standin/tests/upstream_list.rs
@@ -7,7 +7,7 @@
 use badgerfield_core::event::Order;
 use badgerfield_core::ids::Incarnation;
 use badgerfield_core::message::{Envelope, Heartbeat, Message, UpstreamNews};
-use badgerfield_core::mix::{Division, Needs};
+use badgerfield_core::mix::{EngineDemand, EngineDivision};
 use badgerfield_core::replica_list::{ListVersion, UpstreamListChanges};
 use badgerfield_core::{Event, Node};
 use badgerfield_standin::fleet::{Fleet, Shape};
@@ -210,10 +210,15 @@
             // Every VM sees another part of the traffic, and one knows no border.
             let n = u32::try_from(vm).expect("few VMs");
             let long_from = if vm == 0 { 0 } else { 2700 };
-            let own = Needs { service: 7, short: n * 10, long: 500 - n * 10, long_from };
+            let own = EngineDemand {
+                service: 7,
+                short: n * 10,
+                long: 500 - n * 10,
+                long_threshold: long_from,
+            };
             let orders = node(&fleet, vm).handle(fleet.now, Event::EngineNeeds(vec![own]));
             told.extend(orders.into_iter().filter_map(|order| match order {
-                Order::DivideEngines(needs) => needs.first().and_then(Division::of),
+                Order::DivideEngines(needs) => needs.first().and_then(EngineDivision::of),
                 _ => None,
             }));
         }
--- a/crates/badgerfield/src/rollout.rs
+++ b/crates/badgerfield/src/rollout.rs
@@ -90,7 +90,7 @@
         let Some(record) = &self.record else {
             return ordered.is_none();
         };
-        record.state.is_end() && ordered.is_none_or(|revision| revision <= record.order)
+        record.state.is_final() && ordered.is_none_or(|revision| revision <= record.order)
     }
 }
 
