--- a/crates/badgerfield-core/src/board.rs
+++ b/crates/badgerfield-core/src/board.rs
@@ -24,7 +24,7 @@
 
 /// The tables, in the order in which they may be locked.
 #[derive(Debug)]
-pub(crate) struct Board {
+pub(crate) struct SharedState {
     members: Mutex<Membership>,
     templates: Mutex<TemplateSet>,
     template_history: Mutex<TemplateHistory>,
@@ -41,7 +41,7 @@
     ledger_writer: Mutex<LedgerWriter>,
 }
 
-impl Board {
+impl SharedState {
     pub(crate) fn new(
         members: Membership,
         runs: Runs,
@@ -68,7 +68,7 @@
     }
 
     /// Locks the membership: the view, signs of life, and calls about them.
-    pub(crate) fn members(&self) -> MutexGuard<'_, Membership> {
+    pub(crate) fn membership(&self) -> MutexGuard<'_, Membership> {
         lock(&self.members)
     }
 
--- a/crates/badgerfield-core/src/calls.rs
+++ b/crates/badgerfield-core/src/calls.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use crate::event::KvName;
-use crate::ids::{Service, Ticket};
+use crate::ids::{Service, StoreCallId};
 use crate::rollout::RolloutRecord;
 use crate::view::View;
 
@@ -29,20 +29,20 @@
 pub(crate) struct PendingCalls {
     /// How many were made.
     made: u64,
-    open: HashMap<Ticket, Purpose>,
+    open: HashMap<StoreCallId, Purpose>,
 }
 
 impl PendingCalls {
     /// Notes a call and names it; no two calls of a process have the same name.
-    pub(crate) fn begin(&mut self, purpose: Purpose) -> Ticket {
+    pub(crate) fn begin(&mut self, purpose: Purpose) -> StoreCallId {
         self.made += 1;
-        let ticket = Ticket(self.made);
+        let ticket = StoreCallId(self.made);
         self.open.insert(ticket, purpose);
         ticket
     }
 
     /// Returns what a call was for, once.
-    pub(crate) fn end(&mut self, ticket: Ticket) -> Option<Purpose> {
+    pub(crate) fn end(&mut self, ticket: StoreCallId) -> Option<Purpose> {
         self.open.remove(&ticket)
     }
 
--- a/crates/badgerfield-core/src/charges.rs
+++ b/crates/badgerfield-core/src/charges.rs
@@ -5,14 +5,14 @@
 
 use crate::amount::Time;
 use crate::event::due;
-use crate::message::{ChargeId, ChargeNote, ClaimRecord, Progress, SettleAsk};
+use crate::message::{ChargeId, ClaimRecord, PendingCharge, Progress, SettleRequest};
 
 /// How often an arbiter is asked again whether a charge may be billed.
 const RESEND: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
 struct Entry {
-    note: ChargeNote,
+    note: PendingCharge,
     since: Time,
     sent: Option<Time>,
 }
@@ -42,12 +42,12 @@
     }
 
     /// Adds an own charge.
-    pub(crate) fn add(&mut self, now: Time, note: ChargeNote) {
+    pub(crate) fn add(&mut self, now: Time, note: PendingCharge) {
         self.open.insert(note.id, Entry { note, since: now, sent: None });
     }
 
     /// Takes over charges of a process that stops.
-    pub(crate) fn take_over(&mut self, now: Time, notes: Vec<ChargeNote>) {
+    pub(crate) fn take_over(&mut self, now: Time, notes: Vec<PendingCharge>) {
         for note in notes {
             if self.taken.insert(note.id, now).is_none() {
                 self.add(now, note);
@@ -56,7 +56,7 @@
     }
 
     /// Returns what the arbiters are to be asked.
-    pub(crate) fn due_requests(&mut self, now: Time) -> Vec<SettleAsk> {
+    pub(crate) fn due_requests(&mut self, now: Time) -> Vec<SettleRequest> {
         let mut asks = Vec::new();
         for entry in self.open.values_mut() {
             if !due(now, entry.sent, RESEND) {
@@ -65,7 +65,7 @@
             entry.sent = Some(now);
             let note = &entry.note;
             let (id, key, home, cost) = (note.id, note.key, note.home.clone(), note.cost);
-            asks.push(SettleAsk { key, home, id, cost });
+            asks.push(SettleRequest { key, home, id, cost });
         }
         asks
     }
@@ -91,12 +91,12 @@
     }
 
     /// Ends a charge.
-    pub(crate) fn remove(&mut self, id: ChargeId) -> Option<ChargeNote> {
+    pub(crate) fn remove(&mut self, id: ChargeId) -> Option<PendingCharge> {
         self.open.remove(&id).map(|entry| entry.note)
     }
 
     /// Returns all charges, to hand them over; nothing if that was done just now.
-    pub(crate) fn due_handover(&mut self, now: Time) -> Vec<ChargeNote> {
+    pub(crate) fn due_handover(&mut self, now: Time) -> Vec<PendingCharge> {
         if !due(now, self.handed, RESEND) {
             return Vec::new();
         }
--- a/crates/badgerfield-core/src/claims/handover.rs
+++ b/crates/badgerfield-core/src/claims/handover.rs
@@ -6,11 +6,11 @@
 
 use super::{Claims, places};
 use crate::amount::Time;
-use crate::confirmations::{Confirmations, Confirmed};
+use crate::confirmations::{ConfirmationReport, Confirmations};
 use crate::event::Outbox;
 use crate::ids::{Epoch, Incarnation, RequestKey};
 use crate::message::{HandoverPart, Message};
-use crate::view::{Standing, View};
+use crate::view::{MemberState, View};
 
 /// How often unacknowledged hand-overs are sent again.
 const RESEND: Duration = Duration::from_millis(500);
@@ -34,7 +34,7 @@
         let old = std::mem::replace(&mut self.view, Arc::clone(view));
         self.since.push(Arc::clone(view));
         self.confirmations = Confirmations::of(view);
-        for doubt in &view.doubts {
+        for doubt in &view.uncertain_keys {
             self.doubted.entry(doubt.epoch).or_insert(now);
         }
         self.moving.retain(|id, _| view.has(*id));
@@ -49,14 +49,14 @@
 
     /// Returns what a sign of life says about the hand-overs of the view in force.
     #[must_use]
-    pub fn confirmation_status(&self) -> Confirmed {
-        Confirmed { complete: self.complete, bits: self.confirmations.bits() }
+    pub fn confirmation_status(&self) -> ConfirmationReport {
+        ConfirmationReport { complete: self.complete, bits: self.confirmations.bits() }
     }
 
     /// Takes in what another process says about the hand-overs of an epoch.
     ///
     /// Returns whether that is news which others should hear soon.
-    pub fn merge_confirmations(&mut self, epoch: Epoch, theirs: &Confirmed) -> bool {
+    pub fn merge_confirmations(&mut self, epoch: Epoch, theirs: &ConfirmationReport) -> bool {
         if epoch != self.view.epoch || self.complete == epoch {
             return false;
         }
@@ -82,7 +82,8 @@
     fn plan_moves(&mut self, old: &View) {
         let view = &self.view;
         let standing = |v: &View| v.member(self.me).map(|m| m.standing);
-        let leaves = standing(view) == Some(Standing::Leaving) && standing(old) != standing(view);
+        let leaves =
+            standing(view) == Some(MemberState::Leaving) && standing(old) != standing(view);
         for entry in self.entries.values() {
             let key = entry.record.key;
             let home = entry.record.home.as_ref();
@@ -159,7 +160,7 @@
                 .filter_map(|key| self.entries.get(key))
                 .map(|entry| entry.record.clone())
                 .collect();
-            let part = HandoverPart { epoch: self.view.epoch, part: moving.part, claims };
+            let part = HandoverPart { epoch: self.view.epoch, index: moving.part, claims };
             out.send(*to, Message::Handover(part));
         }
     }
--- a/crates/badgerfield-core/src/claims/mod.rs
+++ b/crates/badgerfield-core/src/claims/mod.rs
@@ -15,7 +15,9 @@
 use crate::confirmations::Confirmations;
 use crate::event::Outbox;
 use crate::ids::{Epoch, Incarnation, Region, RequestKey, UpstreamId};
-use crate::message::{ChargeId, ClaimAsk, ClaimRecord, Message, Progress, SettleAsk, Verdict};
+use crate::message::{
+    ChargeId, ClaimDecision, ClaimRecord, ClaimRequest, Message, Progress, SettleRequest,
+};
 use crate::view::View;
 use handover::Moving;
 
@@ -41,7 +43,7 @@
         /// The arbiter's epoch.
         epoch: Epoch,
         /// What to tell it.
-        verdict: Verdict,
+        verdict: ClaimDecision,
     },
     /// The charge is the owner's to bill.
     Billed {
@@ -116,11 +118,11 @@
         &mut self,
         now: Time,
         from: Incarnation,
-        ask: &ClaimAsk,
+        ask: &ClaimRequest,
         out: &mut Outbox,
-    ) -> Option<Verdict> {
+    ) -> Option<ClaimDecision> {
         if ask.epoch != self.view.epoch || !self.answers_for(ask.key, ask.home.as_ref()) {
-            return Some(Verdict::Wait { hint: self.hint(ask.key) });
+            return Some(ClaimDecision::Wait { hint: self.hint(ask.key) });
         }
         if let Some(verdict) = self.settled_verdict(now, from, ask) {
             return Some(verdict);
@@ -134,7 +136,7 @@
             return Some(granted(&claim));
         };
         let epoch = self.view.epoch;
-        out.send(keeper, Message::Copy { epoch, claim });
+        out.send(keeper, Message::ClaimBackup { epoch, claim });
         None
     }
 
@@ -145,10 +147,15 @@
     }
 
     /// Records the wish where it may be granted, and returns any other verdict.
-    fn settled_verdict(&mut self, now: Time, from: Incarnation, ask: &ClaimAsk) -> Option<Verdict> {
+    fn settled_verdict(
+        &mut self,
+        now: Time,
+        from: Incarnation,
+        ask: &ClaimRequest,
+    ) -> Option<ClaimDecision> {
         let Some(entry) = self.entries.get_mut(&ask.key) else {
-            if ask.once && self.is_doubtful(now, ask.key, ask.home.as_ref()) {
-                return Some(Verdict::Doubtful);
+            if ask.at_most_once && self.is_doubtful(now, ask.key, ask.home.as_ref()) {
+                return Some(ClaimDecision::Uncertain);
             }
             self.record(now, from, ask, 0, Progress::Held);
             return None;
@@ -158,26 +165,26 @@
             return None;
         }
         let ended = matches!(record.progress, Progress::Ended(_));
-        let replaces = ask.over == Some((record.owner, record.serial));
+        let replaces = ask.replaces == Some((record.owner, record.serial));
         if replaces && !ended {
             let progress = record.progress.clone();
             let (turn, once) = (record.turn + 1, record.once);
             // An unrepeatable request that may have run elsewhere can only be resumed.
             if once && progress == Progress::Held {
-                return Some(Verdict::Doubtful);
+                return Some(ClaimDecision::Uncertain);
             }
             self.record(now, from, ask, turn, progress);
             return None;
         }
         let upstream = upstream(&record.progress);
-        Some(Verdict::Owned { owner: record.owner, serial: record.serial, upstream, ended })
+        Some(ClaimDecision::Owned { owner: record.owner, serial: record.serial, upstream, ended })
     }
 
     fn record(
         &mut self,
         now: Time,
         from: Incarnation,
-        ask: &ClaimAsk,
+        ask: &ClaimRequest,
         turn: u32,
         progress: Progress,
     ) {
@@ -187,7 +194,7 @@
             owner: from,
             serial: ask.serial,
             turn,
-            once: ask.once,
+            once: ask.at_most_once,
             progress,
         };
         // An asker in the home region remembers the claim itself.
@@ -318,7 +325,7 @@
         &mut self,
         now: Time,
         from: Incarnation,
-        ask: &SettleAsk,
+        ask: &SettleRequest,
         out: &mut Outbox,
     ) -> Option<bool> {
         let home = ask.home.as_ref();
@@ -367,7 +374,7 @@
         }
         if let Some(keeper) = keeper {
             let (epoch, claim) = (self.view.epoch, entry.record.clone());
-            out.send(keeper, Message::Copy { epoch, claim });
+            out.send(keeper, Message::ClaimBackup { epoch, claim });
         }
         None
     }
@@ -412,8 +419,11 @@
     }
 }
 
-fn granted(record: &ClaimRecord) -> Verdict {
-    Verdict::Granted { earlier: upstream(&record.progress), turn: record.turn }
+fn granted(record: &ClaimRecord) -> ClaimDecision {
+    ClaimDecision::Granted {
+        previous_upstream: upstream(&record.progress),
+        owner_changes: record.turn,
+    }
 }
 
 /// Returns the arbiter and the second keeper of a key.
--- a/crates/badgerfield-core/src/confirmations.rs
+++ b/crates/badgerfield-core/src/confirmations.rs
@@ -17,7 +17,7 @@
 
 /// What a sign of life says about confirmations.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Confirmed {
+pub struct ConfirmationReport {
     /// The newest epoch that all its members have confirmed.
     pub complete: Epoch,
     /// Who has confirmed the sender's epoch: a bit for each member in the view's order. It is
--- a/crates/badgerfield-core/src/control/admission.rs
+++ b/crates/badgerfield-core/src/control/admission.rs
@@ -8,7 +8,7 @@
 use crate::node::Node;
 use crate::refusal::{Cause, Outcome, Refusal};
 use crate::runs::{Claimed, Listener, Run, RunKey, Stage};
-use crate::template::{AccountTemplate, KeyDigest, MAX_OUTPUT, TemplateSet, account_name};
+use crate::template::{AccountTemplate, KeyDigest, MAX_OUTPUT_TOKENS, TemplateSet, account_name};
 
 /// What marks a key that names the region that decides about it, as `@region:key`.
 const HOME_MARK: char = '@';
@@ -27,7 +27,7 @@
     /// Returns the account that a secret draws for, if there is one.
     #[must_use]
     pub fn find_account(&self, secret: &KeyDigest) -> Option<Account> {
-        let (budget, _) = find_budget(&self.board.templates(), secret)?;
+        let (budget, _) = find_budget(&self.state.templates(), secret)?;
         account_name(&budget).parse().ok()
     }
 
@@ -101,9 +101,10 @@
     }
 
     fn check_open(&self, now: Time) -> Result<(), Refusal> {
-        let members = self.board.members();
-        let closed =
-            members.stopping.is_some_and(|since| now.since(since) >= self.config.directory_ttl);
+        let members = self.state.membership();
+        let closed = members
+            .stopping_since
+            .is_some_and(|since| now.since(since) >= self.config.directory_ttl);
         if closed || members.removed {
             return Err(Refusal::not_run(Cause::Stopping).with_retry_after(ELSEWHERE));
         }
@@ -114,7 +115,7 @@
     }
 
     fn look_up(&self, arrival: &Arrival) -> Result<Admitted, Refusal> {
-        let templates = self.board.templates();
+        let templates = self.state.templates();
         if templates.version.0 == 0 {
             return Err(Refusal::not_run(Cause::NotReady).with_retry_after(ELSEWHERE));
         }
@@ -128,7 +129,7 @@
     /// Lets a request listen to a run with the same key, or starts a run for it.
     fn join_or_start(&self, now: Time, request: RequestId, run: Run, out: &mut Outbox) {
         let (id, fresh) = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let same = run.keyed.as_ref().and_then(|k| runs.with_key(k.key));
             match same {
                 Some(id) => {
@@ -184,7 +185,7 @@
     };
     let bad = Refusal::not_run(Cause::BadOutput);
     let output = chat.output.unwrap_or(template.output_limit);
-    if output.is_zero() || output > MAX_OUTPUT {
+    if output.is_zero() || output > MAX_OUTPUT_TOKENS {
         return Err(bad);
     }
     let bound = chat.prompt.checked_add(output).ok_or(bad)?;
--- a/crates/badgerfield-core/src/control/answer.rs
+++ b/crates/badgerfield-core/src/control/answer.rs
@@ -29,14 +29,14 @@
             }
             UpstreamEvent::NotSent => {
                 if let Some((id, upstream)) = self.over(now, attempt) {
-                    self.board.upstreams().failed(now, &upstream);
+                    self.state.upstreams().failed(now, &upstream);
                     self.not_taken(now, id, out);
                 }
             }
             UpstreamEvent::Busy(rest) => {
                 if let Some((id, upstream)) = self.over(now, attempt) {
-                    self.board.upstreams().failed(now, &upstream);
-                    self.board.upstreams().back_off(now, &upstream, rest.unwrap_or_default());
+                    self.state.upstreams().failed(now, &upstream);
+                    self.state.upstreams().back_off(now, &upstream, rest.unwrap_or_default());
                     self.not_taken(now, id, out);
                 }
             }
@@ -47,7 +47,7 @@
             }
             UpstreamEvent::Broken => {
                 if let Some((id, upstream)) = self.over(now, attempt) {
-                    self.board.upstreams().failed(now, &upstream);
+                    self.state.upstreams().failed(now, &upstream);
                     self.resume_broken(now, id, &upstream, out);
                 }
             }
@@ -57,7 +57,7 @@
     /// Takes in that a caller has hung up.
     pub(crate) fn handle_caller_disconnect(&self, now: Time, request: RequestId, out: &mut Outbox) {
         let (id, attempt) = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some((id, listening)) = runs.hang_up(request) else {
                 return;
             };
@@ -81,7 +81,7 @@
 
     /// Sends every listener and follower what it has not got.
     pub(crate) fn deliver(&self, id: RunId, out: &mut Outbox) {
-        let mut runs = self.board.runs();
+        let mut runs = self.state.runs();
         let Some(run) = runs.get_mut(id) else {
             return;
         };
@@ -98,7 +98,7 @@
             for (place, content) in run.parts.iter().enumerate().skip(*next) {
                 let offset = u64::try_from(place).unwrap_or(u64::MAX);
                 let (key, serial, content) = (keyed.key, id.0, content.clone());
-                out.send(*to, Message::Part(AnswerPart { key, serial, offset, content }));
+                out.send(*to, Message::AnswerPart(AnswerPart { key, serial, offset, content }));
             }
             *next = run.parts.len();
         }
@@ -106,7 +106,7 @@
 
     /// Ends a run without an answer: every listener gets the refusal at once.
     pub(crate) fn refuse(&self, now: Time, id: RunId, refusal: Refusal, out: &mut Outbox) {
-        let Some(run) = self.board.runs().remove(id) else {
+        let Some(run) = self.state.runs().remove(id) else {
             return;
         };
         let refusal = truthful(&run, refusal);
@@ -124,14 +124,14 @@
                 }
                 let offset = u64::try_from(run.parts.len()).unwrap_or(u64::MAX);
                 let content = Content::Broken;
-                out.send(*to, Message::Part(AnswerPart { key, serial, offset, content }));
+                out.send(*to, Message::AnswerPart(AnswerPart { key, serial, offset, content }));
             }
             if !matches!(run.claimed, Claimed::Open) {
                 self.release(keyed, id, out);
             }
         }
-        self.board.queue().remove(&run.account, id);
-        let mut holdings = self.board.holdings();
+        self.state.queue().remove(&run.account, id);
+        let mut holdings = self.state.holdings();
         holdings.cancel_request(&run.budget, id);
         if !run.reserved.is_zero() {
             holdings.settle(now, &run.budget, run.period, run.reserved, Tokens::ZERO);
@@ -144,12 +144,12 @@
     /// Nothing is billed: the caller has no whole answer.
     pub(crate) fn give_up(&self, now: Time, id: RunId, out: &mut Outbox) {
         {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
             let reserved = std::mem::take(&mut run.reserved);
-            let mut holdings = self.board.holdings();
+            let mut holdings = self.state.holdings();
             holdings.settle(now, &run.budget, run.period, reserved, reserved);
             holdings.record_charge(&run.budget, run.period, reserved, false);
         }
@@ -159,7 +159,7 @@
     /// Goes on without a stream that the upstream does not have.
     pub(crate) fn no_stream(&self, now: Time, id: RunId, out: &mut Outbox) {
         let anew = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
@@ -171,7 +171,7 @@
             return;
         }
         let once =
-            self.board.runs().get_mut(id).is_some_and(|run| run.once && run.parts.is_empty());
+            self.state.runs().get_mut(id).is_some_and(|run| run.once && run.parts.is_empty());
         if once {
             self.refuse(now, id, Refusal::may_have_run(Cause::KeyLost), out);
             return;
@@ -181,7 +181,7 @@
 
     fn not_taken(&self, now: Time, id: RunId, out: &mut Outbox) {
         let (begun, resumed) = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
@@ -200,7 +200,7 @@
 
     fn head(&self, now: Time, attempt: AttemptId, head: Head, out: &mut Outbox) {
         let id = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some((id, run)) = runs.of_attempt(attempt) else {
                 return;
             };
@@ -216,7 +216,7 @@
 
     fn chunk(&self, now: Time, attempt: AttemptId, chunk: Chunk, out: &mut Outbox) {
         let (id, first, served) = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some((id, run)) = runs.of_attempt(attempt) else {
                 return;
             };
@@ -242,16 +242,16 @@
             (id, first, (run.account.clone(), run.priority, served))
         };
         if let Some((upstream, took, work)) = first {
-            self.board.upstreams().record_first_token(&upstream, &work, took);
+            self.state.upstreams().record_first_token(&upstream, &work, took);
         }
         let (account, priority, tokens) = served;
-        self.board.queue().count_tokens(&account, priority, tokens);
+        self.state.queue().count_tokens(&account, priority, tokens);
         self.deliver(id, out);
     }
 
     /// Tells whether all parts of an answer that has ended are here.
     fn is_whole(&self, attempt: AttemptId, parts: u64) -> bool {
-        let mut runs = self.board.runs();
+        let mut runs = self.state.runs();
         runs.of_attempt(attempt).is_none_or(|(_, run)| run.next_chunk() >= parts)
     }
 
@@ -273,7 +273,7 @@
             return;
         };
         let cost = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
@@ -294,7 +294,7 @@
     /// Ends an attempt; returns its run and upstream if it was the run's present one.
     fn over(&self, now: Time, attempt: AttemptId) -> Option<(RunId, UpstreamId)> {
         let (id, upstream, account, work, started) = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let (id, run) = runs.of_attempt(attempt)?;
             let Stage::Running { upstream, started, .. } = &run.stage else {
                 return None;
--- a/crates/badgerfield-core/src/control/charging.rs
+++ b/crates/badgerfield-core/src/control/charging.rs
@@ -3,7 +3,7 @@
 use crate::amount::{Time, Tokens};
 use crate::event::{Bill, Order, Outbox};
 use crate::ids::{Epoch, Incarnation, RunId};
-use crate::message::{ChargeId, ChargeNote, Message, SettleAsk};
+use crate::message::{ChargeId, Message, PendingCharge, SettleRequest};
 use crate::node::Node;
 use crate::runs::{Run, RunKey};
 
@@ -11,12 +11,12 @@
     /// Settles an ended run at its cost and bills it, once the arbiter agrees.
     pub(crate) fn charge(&self, now: Time, id: RunId, cost: Tokens, out: &mut Outbox) {
         let (note, bill) = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
             let reserved = std::mem::take(&mut run.reserved);
-            let mut holdings = self.board.holdings();
+            let mut holdings = self.state.holdings();
             holdings.settle(now, &run.budget, run.period, reserved, cost);
             if run.keyed.is_none() {
                 holdings.record_charge(&run.budget, run.period, cost, true);
@@ -27,13 +27,13 @@
             out.push(Order::Bill(bill));
             return;
         };
-        self.board.charges().add(now, note);
+        self.state.charges().add(now, note);
         self.tick_charges(now, out);
     }
 
-    fn note_of(&self, id: RunId, run: &Run, cost: Tokens) -> Option<ChargeNote> {
+    fn note_of(&self, id: RunId, run: &Run, cost: Tokens) -> Option<PendingCharge> {
         let keyed = run.keyed.as_ref()?;
-        Some(ChargeNote {
+        Some(PendingCharge {
             id: ChargeId { owner: self.id(), serial: id.0 },
             account: run.account.clone(),
             budget: run.budget.clone(),
@@ -54,9 +54,9 @@
     /// Asks arbiters about charges that are due.
     pub(crate) fn tick_charges(&self, now: Time, out: &mut Outbox) {
         let (asks, expired) = {
-            let mut charges = self.board.charges();
-            charges.sweep(now, self.config.remember);
-            (charges.due_requests(now), charges.expired(now, self.config.remember))
+            let mut charges = self.state.charges();
+            charges.sweep(now, self.config.key_retention);
+            (charges.due_requests(now), charges.expired(now, self.config.key_retention))
         };
         for ask in asks {
             self.ask_settle(now, ask, out);
@@ -67,17 +67,17 @@
         }
     }
 
-    fn ask_settle(&self, now: Time, ask: SettleAsk, out: &mut Outbox) {
+    fn ask_settle(&self, now: Time, ask: SettleRequest, out: &mut Outbox) {
         let keyed = RunKey { key: ask.key, home: ask.home.clone() };
         let Some(arbiter) = self.places(&keyed)[0] else {
             return;
         };
         if arbiter != self.id() {
-            out.send(arbiter, Message::Settle(ask));
+            out.send(arbiter, Message::SettleRequest(ask));
             return;
         }
         let (billed, epoch) = {
-            let mut claims = self.board.claims();
+            let mut claims = self.state.claims();
             (claims.settle(now, arbiter, &ask, out), claims.epoch())
         };
         if let Some(billed) = billed {
@@ -90,16 +90,16 @@
         &self,
         now: Time,
         from: Incarnation,
-        ask: &SettleAsk,
+        ask: &SettleRequest,
         out: &mut Outbox,
     ) {
         let (billed, epoch) = {
-            let mut claims = self.board.claims();
+            let mut claims = self.state.claims();
             (claims.settle(now, from, ask, out), claims.epoch())
         };
         let id = ask.id;
         if let Some(billed) = billed {
-            out.send(from, Message::Settled { id, epoch, billed });
+            out.send(from, Message::SettleReply { id, epoch, billed });
         }
     }
 
@@ -112,21 +112,21 @@
         billed: bool,
         out: &mut Outbox,
     ) {
-        let Some(record) = self.board.charges().claim_record(id) else {
+        let Some(record) = self.state.charges().claim_record(id) else {
             return;
         };
         // What is billed must be remembered here before it is billed.
-        if billed && !self.board.claims().agreed(now, epoch, &record) {
+        if billed && !self.state.claims().agreed(now, epoch, &record) {
             return;
         }
         self.end_charge(id, billed, out);
     }
 
     fn end_charge(&self, id: ChargeId, billed: bool, out: &mut Outbox) {
-        let Some(note) = self.board.charges().remove(id) else {
+        let Some(note) = self.state.charges().remove(id) else {
             return;
         };
-        self.board.holdings().record_charge(&note.budget, note.period, note.cost, billed);
+        self.state.holdings().record_charge(&note.budget, note.period, note.cost, billed);
         let (account, budget) = (note.account, note.budget);
         let (key, stream, cost) = (Some(note.key), note.stream, note.cost);
         out.push(Order::Bill(Bill { account, budget, key, stream, cost, billed }));
@@ -134,8 +134,8 @@
 
     /// Hands open charges to another process, because this one ends.
     pub(crate) fn hand_charges(&self, now: Time, out: &mut Outbox) {
-        let notes = self.board.charges().due_handover(now);
-        let usable = self.board.members().usable(now);
+        let notes = self.state.charges().due_handover(now);
+        let usable = self.state.membership().available_members(now);
         let near = |m: &&crate::view::Member| m.region == self.config.member.region;
         let others = || usable.iter().filter(|m| m.incarnation != self.id());
         let heir = others().find(near).or_else(|| others().next());
@@ -149,18 +149,18 @@
         &self,
         now: Time,
         from: Incarnation,
-        notes: Vec<ChargeNote>,
+        notes: Vec<PendingCharge>,
         out: &mut Outbox,
     ) {
         let ids = notes.iter().map(|note| note.id).collect();
-        self.board.charges().take_over(now, notes);
-        out.send(from, Message::ChargesTaken(ids));
+        self.state.charges().take_over(now, notes);
+        out.send(from, Message::ChargesAck(ids));
         self.tick_charges(now, out);
     }
 
     /// Notes that another process has taken charges over.
     pub(crate) fn handle_charges_ack(&self, ids: &[ChargeId]) {
-        let mut charges = self.board.charges();
+        let mut charges = self.state.charges();
         for id in ids {
             charges.remove(*id);
         }
--- a/crates/badgerfield-core/src/control/claiming.rs
+++ b/crates/badgerfield-core/src/control/claiming.rs
@@ -7,7 +7,7 @@
 use crate::event::Outbox;
 use crate::ids::{Epoch, Incarnation, RequestKey, RunId, UpstreamId};
 use crate::message::{
-    AnswerPart, ChargeId, ClaimAsk, ClaimRecord, Content, Message, Progress, Verdict,
+    AnswerPart, ChargeId, ClaimDecision, ClaimRecord, ClaimRequest, Content, Message, Progress,
 };
 use crate::node::Node;
 use crate::refusal::{Cause, Refusal};
@@ -28,7 +28,7 @@
     /// Starts a run: its key first, if it has one.
     pub(crate) fn start(&self, now: Time, id: RunId, out: &mut Outbox) {
         {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
@@ -43,7 +43,7 @@
     }
 
     fn ask_claim(&self, now: Time, id: RunId, out: &mut Outbox) {
-        let epoch = self.board.claims().epoch();
+        let epoch = self.state.claims().epoch();
         let Some((ask, again)) = self.make_ask(now, id, epoch) else {
             return;
         };
@@ -53,13 +53,13 @@
         };
         // An arbiter that does not answer may be gone; the second may know what ran where.
         if let Some(second) = second.filter(|to| again && *to != self.id()) {
-            out.send(second, Message::Claim(ask.clone()));
+            out.send(second, Message::ClaimRequest(ask.clone()));
         }
         if arbiter != self.id() {
-            out.send(arbiter, Message::Claim(ask));
+            out.send(arbiter, Message::ClaimRequest(ask));
             return;
         }
-        let verdict = self.board.claims().decide(now, arbiter, &ask, out);
+        let verdict = self.state.claims().decide(now, arbiter, &ask, out);
         if let Some(verdict) = verdict {
             self.handle_claim_reply(now, arbiter, (ask.key, ask.serial, epoch), verdict, out);
         }
@@ -67,7 +67,7 @@
 
     /// Returns the arbiter and the second keeper of a key.
     pub(crate) fn places(&self, keyed: &RunKey) -> [Option<Incarnation>; 2] {
-        let members = self.board.members();
+        let members = self.state.membership();
         let arbiters = members.view.arbiters(keyed.key, keyed.home.as_ref());
         let Some((first, second)) = arbiters else {
             return [None, None];
@@ -77,14 +77,14 @@
 
     /// Remembers where a key may have run, to resume it there.
     fn hinted(&self, id: RunId, hint: Option<UpstreamId>) {
-        let mut runs = self.board.runs();
+        let mut runs = self.state.runs();
         if let Some(run) = runs.get_mut(id) {
             run.earlier = hint.or(run.earlier.take());
         }
     }
 
-    fn make_ask(&self, now: Time, id: RunId, epoch: Epoch) -> Option<(ClaimAsk, bool)> {
-        let mut runs = self.board.runs();
+    fn make_ask(&self, now: Time, id: RunId, epoch: Epoch) -> Option<(ClaimRequest, bool)> {
+        let mut runs = self.state.runs();
         let run = runs.get_mut(id)?;
         let Stage::Claiming { since, sent } = &mut run.stage else {
             return None;
@@ -93,7 +93,14 @@
         *sent = now;
         let keyed = run.keyed.clone()?;
         let (once, over) = (run.once, run.over);
-        let ask = ClaimAsk { key: keyed.key, home: keyed.home, serial: id.0, epoch, once, over };
+        let ask = ClaimRequest {
+            key: keyed.key,
+            home: keyed.home,
+            serial: id.0,
+            epoch,
+            at_most_once: once,
+            replaces: over,
+        };
         Some((ask, again))
     }
 
@@ -102,15 +109,18 @@
         &self,
         now: Time,
         from: Incarnation,
-        ask: &ClaimAsk,
+        ask: &ClaimRequest,
         out: &mut Outbox,
     ) {
         let (verdict, epoch) = {
-            let mut claims = self.board.claims();
+            let mut claims = self.state.claims();
             (claims.decide(now, from, ask, out), claims.epoch())
         };
         if let Some(verdict) = verdict {
-            out.send(from, Message::Claimed { key: ask.key, serial: ask.serial, epoch, verdict });
+            out.send(
+                from,
+                Message::ClaimReply { key: ask.key, serial: ask.serial, epoch, decision: verdict },
+            );
         }
     }
 
@@ -123,9 +133,9 @@
         claim: &ClaimRecord,
         out: &mut Outbox,
     ) {
-        if self.board.claims().record_claim(now, epoch, claim) {
+        if self.state.claims().record_claim(now, epoch, claim) {
             let (key, serial, ended) = (claim.key, claim.serial, claim.has_ended());
-            out.send(from, Message::Copied { key, serial, ended });
+            out.send(from, Message::ClaimBackupAck { key, serial, ended });
         }
     }
 
@@ -138,7 +148,7 @@
         out: &mut Outbox,
     ) {
         let (key, id, ended) = about;
-        let settlement = self.board.claims().copied(from, key, id.0, ended);
+        let settlement = self.state.claims().copied(from, key, id.0, ended);
         let serial = id.0;
         match settlement {
             None => {}
@@ -146,13 +156,13 @@
                 self.handle_claim_reply(now, owner, (key, serial, epoch), verdict, out);
             }
             Some(Settlement::Granted { owner, epoch, verdict }) => {
-                out.send(owner, Message::Claimed { key, serial, epoch, verdict });
+                out.send(owner, Message::ClaimReply { key, serial, epoch, decision: verdict });
             }
             Some(Settlement::Billed { to, id, epoch }) if to == self.id() => {
                 self.handle_settle_reply(now, id, epoch, true, out);
             }
             Some(Settlement::Billed { to, id, epoch }) => {
-                out.send(to, Message::Settled { id, epoch, billed: true });
+                out.send(to, Message::SettleReply { id, epoch, billed: true });
             }
         }
     }
@@ -163,7 +173,7 @@
         now: Time,
         from: Incarnation,
         about: (RequestKey, u64, Epoch),
-        verdict: Verdict,
+        verdict: ClaimDecision,
         out: &mut Outbox,
     ) {
         let (key, serial, epoch) = about;
@@ -172,34 +182,36 @@
             return;
         }
         match verdict {
-            Verdict::Granted { earlier, turn } => {
+            ClaimDecision::Granted { previous_upstream: earlier, owner_changes: turn } => {
                 if self.keep_own(now, id, epoch, turn, earlier.as_ref())
                     && self.granted(id, earlier)
                 {
                     self.reserve(now, id, out);
                 }
             }
-            Verdict::Owned { owner, serial, upstream, ended } if owner == self.id() => {
+            ClaimDecision::Owned { owner, serial, upstream, ended } if owner == self.id() => {
                 if ended || upstream.is_some() {
                     self.refuse(now, id, Refusal::may_have_run(Cause::AnswerGone), out);
                     return;
                 }
                 self.release_at(from, key, serial, out);
             }
-            Verdict::Owned { owner, serial, ended, .. } => {
+            ClaimDecision::Owned { owner, serial, ended, .. } => {
                 self.follow(now, id, (owner, serial, ended), out);
             }
-            Verdict::Wait { hint } => self.hinted(id, hint),
-            Verdict::Doubtful => self.refuse(now, id, Refusal::may_have_run(Cause::KeyLost), out),
+            ClaimDecision::Wait { hint } => self.hinted(id, hint),
+            ClaimDecision::Uncertain => {
+                self.refuse(now, id, Refusal::may_have_run(Cause::KeyLost), out)
+            }
         }
     }
 
     /// Sends asks again, and ends those that took too long.
     pub(crate) fn tick_claims(&self, now: Time, out: &mut Outbox) {
-        self.board.claims().tick(now, out);
+        self.state.claims().tick(now, out);
         let (mut again, mut assume, mut late, mut lost, mut more) =
             (vec![], vec![], vec![], vec![], vec![]);
-        for (id, run) in self.board.runs().iter_mut() {
+        for (id, run) in self.state.runs().iter_mut() {
             match run.stage {
                 Stage::Claiming { .. } if now >= run.until && run.once => late.push(id),
                 Stage::Claiming { since, .. } if !run.once && now.since(since) >= ASSUME => {
@@ -234,7 +246,7 @@
 
     /// Tells the arbiter and the keeper that a key was not run and never will be.
     pub(crate) fn release(&self, keyed: &RunKey, id: RunId, out: &mut Outbox) {
-        self.board.claims().release(self.id(), keyed.key, id.0);
+        self.state.claims().release(self.id(), keyed.key, id.0);
         for place in self.places(keyed).into_iter().flatten() {
             self.release_at(place, keyed.key, id.0, out);
         }
@@ -242,7 +254,7 @@
 
     fn release_at(&self, place: Incarnation, key: RequestKey, serial: u64, out: &mut Outbox) {
         if place == self.id() {
-            self.board.claims().release(self.id(), key, serial);
+            self.state.claims().release(self.id(), key, serial);
             return;
         }
         out.send(place, Message::Release { key, serial });
@@ -261,9 +273,9 @@
         let key = keyed.key;
         let serial = id.0;
         {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let charge = ChargeId { owner: self.id(), serial };
-            let settling = self.board.charges().contains(charge);
+            let settling = self.state.charges().contains(charge);
             let mine = runs.get_mut(id).filter(|r| r.keyed.as_ref().is_some_and(|k| k.key == key));
             if let Some(run) = mine {
                 let next = usize::try_from(offset).unwrap_or(usize::MAX).min(run.parts.len());
@@ -295,7 +307,7 @@
         out: &mut Outbox,
     ) {
         let id = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(id) = runs.with_key(part.key) else {
                 return;
             };
@@ -327,7 +339,7 @@
         key: RequestKey,
         serial: u64,
     ) {
-        let mut runs = self.board.runs();
+        let mut runs = self.state.runs();
         let Some(id) = runs.with_key(key) else {
             return;
         };
@@ -346,7 +358,7 @@
         out: &mut Outbox,
     ) {
         let (id, ended, begun) = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(id) = runs.with_key(key) else {
                 return;
             };
@@ -367,7 +379,7 @@
 
     fn follow(&self, now: Time, id: RunId, owner: (Incarnation, u64, bool), out: &mut Outbox) {
         {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
@@ -379,7 +391,7 @@
     }
 
     fn ask_more(&self, now: Time, id: RunId, out: &mut Outbox) {
-        let mut runs = self.board.runs();
+        let mut runs = self.state.runs();
         let Some(run) = runs.get_mut(id) else {
             return;
         };
@@ -392,13 +404,13 @@
             return;
         };
         let (key, home) = (keyed.key, keyed.home);
-        out.send(*owner, Message::Attach { key, home, serial: *serial, offset });
+        out.send(*owner, Message::AnswerRequest { key, home, serial: *serial, offset });
     }
 
     /// Claims a key in place of an owner that does not answer.
     fn take_over(&self, now: Time, id: RunId, out: &mut Outbox) {
         let ended = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
@@ -424,7 +436,7 @@
             return;
         }
         let key = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
@@ -432,13 +444,13 @@
             run.keyed.as_ref().map(|keyed| keyed.key)
         };
         // This process may be the second keeper, and know what ran where.
-        let hint = key.and_then(|key| self.board.claims().hint(key));
+        let hint = key.and_then(|key| self.state.claims().hint(key));
         self.hinted(id, hint);
         self.reserve(now, id, out);
     }
 
     fn is_claiming(&self, id: RunId, key: RequestKey) -> bool {
-        let mut runs = self.board.runs();
+        let mut runs = self.state.runs();
         let Some(run) = runs.get_mut(id) else {
             return false;
         };
@@ -448,7 +460,7 @@
 
     /// Ends the wait for an arbiter that took too long; tells whether this thread ended it.
     fn stops_claiming(&self, id: RunId) -> bool {
-        let mut runs = self.board.runs();
+        let mut runs = self.state.runs();
         let Some(run) = runs.get_mut(id).filter(|run| run.is_claiming()) else {
             return false;
         };
@@ -466,7 +478,7 @@
         earlier: Option<&UpstreamId>,
     ) -> bool {
         let record = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return false;
             };
@@ -483,7 +495,7 @@
                 progress: earlier.map_or(Progress::Held, |id| Progress::Dispatched(id.clone())),
             }
         };
-        self.board.claims().record_claim(now, epoch, &record)
+        self.state.claims().record_claim(now, epoch, &record)
     }
 
     /// Takes in that the arbiter lets a run go on; tells whether this thread may go on with it.
@@ -492,7 +504,7 @@
         if !self.stops_claiming(id) {
             return false;
         }
-        let mut runs = self.board.runs();
+        let mut runs = self.state.runs();
         let Some(run) = runs.get_mut(id) else {
             return false;
         };
--- a/crates/badgerfield-core/src/control/directory.rs
+++ b/crates/badgerfield-core/src/control/directory.rs
@@ -23,13 +23,13 @@
             return members;
         };
         let region = &self.config.member.region;
-        let rank = |m: &Member| crate::ids::weigh(account.as_bytes(), m.incarnation);
+        let rank = |m: &Member| crate::ids::rendezvous_weight(account.as_bytes(), m.incarnation);
         members.sort_by_key(|m| (&m.region != region, std::cmp::Reverse(rank(m))));
         spread(members, size)
     }
 
     fn subset_of(&self, secret: &KeyDigest) -> Option<(String, usize)> {
-        let templates = self.board.templates();
+        let templates = self.state.templates();
         let (id, _) = templates.budgets.iter().find(|(_, b)| b.keys.contains(secret))?;
         let size = usize::try_from(templates.account_of(id)?.priority).ok()?;
         Some((account_name(id).to_owned(), size.max(LEAST)))
--- a/crates/badgerfield-core/src/control/dispatch.rs
+++ b/crates/badgerfield-core/src/control/dispatch.rs
@@ -26,16 +26,16 @@
     /// Puts a run into the queue, or refuses it if it would wait too long.
     pub(crate) fn enqueue(&self, now: Time, id: RunId, out: &mut Outbox) {
         let (account, until) = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
             run.stage = Stage::Queued;
             (run.account.clone(), run.until)
         };
-        self.board.queue().push(&account, QueuedRequest { run: id, deadline: until });
+        self.state.queue().push(&account, QueuedRequest { run: id, deadline: until });
         self.dispatch_queued(now, out);
-        let wait = self.board.queue().wait(now, &account, id);
+        let wait = self.state.queue().wait(now, &account, id);
         let patience = until.since(now);
         if let Some(wait) = wait.filter(|wait| *wait > patience) {
             let after = wait.saturating_sub(patience).clamp(BACK.0, BACK.1);
@@ -45,7 +45,7 @@
 
     /// Refuses what has waited too long.
     pub(crate) fn tick_queue(&self, now: Time, out: &mut Outbox) {
-        let expired = self.board.queue().expired(now);
+        let expired = self.state.queue().expired(now);
         for id in expired {
             self.refuse(now, id, Refusal::not_run(Cause::Overloaded).with_retry_after(BACK.0), out);
         }
@@ -55,7 +55,7 @@
     pub(crate) fn dispatch_queued(&self, now: Time, out: &mut Outbox) {
         let mut blocked = BTreeSet::new();
         loop {
-            let heads = self.board.queue().heads();
+            let heads = self.state.queue().heads();
             let head = heads.into_iter().find(|(account, _)| !blocked.contains(account));
             let Some((account, waiting)) = head else {
                 return;
@@ -63,7 +63,7 @@
             match self.choose(now, waiting.run) {
                 Some(VmUpstreamChoice::Selected(upstream)) => {
                     // Other threads look at the same head: whoever takes it out sends it.
-                    if self.board.queue().remove(&account, waiting.run) {
+                    if self.state.queue().remove(&account, waiting.run) {
                         self.send_new(now, waiting.run, &upstream, out);
                     }
                 }
@@ -71,14 +71,14 @@
                     blocked.insert(account);
                 }
                 Some(VmUpstreamChoice::Unavailable) => {
-                    if self.board.queue().remove(&account, waiting.run) {
+                    if self.state.queue().remove(&account, waiting.run) {
                         let refusal =
                             Refusal::not_run(Cause::NoUpstream).with_retry_after(NO_UPSTREAM);
                         self.refuse(now, waiting.run, refusal, out);
                     }
                 }
                 None => {
-                    self.board.queue().remove(&account, waiting.run);
+                    self.state.queue().remove(&account, waiting.run);
                 }
             }
         }
@@ -86,11 +86,11 @@
 
     fn choose(&self, now: Time, id: RunId) -> Option<VmUpstreamChoice> {
         let (work, account, residency) = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let run = runs.get_mut(id)?;
             (run.arrival.work.clone(), run.account.clone(), run.residency.clone())
         };
-        let template = self.board.templates().accounts.get(&account)?.clone();
+        let template = self.state.templates().accounts.get(&account)?.clone();
         let seed = self.config.seed ^ id.0;
         let region = &self.config.member.region;
         let wish = VmUpstreamCriteria {
@@ -100,16 +100,16 @@
             region,
             seed,
         };
-        Some(self.board.upstreams().choose(now, &wish))
+        Some(self.state.upstreams().choose(now, &wish))
     }
 
     fn send_new(&self, now: Time, id: RunId, upstream: &UpstreamId, out: &mut Outbox) {
         let keyed = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             runs.get_mut(id).and_then(|run| run.keyed.clone())
         };
         if let Some(keyed) = keyed {
-            self.board.claims().record_dispatch(now, self.id(), keyed.key, id.0, upstream.clone());
+            self.state.claims().record_dispatch(now, self.id(), keyed.key, id.0, upstream.clone());
             for to in self.places(&keyed).into_iter().flatten().filter(|to| *to != self.id()) {
                 let (key, serial, upstream) = (keyed.key, id.0, upstream.clone());
                 out.send(to, Message::Dispatching { key, serial, upstream });
@@ -121,7 +121,7 @@
     /// Resumes the stream that an earlier owner of the key has started.
     pub(crate) fn resume_earlier(&self, now: Time, id: RunId, out: &mut Outbox) {
         let (earlier, next) = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
@@ -144,7 +144,7 @@
         out: &mut Outbox,
     ) {
         let next = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
@@ -163,7 +163,7 @@
     /// Puts a run back that an upstream did not take.
     pub(crate) fn try_again(&self, now: Time, id: RunId, out: &mut Outbox) {
         let (account, tries, until) = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
@@ -180,25 +180,25 @@
             );
             return;
         }
-        self.board.queue().push(&account, QueuedRequest { run: id, deadline: until });
+        self.state.queue().push(&account, QueuedRequest { run: id, deadline: until });
     }
 
     /// Tells whether an upstream is known and lies where a run may be served, by the templates
     /// that it was let in with and by those in force.
     fn may_get(&self, id: RunId, upstream: &UpstreamId) -> bool {
         let found = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             runs.get_mut(id).map(|run| (run.account.clone(), run.residency.clone()))
         };
         let Some((account, residency)) = found else {
             return false;
         };
         let newest = {
-            let templates = self.board.templates();
+            let templates = self.state.templates();
             templates.accounts.get(&account).map(|template| template.regions.clone())
         };
-        let bound = residency.and(&newest.unwrap_or_default());
-        let upstreams = self.board.upstreams();
+        let bound = residency.intersect(&newest.unwrap_or_default());
+        let upstreams = self.state.upstreams();
         upstreams.get(upstream).is_some_and(|known| bound.allows(Some(&known.info.region)))
     }
 
@@ -209,14 +209,14 @@
     pub(crate) fn sweep_runs(&self, now: Time) {
         let region = &self.config.member.region;
         let excluded: BTreeSet<_> = {
-            let templates = self.board.templates();
+            let templates = self.state.templates();
             let accounts = templates.accounts.iter();
             accounts
                 .filter(|(_, template)| !template.regions.allows(Some(region)))
                 .map(|(account, _)| account.clone())
                 .collect()
         };
-        self.board.runs().sweep(now, |run| {
+        self.state.runs().sweep(now, |run| {
             run.residency.allows(Some(region)) && !excluded.contains(&run.account)
         });
     }
@@ -230,7 +230,7 @@
         out: &mut Outbox,
     ) {
         let (attempt, dispatch, work, account, priority) = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let attempt = runs.attempt(id);
             let Some(run) = runs.get_mut(id) else {
                 return;
@@ -241,13 +241,13 @@
             (attempt, dispatch, run.arrival.work.clone(), run.account.clone(), run.priority)
         };
         {
-            let mut queue = self.board.queue();
+            let mut queue = self.state.queue();
             queue.start_request(&account);
             if resume.is_none() {
                 queue.count_tokens(&account, priority, input_cost(&work));
             }
         }
-        self.board.upstreams().record_dispatch(now, upstream, &work);
+        self.state.upstreams().record_dispatch(now, upstream, &work);
         out.push(Order::Dispatch(attempt, dispatch));
     }
 
@@ -281,9 +281,9 @@
         about: (&Account, &Work, bool),
     ) {
         let (account, work, started) = about;
-        self.board.runs().drop_attempt(attempt);
-        self.board.queue().finish_request(now, account);
-        self.board.upstreams().record_end(upstream, work, started);
+        self.state.runs().drop_attempt(attempt);
+        self.state.queue().finish_request(now, account);
+        self.state.upstreams().record_end(upstream, work, started);
     }
 }
 
--- a/crates/badgerfield-core/src/control/evacuations.rs
+++ b/crates/badgerfield-core/src/control/evacuations.rs
@@ -23,7 +23,7 @@
     pub(crate) fn apply_operator_values(&self, now: Time, found: OperatorValues, out: &mut Outbox) {
         let OperatorValues { revision, templates, evacuated, rollouts } = found;
         self.read_orders(now, revision, rollouts, out);
-        let turned = self.board.evacuations().learn_all(revision, evacuated);
+        let turned = self.state.evacuations().learn_all(revision, evacuated);
         self.tell_evacuations(now, &turned, out);
         out.evacuated(None, turned);
         if let Some(bytes) = templates {
@@ -40,7 +40,7 @@
     ) {
         let OperatorChanges { templates, domains, rollouts, .. } = found;
         self.orders_changed(now, rollouts, out);
-        let turned = self.board.evacuations().learn(domains);
+        let turned = self.state.evacuations().learn(domains);
         self.tell_evacuations(now, &turned, out);
         out.evacuated(None, turned);
         if let Some(bytes) = templates {
@@ -57,12 +57,12 @@
         out: &mut Outbox,
     ) {
         if news.reach > 0 {
-            for (to, reach) in self.board.members().legs(now, news.reach) {
+            for (to, reach) in self.state.membership().broadcast_targets(now, news.reach) {
                 let news = EvacuationNews { reach, ..news.clone() };
                 out.send(to, Message::Evacuations(news));
             }
         }
-        let turned = self.board.evacuations().learn(news.changes);
+        let turned = self.state.evacuations().learn(news.changes);
         out.evacuated(Some(from), turned);
     }
 
@@ -76,13 +76,14 @@
         out: &mut Outbox,
     ) {
         let changes = {
-            let mut members = self.board.members();
-            let known = self.board.evacuations();
-            if known.digest() == theirs || !due(now, members.compared.get(&from).copied(), COMPARE)
+            let mut members = self.state.membership();
+            let known = self.state.evacuations();
+            if known.digest() == theirs
+                || !due(now, members.evacuations_compared.get(&from).copied(), COMPARE)
             {
                 return;
             }
-            members.compared.insert(from, now);
+            members.evacuations_compared.insert(from, now);
             known.changes()
         };
         out.send(from, Message::CompareEvacuations(changes));
@@ -96,7 +97,7 @@
         out: &mut Outbox,
     ) {
         let (turned, more) = {
-            let mut known = self.board.evacuations();
+            let mut known = self.state.evacuations();
             let turned = known.learn(theirs.iter().cloned());
             let changes = known.changes();
             (turned, (changes != theirs).then_some(changes))
@@ -112,8 +113,8 @@
         if turned.is_empty() {
             return;
         }
-        let members = self.board.members();
-        for (to, reach) in members.legs(now, broadcast::full_reach(&members.view)) {
+        let members = self.state.membership();
+        for (to, reach) in members.broadcast_targets(now, broadcast::full_reach(&members.view)) {
             let news = EvacuationNews { changes: turned.to_vec(), reach };
             out.send(to, Message::Evacuations(news));
         }
--- a/crates/badgerfield-core/src/control/members.rs
+++ b/crates/badgerfield-core/src/control/members.rs
@@ -8,12 +8,12 @@
 use crate::amount::Time;
 use crate::calls::Purpose;
 use crate::event::{KvCall, KvName, KvResult, Note, Order, Outbox, Versioned, due};
-use crate::ids::{Epoch, Incarnation, Ticket, Version};
-use crate::joining::Step;
-use crate::membership::{Membership, Wish};
+use crate::ids::{Epoch, Incarnation, StoreCallId, TemplateVersion};
+use crate::joining::JoinStep;
+use crate::membership::{Membership, MembershipIntent};
 use crate::message::{Heartbeat, Message};
 use crate::node::Node;
-use crate::view::{Member, SMALL_VIEW, Standing, View};
+use crate::view::{MAX_SMALL_VIEW_MEMBERS, Member, MemberState, View};
 use crate::view_update::ViewUpdate;
 
 /// How often the platform's values are read.
@@ -27,14 +27,15 @@
     /// Returns the members that callers may be sent to.
     #[must_use]
     pub fn available_members(&self, now: Time) -> Vec<Member> {
-        self.board.members().usable(now)
+        self.state.membership().available_members(now)
     }
 
     /// Sends signs of life when they are due.
     pub(crate) fn tick_heartbeat(&self, now: Time, out: &mut Outbox) {
         let is_due = {
-            let members = self.board.members();
-            members.news_at.is_some() || due(now, members.beat_at, self.config.pacing.beat)
+            let members = self.state.membership();
+            members.confirmations_pending.is_some()
+                || due(now, members.heartbeat_at, self.config.pacing.heartbeat_interval)
         };
         if is_due {
             self.spread(now, out);
@@ -43,27 +44,27 @@
 
     /// Sends a sign of life to all neighbours, with the versions in force.
     pub(crate) fn spread(&self, now: Time, out: &mut Outbox) {
-        let version = self.board.templates().version;
-        let confirmed = self.board.claims().confirmation_status();
-        let evacuations = self.board.evacuations().digest();
-        let rollouts = self.board.rollouts().digest();
-        let blocked = self.board.poison().digest(now);
+        let version = self.state.templates().version;
+        let confirmed = self.state.claims().confirmation_status();
+        let evacuations = self.state.evacuations().digest();
+        let rollouts = self.state.rollouts().digest();
+        let blocked = self.state.poison().digest(now);
         let (neighbours, beat) = {
-            let mut members = self.board.members();
-            members.beat_at = Some(now);
-            members.news_at = None;
+            let mut members = self.state.membership();
+            members.heartbeat_at = Some(now);
+            members.confirmations_pending = None;
             let beat = Heartbeat {
                 epoch: members.view.epoch,
                 confirmed,
                 version,
-                serving: members.serving && members.stopping.is_none(),
-                list: members.list,
+                serving: members.serving && members.stopping_since.is_none(),
+                list: members.upstream_list,
                 evacuations,
                 rollouts,
                 blocked,
-                wall: members.wall(now),
+                wall: members.wall_ms(now),
                 needs: members.needs.average(now),
-                lags: members.lags.clone(),
+                lags: members.delay_reports.clone(),
             };
             (members.neighbours(), beat)
         };
@@ -76,21 +77,21 @@
     /// ago it has heard of the list of upstreams.
     #[must_use]
     pub fn watches_platform(&self, now: Time, heard: Option<Duration>) -> bool {
-        self.board.members().follows(now, heard)
+        self.state.membership().watches_platform(now, heard)
     }
 
     /// Tells whether this process reads whole values from the platform that it knows nothing
     /// of yet; others of its region give it those otherwise.
     #[must_use]
     pub fn is_bootstrap_reader(&self, now: Time) -> bool {
-        self.board.members().reads_first(now)
+        self.state.membership().is_bootstrap_reader(now)
     }
 
     /// Tells whether this process is among the few that try the platform often while it does
     /// not answer; they tell the others when it is back.
     #[must_use]
     pub fn probes_platform(&self) -> bool {
-        self.board.members().probes_platform()
+        self.state.membership().probes_platform()
     }
 
     /// Takes in a sign of life; asks for what the sender has newer.
@@ -109,31 +110,35 @@
         if !beat.lags.is_empty() {
             out.push(Order::LearnLags(beat.lags.clone()));
         }
-        let version = self.board.templates().version;
+        let version = self.state.templates().version;
         let (epoch, is_near) = {
-            let mut members = self.board.members();
-            members.heard(now, from, Some(beat));
+            let mut members = self.state.membership();
+            members.record_contact(now, from, Some(beat));
             let is_behind = beat.epoch < members.view.epoch;
             // One that was removed hears of it from those it still talks to. Who is behind,
             // and not a neighbour, may hear only from members that it does not know yet, and
             // so cannot ask.
             let cannot_ask = !members.view.has(from) || !members.neighbours().contains(&from);
-            if is_behind && cannot_ask && due(now, members.shown.get(&from).copied(), FETCH) {
+            if is_behind && cannot_ask && due(now, members.views_pushed.get(&from).copied(), FETCH)
+            {
                 // Some that were removed beat on for a while; nobody else forgets them here.
-                members.shown.retain(|_, at| now.since(*at) < FETCH);
-                members.shown.insert(from, now);
-                out.send(from, Message::View(members.log.update(&members.view, beat.epoch)));
+                members.views_pushed.retain(|_, at| now.since(*at) < FETCH);
+                members.views_pushed.insert(from, now);
+                out.send(
+                    from,
+                    Message::View(members.view_log.update_since(&members.view, beat.epoch)),
+                );
                 return;
             }
             let newer = beat.epoch > members.view.epoch || beat.version > version;
-            if !newer || !due(now, members.fetched_at, FETCH) {
+            if !newer || !due(now, members.fetch_sent_at, FETCH) {
                 return;
             }
-            members.fetched_at = Some(now);
+            members.fetch_sent_at = Some(now);
             let is_near = members.view.member(from).is_some_and(|m| m.region == members.me.region);
             (members.view.epoch, is_near)
         };
-        let whole = version == Version(0);
+        let whole = version == TemplateVersion(0);
         // Whole templates are asked of members of the region only.
         let version = if whole && !is_near { beat.version } else { version };
         out.send(from, Message::Fetch { epoch, version, whole });
@@ -144,23 +149,23 @@
         &self,
         from: Incarnation,
         epoch: Epoch,
-        version: Version,
+        version: TemplateVersion,
         whole: bool,
         out: &mut Outbox,
     ) {
         {
-            let members = self.board.members();
+            let members = self.state.membership();
             if members.view.epoch > epoch {
-                out.send(from, Message::View(members.log.update(&members.view, epoch)));
+                out.send(from, Message::View(members.view_log.update_since(&members.view, epoch)));
             }
         }
-        let table = self.board.templates();
+        let table = self.state.templates();
         if table.version <= version {
             return;
         }
-        let delta = self.board.template_history().delta(&table, version).filter(|_| !whole);
+        let delta = self.state.template_history().delta(&table, version).filter(|_| !whole);
         let message = match delta {
-            Some(delta) => Message::Delta(Box::new(delta)),
+            Some(delta) => Message::TemplateDelta(Box::new(delta)),
             None => Message::Templates(Box::new(table.clone())),
         };
         out.send(from, message);
@@ -171,12 +176,12 @@
     /// sign of life.
     fn hear_confirmed(&self, now: Time, beat: &Heartbeat) {
         let (is_news, has_claims) = {
-            let mut claims = self.board.claims();
+            let mut claims = self.state.claims();
             (claims.merge_confirmations(beat.epoch, &beat.confirmed), !claims.is_empty())
         };
-        let mut members = self.board.members();
-        if is_news && (has_claims || members.view.members.len() <= SMALL_VIEW) {
-            members.news_at = Some(now);
+        let mut members = self.state.membership();
+        if is_news && (has_claims || members.view.members.len() <= MAX_SMALL_VIEW_MEMBERS) {
+            members.confirmations_pending = Some(now);
         }
     }
 
@@ -190,37 +195,37 @@
         out: &mut Outbox,
     ) {
         let next = {
-            let mut members = self.board.members();
+            let mut members = self.state.membership();
             let old = Arc::clone(&members.view);
             if update.epoch <= old.epoch {
                 return;
             }
             // The answer has come: the next one may be asked for.
-            members.fetched_at = None;
+            members.fetch_sent_at = None;
             update.apply(&old)
         };
         if let Some(view) = next {
             self.adopt_view(now, &Arc::new(view), out);
             return;
         }
-        let version = self.board.templates().version;
-        let whole = version == Version(0);
+        let version = self.state.templates().version;
+        let whole = version == TemplateVersion(0);
         out.send(from, Message::Fetch { epoch: Epoch(0), version, whole });
     }
 
     /// Puts a newer view in force in every table that depends on it.
     pub(crate) fn adopt_view(&self, now: Time, view: &Arc<View>, out: &mut Outbox) {
         let (gone, removed) = {
-            let mut members = self.board.members();
+            let mut members = self.state.membership();
             let was = members.removed;
             let Some(gone) = members.adopt(now, view) else {
                 return;
             };
             (gone, members.removed && !was)
         };
-        self.board.claims().apply_view(now, view, out);
-        self.board.ledger_writer().mark_removed(gone);
-        self.board.holdings().apply_view(now, view, out);
+        self.state.claims().apply_view(now, view, out);
+        self.state.ledger_writer().mark_removed(gone);
+        self.state.holdings().apply_view(now, view, out);
         out.push(Order::Note(Note::View(view.epoch)));
         if removed {
             out.push(Order::Note(Note::Removed));
@@ -231,16 +236,21 @@
 
     /// Reads the platform's values, and writes the view, when that is due.
     pub(crate) fn read_platform(&self, now: Time, out: &mut Outbox) {
-        let complete = self.board.claims().complete_epoch();
-        let version = self.board.templates().version;
-        let mut members = self.board.members();
-        let reads_view = members.is_reader(now) || !members.known || members.marks_unread(complete);
-        if due(now, members.read_at, members.read_pace(READ)) && reads_view {
-            members.read_at = Some(now);
+        let complete = self.state.claims().complete_epoch();
+        let version = self.state.templates().version;
+        let mut members = self.state.membership();
+        let reads_view = members.is_reader(now)
+            || !members.stored_known
+            || members.must_read_to_complete(complete);
+        if due(now, members.view_read_at, members.view_read_interval(READ)) && reads_view {
+            members.view_read_at = Some(now);
             read(&mut members, now, KvName::View, out);
         }
-        let reads_templates =
-            if version == Version(0) { members.reads_first(now) } else { reads_view };
+        let reads_templates = if version == TemplateVersion(0) {
+            members.is_bootstrap_reader(now)
+        } else {
+            reads_view
+        };
         if due(now, members.templates_read_at, READ) && reads_templates {
             members.templates_read_at = Some(now);
             read(&mut members, now, KvName::Templates, out);
@@ -253,22 +263,22 @@
     /// known here; it need not have joined for that.
     pub(crate) fn request_bootstrap(&self, now: Time, out: &mut Outbox) {
         let (has_templates, has_routes) = {
-            let templates = self.board.templates();
-            (templates.version > Version(0), !templates.routing.routes.is_empty())
+            let templates = self.state.templates();
+            (templates.version > TemplateVersion(0), !templates.routing.routes.is_empty())
         };
-        let mut members = self.board.members();
+        let mut members = self.state.membership();
         // Without routes there is no list of their upstreams.
-        let has_list = members.list.revision > 0 || !has_routes;
-        if (has_templates && has_list) || !due(now, members.asked_at, FETCH) {
+        let has_list = members.upstream_list.revision > 0 || !has_routes;
+        if (has_templates && has_list) || !due(now, members.bootstrap_at, FETCH) {
             return;
         }
-        members.asked_at = Some(now);
-        let Some(to) = members.source() else {
+        members.bootstrap_at = Some(now);
+        let Some(to) = members.next_bootstrap_peer() else {
             return;
         };
         if !has_templates {
             let epoch = members.view.epoch;
-            out.send(to, Message::Fetch { epoch, version: Version(0), whole: true });
+            out.send(to, Message::Fetch { epoch, version: TemplateVersion(0), whole: true });
         }
         if !has_list {
             out.send(to, Message::FetchUpstreams { since: 0 });
@@ -286,16 +296,16 @@
         if guest.incarnation != from {
             return;
         }
-        self.board.members().joining.invite(now, guest);
+        self.state.membership().joining.add_joiner(now, guest);
         self.write_view(now, out);
     }
 
     fn write_view(&self, now: Time, out: &mut Outbox) {
-        let complete = self.board.claims().complete_epoch();
-        let mut members = self.board.members();
-        if !members.known
-            || members.calls.is_open(&KvName::View)
-            || !due(now, members.wrote_at, WRITE)
+        let complete = self.state.claims().complete_epoch();
+        let mut members = self.state.membership();
+        if !members.stored_known
+            || members.store_calls.is_open(&KvName::View)
+            || !due(now, members.view_written_at, WRITE)
         {
             return;
         }
@@ -304,45 +314,49 @@
         let handed_over = complete == stored.epoch && complete > Epoch(0);
         let me = members.me.clone();
         let present = members.view.member(me.incarnation).map(|m| m.standing);
-        let next = match (&members.wish, present) {
-            (Wish::Join, None) if !members.removed => match members.joining.step(now, &stored) {
-                Step::Write => Some(stored.with(me, handed_over)),
-                Step::Ask(host) => {
-                    out.send(host, Message::Join(me));
-                    return;
+        let next = match (&members.intent, present) {
+            (MembershipIntent::Join, None) if !members.removed => {
+                match members.joining.next_step(now, &stored) {
+                    JoinStep::Write => Some(stored.with_member(me, handed_over)),
+                    JoinStep::RequestFrom(host) => {
+                        out.send(host, Message::Join(me));
+                        return;
+                    }
+                    JoinStep::Wait => return,
                 }
-                Step::Wait => return,
-            },
-            (Wish::Leave, Some(Standing::Active)) => {
-                Some(stored.leaving(me.incarnation, handed_over))
             }
-            (Wish::Quit, Some(_)) => Some(stored.without(&[me.incarnation], handed_over)),
-            (Wish::Join | Wish::Leave | Wish::Quit, _) => None,
+            (MembershipIntent::Leave, Some(MemberState::Active)) => {
+                Some(stored.with_leaving(me.incarnation, handed_over))
+            }
+            (MembershipIntent::Quit, Some(_)) => {
+                Some(stored.without_members(&[me.incarnation], handed_over))
+            }
+            (MembershipIntent::Join | MembershipIntent::Leave | MembershipIntent::Quit, _) => None,
         };
         let next = next.or_else(|| {
-            let guests = members.joining.guests(now, &stored);
+            let guests = members.joining.joiners(now, &stored);
             let may = members.is_member() && !guests.is_empty();
-            may.then(|| stored.with_all(guests, handed_over))
+            may.then(|| stored.with_members(guests, handed_over))
         });
         let next = next.or_else(|| {
-            let gone = members.gone(now);
+            let gone = members.members_to_remove(now);
             let may = members.is_member() && !gone.is_empty();
             for id in gone.iter().filter(|_| may) {
-                out.push(Order::Note(members.removal(now, *id)));
+                out.push(Order::Note(members.removal_entry(now, *id)));
             }
-            may.then(|| stored.without(&gone, handed_over))
+            may.then(|| stored.without_members(&gone, handed_over))
         });
         let next = next.or_else(|| {
             let open = handed_over && stored.complete < stored.epoch;
-            (open && members.is_marker()).then(|| stored.completed())
+            (open && members.is_completion_writer()).then(|| stored.completed())
         });
         let Some(next) = next else {
             return;
         };
-        members.wrote_at = Some(now);
+        members.view_written_at = Some(now);
         let value = Bytes::from(next.encode());
-        let expect = members.revision;
-        let ticket = members.calls.begin(Purpose::Write(next));
+        let expect = members.stored_revision;
+        let ticket = members.store_calls.begin(Purpose::Write(next));
         out.push(Order::KeyValue(ticket, KvCall::Swap { name: KvName::View, expect, value }));
     }
 
@@ -350,11 +364,11 @@
     pub(crate) fn handle_store_result(
         &self,
         now: Time,
-        ticket: Ticket,
+        ticket: StoreCallId,
         result: KvResult,
         out: &mut Outbox,
     ) {
-        let Some(purpose) = self.board.members().calls.end(ticket) else {
+        let Some(purpose) = self.state.membership().store_calls.end(ticket) else {
             return;
         };
         match (purpose, result) {
@@ -376,25 +390,25 @@
             (Purpose::Write(view), KvResult::Written(revision)) => {
                 let view = Arc::new(view);
                 {
-                    let mut members = self.board.members();
-                    members.revision = revision;
+                    let mut members = self.state.membership();
+                    members.stored_revision = revision;
                     members.stored = Arc::clone(&view);
                 }
                 self.adopt_view(now, &view, out);
             }
             (Purpose::Write(_), KvResult::Conflict(found)) => {
                 self.read_view(now, &found, out);
-                let mut members = self.board.members();
-                members.wrote_at = None;
-                members.joining.lost();
+                let mut members = self.state.membership();
+                members.view_written_at = None;
+                members.joining.record_conflict();
                 drop(members);
                 self.write_view(now, out);
             }
             // Whether the write took effect is seen at the next read.
             (Purpose::Write(_), _) => {
-                let mut members = self.board.members();
-                members.known = false;
-                members.read_at = None;
+                let mut members = self.state.membership();
+                members.stored_known = false;
+                members.view_read_at = None;
             }
             (Purpose::Read(_), _) => {}
         }
@@ -409,33 +423,33 @@
             }
         };
         let asked = {
-            let mut members = self.board.members();
+            let mut members = self.state.membership();
             // A stale read names an older revision; writing on it would only conflict.
-            if found.revision < members.revision {
+            if found.revision < members.stored_revision {
                 return;
             }
-            members.revision = found.revision;
+            members.stored_revision = found.revision;
             members.stored = Arc::clone(&view);
-            members.known = true;
-            members.joining.saw(&view);
-            members.view_asked
+            members.stored_known = true;
+            members.joining.record_view(&view);
+            members.view_requested_at
         };
         self.adopt_view(now, &view, out);
         // Only now: a judge that took the older view for one of this time would not wait for a
         // member that has just joined.
-        let mut members = self.board.members();
-        members.view_known = members.view_known.max(asked);
+        let mut members = self.state.membership();
+        members.view_known_at = members.view_known_at.max(asked);
     }
 }
 
 /// Reads a value of the platform, unless that is under way.
 pub(super) fn read(members: &mut Membership, now: Time, name: KvName, out: &mut Outbox) {
-    if members.calls.is_open(&name) {
+    if members.store_calls.is_open(&name) {
         return;
     }
     if name == KvName::View {
-        members.view_asked = Some(now);
+        members.view_requested_at = Some(now);
     }
-    let ticket = members.calls.begin(Purpose::Read(name.clone()));
+    let ticket = members.store_calls.begin(Purpose::Read(name.clone()));
     out.push(Order::KeyValue(ticket, KvCall::Get(name)));
 }
--- a/crates/badgerfield-core/src/control/poison.rs
+++ b/crates/badgerfield-core/src/control/poison.rs
@@ -25,18 +25,18 @@
     /// Takes in that an upstream ended while a request of this process was there.
     pub(crate) fn record_crash(&self, now: Time, crash: Crash, out: &mut Outbox) {
         let request = crash.request;
-        let news = self.board.poison().record_crash(now, crash);
+        let news = self.state.poison().record_crash(now, crash);
         let blocks = news.iter().any(|(_, blocks)| *blocks);
         let mut told: Vec<_> = news.iter().map(|(crash, _)| crash.clone()).collect();
         if blocks {
             // With what came before, for members that have missed it.
-            told = self.board.poison().crashes_of(now, request);
+            told = self.state.poison().crashes_of(now, request);
         }
-        self.board.poison_record().enqueue(told);
+        self.state.poison_record().enqueue(told);
         // At once if a caller may come back with it elsewhere.
         self.tell_crashes(now, blocks, out);
         if blocks {
-            self.board.poison_record().mark_dirty();
+            self.state.poison_record().mark_dirty();
         }
         out.crash_news(None, news);
         self.call_poison_record(now, out);
@@ -44,8 +44,8 @@
 
     /// Takes in that a request was served whole which was there when an upstream ended.
     pub(crate) fn record_suspect_served(&self, now: Time, request: Fingerprint, out: &mut Outbox) {
-        let cleared = self.board.poison().record_served(now, request);
-        self.board.poison_record().enqueue(cleared.iter().cloned());
+        let cleared = self.state.poison().record_served(now, request);
+        self.state.poison_record().enqueue(cleared.iter().cloned());
         self.tell_crashes(now, false, out);
         out.crash_news(None, cleared.into_iter().map(|crash| (crash, false)).collect());
     }
@@ -59,7 +59,7 @@
         out: &mut Outbox,
     ) {
         if news.reach > 0 {
-            for (to, reach) in self.board.members().legs(now, news.reach) {
+            for (to, reach) in self.state.membership().broadcast_targets(now, news.reach) {
                 out.send(to, Message::Crashes(CrashNews { reach, ..news.clone() }));
             }
         }
@@ -76,8 +76,8 @@
         out: &mut Outbox,
     ) {
         let crashes = {
-            let mut members = self.board.members();
-            let known = self.board.poison();
+            let mut members = self.state.membership();
+            let known = self.state.poison();
             if known.digest(now) == theirs
                 || !due(now, members.crashes_compared.get(&from).copied(), COMPARE)
             {
@@ -98,7 +98,7 @@
         out: &mut Outbox,
     ) {
         self.learn_crashes(now, Some(from), theirs.to_vec(), out);
-        let crashes = self.board.poison().missing_from(now, theirs);
+        let crashes = self.state.poison().missing_from(now, theirs);
         if !crashes.is_empty() {
             out.send(from, Message::Crashes(CrashNews { crashes, reach: 0 }));
         }
@@ -113,27 +113,27 @@
         out: &mut Outbox,
     ) {
         match result {
-            KvResult::Written(revision) => self.board.poison_record().found(revision),
+            KvResult::Written(revision) => self.state.poison_record().set_revision(revision),
             KvResult::Value(found) => self.poison_found(now, &found, out),
             KvResult::Conflict(found) => {
                 // What was to be written is known here still.
-                self.board.poison_record().mark_dirty();
+                self.state.poison_record().mark_dirty();
                 self.poison_found(now, &found, out);
             }
-            _ => self.board.poison_record().failed(write),
+            _ => self.state.poison_record().record_failure(write),
         }
         self.call_poison_record(now, out);
     }
 
     /// Does what is due.
     pub(crate) fn tick_poison(&self, now: Time, out: &mut Outbox) {
-        self.board.poison().sweep(now);
+        self.state.poison().sweep(now);
         self.tell_crashes(now, false, out);
         self.call_poison_record(now, out);
     }
 
     fn poison_found(&self, now: Time, found: &Versioned, out: &mut Outbox) {
-        self.board.poison_record().found(found.revision);
+        self.state.poison_record().set_revision(found.revision);
         match poison_record::decode(found.value.as_deref()) {
             Ok(crashes) => self.learn_crashes(now, None, crashes, out),
             // What nobody can read is replaced by the next record.
@@ -151,7 +151,7 @@
         out: &mut Outbox,
     ) {
         let (news, records) = {
-            let mut poison = self.board.poison();
+            let mut poison = self.state.poison();
             let news = poison.learn(now, crashes);
             // Two crashes may be seen at one moment by two processes: either writes it down.
             let records =
@@ -159,7 +159,7 @@
             (news, records)
         };
         if records {
-            self.board.poison_record().mark_dirty();
+            self.state.poison_record().mark_dirty();
             self.call_poison_record(now, out);
         }
         out.crash_news(from, news);
@@ -167,12 +167,12 @@
 
     /// Tells all members what waits to be told.
     fn tell_crashes(&self, now: Time, is_urgent: bool, out: &mut Outbox) {
-        let members = self.board.members();
-        let crashes = self.board.poison_record().take_update(now, is_urgent);
+        let members = self.state.membership();
+        let crashes = self.state.poison_record().take_update(now, is_urgent);
         if crashes.is_empty() {
             return;
         }
-        for (to, reach) in members.legs(now, broadcast::full_reach(&members.view)) {
+        for (to, reach) in members.broadcast_targets(now, broadcast::full_reach(&members.view)) {
             let news = CrashNews { crashes: crashes.clone(), reach };
             out.send(to, Message::Crashes(news));
         }
@@ -180,9 +180,9 @@
 
     /// Makes the call about the record that is due.
     fn call_poison_record(&self, now: Time, out: &mut Outbox) {
-        let mut members = self.board.members();
-        let blocked = self.board.poison().blocked_crashes(now);
-        let Some(call) = self.board.poison_record().next_call(now) else {
+        let mut members = self.state.membership();
+        let blocked = self.state.poison().blocked_crashes(now);
+        let Some(call) = self.state.poison_record().next_call(now) else {
             return;
         };
         let (purpose, call) = match call {
@@ -192,7 +192,7 @@
                 (Purpose::PoisonWrite, KvCall::Swap { name: KvName::Poison, expect, value })
             }
         };
-        let ticket = members.calls.begin(purpose);
+        let ticket = members.store_calls.begin(purpose);
         out.push(Order::KeyValue(ticket, call));
     }
 }
--- a/crates/badgerfield-core/src/control/reservations.rs
+++ b/crates/badgerfield-core/src/control/reservations.rs
@@ -11,8 +11,8 @@
     /// Sets tokens aside for a request on a route.
     pub(crate) fn reserve_for_route(&self, now: Time, ask: &ReserveAsk, out: &mut Outbox) {
         self.learn_terms(now, &ask.budget);
-        let waiter = (ask.id.run(), ask.amount, ask.until);
-        let reserved = self.board.holdings().reserve(now, &ask.budget, waiter, out);
+        let waiter = (ask.id.to_run_id(), ask.amount, ask.until);
+        let reserved = self.state.holdings().reserve(now, &ask.budget, waiter, out);
         match reserved {
             ReserveOutcome::Reserved(period) => out.push(Order::Reserved(ask.id, Ok(period))),
             ReserveOutcome::Waiting => {}
@@ -22,7 +22,7 @@
 
     /// Drops a request that waits for tokens.
     pub(crate) fn cancel_reserve(&self, _now: Time, ask: &ReserveAsk, out: &mut Outbox) {
-        if self.board.holdings().cancel_request(&ask.budget, ask.id.run()) {
+        if self.state.holdings().cancel_request(&ask.budget, ask.id.to_run_id()) {
             let refusal = Refusal::not_run(Cause::Stopping);
             out.push(Order::Reserved(ask.id, Err(refusal)));
         }
@@ -30,7 +30,7 @@
 
     /// Ends a reservation: bills what was used and frees the rest.
     pub(crate) fn settle_reservation(&self, now: Time, end: &Settlement, _out: &mut Outbox) {
-        let mut holdings = self.board.holdings();
+        let mut holdings = self.state.holdings();
         holdings.settle(now, &end.budget, end.period, end.reserved, end.used);
         holdings.record_charge(&end.budget, end.period, end.used, true);
     }
--- a/crates/badgerfield-core/src/control/rights.rs
+++ b/crates/badgerfield-core/src/control/rights.rs
@@ -13,7 +13,7 @@
 use crate::message::{Message, ParkItem, Transfer};
 use crate::node::Node;
 use crate::runs::Stage;
-use crate::view::SMALL_VIEW;
+use crate::view::MAX_SMALL_VIEW_MEMBERS;
 
 /// Up to how many budgets are opened before a request asks for them.
 const MAX_OPENED: usize = 256;
@@ -22,7 +22,7 @@
     /// Sets aside the most that a run can cost.
     pub(crate) fn reserve(&self, now: Time, id: RunId, out: &mut Outbox) {
         let (budget, bound, until) = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
@@ -30,7 +30,7 @@
             (run.budget.clone(), run.bound, run.until)
         };
         self.learn_terms(now, &budget);
-        let reserved = self.board.holdings().reserve(now, &budget, (id, bound, until), out);
+        let reserved = self.state.holdings().reserve(now, &budget, (id, bound, until), out);
         match reserved {
             ReserveOutcome::Reserved(period) => self.reserved(now, id, period, out),
             ReserveOutcome::Waiting => {}
@@ -44,7 +44,7 @@
     /// the run ends, what it never handed out.
     fn reserved(&self, now: Time, id: RunId, period: Period, out: &mut Outbox) {
         let resumes = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
@@ -68,8 +68,8 @@
         out: &mut Outbox,
     ) {
         self.learn_terms(now, &transfer.budget);
-        if self.board.holdings().receive_transfer(now, from, transfer, out) {
-            out.send(from, Message::Transferred { seq: transfer.seq });
+        if self.state.holdings().receive_transfer(now, from, transfer, out) {
+            out.send(from, Message::TransferAck { seq: transfer.seq });
         }
     }
 
@@ -85,30 +85,30 @@
         for item in items {
             self.learn_terms(now, &item.budget);
         }
-        let kept = self.board.holdings().accept_parked(from, items);
+        let kept = self.state.holdings().accept_parked(from, items);
         if !kept.is_empty() {
-            out.send(from, Message::Parked(kept));
+            out.send(from, Message::ParkAck(kept));
         }
     }
 
     /// Does the regular work of the holdings.
     pub(crate) fn tick_holdings(&self, now: Time, out: &mut Outbox) {
         self.open_holdings(now);
-        self.board.holdings().tick(now, out);
+        self.state.holdings().tick(now, out);
     }
 
     /// Opens a holding of every budget where tokens are sealed, so that what earlier
     /// processes of this VM left is settled before it is missed.
     fn open_holdings(&self, now: Time) {
-        if !self.config.pacing.seals || !self.is_ready() {
+        if !self.config.pacing.seal_holdings || !self.is_ready() {
             return;
         }
-        let version = self.board.templates().version;
-        if self.board.holdings().opened_version == Some(version) {
+        let version = self.state.templates().version;
+        if self.state.holdings().opened_version == Some(version) {
             return;
         }
-        let budgets: Vec<_> = self.board.templates().budgets.keys().cloned().collect();
-        self.board.holdings().opened_version = Some(version);
+        let budgets: Vec<_> = self.state.templates().budgets.keys().cloned().collect();
+        self.state.holdings().opened_version = Some(version);
         if budgets.len() > MAX_OPENED {
             return;
         }
@@ -120,7 +120,7 @@
     /// Does what any event may have made due: sends changes, answers waiting runs.
     pub(crate) fn flush_holdings(&self, now: Time, out: &mut Outbox) {
         let (ops, decisions) = {
-            let mut holdings = self.board.holdings();
+            let mut holdings = self.state.holdings();
             holdings.process_changed(now, out);
             (holdings.take_due_ops(now), holdings.take_decisions())
         };
@@ -144,7 +144,7 @@
     fn send_ops(&self, now: Time, ops: Vec<(LedgerOp, u32)>, out: &mut Outbox) {
         let mut batches: BTreeMap<Incarnation, Vec<LedgerOp>> = BTreeMap::new();
         for (op, tries) in ops {
-            let shard = shard_of(&op.budget, self.config.shards);
+            let shard = shard_of(&op.budget, self.config.ledger_shards);
             let writer = self.writer(now, shard, tries);
             batches.entry(writer).or_default().push(op);
         }
@@ -153,21 +153,21 @@
                 self.handle_ledger_request(now, ops, out);
                 continue;
             }
-            out.send(writer, Message::Draw(ops));
+            out.send(writer, Message::LedgerRequest(ops));
         }
     }
 
     /// Returns who writes a shard: the region's first by rank, then the second, then in a
     /// small view the holder itself. Those that could not reach the platform of late are passed over.
     fn writer(&self, now: Time, shard: u32, tries: u32) -> Incarnation {
-        let members = self.board.members();
+        let members = self.state.membership();
         let ranked = members.view.ranked(&shard.to_be_bytes(), Some(&members.me.region));
-        let reaches = |id: &Incarnation| !members.is_away(now, *id);
+        let reaches = |id: &Incarnation| !members.has_store_failure(now, *id);
         let mut writers: Vec<_> =
             ranked.iter().map(|m| m.incarnation).filter(reaches).take(2).collect();
         // Many that write for themselves, because the first are slow, would only make each
         // other slower.
-        let many = members.view.members.len() > SMALL_VIEW;
+        let many = members.view.members.len() > MAX_SMALL_VIEW_MEMBERS;
         if writers.is_empty() || (!many && reaches(&self.id())) {
             writers.push(self.id());
         }
@@ -179,9 +179,9 @@
     pub(crate) fn handle_ledger_request(&self, now: Time, ops: Vec<LedgerOp>, out: &mut Outbox) {
         let mut refused = Vec::new();
         {
-            let mut ledger_writer = self.board.ledger_writer();
+            let mut ledger_writer = self.state.ledger_writer();
             for op in ops {
-                let shard = shard_of(&op.budget, self.config.shards);
+                let shard = shard_of(&op.budget, self.config.ledger_shards);
                 refused.extend(ledger_writer.add(now, shard, op));
             }
         }
@@ -197,7 +197,7 @@
         result: KvResult,
         out: &mut Outbox,
     ) {
-        let replies = self.board.ledger_writer().handle_result(now, shard, result);
+        let replies = self.state.ledger_writer().handle_result(now, shard, result);
         self.tell(now, replies, out);
         self.call_ledger(now, out);
     }
@@ -211,22 +211,22 @@
         out: &mut Outbox,
     ) {
         if replies.iter().any(|(_, _, reply)| *reply == LedgerReply::StoreUnavailable) {
-            self.board.members().note_away(now, from);
+            self.state.membership().record_store_failure(now, from);
         }
-        let mut holdings = self.board.holdings();
+        let mut holdings = self.state.holdings();
         for (budget, period, reply) in replies {
             holdings.apply_ledger_reply(now, &budget, period, &reply, out);
         }
     }
 
     fn call_ledger(&self, now: Time, out: &mut Outbox) {
-        let calls = self.board.ledger_writer().next_calls(now);
+        let calls = self.state.ledger_writer().next_calls(now);
         if calls.is_empty() {
             return;
         }
-        let mut members = self.board.members();
+        let mut members = self.state.membership();
         for (shard, call) in calls {
-            let ticket = members.calls.begin(Purpose::Draw(shard));
+            let ticket = members.store_calls.begin(Purpose::Draw(shard));
             out.push(Order::KeyValue(ticket, call));
         }
     }
@@ -242,7 +242,7 @@
                 self.apply_ledger_replies(now, holder, replies, out);
                 continue;
             }
-            out.send(holder, Message::Drawn(replies));
+            out.send(holder, Message::LedgerReplies(replies));
         }
     }
 }
--- a/crates/badgerfield-core/src/control/rollouts.rs
+++ b/crates/badgerfield-core/src/control/rollouts.rs
@@ -46,7 +46,7 @@
         orders: Vec<OrderChange>,
         out: &mut Outbox,
     ) {
-        let turned = self.board.rollouts().learn_all(now, revision, orders);
+        let turned = self.state.rollouts().apply_snapshot(now, revision, orders);
         self.tell_rollouts(now, &turned, out);
         self.put_rules(now, turned, out);
     }
@@ -60,11 +60,11 @@
     /// Takes in what another process tells, and passes it on to its part of the ring.
     pub(crate) fn receive_rollout_update(&self, now: Time, news: RolloutNews, out: &mut Outbox) {
         if news.reach > 0 {
-            for (to, reach) in self.board.members().legs(now, news.reach) {
+            for (to, reach) in self.state.membership().broadcast_targets(now, news.reach) {
                 out.send(to, Message::Rollouts(RolloutNews { reach, ..news.clone() }));
             }
         }
-        let turned = self.board.rollouts().learn(now, news.known);
+        let turned = self.state.rollouts().apply(now, news.known);
         self.put_rules(now, turned, out);
     }
 
@@ -78,8 +78,8 @@
         out: &mut Outbox,
     ) {
         let known = {
-            let mut members = self.board.members();
-            let mut table = self.board.rollouts();
+            let mut members = self.state.membership();
+            let mut table = self.state.rollouts();
             if table.digest() == theirs {
                 table.record_agreement(members.is_active() && members.view.has(from));
                 return;
@@ -102,9 +102,9 @@
         out: &mut Outbox,
     ) {
         let (turned, known) = {
-            let members = self.board.members();
-            let mut table = self.board.rollouts();
-            let turned = table.learn(now, theirs.to_vec());
+            let members = self.state.membership();
+            let mut table = self.state.rollouts();
+            let turned = table.apply(now, theirs.to_vec());
             let known = table.all();
             if known == theirs {
                 table.record_agreement(members.is_active() && members.view.has(from));
@@ -127,21 +127,21 @@
         if tallies.is_empty() {
             return;
         }
-        self.board.rollouts().record_tallies(tallies);
+        self.state.rollouts().record_tallies(tallies);
         self.report_rollouts(now, &self.bench(now), out);
     }
 
     /// Does what is due about roll-outs.
     pub(crate) fn tick_rollouts(&self, now: Time, out: &mut Outbox) {
-        let is_active = self.board.members().is_active();
+        let is_active = self.state.membership().is_active();
         {
-            let mut table = self.board.rollouts();
+            let mut table = self.state.rollouts();
             table.tick(now, is_active);
             if table.is_empty() {
                 return;
             }
         }
-        let open = self.board.rollouts().unfinished();
+        let open = self.state.rollouts().unfinished();
         if !open.is_empty() {
             let bench = self.bench(now);
             self.report_rollouts(now, &bench, out);
@@ -177,7 +177,7 @@
             (result, _) => {
                 let refused = matches!(result, KvResult::Refused);
                 out.push(missed(if refused { "refused" } else { "no answer" }));
-                if let Some(recorder) = self.board.rollouts().recorder_mut(service) {
+                if let Some(recorder) = self.state.rollouts().recorder_mut(service) {
                     recorder.invalidate();
                 }
             }
@@ -206,7 +206,7 @@
         out: &mut Outbox,
     ) {
         let news = {
-            let mut table = self.board.rollouts();
+            let mut table = self.state.rollouts();
             let Some(known) = table.known(service).cloned() else {
                 return;
             };
@@ -233,7 +233,7 @@
         let place = judges.iter().position(|id| *id == bench.me);
         let longest = self.longest(service);
         let members: Vec<_> = bench.view.members.iter().map(|m| m.incarnation).collect();
-        let mut table = self.board.rollouts();
+        let mut table = self.state.rollouts();
         let Some(recorder) = table.recorder_mut(service) else {
             return;
         };
@@ -300,7 +300,7 @@
         let (written, call) = match call {
             RecorderCall::Read => (None, KvCall::Get(name)),
             RecorderCall::ReadView => {
-                read(&mut self.board.members(), now, KvName::View, out);
+                read(&mut self.state.membership(), now, KvName::View, out);
                 return;
             }
             RecorderCall::Write(expect, record) => {
@@ -315,18 +315,18 @@
             }
         };
         let purpose = Purpose::Rollout(service.clone(), written);
-        let ticket = self.board.members().calls.begin(purpose);
+        let ticket = self.state.membership().store_calls.begin(purpose);
         out.push(Order::KeyValue(ticket, call));
     }
 
     /// Tells the judges how requests of this process went, where that is due.
     fn report_rollouts(&self, now: Time, bench: &Bench, out: &mut Outbox) {
         let members = u32::try_from(bench.view.members.len()).unwrap_or(u32::MAX);
-        let mut table = self.board.rollouts();
+        let mut table = self.state.rollouts();
         for (judges, report) in table.due_reports(now, members, |service| bench.judges(service)) {
             for judge in judges {
                 if judge == bench.me {
-                    table.hear(judge, report.clone());
+                    table.apply_report(judge, report.clone());
                 } else {
                     out.send(judge, Message::RolloutReport(report.clone()));
                 }
@@ -339,7 +339,7 @@
         if news.is_empty() {
             return;
         }
-        let turned = self.board.rollouts().learn(now, news);
+        let turned = self.state.rollouts().apply(now, news);
         self.tell_rollouts(now, &turned, out);
         self.put_rules(now, turned, out);
     }
@@ -349,8 +349,8 @@
         if turned.is_empty() {
             return;
         }
-        let members = self.board.members();
-        for (to, reach) in members.legs(now, broadcast::full_reach(&members.view)) {
+        let members = self.state.membership();
+        for (to, reach) in members.broadcast_targets(now, broadcast::full_reach(&members.view)) {
             let news = RolloutNews { known: turned.to_vec(), reach };
             out.send(to, Message::Rollouts(news));
         }
@@ -362,23 +362,23 @@
             out.push(Order::Note(Note::Rollout(Box::new(RolloutLogEntry::Updated(known)))));
         }
         let bound = &self.config.pacing.rollout;
-        if let Some(rules) = self.board.rollouts().changed_rules(now, bound) {
+        if let Some(rules) = self.state.rollouts().changed_rules(now, bound) {
             out.push(Order::RolloutRules(rules));
         }
     }
 
     /// Returns how long a request of a service may run: the longest timeout of its routes.
     fn longest(&self, service: &Service) -> Duration {
-        let set = self.board.templates();
+        let set = self.state.templates();
         let routes = set.routing.routes.iter();
         let of = routes.filter(|route| route.split.iter().any(|split| split.service == *service));
         of.map(|route| route.timeout).max().unwrap_or_default()
     }
 
     fn bench(&self, now: Time) -> Bench {
-        let members = self.board.members();
-        let (view, clock) = (Arc::clone(&members.view), members.clock(now));
-        Bench { view, me: members.id(), clock, view_asked: members.view_known }
+        let members = self.state.membership();
+        let (view, clock) = (Arc::clone(&members.view), members.fleet_clock(now));
+        Bench { view, me: members.id(), clock, view_asked: members.view_known_at }
     }
 }
 
--- a/crates/badgerfield-core/src/control/settings.rs
+++ b/crates/badgerfield-core/src/control/settings.rs
@@ -27,7 +27,7 @@
     /// Puts a newer set in force.
     pub(crate) fn apply_templates(&self, now: Time, set: TemplateSet, out: &mut Outbox) {
         {
-            let mut table = self.board.templates();
+            let mut table = self.state.templates();
             if set.version <= table.version || !set.faults().is_empty() {
                 return;
             }
@@ -45,11 +45,11 @@
         out: &mut Outbox,
     ) {
         let (newer, whole, fits, version) = {
-            let mut table = self.board.templates();
+            let mut table = self.state.templates();
             let newer = delta.version > table.version;
             // One that starts elsewhere has been overtaken; the next one may fit.
             let whole = delta.base == table.version;
-            let fits = table.advance(delta);
+            let fits = table.apply_delta(delta);
             (newer, whole, fits, table.version)
         };
         if fits {
@@ -57,7 +57,7 @@
             return;
         }
         if newer {
-            let epoch = self.board.members().view.epoch;
+            let epoch = self.state.membership().view.epoch;
             out.send(from, Message::Fetch { epoch, version, whole });
         }
     }
@@ -65,7 +65,7 @@
     /// Returns the terms of a budget with its owner's wish to spread it.
     pub(crate) fn learn_terms(&self, now: Time, budget: &BudgetId) {
         let terms = {
-            let table = self.board.templates();
+            let table = self.state.templates();
             let Some((template, account)) = table.budgets.get(budget).zip(table.account_of(budget))
             else {
                 return;
@@ -74,21 +74,21 @@
             let (period, limit) = (template.period, template.limit);
             (BudgetTerms { version, period, limit }, account.spread)
         };
-        self.board.holdings().update_terms(now, budget, terms.0, terms.1);
+        self.state.holdings().update_terms(now, budget, terms.0, terms.1);
     }
 
     fn templates_changed(&self, now: Time, out: &mut Outbox) {
         let version = {
-            let table = self.board.templates();
-            self.board.template_history().note(&table);
+            let table = self.state.templates();
+            self.state.template_history().record(&table);
             table.version
         };
         out.push(Order::Note(Note::Templates(version)));
-        let held: Vec<_> = self.board.holdings().budgets().cloned().collect();
+        let held: Vec<_> = self.state.holdings().budgets().cloned().collect();
         for budget in held {
-            let before = self.board.holdings().period(&budget);
+            let before = self.state.holdings().period(&budget);
             self.learn_terms(now, &budget);
-            if self.board.holdings().period(&budget) != before {
+            if self.state.holdings().period(&budget) != before {
                 out.push(Order::Note(Note::Renewed(budget)));
             }
         }
--- a/crates/badgerfield-core/src/control/stopping.rs
+++ b/crates/badgerfield-core/src/control/stopping.rs
@@ -4,7 +4,7 @@
 
 use crate::amount::Time;
 use crate::event::{Order, Outbox};
-use crate::membership::Wish;
+use crate::membership::MembershipIntent;
 use crate::node::Node;
 
 /// How long the hand-over of charges and holdings may take once nothing runs.
@@ -16,35 +16,35 @@
     /// Starts a planned stop.
     pub(crate) fn stop(&self, now: Time, out: &mut Outbox) {
         {
-            let mut members = self.board.members();
-            if members.stopping.is_some() {
+            let mut members = self.state.membership();
+            if members.stopping_since.is_some() {
                 return;
             }
-            members.stopping = Some(now);
-            members.wish = Wish::Leave;
+            members.stopping_since = Some(now);
+            members.intent = MembershipIntent::Leave;
         }
-        self.board.holdings().retire();
+        self.state.holdings().retire();
         self.read_platform(now, out);
     }
 
     /// Moves a planned stop on.
     pub(crate) fn tick_stop(&self, now: Time, out: &mut Outbox) {
         let (since, removed) = {
-            let members = self.board.members();
-            let Some(since) = members.stopping else {
+            let members = self.state.membership();
+            let Some(since) = members.stopping_since else {
                 return;
             };
             (since, members.removed)
         };
         let open = now.since(since) < self.config.directory_ttl;
-        let busy = self.board.runs().active_count() > 0;
+        let busy = self.state.runs().active_count() > 0;
         if (open && !removed) || busy {
-            self.board.members().quiet = None;
+            self.state.membership().idle_since = None;
             return;
         }
-        let quiet = *self.board.members().quiet.get_or_insert(now);
+        let quiet = *self.state.membership().idle_since.get_or_insert(now);
         let idle = now.since(quiet);
-        let settled = self.board.charges().is_empty() && self.board.claims().is_handed_over();
+        let settled = self.state.charges().is_empty() && self.state.claims().is_handed_over();
         if !settled && idle >= HAND_CHARGES {
             self.hand_charges(now, out);
         }
@@ -56,9 +56,9 @@
 
     fn hand_back(&self, now: Time, idle: Duration, removed: bool, out: &mut Outbox) {
         let closed = {
-            let mut holdings = self.board.holdings();
+            let mut holdings = self.state.holdings();
             holdings.close();
-            if idle >= self.config.pacing.hand_on {
+            if idle >= self.config.pacing.return_timeout {
                 holdings.hand_over(now, out);
             }
             holdings.is_closed() || removed
@@ -67,8 +67,8 @@
             return;
         }
         let gone = {
-            let mut members = self.board.members();
-            members.wish = Wish::Quit;
+            let mut members = self.state.membership();
+            members.intent = MembershipIntent::Quit;
             !members.is_member()
         };
         if gone || idle >= HAND_OVER {
--- a/crates/badgerfield-core/src/control/upstream_news.rs
+++ b/crates/badgerfield-core/src/control/upstream_news.rs
@@ -10,12 +10,12 @@
 use crate::broadcast;
 use crate::event::{Order, Outbox, due};
 use crate::ids::Incarnation;
-use crate::membership::Behind;
+use crate::membership::NewerList;
 use crate::message::{Message, UpstreamNews};
 use crate::node::Node;
 use crate::replica_list::ListVersion;
 use crate::request_limit::LimitReport;
-use crate::view::SMALL_VIEW;
+use crate::view::MAX_SMALL_VIEW_MEMBERS;
 
 /// The least time between two fetches of what is missing of the list: about as long as an
 /// answer takes on a busy VM.
@@ -36,7 +36,7 @@
     /// Returns the last revision of the list up to which all were told every change.
     #[must_use]
     pub fn announced_revision(&self) -> u64 {
-        self.board.members().told
+        self.state.membership().announced_revision
     }
 
     /// Tells others what was read from the platform.
@@ -48,24 +48,24 @@
     ) {
         let UpstreamNews { changes, mark, .. } = found;
         let is_news = !changes.written.is_empty() || !changes.gone.is_empty();
-        let mut members = self.board.members();
+        let mut members = self.state.membership();
         let news = |reach| UpstreamNews { reach, ..found.clone() };
-        if members.view.members.len() <= SMALL_VIEW {
+        if members.view.members.len() <= MAX_SMALL_VIEW_MEMBERS {
             if !is_news {
                 return;
             }
-            members.told = members.told.max(mark.revision);
+            members.announced_revision = members.announced_revision.max(mark.revision);
             for to in members.neighbours() {
                 out.send(to, Message::UpstreamChanges(news(0)));
             }
             return;
         }
-        if !is_news && !due(now, members.confirmed_at, CONFIRM) {
+        if !is_news && !due(now, members.list_confirmed_at, CONFIRM) {
             return;
         }
-        members.confirmed_at = Some(now);
-        members.told = members.told.max(mark.revision);
-        for (to, reach) in members.legs(now, broadcast::full_reach(&members.view)) {
+        members.list_confirmed_at = Some(now);
+        members.announced_revision = members.announced_revision.max(mark.revision);
+        for (to, reach) in members.broadcast_targets(now, broadcast::full_reach(&members.view)) {
             out.send(to, Message::UpstreamChanges(news(reach)));
         }
     }
@@ -75,7 +75,7 @@
         if notes.is_empty() {
             return;
         }
-        let neighbours = self.board.members().neighbours();
+        let neighbours = self.state.membership().neighbours();
         for to in neighbours {
             out.send(to, Message::Limits(notes.to_vec()));
         }
@@ -90,13 +90,13 @@
         out: &mut Outbox,
     ) {
         let legs = {
-            let mut members = self.board.members();
-            members.confirmed_at = Some(now);
+            let mut members = self.state.membership();
+            members.list_confirmed_at = Some(now);
             // In a small view each passes on what it has heard, and so tells it itself.
-            if members.view.members.len() > SMALL_VIEW {
-                members.told = members.told.max(news.mark.revision);
+            if members.view.members.len() > MAX_SMALL_VIEW_MEMBERS {
+                members.announced_revision = members.announced_revision.max(news.mark.revision);
             }
-            if news.reach == 0 { Vec::new() } else { members.legs(now, news.reach) }
+            if news.reach == 0 { Vec::new() } else { members.broadcast_targets(now, news.reach) }
         };
         for (to, reach) in legs {
             let news = UpstreamNews { reach, ..news.clone() };
@@ -114,12 +114,12 @@
         out: &mut Outbox,
     ) {
         {
-            let mut members = self.board.members();
-            if theirs.revision <= members.list.revision {
+            let mut members = self.state.membership();
+            if theirs.revision <= members.upstream_list.revision {
                 return;
             }
-            if theirs.digest == members.list.digest {
-                members.list.revision = theirs.revision;
+            if theirs.digest == members.upstream_list.digest {
+                members.upstream_list.revision = theirs.revision;
                 out.push(Order::ConfirmUpstreams(theirs.revision));
                 return;
             }
@@ -140,20 +140,20 @@
         out: &mut Outbox,
     ) {
         let since = {
-            let mut members = self.board.members();
-            let known = members.list.revision;
+            let mut members = self.state.membership();
+            let known = members.upstream_list.revision;
             // No whole list is under way to one that has none, so it asks at once.
             if known > 0 {
-                let noticed = members.behind.filter(|behind| behind.revision > known);
+                let noticed = members.newer_list.filter(|behind| behind.revision > known);
                 let Some(behind) = noticed else {
-                    members.behind = Some(Behind { revision, at: now });
+                    members.newer_list = Some(NewerList { revision, noticed_at: now });
                     return;
                 };
-                if !due(now, Some(behind.at), UNDER_WAY) {
+                if !due(now, Some(behind.noticed_at), UNDER_WAY) {
                     return;
                 }
             }
-            members.behind = None;
+            members.newer_list = None;
             known
         };
         self.ask_upstreams(now, from, since, out);
@@ -166,12 +166,12 @@
     }
 
     fn ask_upstreams(&self, now: Time, from: Incarnation, since: u64, out: &mut Outbox) {
-        let mut members = self.board.members();
-        let pace = if since == 0 && members.list.revision > 0 { WHOLE } else { FETCH };
-        if !due(now, members.list_fetched, pace) {
+        let mut members = self.state.membership();
+        let pace = if since == 0 && members.upstream_list.revision > 0 { WHOLE } else { FETCH };
+        if !due(now, members.list_requested_at, pace) {
             return;
         }
-        members.list_fetched = Some(now);
+        members.list_requested_at = Some(now);
         out.send(from, Message::FetchUpstreams { since });
     }
 }
--- a/crates/badgerfield-core/src/event.rs
+++ b/crates/badgerfield-core/src/event.rs
@@ -11,7 +11,7 @@
 use crate::evacuation::DomainChange;
 use crate::ids::{
     Account, Adapter, AttemptId, BudgetId, Incarnation, Model, Period, RequestId, RequestKey,
-    ReservationId, RunId, Service, Ticket, UpstreamId, VmId,
+    ReservationId, RunId, Service, StoreCallId, UpstreamId, VmId,
 };
 use crate::lag::DelayReport;
 use crate::ledger::HoldingPlan;
@@ -43,7 +43,7 @@
     /// Another process has sent a message.
     Peer(Envelope),
     /// The key-value service has answered.
-    KeyValue(Ticket, KvResult),
+    KeyValue(StoreCallId, KvResult),
     /// The VM list was read.
     VmList(VmList),
     /// The templates were read, or have changed at the platform.
@@ -354,7 +354,7 @@
     /// Send a message.
     Send(Incarnation, Message),
     /// Call the key-value service.
-    KeyValue(Ticket, KvCall),
+    KeyValue(StoreCallId, KvCall),
     /// Send a request to an upstream.
     Dispatch(AttemptId, Dispatch),
     /// Stop what runs at an upstream.
@@ -425,7 +425,7 @@
         lender: Incarnation,
     },
     /// Newer templates are in force.
-    Templates(crate::ids::Version),
+    Templates(crate::ids::TemplateVersion),
     /// The value of the templates cannot be used; the last good one stays in force.
     BadTemplates(String),
     /// A value of the platform cannot be used.
--- a/crates/badgerfield-core/src/event_stream.rs
+++ b/crates/badgerfield-core/src/event_stream.rs
@@ -20,7 +20,7 @@
 impl EventScanner {
     /// Makes a scanner for a stream that goes on after an event.
     #[must_use]
-    pub fn after(last: Option<u64>) -> Self {
+    pub fn resume_after(last: Option<u64>) -> Self {
         Self { last, ..Self::default() }
     }
 
--- a/crates/badgerfield-core/src/first_read.rs
+++ b/crates/badgerfield-core/src/first_read.rs
@@ -14,7 +14,7 @@
 
 use crate::amount::Time;
 use crate::ids::{Incarnation, VmId};
-use crate::view::{Member, SMALL_VIEW, View};
+use crate::view::{MAX_SMALL_VIEW_MEMBERS, Member, View};
 
 /// How many VMs of a region read at once: one may be turned away by the platform.
 const AT_ONCE: usize = 2;
@@ -36,7 +36,7 @@
     let Some(view) = stored else {
         return false;
     };
-    if view.members.len() <= SMALL_VIEW {
+    if view.members.len() <= MAX_SMALL_VIEW_MEMBERS {
         return true;
     }
     let (place, count) = place(view, me);
--- a/crates/badgerfield-core/src/holdings/lending.rs
+++ b/crates/badgerfield-core/src/holdings/lending.rs
@@ -11,7 +11,7 @@
 use crate::ids::{BudgetId, Incarnation, Period};
 use crate::ledger::HoldingPlan;
 use crate::lending::Lenders;
-use crate::message::{Ask, Lack, Message};
+use crate::message::{Ask, Message, NoTokensReason};
 use crate::refusal::{Cause, Refusal};
 
 /// How long a borrower's ask may wait at its lender.
@@ -60,7 +60,7 @@
         let Some(holding) = self.table.get_mut(budget) else {
             return;
         };
-        let keep = holding.at_hand(now, self.pacing.policy.at_hand);
+        let keep = holding.at_hand(now, self.pacing.policy.prefetch_span);
         let has_enough = holding.free >= keep.part(1, 2).max(Tokens(1));
         if has_enough || self.leaving.closes() || holding.search.is_some() || !holding.borrows() {
             return;
@@ -68,7 +68,7 @@
         let Some(to) = next_lender(holding, &self.view, &self.mute, now, &[]) else {
             return;
         };
-        let ahead = holding.ask_ahead(now, self.pacing.policy.at_hand);
+        let ahead = holding.ask_ahead(now, self.pacing.policy.prefetch_span);
         if ahead.is_zero() {
             return;
         }
@@ -84,7 +84,7 @@
         let under_way = self.transfers.all_under_way();
         for (budget, holding) in self.table.iter().filter(|(_, holding)| holding.borrows()) {
             let moving = under_way.get(budget).copied().unwrap_or_default();
-            let keep = holding.at_hand(now, self.pacing.policy.at_hand);
+            let keep = holding.at_hand(now, self.pacing.policy.prefetch_span);
             if keep.is_zero() && moving.is_zero() {
                 continue;
             }
@@ -141,8 +141,8 @@
             };
             let spent = refusal.cause == Cause::BudgetSpent;
             let after = refusal.retry_after.unwrap_or(COME_BACK);
-            let lack = if spent { Lack::Spent } else { Lack::Reserved(after) };
-            out.send(to, Message::Nothing { budget, period, need: amount, lack });
+            let lack = if spent { NoTokensReason::Spent } else { NoTokensReason::Reserved(after) };
+            out.send(to, Message::NoTokens { budget, period, need: amount, reason: lack });
         }
     }
 
@@ -169,7 +169,7 @@
         &self,
         from: Incarnation,
         budget: &BudgetId,
-        lack: Lack,
+        lack: NoTokensReason,
     ) -> bool {
         let Some(holding) = self.table.get(budget) else {
             return false;
@@ -177,7 +177,7 @@
         let Some(Search::Lender { asked, .. }) = &holding.search else {
             return false;
         };
-        holding.borrows() && asked.contains(&from) && lack != Lack::NoHolder
+        holding.borrows() && asked.contains(&from) && lack != NoTokensReason::NotHolder
     }
 
     /// Refuses requests as the lender did: it has looked for tokens everywhere.
@@ -188,12 +188,16 @@
         now: Time,
         budget: &BudgetId,
         need: Tokens,
-        lack: Lack,
+        lack: NoTokensReason,
     ) {
         let refusal = match lack {
-            Lack::Spent => Refusal::not_run(Cause::BudgetSpent),
-            Lack::Reserved(after) => Refusal::not_run(Cause::BudgetHeld).with_retry_after(after),
-            Lack::NoHolder => Refusal::not_run(Cause::BudgetHeld).with_retry_after(COME_BACK),
+            NoTokensReason::Spent => Refusal::not_run(Cause::BudgetSpent),
+            NoTokensReason::Reserved(after) => {
+                Refusal::not_run(Cause::BudgetHeld).with_retry_after(after)
+            }
+            NoTokensReason::NotHolder => {
+                Refusal::not_run(Cause::BudgetHeld).with_retry_after(COME_BACK)
+            }
         };
         self.refuse_waiters(now, budget, need, refusal);
     }
--- a/crates/badgerfield-core/src/holdings/mod.rs
+++ b/crates/badgerfield-core/src/holdings/mod.rs
@@ -30,7 +30,7 @@
 use self::transfer::Transfers;
 use crate::amount::{Percent, Time, Tokens};
 use crate::event::{Outbox, due};
-use crate::ids::{BudgetId, Incarnation, Period, Region, RunId, Version, VmId};
+use crate::ids::{BudgetId, Incarnation, Period, Region, RunId, TemplateVersion, VmId};
 use crate::ledger::{BudgetTerms, HoldingPlan};
 use crate::lending::Lenders;
 use crate::node::Pacing;
@@ -115,7 +115,7 @@
     region: Region,
     pacing: Pacing,
     /// The version of the templates whose budgets were all opened.
-    pub(crate) opened_version: Option<Version>,
+    pub(crate) opened_version: Option<TemplateVersion>,
     table: BTreeMap<BudgetId, Holding>,
     transfers: Transfers,
     bank: Bank,
@@ -144,7 +144,7 @@
     #[must_use]
     pub fn new(me: Incarnation, vm: VmId, region: Region, pacing: Pacing) -> Self {
         let sealing =
-            pacing.seals.then(|| Sealing { vm, clock: FleetClock::default(), heard: None });
+            pacing.seal_holdings.then(|| Sealing { vm, clock: FleetClock::default(), heard: None });
         Self {
             me,
             maker: Maker { me, sealing },
@@ -223,7 +223,7 @@
         spread: Percent,
     ) {
         let Some(holding) = self.table.get_mut(budget) else {
-            let hold = (spread, self.pacing.ahead);
+            let hold = (spread, self.pacing.hold_ahead);
             let mut holding = Holding::new(now, terms, hold, self.region.clone());
             let part = self.lenders.part(budget, self.me);
             holding.lenders = part.lenders;
@@ -237,7 +237,7 @@
         }
         if terms.period > holding.terms.period {
             let waiters = std::mem::take(&mut holding.waiters);
-            let hold = (spread, self.pacing.ahead);
+            let hold = (spread, self.pacing.hold_ahead);
             let lenders = std::mem::take(&mut holding.lenders);
             let stands_in = holding.stands_in;
             *holding = Holding::new(now, terms, hold, self.region.clone());
--- a/crates/badgerfield-core/src/holdings/parking.rs
+++ b/crates/badgerfield-core/src/holdings/parking.rs
@@ -11,7 +11,7 @@
 use crate::ids::{BudgetId, Incarnation};
 use crate::ledger::HoldingPlan;
 use crate::message::{Message, ParkItem};
-use crate::view::Standing;
+use crate::view::MemberState;
 
 /// How often a parked amount is sent again.
 const PARK_RESEND: Duration = Duration::from_millis(100);
@@ -25,7 +25,7 @@
 impl Holdings {
     /// Decides whether the ledger is to be told something.
     pub(super) fn plan_op(&mut self, now: Time, budget: &BudgetId) {
-        let report = self.pacing.report;
+        let report = self.pacing.report_interval;
         let Some(holding) = self.table.get_mut(budget) else {
             return;
         };
@@ -110,7 +110,7 @@
 
     /// Gives back to the ledger what this process held before it began to borrow.
     fn plan_return(&mut self, now: Time, budget: &BudgetId) {
-        let report = self.pacing.report;
+        let report = self.pacing.report_interval;
         let Some(holding) = self.table.get_mut(budget) else {
             return;
         };
@@ -138,7 +138,7 @@
 
     /// Decides how much is to be parked, and with whom.
     pub(super) fn plan_park(&mut self, now: Time, budget: &BudgetId) {
-        let report = self.pacing.report;
+        let report = self.pacing.report_interval;
         let Some(holding) = self.table.get_mut(budget) else {
             return;
         };
@@ -151,7 +151,7 @@
         let bank = holding.parked.bank;
         let stays = bank
             .and_then(|id| self.view.member(id))
-            .is_some_and(|m| m.standing == Standing::Active);
+            .is_some_and(|m| m.standing == MemberState::Active);
         let working = holding.working(now);
         let wanted = holding.wanted();
         let total = holding.parked.total;
@@ -194,7 +194,7 @@
         let target = target.min(holding.unspent());
         if target == total {
             if total.is_zero() && !stays && has_witness {
-                let me = self.view.bank_of(self.me);
+                let me = self.view.witness_of(self.me);
                 holding.parked.bank = me.map(|m| m.incarnation);
             }
             return;
@@ -248,7 +248,7 @@
             return;
         };
         let borrows = holding.borrows();
-        let span = self.pacing.policy.at_hand;
+        let span = self.pacing.policy.prefetch_span;
         let keep = if borrows && !self.leaving.closes() {
             holding.at_hand(now, span)
         } else {
--- a/crates/badgerfield-core/src/holdings/peers.rs
+++ b/crates/badgerfield-core/src/holdings/peers.rs
@@ -6,7 +6,7 @@
 use crate::event::Outbox;
 use crate::ids::{BudgetId, Incarnation};
 use crate::ledger::HoldingPlan;
-use crate::message::{Ask, Lack, Message, ParkItem, Transfer};
+use crate::message::{Ask, Message, NoTokensReason, ParkItem, Transfer};
 
 /// How many times its need a holder may get at once, to ask less often.
 const LUMP: u64 = 8;
@@ -22,13 +22,17 @@
     ) {
         let (budget, period) = (ask.budget.clone(), ask.period);
         let need = ask.need;
-        let nothing =
-            |need, lack| Message::Nothing { budget: ask.budget.clone(), period, need, lack };
+        let nothing = |need, lack| Message::NoTokens {
+            budget: ask.budget.clone(),
+            period,
+            need,
+            reason: lack,
+        };
         // Whatever a removed process gets is lost when it ends.
         let member = self.view.has(from);
         let known = self.table.get_mut(&budget).filter(|h| member && h.terms.period == period);
         let Some(holding) = known else {
-            out.send(from, nothing(need, Lack::NoHolder));
+            out.send(from, nothing(need, NoTokensReason::NotHolder));
             return;
         };
         // Two that hold the same budget and both search answer each other at once: each would
@@ -59,11 +63,11 @@
         }
         if spare.is_zero() || (collects && spare < ask.need) {
             let answer = if holding.borrows() || leaves {
-                nothing(need, Lack::NoHolder)
+                nothing(need, NoTokensReason::NotHolder)
             } else if holding.may_give(now, need) {
-                nothing(holding.within_reach(now), Lack::Reserved(COME_BACK))
+                nothing(holding.within_reach(now), NoTokensReason::Reserved(COME_BACK))
             } else {
-                nothing(need, Lack::Spent)
+                nothing(need, NoTokensReason::Spent)
             };
             out.send(from, answer);
             return;
@@ -82,10 +86,11 @@
         now: Time,
         from: Incarnation,
         budget: &BudgetId,
-        (need, lack): (Tokens, Lack),
+        (need, lack): (Tokens, NoTokensReason),
         out: &mut Outbox,
     ) {
-        let may_have = if matches!(lack, Lack::Reserved(_)) { need } else { Tokens::ZERO };
+        let may_have =
+            if matches!(lack, NoTokensReason::Reserved(_)) { need } else { Tokens::ZERO };
         self.answered(from, budget, may_have);
         if let Some(holding) = self.table.get_mut(budget) {
             holding.coming.answered(now, from);
--- a/crates/badgerfield-core/src/holdings/search.rs
+++ b/crates/badgerfield-core/src/holdings/search.rs
@@ -153,7 +153,7 @@
                 if holding.borrows() && holding.wanted() <= coming {
                     return;
                 }
-                let ahead = holding.ask_ahead(now, self.pacing.policy.at_hand);
+                let ahead = holding.ask_ahead(now, self.pacing.policy.prefetch_span);
                 holding.coming.ask(now, to, need, ahead);
                 out.send(to, Message::Ask(Ask { budget, period, need, ahead }));
             }
--- a/crates/badgerfield-core/src/holdings/transfer.rs
+++ b/crates/badgerfield-core/src/holdings/transfer.rs
@@ -90,7 +90,7 @@
         if transfer.seq <= seen.floor || !seen.above.insert(transfer.seq) {
             return false;
         }
-        seen.floor = seen.floor.max(transfer.floor);
+        seen.floor = seen.floor.max(transfer.acked_seq);
         seen.above = seen.above.split_off(&(seen.floor + 1));
         true
     }
@@ -161,7 +161,7 @@
         let floor = first.map_or(0, |((_, seq), _)| seq - 1);
         let transfer = Transfer {
             seq,
-            floor,
+            acked_seq: floor,
             budget: sent.budget.clone(),
             period: sent.period,
             amount: sent.amount,
--- a/crates/badgerfield-core/src/ids.rs
+++ b/crates/badgerfield-core/src/ids.rs
@@ -179,7 +179,7 @@
 impl ReservationId {
     /// Returns the number under which the holdings know the reservation.
     #[must_use]
-    pub fn run(self) -> RunId {
+    pub fn to_run_id(self) -> RunId {
         RunId(self.0 | RESERVATION)
     }
 
@@ -196,7 +196,7 @@
 
 /// A call to the key-value service, unique within one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket(pub u64);
+pub struct StoreCallId(pub u64);
 
 /// The key of a request: a digest of the budget and the caller's own key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -227,9 +227,9 @@
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Version(pub u64);
+pub struct TemplateVersion(pub u64);
 
-impl Version {
+impl TemplateVersion {
     /// Returns the version that follows.
     #[must_use]
     pub fn next(self) -> Self {
@@ -237,7 +237,7 @@
     }
 }
 
-impl fmt::Display for Version {
+impl fmt::Display for TemplateVersion {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "v{}", self.0)
     }
@@ -277,6 +277,6 @@
 
 /// Weighs a process for a subject, for rendezvous hashing: the highest weight wins.
 #[must_use]
-pub(crate) fn weigh(subject: &[u8], node: Incarnation) -> u64 {
+pub(crate) fn rendezvous_weight(subject: &[u8], node: Incarnation) -> u64 {
     xxh3_64_with_seed(subject, node.0)
 }
--- a/crates/badgerfield-core/src/joining.rs
+++ b/crates/badgerfield-core/src/joining.rs
@@ -10,7 +10,7 @@
 
 use crate::amount::Time;
 use crate::event::due;
-use crate::ids::{Incarnation, weigh};
+use crate::ids::{Incarnation, rendezvous_weight};
 use crate::view::{Member, View};
 
 /// After how many lost writes a process asks a member instead: what the write has met names
@@ -25,11 +25,11 @@
 
 /// What a process that wants to join does next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Step {
+pub(crate) enum JoinStep {
     /// Write itself into the view.
     Write,
     /// Ask this member.
-    Ask(Incarnation),
+    RequestFrom(Incarnation),
     /// Wait for the member that was asked.
     Wait,
 }
@@ -48,7 +48,7 @@
 
 impl Joining {
     /// Notes a view that was read.
-    pub(crate) fn saw(&mut self, view: &View) {
+    pub(crate) fn record_view(&mut self, view: &View) {
         self.first.get_or_insert_with(|| view.members.iter().map(|m| m.incarnation).collect());
     }
 
@@ -58,41 +58,41 @@
     }
 
     /// Notes that another process's write of the view came first.
-    pub(crate) fn lost(&mut self) {
+    pub(crate) fn record_conflict(&mut self) {
         self.lost += 1;
     }
 
     /// Decides how a process gets into the view.
-    pub(crate) fn step(&mut self, now: Time, view: &View) -> Step {
+    pub(crate) fn next_step(&mut self, now: Time, view: &View) -> JoinStep {
         let first = self.first.get_or_insert_default();
         let alive = view.members.iter().map(|m| m.incarnation).filter(|id| !first.contains(id));
         let mut alive: Vec<_> = alive.collect();
         if self.lost < LOST || alive.is_empty() {
-            return Step::Write;
+            return JoinStep::Write;
         }
         if !due(now, self.asked, ASK) {
-            return Step::Wait;
+            return JoinStep::Wait;
         }
         if self.asks >= ASKS {
             self.asks = 0;
             self.lost = 0;
-            return Step::Write;
+            return JoinStep::Write;
         }
         // All ask the same member, so that few writes are made.
-        alive.sort_by_key(|id| std::cmp::Reverse(weigh(b"host", *id)));
+        alive.sort_by_key(|id| std::cmp::Reverse(rendezvous_weight(b"host", *id)));
         let place = usize::try_from(self.asks).unwrap_or(0) % alive.len();
         self.asked = Some(now);
         self.asks += 1;
-        alive.get(place).map_or(Step::Write, |id| Step::Ask(*id))
+        alive.get(place).map_or(JoinStep::Write, |id| JoinStep::RequestFrom(*id))
     }
 
     /// Notes a process that asks to be written into the view.
-    pub(crate) fn invite(&mut self, now: Time, guest: Member) {
+    pub(crate) fn add_joiner(&mut self, now: Time, guest: Member) {
         self.guests.insert(guest.incarnation, (guest, now));
     }
 
     /// Returns those who asked a moment ago and are not in the view.
-    pub(crate) fn guests(&mut self, now: Time, view: &View) -> Vec<Member> {
+    pub(crate) fn joiners(&mut self, now: Time, view: &View) -> Vec<Member> {
         self.guests.retain(|id, (_, at)| now.since(*at) < REMEMBER && !view.has(*id));
         self.guests.values().map(|(guest, _)| guest.clone()).collect()
     }
--- a/crates/badgerfield-core/src/ledger.rs
+++ b/crates/badgerfield-core/src/ledger.rs
@@ -14,7 +14,7 @@
 use thiserror::Error;
 
 use crate::amount::{Percent, TokenRate, Tokens};
-use crate::ids::{BudgetId, Incarnation, Period, Region, Version, VmId, weigh};
+use crate::ids::{BudgetId, Incarnation, Period, Region, TemplateVersion, VmId, rendezvous_weight};
 use crate::seal::{Orphan, Seal, SealRecord, sealed_part};
 
 /// How much demand, in time, a holder may hold after its first change; it doubles with
@@ -44,7 +44,7 @@
 pub struct BudgetTerms {
     /// The version of the template.
     #[serde(rename = "v")]
-    pub version: Version,
+    pub version: TemplateVersion,
     /// The period.
     #[serde(rename = "p")]
     pub period: Period,
@@ -434,7 +434,7 @@
         let near = |h: &HolderEntry| last || h.region.as_ref() == Some(&op.region);
         let scope = || self.busy().filter(|(_, h)| near(h));
         let subject = op.budget.as_str().as_bytes();
-        match scope().map(|(id, _)| *id).max_by_key(|id| weigh(subject, *id)) {
+        match scope().map(|(id, _)| *id).max_by_key(|id| rendezvous_weight(subject, *id)) {
             Some(id) if id != op.holder => HoldingPlan::Defer(id),
             Some(_) if last => HoldingPlan::Collect(self.terms.limit),
             Some(_) => {
@@ -555,6 +555,6 @@
 /// Returns the shard that a budget falls into.
 #[must_use]
 pub fn shard_of(budget: &BudgetId, shards: u32) -> u32 {
-    let hash = weigh(budget.as_str().as_bytes(), Incarnation(0));
+    let hash = rendezvous_weight(budget.as_str().as_bytes(), Incarnation(0));
     u32::try_from(hash % u64::from(shards.max(1))).unwrap_or(0)
 }
--- a/crates/badgerfield-core/src/lending.rs
+++ b/crates/badgerfield-core/src/lending.rs
@@ -16,8 +16,8 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::ids::{BudgetId, Domain, Incarnation, Region, weigh};
-use crate::view::{Member, SMALL_VIEW, Standing, View};
+use crate::ids::{BudgetId, Domain, Incarnation, Region, rendezvous_weight};
+use crate::view::{MAX_SMALL_VIEW_MEMBERS, Member, MemberState, View};
 
 /// One member in so many lends.
 const MEMBERS_PER_LENDER: usize = 6;
@@ -41,14 +41,14 @@
 impl Lenders {
     /// Finds the lenders of a region.
     pub(crate) fn of(view: &View, region: &Region) -> Self {
-        let is_near = |m: &&Member| m.standing == Standing::Active && m.region == *region;
+        let is_near = |m: &&Member| m.standing == MemberState::Active && m.region == *region;
         let mut members: Vec<_> = view.members.iter().filter(is_near).map(Lender::of).collect();
-        if members.len() <= SMALL_VIEW {
+        if members.len() <= MAX_SMALL_VIEW_MEMBERS {
             return Self::default();
         }
         // Each budget wants its holders and as many stand-ins, however small the fleet is.
         let count = members.len().div_ceil(MEMBERS_PER_LENDER).max(HOLDERS + SUBSTITUTES);
-        members.sort_by_key(|lender| std::cmp::Reverse(weigh(b"lender", lender.vm)));
+        members.sort_by_key(|lender| std::cmp::Reverse(rendezvous_weight(b"lender", lender.vm)));
         members.truncate(count);
         Self(members)
     }
@@ -57,7 +57,7 @@
     pub(crate) fn part(&self, budget: &BudgetId, me: Incarnation) -> Part {
         let subject = budget.as_str().as_bytes();
         let mut ranked = self.0.clone();
-        ranked.sort_by_key(|lender| std::cmp::Reverse(weigh(subject, lender.vm)));
+        ranked.sort_by_key(|lender| std::cmp::Reverse(rendezvous_weight(subject, lender.vm)));
         ranked = spread_domains(ranked);
         ranked.truncate(HOLDERS + SUBSTITUTES);
         let mut substitutes = ranked.split_off(HOLDERS.min(ranked.len()));
@@ -71,8 +71,8 @@
         }
         // Each borrower has an order of its own, so that the holders share the work.
         let own = me.0.to_be_bytes();
-        ranked.sort_by_key(|lender| std::cmp::Reverse(weigh(&own, lender.vm)));
-        substitutes.sort_by_key(|lender| std::cmp::Reverse(weigh(&own, lender.vm)));
+        ranked.sort_by_key(|lender| std::cmp::Reverse(rendezvous_weight(&own, lender.vm)));
+        substitutes.sort_by_key(|lender| std::cmp::Reverse(rendezvous_weight(&own, lender.vm)));
         ranked.append(&mut substitutes);
         Part { lenders: ranked.into_iter().map(|lender| lender.id).collect(), stands_in }
     }
--- a/crates/badgerfield-core/src/lib.rs
+++ b/crates/badgerfield-core/src/lib.rs
@@ -80,4 +80,4 @@
 pub mod warm_up;
 
 pub use event::{Event, Order};
-pub use node::{BudgetStatus, Config, Node, Pacing, Status, TICK};
+pub use node::{BudgetStatus, Config, Node, Pacing, Status, TICK_INTERVAL};
--- a/crates/badgerfield-core/src/locality.rs
+++ b/crates/badgerfield-core/src/locality.rs
@@ -103,14 +103,14 @@
 
 /// Where a process or caller stands.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// Its failure domain, if it is known.
     pub domain: Option<Domain>,
     /// Its region, if it is known.
     pub region: Option<Region>,
 }
 
-impl Place {
+impl Location {
     /// Returns how far a failure domain is.
     ///
     /// Where nothing is known of regions, all domains count as of one region.
@@ -130,7 +130,7 @@
 /// Chooses the VMs that a caller is sent to: those of its failure domain, or those of its
 /// region if they are too few, or all.
 #[must_use]
-pub fn nearest<'a>(members: &'a [Member], caller: &Place) -> Vec<&'a Member> {
+pub fn nearest<'a>(members: &'a [Member], caller: &Location) -> Vec<&'a Member> {
     let same_domain = |m: &&Member| caller.domain.as_ref() == Some(&m.domain);
     let same_region = |m: &&Member| caller.region.as_ref() == Some(&m.region);
     let near: Vec<_> = members.iter().filter(same_domain).collect();
--- a/crates/badgerfield-core/src/membership.rs
+++ b/crates/badgerfield-core/src/membership.rs
@@ -18,7 +18,7 @@
 use crate::ranks::Ranks;
 use crate::replica_list::ListVersion;
 use crate::seal::FleetClock;
-use crate::view::{Member, SMALL_VIEW, Standing, View};
+use crate::view::{MAX_SMALL_VIEW_MEMBERS, Member, MemberState, View};
 use crate::view_update::ViewLog;
 
 /// After how long without a sign of life a member is removed from the view.
@@ -43,7 +43,7 @@
 
 /// What a process wants changed in the view.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Wish {
+pub(crate) enum MembershipIntent {
     /// Be a member.
     Join,
     /// Be marked as leaving.
@@ -67,11 +67,11 @@
 
 /// A list of upstreams that another member knows, and this process does not yet.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Behind {
+pub(crate) struct NewerList {
     /// Up to which revision.
     pub(crate) revision: u64,
     /// Since when that is known here.
-    pub(crate) at: Time,
+    pub(crate) noticed_at: Time,
 }
 
 /// The table of members.
@@ -82,17 +82,17 @@
     pub(crate) view: Arc<View>,
     ranks: Ranks,
     /// How the view has changed of late, for members that are behind.
-    pub(crate) log: ViewLog,
+    pub(crate) view_log: ViewLog,
     /// The view as the platform had it at `revision`: what a write of the view builds on.
     pub(crate) stored: Arc<View>,
-    pub(crate) revision: u64,
-    pub(crate) known: bool,
-    pub(crate) wish: Wish,
+    pub(crate) stored_revision: u64,
+    pub(crate) stored_known: bool,
+    pub(crate) intent: MembershipIntent,
     pub(crate) joining: Joining,
     pub(crate) removed: bool,
-    pub(crate) stopping: Option<Time>,
+    pub(crate) stopping_since: Option<Time>,
     /// Since when nothing runs here, during a stop.
-    pub(crate) quiet: Option<Time>,
+    pub(crate) idle_since: Option<Time>,
     /// Members that could not reach the platform, and when they said so.
     away: BTreeMap<Incarnation, Time>,
     /// This VM's time of day, less this process's own time.
@@ -100,30 +100,30 @@
     /// Whether this process serves callers at present.
     pub(crate) serving: bool,
     /// How much of the list of upstreams is known here.
-    pub(crate) list: ListVersion,
+    pub(crate) upstream_list: ListVersion,
     /// What requests need of engines, here and elsewhere.
     pub(crate) needs: DemandAverage,
     /// The upstreams at which requests wait.
-    pub(crate) lags: Vec<DelayReport>,
+    pub(crate) delay_reports: Vec<DelayReport>,
     /// The last revision of that list up to which all were told every change.
-    pub(crate) told: u64,
+    pub(crate) announced_revision: u64,
     /// What others know of that list beyond this process.
-    pub(crate) behind: Option<Behind>,
+    pub(crate) newer_list: Option<NewerList>,
     /// When any member was asked for the list.
-    pub(crate) list_fetched: Option<Time>,
+    pub(crate) list_requested_at: Option<Time>,
     /// When evacuations were compared with each member last.
-    pub(crate) compared: HashMap<Incarnation, Time>,
+    pub(crate) evacuations_compared: HashMap<Incarnation, Time>,
     /// The same for roll-outs.
     pub(crate) rollouts_compared: HashMap<Incarnation, Time>,
     /// The same for blocked requests.
     pub(crate) crashes_compared: HashMap<Incarnation, Time>,
     /// When anybody told how new the list of upstreams is.
-    pub(crate) confirmed_at: Option<Time>,
+    pub(crate) list_confirmed_at: Option<Time>,
     /// After how long without a sign of life a member is in doubt.
     doubt: Duration,
     /// How long upstreams that leave take requests after they have said so.
     notice: Duration,
-    pub(crate) calls: PendingCalls,
+    pub(crate) store_calls: PendingCalls,
     signs: BTreeMap<Incarnation, Sign>,
     former: BTreeMap<Incarnation, SocketAddr>,
     listed: BTreeSet<VmId>,
@@ -131,26 +131,26 @@
     leaving: BTreeSet<VmId>,
     list_version: u64,
     ticked: Option<Time>,
-    pub(crate) beat_at: Option<Time>,
-    pub(crate) read_at: Option<Time>,
+    pub(crate) heartbeat_at: Option<Time>,
+    pub(crate) view_read_at: Option<Time>,
     /// When the platform was asked for the view last, and the same of the last answer.
-    pub(crate) view_asked: Option<Time>,
-    pub(crate) view_known: Option<Time>,
+    pub(crate) view_requested_at: Option<Time>,
+    pub(crate) view_known_at: Option<Time>,
     /// When the templates were read last.
     pub(crate) templates_read_at: Option<Time>,
     /// When a member was asked for what this process knows nothing of.
-    pub(crate) asked_at: Option<Time>,
+    pub(crate) bootstrap_at: Option<Time>,
     /// Where the next one to be asked for it stands among those of the region.
     asked_first: usize,
     /// How often members were asked for it.
     asks: usize,
-    pub(crate) wrote_at: Option<Time>,
+    pub(crate) view_written_at: Option<Time>,
     /// When a view or templates were asked for last; one member is asked at a time.
-    pub(crate) fetched_at: Option<Time>,
+    pub(crate) fetch_sent_at: Option<Time>,
     /// When members that were behind were sent the view unasked.
-    pub(crate) shown: HashMap<Incarnation, Time>,
+    pub(crate) views_pushed: HashMap<Incarnation, Time>,
     /// When confirmations were heard that others wait for and have not been told.
-    pub(crate) news_at: Option<Time>,
+    pub(crate) confirmations_pending: Option<Time>,
 }
 
 impl Membership {
@@ -159,31 +159,31 @@
             me,
             view: Arc::default(),
             ranks: Ranks::default(),
-            log: ViewLog::default(),
+            view_log: ViewLog::default(),
             stored: Arc::default(),
-            revision: 0,
-            known: false,
-            wish: Wish::Join,
+            stored_revision: 0,
+            stored_known: false,
+            intent: MembershipIntent::Join,
             joining: Joining::default(),
             removed: false,
-            stopping: None,
-            quiet: None,
+            stopping_since: None,
+            idle_since: None,
             away: BTreeMap::new(),
             offset: None,
             serving: true,
-            list: ListVersion::default(),
+            upstream_list: ListVersion::default(),
             needs: DemandAverage::default(),
-            lags: Vec::new(),
-            told: 0,
-            behind: None,
-            list_fetched: None,
-            compared: HashMap::new(),
+            delay_reports: Vec::new(),
+            announced_revision: 0,
+            newer_list: None,
+            list_requested_at: None,
+            evacuations_compared: HashMap::new(),
             rollouts_compared: HashMap::new(),
             crashes_compared: HashMap::new(),
-            confirmed_at: None,
+            list_confirmed_at: None,
             doubt: beat.saturating_mul(DOUBT_BEATS),
             notice,
-            calls: PendingCalls::default(),
+            store_calls: PendingCalls::default(),
             signs: BTreeMap::new(),
             former: BTreeMap::new(),
             listed: BTreeSet::new(),
@@ -191,18 +191,18 @@
             leaving: BTreeSet::new(),
             list_version: 0,
             ticked: None,
-            beat_at: None,
-            read_at: None,
-            view_asked: None,
-            view_known: None,
+            heartbeat_at: None,
+            view_read_at: None,
+            view_requested_at: None,
+            view_known_at: None,
             templates_read_at: None,
-            asked_at: None,
+            bootstrap_at: None,
             asked_first: 0,
             asks: 0,
-            wrote_at: None,
-            fetched_at: None,
-            shown: HashMap::new(),
-            news_at: None,
+            view_written_at: None,
+            fetch_sent_at: None,
+            views_pushed: HashMap::new(),
+            confirmations_pending: None,
         }
     }
 
@@ -218,7 +218,7 @@
 
     /// Tells whether this process takes part in full.
     pub(crate) fn is_active(&self) -> bool {
-        self.view.member(self.id()).is_some_and(|m| m.standing == Standing::Active)
+        self.view.member(self.id()).is_some_and(|m| m.standing == MemberState::Active)
     }
 
     /// Notes where a process takes messages that is not in the view: it may have joined a
@@ -241,8 +241,8 @@
 
     /// Notes how much of the list of upstreams is known here; one thread may be behind another.
     pub(crate) fn note_list(&mut self, mark: ListVersion) {
-        if mark.revision >= self.list.revision {
-            self.list = mark;
+        if mark.revision >= self.upstream_list.revision {
+            self.upstream_list = mark;
         }
     }
 
@@ -257,9 +257,9 @@
         let was = self.is_member();
         let observed: BTreeSet<_> = self.watched().map(|(_, m)| m.incarnation).collect();
         let old = std::mem::replace(&mut self.view, Arc::clone(view));
-        self.log.note(&old, view);
+        self.view_log.note(&old, view);
         self.ranks = Ranks::of(view, &self.me);
-        self.removed |= was && !self.is_member() && self.wish != Wish::Quit;
+        self.removed |= was && !self.is_member() && self.intent != MembershipIntent::Quit;
         for member in &self.view.members {
             let sign = Sign { heard: now, ..Sign::default() };
             self.signs.entry(member.incarnation).or_insert(sign);
@@ -281,15 +281,20 @@
         }
         for id in &gone {
             self.signs.remove(id);
-            self.shown.remove(id);
-            self.compared.remove(id);
+            self.views_pushed.remove(id);
+            self.evacuations_compared.remove(id);
             self.rollouts_compared.remove(id);
         }
         Some(gone)
     }
 
     /// Notes a sign of life.
-    pub(crate) fn heard(&mut self, now: Time, from: Incarnation, beat: Option<&Heartbeat>) {
+    pub(crate) fn record_contact(
+        &mut self,
+        now: Time,
+        from: Incarnation,
+        beat: Option<&Heartbeat>,
+    ) {
         let sign = self.signs.entry(from).or_default();
         sign.heard = sign.heard.max(now);
         if let Some(beat) = beat {
@@ -329,7 +334,7 @@
     pub(crate) fn neighbours(&self) -> Vec<Incarnation> {
         let ids: Vec<_> = self.view.members.iter().map(|m| m.incarnation).collect();
         let others = ids.iter().copied().filter(|id| *id != self.id());
-        if ids.len() <= SMALL_VIEW {
+        if ids.len() <= MAX_SMALL_VIEW_MEMBERS {
             return others.collect();
         }
         // Members stand in a ring by number; steps that double reach everyone soon.
@@ -343,7 +348,7 @@
     }
 
     /// Returns to whom news goes that this process passes on to some members before it.
-    pub(crate) fn legs(&self, now: Time, reach: u32) -> Vec<Leg> {
+    pub(crate) fn broadcast_targets(&self, now: Time, reach: u32) -> Vec<Leg> {
         let silent: BTreeSet<_> = self
             .watched()
             .map(|(_, m)| m.incarnation)
@@ -364,14 +369,14 @@
 
     /// Tells whether this process reads whole values from the platform that it knows nothing
     /// of yet; others of its region give it those otherwise.
-    pub(crate) fn reads_first(&self, now: Time) -> bool {
-        let stored = self.known.then_some(&*self.stored);
+    pub(crate) fn is_bootstrap_reader(&self, now: Time) -> bool {
+        let stored = self.stored_known.then_some(&*self.stored);
         first_read::can_read(now, stored, &self.me)
     }
 
     /// Returns the member of this process's region that is asked next for what it knows
     /// nothing of yet: by turns one that knows it early, and another one each time.
-    pub(crate) fn source(&mut self) -> Option<Incarnation> {
+    pub(crate) fn next_bootstrap_peer(&mut self) -> Option<Incarnation> {
         self.asks += 1;
         let early = first_read::tree_parent(&self.view, &self.me).filter(|_| self.asks % 2 == 1);
         if early.is_some() {
@@ -396,9 +401,9 @@
     ///
     /// One that knows the view and wants to join is written into it by a member that it asks:
     /// it reads less often, since many may start at once behind a thin link.
-    pub(crate) fn read_pace(&self, least: Duration) -> Duration {
-        let joins = self.known && !self.is_member() && self.wish == Wish::Join;
-        if joins && self.view.members.len() > SMALL_VIEW {
+    pub(crate) fn view_read_interval(&self, least: Duration) -> Duration {
+        let joins = self.stored_known && !self.is_member() && self.intent == MembershipIntent::Join;
+        if joins && self.view.members.len() > MAX_SMALL_VIEW_MEMBERS {
             return least.saturating_mul(JOINING_READS);
         }
         least
@@ -409,9 +414,9 @@
     ///
     /// In a small view everybody does. In a large one a few do and pass on what changes,
     /// some more if these seem to be cut off, and all only if nobody says anything.
-    pub(crate) fn follows(&self, now: Time, heard: Option<Duration>) -> bool {
+    pub(crate) fn watches_platform(&self, now: Time, heard: Option<Duration>) -> bool {
         let is_member = self.is_member();
-        let is_small = self.view.members.len() <= SMALL_VIEW;
+        let is_small = self.view.members.len() <= MAX_SMALL_VIEW_MEMBERS;
         if is_member && (is_small || self.is_alone(now)) {
             return true;
         }
@@ -422,7 +427,7 @@
     /// Tells whether this process is among the first followers of the platform's values, or
     /// knows no rank of its own.
     pub(crate) fn probes_platform(&self) -> bool {
-        let is_small = self.view.members.len() <= SMALL_VIEW;
+        let is_small = self.view.members.len() <= MAX_SMALL_VIEW_MEMBERS;
         is_small || self.ranks.can_probe()
     }
 
@@ -432,21 +437,21 @@
     }
 
     /// Tells whether this process marks complete views.
-    pub(crate) fn is_marker(&self) -> bool {
+    pub(crate) fn is_completion_writer(&self) -> bool {
         self.ranks.is_completion_writer()
     }
 
     /// Tells whether this process has a view to mark as complete, up to this epoch, that it
     /// knows from peers only.
-    pub(crate) fn marks_unread(&self, complete: Epoch) -> bool {
-        complete == self.view.epoch && self.stored.epoch < complete && self.is_marker()
+    pub(crate) fn must_read_to_complete(&self, complete: Epoch) -> bool {
+        complete == self.view.epoch && self.stored.epoch < complete && self.is_completion_writer()
     }
 
     /// Returns the members that this process should remove from the view.
     ///
     /// Removing a member that is not gone breaks nothing, it only costs a restart.
     /// Those that observe a member take turns, so that one of them usually does it.
-    pub(crate) fn gone(&self, now: Time) -> Vec<Incarnation> {
+    pub(crate) fn members_to_remove(&self, now: Time) -> Vec<Incarnation> {
         let mut gone = Vec::new();
         let watched: Vec<_> = self.watched().collect();
         let heard = |m: &&Member| self.silence(now, m.incarnation) < self.doubt;
@@ -467,7 +472,7 @@
     }
 
     /// Describes the removal of a member for the log.
-    pub(crate) fn removal(&self, now: Time, id: Incarnation) -> Note {
+    pub(crate) fn removal_entry(&self, now: Time, id: Incarnation) -> Note {
         let vm = self.view.member(id).map_or_else(|| self.me.vm.clone(), |m| m.vm.clone());
         let (silence, epoch) = (self.silence(now, id), self.stored.epoch);
         Note::Removes { member: id, vm, silence, epoch }
@@ -482,7 +487,7 @@
             if distance == 0 {
                 return None;
             }
-            if count <= SMALL_VIEW {
+            if count <= MAX_SMALL_VIEW_MEMBERS {
                 return Some((u32::try_from(distance - 1).ok()?, member));
             }
             let step = distance.trailing_zeros();
@@ -497,7 +502,7 @@
     }
 
     /// Returns the members that callers may be sent to.
-    pub(crate) fn usable(&self, now: Time) -> Vec<Member> {
+    pub(crate) fn available_members(&self, now: Time) -> Vec<Member> {
         let silent: BTreeSet<_> = self
             .watched()
             .map(|(_, m)| m.incarnation)
@@ -506,7 +511,7 @@
         self.view
             .members
             .iter()
-            .filter(|m| m.standing == Standing::Active && !self.leaving.contains(&m.vm))
+            .filter(|m| m.standing == MemberState::Active && !self.leaving.contains(&m.vm))
             .filter(|m| !self.unlisted.contains(&m.vm))
             .filter(|m| !silent.contains(&m.incarnation) && !self.is_closed(now, m.incarnation))
             .cloned()
@@ -514,13 +519,13 @@
     }
 
     /// Notes that a member could not reach the platform.
-    pub(crate) fn note_away(&mut self, now: Time, id: Incarnation) {
+    pub(crate) fn record_store_failure(&mut self, now: Time, id: Incarnation) {
         self.away.retain(|_, at| now.since(*at) < AWAY);
         self.away.insert(id, now);
     }
 
     /// Tells whether a member could not reach the platform a moment ago.
-    pub(crate) fn is_away(&self, now: Time, id: Incarnation) -> bool {
+    pub(crate) fn has_store_failure(&self, now: Time, id: Incarnation) -> bool {
         self.away.get(&id).is_some_and(|at| now.since(*at) < AWAY)
     }
 
@@ -530,12 +535,12 @@
     }
 
     /// Returns this VM's time of day.
-    pub(crate) fn wall(&self, now: Time) -> Option<u64> {
+    pub(crate) fn wall_ms(&self, now: Time) -> Option<u64> {
         self.offset.map(|offset| offset.saturating_add(millis(now)))
     }
 
     /// Reads the fleet's time off the clocks of all members that were heard of late.
-    pub(crate) fn clock(&self, now: Time) -> FleetClock {
+    pub(crate) fn fleet_clock(&self, now: Time) -> FleetClock {
         let told = self.signs.values().filter(|sign| now.since(sign.told) < self.doubt);
         let offsets = told.filter_map(|sign| sign.offset).chain(self.offset).collect();
         FleetClock::from_offsets(offsets, self.clock_quorum())
@@ -545,7 +550,7 @@
     /// large to hear everyone, three quarters of those that are heard.
     fn clock_quorum(&self) -> usize {
         let members = self.view.members.len();
-        if members <= SMALL_VIEW {
+        if members <= MAX_SMALL_VIEW_MEMBERS {
             return members / 2 + 1;
         }
         let heard = self.watched().count() + 1;
--- a/crates/badgerfield-core/src/message.rs
+++ b/crates/badgerfield-core/src/message.rs
@@ -7,10 +7,10 @@
 use serde::{Deserialize, Serialize};
 
 use crate::amount::Tokens;
-use crate::confirmations::Confirmed;
+use crate::confirmations::ConfirmationReport;
 use crate::evacuation::DomainChange;
 use crate::ids::{
-    Account, BudgetId, Epoch, Incarnation, Period, Region, RequestKey, UpstreamId, Version,
+    Account, BudgetId, Epoch, Incarnation, Period, Region, RequestKey, TemplateVersion, UpstreamId,
 };
 use crate::lag::DelayReport;
 use crate::ledger::{LedgerOp, LedgerReply};
@@ -31,7 +31,7 @@
     /// Who sent it.
     pub from: Incarnation,
     /// Where the sender takes messages: the receiver may not know it as a member yet.
-    pub address: SocketAddr,
+    pub sender_address: SocketAddr,
     /// For whom it is.
     pub to: Incarnation,
     /// What it says.
@@ -50,14 +50,14 @@
         /// The epoch that the sender has.
         epoch: Epoch,
         /// The version of the templates that the sender has.
-        version: Version,
+        version: TemplateVersion,
         /// Whether the sender wants the whole set.
         whole: bool,
     },
     /// A newer view, as a difference where the sender knows one.
     View(ViewUpdate),
     /// Newer templates, as a difference.
-    Delta(Box<TemplateDelta>),
+    TemplateDelta(Box<TemplateDelta>),
     /// Newer templates, whole.
     Templates(Box<TemplateSet>),
     /// Changes of the list of upstreams, passed on to all.
@@ -85,13 +85,13 @@
     /// How the requests of the sender went at a service of which the receiver is a judge.
     RolloutReport(RolloutReport),
     /// Asks for changes in the ledger.
-    Draw(Vec<LedgerOp>),
+    LedgerRequest(Vec<LedgerOp>),
     /// What became of changes in the ledger.
-    Drawn(Vec<(BudgetId, Period, LedgerReply)>),
+    LedgerReplies(Vec<(BudgetId, Period, LedgerReply)>),
     /// Asks another holder for tokens.
     Ask(Ask),
     /// Answers an [`Ask`] that has nothing to give.
-    Nothing {
+    NoTokens {
         /// The budget.
         budget: BudgetId,
         /// The period.
@@ -100,23 +100,23 @@
         /// be.
         need: Tokens,
         /// Why there is nothing.
-        lack: Lack,
+        reason: NoTokensReason,
     },
     /// Hands tokens over; resent until acknowledged.
     Transfer(Transfer),
     /// Acknowledges a transfer.
-    Transferred {
+    TransferAck {
         /// The transfer's sequence number.
         seq: u64,
     },
     /// Sets parked amounts; resent until acknowledged.
     Park(Vec<ParkItem>),
     /// Acknowledges parked amounts.
-    Parked(Vec<ParkItem>),
+    ParkAck(Vec<ParkItem>),
     /// Asks the arbiter for the right to run a key.
-    Claim(ClaimAsk),
+    ClaimRequest(ClaimRequest),
     /// The arbiter's answer.
-    Claimed {
+    ClaimReply {
         /// The key.
         key: RequestKey,
         /// The serial number of the ask.
@@ -124,17 +124,17 @@
         /// The arbiter's epoch.
         epoch: Epoch,
         /// What it decided.
-        verdict: Verdict,
+        decision: ClaimDecision,
     },
     /// Keeps a second copy of a claim.
-    Copy {
+    ClaimBackup {
         /// The arbiter's epoch.
         epoch: Epoch,
         /// The claim.
         claim: ClaimRecord,
     },
     /// Acknowledges a copy.
-    Copied {
+    ClaimBackupAck {
         /// The key.
         key: RequestKey,
         /// The owner's serial number.
@@ -159,9 +159,9 @@
         serial: u64,
     },
     /// The owner's request has ended; asks whether the owner may bill it.
-    Settle(SettleAsk),
+    SettleRequest(SettleRequest),
     /// Tells whether the owner may bill the request.
-    Settled {
+    SettleReply {
         /// The charge.
         id: ChargeId,
         /// The arbiter's epoch.
@@ -170,20 +170,20 @@
         billed: bool,
     },
     /// Charges that the sender cannot settle before it ends.
-    Charges(Vec<ChargeNote>),
+    Charges(Vec<PendingCharge>),
     /// Acknowledges charges that were taken over.
-    ChargesTaken(Vec<ChargeId>),
+    ChargesAck(Vec<ChargeId>),
     /// Claims that the receiver now decides about or keeps.
     Handover(HandoverPart),
     /// Acknowledges a part of a hand-over.
-    HandedOver {
+    HandoverAck {
         /// The view's number.
         epoch: Epoch,
         /// The part's number.
         part: u32,
     },
     /// Asks the owner of a key for the answer from an offset on.
-    Attach {
+    AnswerRequest {
         /// The key.
         key: RequestKey,
         /// The region that decides about the key.
@@ -194,7 +194,7 @@
         offset: u64,
     },
     /// A part of an answer.
-    Part(AnswerPart),
+    AnswerPart(AnswerPart),
     /// The owner is still at it and has nothing new.
     Pending {
         /// The key.
@@ -220,8 +220,8 @@
         match self {
             Self::Heartbeat(_) => "heartbeat",
             Self::Fetch { .. } | Self::Join(_) | Self::View(_) => "view",
-            Self::Delta(_) | Self::Templates(_) => "templates",
-            Self::Draw(_) | Self::Drawn(_) => "draw",
+            Self::TemplateDelta(_) | Self::Templates(_) => "templates",
+            Self::LedgerRequest(_) | Self::LedgerReplies(_) => "draw",
             Self::UpstreamChanges(_) | Self::FetchUpstreams { .. } | Self::Upstreams(_) => {
                 "upstreams"
             }
@@ -229,19 +229,21 @@
             Self::Rollouts(_) | Self::CompareRollouts(_) | Self::RolloutReport(_) => "rollouts",
             Self::Crashes(_) | Self::CompareCrashes(_) => "crashes",
             Self::Limits(_) => "limits",
-            Self::Ask(_) | Self::Nothing { .. } => "ask",
-            Self::Transfer(_) | Self::Transferred { .. } => "transfer",
-            Self::Park(_) | Self::Parked(_) => "park",
-            Self::Claim(_) | Self::Claimed { .. } => "claim",
-            Self::Copy { .. } | Self::Copied { .. } => "copy",
+            Self::Ask(_) | Self::NoTokens { .. } => "ask",
+            Self::Transfer(_) | Self::TransferAck { .. } => "transfer",
+            Self::Park(_) | Self::ParkAck(_) => "park",
+            Self::ClaimRequest(_) | Self::ClaimReply { .. } => "claim",
+            Self::ClaimBackup { .. } | Self::ClaimBackupAck { .. } => "copy",
             Self::Dispatching { .. } | Self::Release { .. } => "progress",
-            Self::Settle(_) | Self::Settled { .. } | Self::Charges(_) | Self::ChargesTaken(_) => {
-                "settle"
-            }
-            Self::Handover(_) | Self::HandedOver { .. } => "handover",
-            Self::Attach { .. } | Self::Part(_) | Self::Pending { .. } | Self::NotHere { .. } => {
-                "answer"
-            }
+            Self::SettleRequest(_)
+            | Self::SettleReply { .. }
+            | Self::Charges(_)
+            | Self::ChargesAck(_) => "settle",
+            Self::Handover(_) | Self::HandoverAck { .. } => "handover",
+            Self::AnswerRequest { .. }
+            | Self::AnswerPart(_)
+            | Self::Pending { .. }
+            | Self::NotHere { .. } => "answer",
         }
     }
 
@@ -308,9 +310,9 @@
     /// The epoch that the sender has.
     pub epoch: Epoch,
     /// What the sender knows of the hand-overs of its epoch.
-    pub confirmed: Confirmed,
+    pub confirmed: ConfirmationReport,
     /// The version of the templates in force at the sender.
-    pub version: Version,
+    pub version: TemplateVersion,
     /// Whether the sender serves callers.
     pub serving: bool,
     /// How much the sender knows of the list of upstreams.
@@ -345,9 +347,9 @@
 
 /// Why a process has no tokens to give.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Lack {
+pub enum NoTokensReason {
     /// It does not hold the budget, or does not know its period.
-    NoHolder,
+    NotHolder,
     /// Something may come back from running requests, or from the ledger, after a while.
     Reserved(Duration),
     /// Nothing is left.
@@ -360,7 +362,7 @@
     /// The giver's sequence number towards this receiver.
     pub seq: u64,
     /// Every number up to this one is acknowledged.
-    pub floor: u64,
+    pub acked_seq: u64,
     /// The budget.
     pub budget: BudgetId,
     /// The period.
@@ -386,7 +388,7 @@
 
 /// A wish to run a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClaimAsk {
+pub struct ClaimRequest {
     /// The key.
     pub key: RequestKey,
     /// The region that decides about the key, where one does.
@@ -396,20 +398,20 @@
     /// The asker's epoch.
     pub epoch: Epoch,
     /// Whether the request may run at most once.
-    pub once: bool,
+    pub at_most_once: bool,
     /// The owner that the asker replaces, because it could not be reached.
-    pub over: Option<(Incarnation, u64)>,
+    pub replaces: Option<(Incarnation, u64)>,
 }
 
 /// What the arbiter decided.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum ClaimDecision {
     /// The asker may run the request.
     Granted {
         /// The upstream on which an earlier owner ran it.
-        earlier: Option<UpstreamId>,
+        previous_upstream: Option<UpstreamId>,
         /// How often the key has changed its owner.
-        turn: u32,
+        owner_changes: u32,
     },
     /// Another process owns the key.
     Owned {
@@ -428,12 +430,12 @@
         hint: Option<UpstreamId>,
     },
     /// The key's memory may be lost, so an unrepeatable request is not run.
-    Doubtful,
+    Uncertain,
 }
 
 /// A wish to bill a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SettleAsk {
+pub struct SettleRequest {
     /// The key.
     pub key: RequestKey,
     /// The region that decides about the key.
@@ -455,7 +457,7 @@
 
 /// What an ended request costs, until its arbiter says who bills it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ChargeNote {
+pub struct PendingCharge {
     /// The name.
     pub id: ChargeId,
     /// The account.
@@ -553,7 +555,7 @@
     /// The view's number.
     pub epoch: Epoch,
     /// The part's number, from 0 on.
-    pub part: u32,
+    pub index: u32,
     /// The claims.
     pub claims: Vec<ClaimRecord>,
 }
--- a/crates/badgerfield-core/src/mix.rs
+++ b/crates/badgerfield-core/src/mix.rs
@@ -70,7 +70,7 @@
     /// The prompt tokens that the engine was expected to read.
     pub uncached_tokens: u64,
     /// From sending the request to its first event.
-    pub first: Duration,
+    pub time_to_first: Duration,
     /// From the first event to the last.
     pub stream_time: Duration,
 }
@@ -104,7 +104,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineDivision {
     /// From this length on a prompt counts as long, in tokens.
-    pub long_from: f64,
+    pub long_threshold: f64,
     /// The part of the engines, from 0 to 1, that takes short prompts.
     pub short_share: f64,
 }
@@ -112,20 +112,20 @@
 impl EngineDivision {
     /// Divides engines by what the groups need; nothing if only one group is known.
     #[must_use]
-    pub fn of(needs: &EngineDemand) -> Option<Self> {
+    pub fn from_demand(needs: &EngineDemand) -> Option<Self> {
         if needs.long_threshold == 0 || needs.short == 0 || needs.long == 0 {
             return None;
         }
         let (short, long) = (f64::from(needs.short), f64::from(needs.long));
         let share = short / (short + long);
         let short_share = share.clamp(LEAST_SHARE, 1.0 - LEAST_SHARE);
-        Some(Self { long_from: f64::from(needs.long_threshold), short_share })
+        Some(Self { long_threshold: f64::from(needs.long_threshold), short_share })
     }
 
     /// Returns the group of a prompt.
     #[must_use]
     pub fn group(&self, prompt: f64) -> PromptGroup {
-        if prompt >= self.long_from { PromptGroup::Long } else { PromptGroup::Short }
+        if prompt >= self.long_threshold { PromptGroup::Long } else { PromptGroup::Short }
     }
 
     /// Tells whether the engine at a place, from 0 to 1, takes a group.
@@ -190,7 +190,7 @@
 
 impl Pace {
     fn note(&mut self, seen: &ObservedTiming) {
-        let wait = seen.first.as_secs_f64() * 1e3;
+        let wait = seen.time_to_first.as_secs_f64() * 1e3;
         if wait <= LONGEST_READ_MS {
             let x = float(seen.uncached_tokens) / 1e3;
             let sums = [&mut self.count, &mut self.x, &mut self.y, &mut self.xx, &mut self.xy];
@@ -240,13 +240,13 @@
     }
 
     /// Notes how a request of a route went.
-    pub fn ended(&mut self, route: &str, seen: &ObservedTiming) {
+    pub fn record_timing(&mut self, route: &str, seen: &ObservedTiming) {
         self.pace.note(seen);
         let Some(mix) = self.routes.get_mut(route) else {
             return;
         };
         mix.unread.note(float(seen.uncached_tokens));
-        mix.busy.note((seen.first + seen.stream_time).as_secs_f64() * 1e3);
+        mix.busy.note((seen.time_to_first + seen.stream_time).as_secs_f64() * 1e3);
     }
 
     /// Returns the time in which an engine reads a prompt token, in milliseconds.
@@ -270,7 +270,7 @@
     /// Divides the engines by what all processes need; returns the
     /// division if that is news.
     pub fn divide(&mut self, needs: &EngineDemand) -> Option<EngineDivision> {
-        self.division = EngineDivision::of(needs);
+        self.division = EngineDivision::from_demand(needs);
         let division = self.division?;
         if (division.short_share - self.told).abs() < NEWS {
             return None;
@@ -282,7 +282,7 @@
     /// Returns what the requests of this process need of engines with so many slots.
     pub fn demand(&mut self, now: Time, service: &Service, slots: u32) -> EngineDemand {
         self.routes.retain(|_, mix| mix.level(now) > 0.01);
-        let agreed = self.division.map(|division| division.long_from);
+        let agreed = self.division.map(|division| division.long_threshold);
         let own = self.long_from(now);
         let Some(border) = own.or(agreed) else {
             return EngineDemand { service: service_number(service), ..EngineDemand::default() };
--- a/crates/badgerfield-core/src/node.rs
+++ b/crates/badgerfield-core/src/node.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use crate::amount::{Time, Tokens};
-use crate::board::Board;
+use crate::board::SharedState;
 use crate::claims::Claims;
 use crate::evacuation::DomainChange;
 use crate::event::{Event, Order, Outbox};
 use crate::holdings::{HoldingBalance, Holdings};
-use crate::ids::{BudgetId, Epoch, Incarnation, RunId, UpstreamId, Version};
+use crate::ids::{BudgetId, Epoch, Incarnation, RunId, TemplateVersion, UpstreamId};
 use crate::ledger_writer::LedgerWriter;
 use crate::membership::Membership;
 use crate::message::{Envelope, Message};
@@ -20,28 +20,28 @@
 use crate::runs::{RunKey, Runs};
 use crate::template::TemplateSet;
 use crate::upstream::UpstreamKind;
-use crate::view::{Member, SMALL_VIEW, Standing, View};
+use crate::view::{MAX_SMALL_VIEW_MEMBERS, Member, MemberState, View};
 use crate::warm_up::Senders;
 
 /// How often a driver sends [`Event::Tick`].
-pub const TICK: Duration = Duration::from_millis(50);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How far ahead and how often a process does its regular work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Pacing {
     /// The longest demand, in time, that spending rights are held ahead for.
-    pub ahead: Duration,
+    pub hold_ahead: Duration,
     /// How often a holding reports what it billed, and gets its share anew.
-    pub report: Duration,
+    pub report_interval: Duration,
     /// How often signs of life are sent.
-    pub beat: Duration,
+    pub heartbeat_interval: Duration,
     /// How long the platform may take at a stop to take holdings back; then they go to
     /// another process.
-    pub hand_on: Duration,
+    pub return_timeout: Duration,
     /// How long upstreams that leave take requests after they have said so.
-    pub notice: Duration,
+    pub leave_notice: Duration,
     /// Whether tokens that are held ahead are sealed, instead of parked with a peer.
-    pub seals: bool,
+    pub seal_holdings: bool,
     /// What the platform allows versions that are rolled out.
     pub rollout: RolloutBound,
     /// What may be set otherwise to measure its worth.
@@ -51,12 +51,12 @@
 impl Default for Pacing {
     fn default() -> Self {
         Self {
-            ahead: Duration::from_secs(7200),
-            report: Duration::from_secs(5),
-            beat: Duration::from_secs(1),
-            hand_on: Duration::from_secs(8),
-            notice: Duration::from_secs(3),
-            seals: false,
+            hold_ahead: Duration::from_secs(7200),
+            report_interval: Duration::from_secs(5),
+            heartbeat_interval: Duration::from_secs(1),
+            return_timeout: Duration::from_secs(8),
+            leave_notice: Duration::from_secs(3),
+            seal_holdings: false,
             rollout: RolloutBound::default(),
             policy: Policy::default(),
         }
@@ -69,13 +69,13 @@
     /// This process.
     pub member: Member,
     /// How many values the ledger is divided into; the same everywhere.
-    pub shards: u32,
+    pub ledger_shards: u32,
     /// How long keys are remembered.
-    pub remember: Duration,
+    pub key_retention: Duration,
     /// How long ended answers are kept for retries.
-    pub replay: Duration,
+    pub answer_retention: Duration,
     /// How many bytes of ended answers are kept.
-    pub max_replay: usize,
+    pub max_answer_bytes: usize,
     /// How long callers may keep an answer of the directory.
     pub directory_ttl: Duration,
     /// How far ahead and how often it does its regular work.
@@ -87,7 +87,7 @@
 /// One process of the system.
 #[derive(Debug)]
 pub struct Node {
-    pub(crate) board: Board,
+    pub(crate) state: SharedState,
     pub(crate) config: Config,
 }
 
@@ -108,9 +108,9 @@
     /// The view in force.
     pub epoch: Epoch,
     /// The newest epoch whose hand-overs are complete.
-    pub complete: Epoch,
+    pub complete_epoch: Epoch,
     /// The templates in force.
-    pub version: Version,
+    pub template_version: TemplateVersion,
     /// Whether it takes part in full.
     pub active: bool,
     /// Whether it is stopping.
@@ -122,15 +122,15 @@
     /// Requests that wait for an upstream.
     pub queued: usize,
     /// Keys that are remembered.
-    pub claims: usize,
+    pub remembered_keys: usize,
     /// Charges that wait for an arbiter's word.
-    pub unsettled: usize,
+    pub unsettled_charges: usize,
     /// Bytes of ended answers.
-    pub kept: usize,
+    pub answer_bytes: usize,
     /// Ledger writes that met another value, and all ledger writes.
-    pub conflicts: (u64, u64),
+    pub write_counts: (u64, u64),
     /// Tokens served beyond what was set aside.
-    pub excess: Tokens,
+    pub excess_tokens: Tokens,
     /// The budgets that are held here.
     pub budgets: Vec<BudgetStatus>,
 }
@@ -140,19 +140,22 @@
     #[must_use]
     pub fn new(config: Config) -> Self {
         let me = config.member.incarnation;
-        let members =
-            Membership::new(config.member.clone(), config.pacing.beat, config.pacing.notice);
-        let runs = Runs::new(config.replay, config.max_replay);
-        let claims = Claims::new(me, config.remember);
-        let ledger_writer = LedgerWriter::new(config.shards, config.pacing.report);
+        let members = Membership::new(
+            config.member.clone(),
+            config.pacing.heartbeat_interval,
+            config.pacing.leave_notice,
+        );
+        let runs = Runs::new(config.answer_retention, config.max_answer_bytes);
+        let claims = Claims::new(me, config.key_retention);
+        let ledger_writer = LedgerWriter::new(config.ledger_shards, config.pacing.report_interval);
         let holdings = Holdings::new(
             me,
             config.member.vm.clone(),
             config.member.region.clone(),
             config.pacing,
         );
-        let board = Board::new(members, runs, claims, holdings, ledger_writer);
-        Self { board, config }
+        let board = SharedState::new(members, runs, claims, holdings, ledger_writer);
+        Self { state: board, config }
     }
 
     /// Returns this run of the process.
@@ -172,37 +175,37 @@
     /// Returns the view in force.
     #[must_use]
     pub fn view(&self) -> View {
-        View::clone(&self.board.members().view)
+        View::clone(&self.state.membership().view)
     }
 
     /// Returns the address for the messages of another process.
     #[must_use]
     pub fn peer_address(&self, id: Incarnation) -> Option<SocketAddr> {
-        self.board.members().address(id)
+        self.state.membership().address(id)
     }
 
     /// Returns the version of the templates in force.
     #[must_use]
-    pub fn version(&self) -> Version {
-        self.board.templates().version
+    pub fn version(&self) -> TemplateVersion {
+        self.state.templates().version
     }
 
     /// Returns the figures of one budget at this process.
     #[must_use]
     pub fn figures(&self, budget: &BudgetId) -> HoldingBalance {
-        self.board.holdings().balance(budget)
+        self.state.holdings().balance(budget)
     }
 
     /// Returns the address of an upstream.
     #[must_use]
     pub fn upstream_address(&self, id: &UpstreamId) -> Option<SocketAddr> {
-        self.board.upstreams().get(id).map(|u| u.info.address)
+        self.state.upstreams().get(id).map(|u| u.info.address)
     }
 
     /// Returns the addresses of all engines.
     #[must_use]
-    pub fn upstream_addresses(&self) -> Vec<(UpstreamId, SocketAddr)> {
-        let table = self.board.upstreams();
+    pub fn engine_addresses(&self) -> Vec<(UpstreamId, SocketAddr)> {
+        let table = self.state.upstreams();
         let engines = table.iter().filter(|u| matches!(u.info.kind, UpstreamKind::Engine(_)));
         engines.map(|u| (u.info.id.clone(), u.info.address)).collect()
     }
@@ -210,124 +213,124 @@
     /// Returns how many members the view has; at least one, this process.
     #[must_use]
     pub fn member_count(&self) -> usize {
-        self.board.members().view.members.len().max(1)
+        self.state.membership().view.members.len().max(1)
     }
 
     /// Tells whether everybody does here what in a large fleet is left to a few.
     #[must_use]
     pub fn is_small_fleet(&self) -> bool {
-        self.board.members().view.members.len() <= SMALL_VIEW
+        self.state.membership().view.members.len() <= MAX_SMALL_VIEW_MEMBERS
     }
 
     /// Makes the table in which requests on routes are looked up.
     #[must_use]
-    pub fn route_table(&self) -> (Version, RouteTable) {
-        let set = self.board.templates();
+    pub fn route_table(&self) -> (TemplateVersion, RouteTable) {
+        let set = self.state.templates();
         (set.version, RouteTable::new(&set))
     }
 
     /// Returns what is known of evacuated failure domains.
     #[must_use]
     pub fn evacuations(&self) -> Vec<DomainChange> {
-        self.board.evacuations().changes()
+        self.state.evacuations().changes()
     }
 
     /// Returns the state of all roll-outs that are known.
     #[must_use]
-    pub fn rollouts(&self, now: Time) -> Vec<RolloutStatus> {
-        self.board.rollouts().status(now)
+    pub fn rollout_statuses(&self, now: Time) -> Vec<RolloutStatus> {
+        self.state.rollouts().status(now)
     }
 
     /// Tells whether anything is held against any request.
     #[must_use]
     pub fn has_suspects(&self) -> bool {
-        !self.board.poison().is_empty()
+        !self.state.poison().is_empty()
     }
 
     /// Returns what is held against a request.
     #[must_use]
-    pub fn request_standing(&self, now: Time, request: Fingerprint) -> RequestStanding {
-        self.board.poison().status(now, request)
+    pub fn request_status(&self, now: Time, request: Fingerprint) -> RequestStanding {
+        self.state.poison().status(now, request)
     }
 
     /// Returns how often an upstream is known to have ended under a request.
     #[must_use]
-    pub fn ends_under(&self, request: Fingerprint, upstream: &UpstreamId) -> u32 {
-        self.board.poison().crash_count(request, upstream)
+    pub fn crash_count(&self, request: Fingerprint, upstream: &UpstreamId) -> u32 {
+        self.state.poison().crash_count(request, upstream)
     }
 
     /// Returns who may send to cold upstreams by the view in force.
     #[must_use]
-    pub fn senders(&self) -> Senders {
-        let members = self.board.members();
-        let active = members.view.members.iter().filter(|m| m.standing == Standing::Active);
+    pub fn warm_up_senders(&self) -> Senders {
+        let members = self.state.membership();
+        let active = members.view.members.iter().filter(|m| m.standing == MemberState::Active);
         Senders::new(&self.config.member.vm, active.map(|m| &m.vm))
     }
 
     /// Returns the templates in force.
     #[must_use]
     pub fn templates(&self) -> TemplateSet {
-        self.board.templates().clone()
+        self.state.templates().clone()
     }
 
     /// Tells whether callers may be sent here.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let (is_active, stopping) = {
-            let members = self.board.members();
-            (members.is_active(), members.stopping.is_some())
+            let members = self.state.membership();
+            (members.is_active(), members.stopping_since.is_some())
         };
-        is_active && !stopping && self.board.rollouts().is_synced()
+        is_active && !stopping && self.state.rollouts().is_synced()
     }
 
     /// Returns the state of the process, for operators.
     #[must_use]
     pub fn status(&self) -> Status {
         let (epoch, active, stopping, members) = {
-            let table = self.board.members();
+            let table = self.state.membership();
             (
                 table.view.epoch,
                 table.is_active(),
-                table.stopping.is_some(),
+                table.stopping_since.is_some(),
                 table.view.members.len(),
             )
         };
-        let version = self.board.templates().version;
+        let version = self.state.templates().version;
         let (running, kept) = {
-            let runs = self.board.runs();
+            let runs = self.state.runs();
             (runs.active_count(), runs.replay_bytes())
         };
-        let unsettled = self.board.charges().len();
-        let queued = self.board.queue().len();
+        let unsettled = self.state.charges().len();
+        let queued = self.state.queue().len();
         let (complete, claims) = {
-            let table = self.board.claims();
+            let table = self.state.claims();
             (table.complete_epoch(), table.len())
         };
         let (excess, budgets) = {
-            let table = self.board.holdings();
+            let table = self.state.holdings();
             let status = |budget: &BudgetId| BudgetStatus {
                 budget: budget.clone(),
                 figures: table.balance(budget),
             };
             (table.excess(), table.budgets().map(status).collect())
         };
-        let conflicts = self.board.ledger_writer().write_counts();
+        let conflicts = self.state.ledger_writer().write_counts();
         let incarnation = self.id();
         Status {
             incarnation,
             epoch,
-            complete,
-            version,
+            complete_epoch: complete,
+            template_version: version,
             active,
             stopping,
             members,
             running,
             queued,
-            claims,
-            unsettled,
-            kept,
-            conflicts,
-            excess,
+            remembered_keys: claims,
+            unsettled_charges: unsettled,
+            answer_bytes: kept,
+            write_counts: conflicts,
+            excess_tokens: excess,
             budgets,
         }
     }
@@ -342,12 +345,12 @@
             Event::Arrived(request, arrival) => self.handle_request(now, request, *arrival, out),
             Event::HungUp(request) => self.handle_caller_disconnect(now, request, out),
             Event::Upstream(attempt, event) => self.handle_upstream_event(now, attempt, event, out),
-            Event::Load(id, report) => self.board.upstreams().apply_report(now, &id, report),
+            Event::Load(id, report) => self.state.upstreams().apply_report(now, &id, report),
             Event::Peer(envelope) => self.peer(now, envelope, out),
             Event::KeyValue(ticket, result) => self.handle_store_result(now, ticket, result, out),
             Event::VmList(list) => {
-                self.board.members().learn(&list);
-                self.board.upstreams().learn(&list);
+                self.state.membership().learn(&list);
+                self.state.upstreams().learn(&list);
             }
             Event::Templates(found) => self.apply_stored_templates(now, &found, out),
             Event::Operators(found) => self.apply_operator_values(now, found, out),
@@ -355,20 +358,20 @@
             Event::Reserve(ask) => self.reserve_for_route(now, &ask, out),
             Event::Withdraw(ask) => self.cancel_reserve(now, &ask, out),
             Event::Settle(end) => self.settle_reservation(now, &end, out),
-            Event::Clock(wall) => self.board.members().set_wall(now, wall),
-            Event::Serving(serving) => self.board.members().serving = serving,
+            Event::Clock(wall) => self.state.membership().set_wall(now, wall),
+            Event::Serving(serving) => self.state.membership().serving = serving,
             Event::UpstreamChanges(news) => self.announce_upstream_changes(now, &news, out),
             Event::UpstreamsMissed(from, revision) => {
                 self.fetch_missing_upstreams(now, from, revision, out);
             }
             Event::UpstreamsDiffer(from) => self.fetch_all_upstreams(now, from, out),
-            Event::ListMark(mark) => self.board.members().note_list(mark),
+            Event::ListMark(mark) => self.state.membership().note_list(mark),
             Event::EngineNeeds(own) => {
-                let mut members = self.board.members();
+                let mut members = self.state.membership();
                 members.needs.set_own(own);
                 out.push(Order::DivideEngines(members.needs.average(now)));
             }
-            Event::Lags(lags) => self.board.members().lags = lags,
+            Event::Lags(lags) => self.state.membership().delay_reports = lags,
             Event::Limits(notes) => self.send_limits(&notes, out),
             Event::RolloutTallies(tallies) => self.record_rollout_tallies(now, tallies, out),
             Event::Crashed(crash) => self.record_crash(now, crash, out),
@@ -379,11 +382,11 @@
 
     fn tick(&self, now: Time, out: &mut Outbox) {
         let clock = {
-            let mut members = self.board.members();
+            let mut members = self.state.membership();
             members.tick(now);
-            members.clock(now)
+            members.fleet_clock(now)
         };
-        self.board.holdings().set_clock(clock);
+        self.state.holdings().set_clock(clock);
         self.tick_heartbeat(now, out);
         self.tick_rollouts(now, out);
         self.tick_poison(now, out);
@@ -409,9 +412,9 @@
         }
         let from = envelope.from;
         {
-            let mut members = self.board.members();
-            members.heard(now, from, None);
-            members.meet(from, envelope.address);
+            let mut members = self.state.membership();
+            members.record_contact(now, from, None);
+            members.meet(from, envelope.sender_address);
         }
         match envelope.message {
             Message::Heartbeat(beat) => self.handle_heartbeat(now, from, &beat, out),
@@ -420,7 +423,7 @@
             }
             Message::Join(guest) => self.handle_join_request(now, from, guest, out),
             Message::View(update) => self.update_view(now, from, &update, out),
-            Message::Delta(delta) => self.apply_template_delta(now, from, *delta, out),
+            Message::TemplateDelta(delta) => self.apply_template_delta(now, from, *delta, out),
             Message::Templates(set) => self.apply_templates(now, *set, out),
             Message::UpstreamChanges(news) => self.receive_upstream_update(now, from, news, out),
             Message::FetchUpstreams { since } => out.push(Order::TellUpstreams(from, since)),
@@ -432,47 +435,47 @@
             Message::CompareRollouts(theirs) => self.reconcile_rollouts(now, from, &theirs, out),
             Message::Crashes(news) => self.receive_crash_update(now, from, news, out),
             Message::CompareCrashes(theirs) => self.reconcile_crashes(now, from, &theirs, out),
-            Message::RolloutReport(report) => self.board.rollouts().hear(from, report),
-            Message::Draw(ops) => self.handle_ledger_request(now, ops, out),
-            Message::Drawn(replies) => self.apply_ledger_replies(now, from, replies, out),
-            Message::Ask(ask) => self.board.holdings().handle_token_request(now, from, &ask, out),
-            Message::Nothing { budget, need, lack, .. } => {
-                self.board.holdings().handle_no_tokens(now, from, &budget, (need, lack), out);
+            Message::RolloutReport(report) => self.state.rollouts().apply_report(from, report),
+            Message::LedgerRequest(ops) => self.handle_ledger_request(now, ops, out),
+            Message::LedgerReplies(replies) => self.apply_ledger_replies(now, from, replies, out),
+            Message::Ask(ask) => self.state.holdings().handle_token_request(now, from, &ask, out),
+            Message::NoTokens { budget, need, reason: lack, .. } => {
+                self.state.holdings().handle_no_tokens(now, from, &budget, (need, lack), out);
             }
             Message::Transfer(transfer) => self.receive_transfer(now, from, &transfer, out),
-            Message::Transferred { seq } => self.board.holdings().confirm_transfer(now, from, seq),
+            Message::TransferAck { seq } => self.state.holdings().confirm_transfer(now, from, seq),
             Message::Park(items) => self.handle_park(now, from, &items, out),
-            Message::Parked(items) => self.board.holdings().confirm_parked(now, from, &items, out),
-            Message::Claim(ask) => self.handle_claim_request(now, from, &ask, out),
-            Message::Claimed { key, serial, epoch, verdict } => {
+            Message::ParkAck(items) => self.state.holdings().confirm_parked(now, from, &items, out),
+            Message::ClaimRequest(ask) => self.handle_claim_request(now, from, &ask, out),
+            Message::ClaimReply { key, serial, epoch, decision: verdict } => {
                 self.handle_claim_reply(now, from, (key, serial, epoch), verdict, out);
             }
-            Message::Copy { epoch, claim } => {
+            Message::ClaimBackup { epoch, claim } => {
                 self.record_claim_backup(now, from, epoch, &claim, out)
             }
-            Message::Copied { key, serial, ended } => {
+            Message::ClaimBackupAck { key, serial, ended } => {
                 self.handle_claim_backup_ack(now, from, (key, RunId(serial), ended), out);
             }
             Message::Dispatching { key, serial, upstream } => {
-                self.board.claims().record_dispatch(now, from, key, serial, upstream);
+                self.state.claims().record_dispatch(now, from, key, serial, upstream);
             }
-            Message::Release { key, serial } => self.board.claims().release(from, key, serial),
-            Message::Settle(ask) => self.handle_settle_request(now, from, &ask, out),
-            Message::Settled { id, epoch, billed } => {
+            Message::Release { key, serial } => self.state.claims().release(from, key, serial),
+            Message::SettleRequest(ask) => self.handle_settle_request(now, from, &ask, out),
+            Message::SettleReply { id, epoch, billed } => {
                 self.handle_settle_reply(now, id, epoch, billed, out)
             }
             Message::Charges(notes) => self.take_over_charges(now, from, notes, out),
-            Message::ChargesTaken(ids) => self.handle_charges_ack(&ids),
+            Message::ChargesAck(ids) => self.handle_charges_ack(&ids),
             Message::Handover(part) => {
-                let (epoch, number) = (part.epoch, part.part);
-                if self.board.claims().receive_handover(now, from, &part) {
-                    out.send(from, Message::HandedOver { epoch, part: number });
+                let (epoch, number) = (part.epoch, part.index);
+                if self.state.claims().receive_handover(now, from, &part) {
+                    out.send(from, Message::HandoverAck { epoch, part: number });
                 }
             }
-            Message::HandedOver { epoch, part } => {
-                self.board.claims().handle_handover_ack(now, from, epoch, part, out);
+            Message::HandoverAck { epoch, part } => {
+                self.state.claims().handle_handover_ack(now, from, epoch, part, out);
             }
-            Message::Attach { key, home, serial, offset } => {
+            Message::AnswerRequest { key, home, serial, offset } => {
                 self.handle_answer_request(
                     now,
                     from,
@@ -482,7 +485,7 @@
                     out,
                 );
             }
-            Message::Part(part) => self.receive_answer_part(now, from, part, out),
+            Message::AnswerPart(part) => self.receive_answer_part(now, from, part, out),
             Message::Pending { key, serial } => self.handle_answer_pending(now, from, key, serial),
             Message::NotHere { key, serial } => {
                 self.handle_unknown_request(now, from, key, serial, out)
