--- a/crates/badgerfield-core/src/poison/table.rs
+++ b/crates/badgerfield-core/src/poison/table.rs
@@ -44,7 +44,7 @@
         /// How long ago the last one did.
         age: Duration,
         /// How much longer it is blocked.
-        left: Duration,
+        remaining: Duration,
     },
 }
 
@@ -201,7 +201,7 @@
             return PoisonStatus::Suspect { early };
         }
         let upstreams = open.iter().map(|known| known.upstream.clone()).collect();
-        PoisonStatus::Blocked { upstreams, age, left: record.blocked_for(now) }
+        PoisonStatus::Blocked { upstreams, age, remaining: record.blocked_for(now) }
     }
 
     /// Returns how often an upstream is known to have ended under a request.
--- a/crates/badgerfield-core/src/poison_record.rs
+++ b/crates/badgerfield-core/src/poison_record.rs
@@ -81,13 +81,13 @@
     }
 
     /// Takes in that the record was read or written, and stands at a revision.
-    pub(crate) fn found(&mut self, revision: u64) {
+    pub(crate) fn set_revision(&mut self, revision: u64) {
         self.is_open = false;
         self.revision = Some(revision);
     }
 
     /// Takes in that a call failed: the record may be another one now.
-    pub(crate) fn failed(&mut self, was_write: bool) {
+    pub(crate) fn record_failure(&mut self, was_write: bool) {
         self.is_open = false;
         self.has_more |= was_write;
         self.revision = None;
--- a/crates/badgerfield-core/src/policy.rs
+++ b/crates/badgerfield-core/src/policy.rs
@@ -9,19 +9,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Policy {
     /// Whether engines are divided between long and short prompts.
-    pub divide: bool,
+    pub divide_engines: bool,
     /// Whether holdings are topped up and sealed anew before they run dry.
     pub top_up: bool,
     /// How much demand, in time, a busy borrower keeps at hand; zero for none.
     ///
     /// It is more than an answer of its lender takes, also where the VM's link is full
     /// (0.5 to 0.8 s by the logs of a busy VM), and little to lose when the process ends.
-    pub at_hand: Duration,
+    pub prefetch_span: Duration,
     /// The part of its objective, in hundredths, that a request waits for tokens.
     ///
     /// An answer may come late as well; a wait of 22 in 100, within what the users count as
     /// an early refusal, measured worse (docs/POLICY.md).
-    pub budget_wait: u32,
+    pub budget_wait_percent: u32,
     /// How many VMs may send to an upstream that is cold; with 0 it gets nothing until it is
     /// warm.
     pub warm_up_senders: usize,
@@ -30,10 +30,10 @@
 impl Default for Policy {
     fn default() -> Self {
         Self {
-            divide: true,
+            divide_engines: true,
             top_up: true,
-            at_hand: Duration::from_millis(1500),
-            budget_wait: 150,
+            prefetch_span: Duration::from_millis(1500),
+            budget_wait_percent: 150,
             warm_up_senders: 3,
         }
     }
--- a/crates/badgerfield-core/src/replicas/choice.rs
+++ b/crates/badgerfield-core/src/replicas/choice.rs
@@ -121,7 +121,7 @@
 /// Tells whether an upstream lies where a request may be served.
 fn may_serve(replica: &Replica, wanted: &UpstreamCriteria<'_>) -> bool {
     let bound = wanted.residency;
-    !bound.is_bound() || bound.allows(replica.region.as_ref())
+    !bound.is_restricted() || bound.allows(replica.region.as_ref())
 }
 
 /// Returns the upstreams that all VMs prefer for a chain of shared parts, one in each scope.
--- a/crates/badgerfield-core/src/replicas/mod.rs
+++ b/crates/badgerfield-core/src/replicas/mod.rs
@@ -28,7 +28,7 @@
 use crate::evacuation::DomainChange;
 use crate::ids::{Domain, Service, SoftwareVersion, UpstreamId};
 use crate::lag::{self, DelayReport};
-use crate::locality::{CrossingReason, Distance, DistanceCosts, Place};
+use crate::locality::{CrossingReason, Distance, DistanceCosts, Location};
 use crate::mix::{
     EngineDemand, EngineDivision, ObservedTiming, PromptGroup, PromptSize, READ_MS_PRIOR,
     RequestMix, float, service_number,
@@ -158,7 +158,7 @@
     /// Which failure domain lies in which region.
     regions: RegionMap,
     /// Where this process stands, and what distance costs it.
-    place: Place,
+    place: Location,
     locality: DistanceCosts,
     starts: Starts,
     canary: Canary,
@@ -189,7 +189,7 @@
     }
 
     /// Sets where this process stands, and what distance costs it.
-    pub fn set_location(&mut self, place: Place, locality: DistanceCosts) {
+    pub fn set_location(&mut self, place: Location, locality: DistanceCosts) {
         (self.place, self.locality) = (place, locality);
         self.locate_all();
     }
@@ -312,7 +312,7 @@
     /// Notes how a request went that an engine answered whole.
     pub fn record_timing(&mut self, service: &Service, route: &str, seen: &ObservedTiming) {
         if let Some(mix) = self.mixes.get_mut(service) {
-            mix.ended(route, seen);
+            mix.record_timing(route, seen);
         }
     }
 
--- a/crates/badgerfield-core/src/replicas/replica.rs
+++ b/crates/badgerfield-core/src/replicas/replica.rs
@@ -9,7 +9,7 @@
 use crate::amount::Time;
 use crate::ids::Region;
 use crate::lag::Lag;
-use crate::locality::{Distance, Place};
+use crate::locality::{Distance, Location};
 use crate::mix::{EngineDivision, PromptGroup, READ_MS_PRIOR, RequestMix, float};
 use crate::replica_list::{ListedUpstream, UpstreamEntry, digest_of};
 use crate::replicas::starts::Starts;
@@ -125,7 +125,7 @@
             let usual = mix.and_then(|mix| mix.prompt(wanted.route)).unwrap_or(prompt);
             (division, division.group(usual))
         });
-        let apart_ms = division.map_or(0.0, |(division, _)| division.long_from * read_ms);
+        let apart_ms = division.map_or(0.0, |(division, _)| division.long_threshold * read_ms);
         Self { read_ms, division, apart_ms }
     }
 
@@ -200,7 +200,7 @@
     }
 
     /// Takes in where it and this process stand.
-    pub(super) fn locate(&mut self, own: &Place, regions: &RegionMap) {
+    pub(super) fn locate(&mut self, own: &Location, regions: &RegionMap) {
         self.region = regions.region(&self.info.domain).cloned();
         self.distance = own.distance(&self.info.domain, regions);
     }
--- a/crates/badgerfield-core/src/replicas/trial.rs
+++ b/crates/badgerfield-core/src/replicas/trial.rs
@@ -76,7 +76,7 @@
     ) -> Option<(AnswerSpeed, bool)> {
         let reading = self.reading(id, unread);
         self.tally(id, route, |tally, seen| {
-            let pace = tally.answered(seen, wait, reading);
+            let pace = tally.record_answer(seen, wait, reading);
             (pace, pace == AnswerSpeed::Slow && seen.is_target)
         })
     }
--- a/crates/badgerfield-core/src/residency.rs
+++ b/crates/badgerfield-core/src/residency.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::ids::{Domain, Region, Version};
+use crate::ids::{Domain, Region, TemplateVersion};
 
 /// No bound: a request may be served in every region.
 pub static EVERYWHERE: Residency = Residency(None);
@@ -21,7 +21,7 @@
 
 /// Why a request can be served in no region at present.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum ResidencyFault {
+pub enum ResidencyError {
     /// Whatever is known of failure domains, no region is left.
     #[error("the bounds leave no region")]
     NoRegion,
@@ -39,7 +39,7 @@
 
     /// Tells whether anything is bound at all.
     #[must_use]
-    pub fn is_bound(&self) -> bool {
+    pub fn is_restricted(&self) -> bool {
         self.0.is_some()
     }
 
@@ -51,7 +51,7 @@
 
     /// Returns the bound that holds where this one and another hold.
     #[must_use]
-    pub fn and(&self, other: &Self) -> Self {
+    pub fn intersect(&self, other: &Self) -> Self {
         match (&self.0, &other.0) {
             (None, _) => other.clone(),
             (_, None) => self.clone(),
@@ -73,17 +73,17 @@
     /// # Errors
     ///
     /// Fails if no region is allowed, or none that is known.
-    pub fn check(&self, regions: &RegionMap) -> Result<(), ResidencyFault> {
+    pub fn check(&self, regions: &RegionMap) -> Result<(), ResidencyError> {
         let Some(allowed) = &self.0 else {
             return Ok(());
         };
         if self.allows_none() {
-            return Err(ResidencyFault::NoRegion);
+            return Err(ResidencyError::NoRegion);
         }
         if allowed.iter().any(|region| regions.has(region)) {
             return Ok(());
         }
-        Err(ResidencyFault::Unknown(self.clone()))
+        Err(ResidencyError::Unknown(self.clone()))
     }
 }
 
@@ -104,7 +104,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Admission {
     /// The version of the templates that it was let in with.
-    pub version: Version,
+    pub version: TemplateVersion,
     /// The regions in which that version lets it be served.
     pub residency: Residency,
 }
@@ -113,11 +113,15 @@
     /// Returns the regions in which a request may be served that is sent now: both the version
     /// that it was let in with and the newest one bind it.
     #[must_use]
-    pub fn residency_now(&self, version: Version, newest: impl FnOnce() -> Residency) -> Residency {
+    pub fn current_residency(
+        &self,
+        version: TemplateVersion,
+        newest: impl FnOnce() -> Residency,
+    ) -> Residency {
         if version == self.version {
             return self.residency.clone();
         }
-        self.residency.and(&newest())
+        self.residency.intersect(&newest())
     }
 }
 
--- a/crates/badgerfield-core/src/rollout/table.rs
+++ b/crates/badgerfield-core/src/rollout/table.rs
@@ -118,7 +118,7 @@
     }
 
     /// Takes in news; returns what is news here.
-    pub(crate) fn learn(&mut self, now: Time, news: Vec<KnownRollout>) -> Vec<KnownRollout> {
+    pub(crate) fn apply(&mut self, now: Time, news: Vec<KnownRollout>) -> Vec<KnownRollout> {
         let before = self.before(news.iter().map(|known| &known.change.service));
         let turned = self.beliefs.apply(news);
         self.follow(now, &before, &turned);
@@ -126,7 +126,7 @@
     }
 
     /// Takes in all orders that the platform has; returns what is news here.
-    pub(crate) fn learn_all(
+    pub(crate) fn apply_snapshot(
         &mut self,
         now: Time,
         revision: u64,
@@ -222,7 +222,7 @@
     }
 
     /// Takes in what a process tells this one as a judge.
-    pub(crate) fn hear(&mut self, from: Incarnation, report: RolloutReport) {
+    pub(crate) fn apply_report(&mut self, from: Incarnation, report: RolloutReport) {
         let RolloutReport { tally, age } = report;
         let revision = self.beliefs.get(&tally.service).map(|known| known.change.revision);
         if revision != Some(tally.revision) {
@@ -266,7 +266,7 @@
             reason,
             refused: stage.refused.clone(),
         };
-        self.learn(now, vec![KnownRollout { stage: Some(stage), ..known.clone() }])
+        self.apply(now, vec![KnownRollout { stage: Some(stage), ..known.clone() }])
     }
 
     /// Returns the rules that follow from what is known, if they are others than the last ones.
--- a/crates/badgerfield-core/src/rollout/tally.rs
+++ b/crates/badgerfield-core/src/rollout/tally.rs
@@ -135,7 +135,7 @@
 impl Tally {
     /// Notes that the first part of an answer has come after a wait, where reading the prompt
     /// was expected to take so long; returns how it came.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         seen: &AnswerSource<'_>,
         wait: Duration,
--- a/crates/badgerfield-core/src/routing.rs
+++ b/crates/badgerfield-core/src/routing.rs
@@ -17,7 +17,7 @@
 
 /// What may happen more than once to a request of a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// The request may run any number of times.
     Safe,
     /// The request runs at most once.
@@ -29,7 +29,7 @@
     },
 }
 
-impl Repeat {
+impl RetryPolicy {
     /// Tells whether a request that may have run may be sent again.
     #[must_use]
     pub fn is_idempotent(self) -> bool {
@@ -45,7 +45,7 @@
 
 /// A service that a route sends requests to, and its share of them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Split {
+pub struct WeightedService {
     /// The service.
     pub service: Service,
     /// Its weight among the route's services.
@@ -62,7 +62,7 @@
     /// The prefix that the path begins with.
     pub prefix: String,
     /// What may be repeated.
-    pub repeat: Repeat,
+    pub repeat: RetryPolicy,
     /// The longest time that a request may be held.
     pub timeout: Duration,
     /// The time within which an answer is wanted.
@@ -70,7 +70,7 @@
     /// The rank of its requests; 0 goes first.
     pub rank: u8,
     /// The services, each with its weight.
-    pub split: Vec<Split>,
+    pub split: Vec<WeightedService>,
     /// To how many upstreams one request may be sent.
     pub attempts: u32,
     /// Whether requests need no key.
@@ -87,7 +87,7 @@
 impl Route {
     /// Chooses a service by weight; `draw` is a random number.
     #[must_use]
-    pub fn service(&self, draw: u64) -> Option<&Service> {
+    pub fn choose_service(&self, draw: u64) -> Option<&Service> {
         let total: u64 = self.split.iter().map(|s| u64::from(s.weight)).sum();
         if total == 0 {
             return self.split.first().map(|s| &s.service);
@@ -260,7 +260,7 @@
             }
         }
         let services = set.routing.services.clone();
-        let bound = set.accounts.iter().filter(|(_, account)| account.regions.is_bound());
+        let bound = set.accounts.iter().filter(|(_, account)| account.regions.is_restricted());
         let regions = bound.map(|(id, account)| (id.clone(), account.regions.clone())).collect();
         Self { hosts, callers, services, limits: set.routing.limits, regions }
     }
@@ -286,7 +286,7 @@
     #[must_use]
     pub fn residency(&self, route: &Route, account: Option<&Account>) -> Residency {
         let own = account.and_then(|account| self.regions.get(account));
-        route.regions.and(own.unwrap_or(&EVERYWHERE))
+        route.regions.intersect(own.unwrap_or(&EVERYWHERE))
     }
 
     /// Returns the regions in which a request for a host and path may be served; one that no
--- a/crates/badgerfield-core/src/template.rs
+++ b/crates/badgerfield-core/src/template.rs
@@ -11,7 +11,8 @@
 
 use crate::amount::{Percent, Tokens};
 use crate::ids::{
-    Account, Adapter, Author, BudgetId, Hardware, IdError, Model, Period, Region, Service, Version,
+    Account, Adapter, Author, BudgetId, Hardware, IdError, Model, Period, Region, Service,
+    TemplateVersion,
 };
 use crate::residency::Residency;
 use crate::routing::{RoutePart, Routing, RoutingDelta};
@@ -19,7 +20,7 @@
 /// The largest priority of a client account.
 pub const MAX_PRIORITY: u32 = 1000;
 /// The largest output limit of a request.
-pub const MAX_OUTPUT: Tokens = Tokens(1 << 20);
+pub const MAX_OUTPUT_TOKENS: Tokens = Tokens(1 << 20);
 /// The longest time a request may wait in the queue.
 pub const MAX_WAIT: Duration = Duration::from_mins(2);
 /// How many changes the audit trail keeps.
@@ -84,7 +85,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountTemplate {
     /// The version of the set in which this template last changed.
-    pub changed: Version,
+    pub changed: TemplateVersion,
     /// The weight of the account in the fair queue.
     pub priority: u32,
     /// The models that the account may use.
@@ -116,7 +117,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetTemplate {
     /// The version of the set in which this template last changed.
-    pub changed: Version,
+    pub changed: TemplateVersion,
     /// The tokens that may be spent in the period.
     pub limit: Tokens,
     /// The period; a higher number renews the budget.
@@ -127,9 +128,9 @@
 
 /// One line of the audit trail of template changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Change {
+pub struct TemplateChange {
     /// The version that the change made.
-    pub version: Version,
+    pub version: TemplateVersion,
     /// Who made it.
     pub author: Author,
     /// When, by the operator's clock, in seconds since 1970; for people to read only.
@@ -144,13 +145,13 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TemplateSet {
     /// The version of the whole set.
-    pub version: Version,
+    pub version: TemplateVersion,
     /// The templates of the client accounts.
     pub accounts: BTreeMap<Account, AccountTemplate>,
     /// The templates of the budgets.
     pub budgets: BTreeMap<BudgetId, BudgetTemplate>,
     /// The latest changes, oldest first.
-    pub history: Vec<Change>,
+    pub history: Vec<TemplateChange>,
     /// The routes and services.
     #[serde(default)]
     pub routing: Routing,
@@ -166,7 +167,7 @@
     #[error("account {0}: expected a priority from 1 to {MAX_PRIORITY}, found {1}")]
     Priority(Account, u32),
     /// The output limit is outside its range.
-    #[error("account {0}: expected an output limit from 1 to {MAX_OUTPUT}, found {1}")]
+    #[error("account {0}: expected an output limit from 1 to {MAX_OUTPUT_TOKENS}, found {1}")]
     OutputLimit(Account, Tokens),
     /// The queue wait is outside its range.
     #[error("account {0}: expected a queue wait of at most 120s, found {1:?}")]
@@ -182,7 +183,7 @@
     SharedKey(BudgetId, BudgetId),
     /// A budget went back to an earlier period.
     #[error("budget {id}: expected a period of at least {least}, found {found}")]
-    PeriodBack {
+    PeriodDecreased {
         /// The budget.
         id: BudgetId,
         /// The period in force.
@@ -266,7 +267,7 @@
             if budget.period < old.period {
                 let (least, found) = (old.period, budget.period);
                 let id = id.clone();
-                faults.push(TemplateFault::PeriodBack { id, least, found });
+                faults.push(TemplateFault::PeriodDecreased { id, least, found });
                 continue;
             }
             budget.changed = old.changed;
@@ -291,7 +292,7 @@
         }
         wanted.version = version;
         wanted.history.clone_from(&self.history);
-        wanted.history.push(Change { version, author, at, mark, diff });
+        wanted.history.push(TemplateChange { version, author, at, mark, diff });
         let excess = wanted.history.len().saturating_sub(MAX_HISTORY);
         wanted.history.drain(..excess);
         let size = wanted.encode().len();
@@ -340,7 +341,7 @@
 
     /// Returns what changed after a version, for a process that has that version.
     #[must_use]
-    pub fn since(&self, version: Version) -> TemplateDelta {
+    pub fn delta_since(&self, version: TemplateVersion) -> TemplateDelta {
         let mut delta = TemplateDelta { version: self.version, ..TemplateDelta::default() };
         for (id, account) in &self.accounts {
             if account.changed > version {
@@ -363,7 +364,7 @@
     ///
     /// A delta does not fit if it is not newer, starts elsewhere, or if templates
     /// were removed; the whole set is asked for then.
-    pub fn advance(&mut self, delta: TemplateDelta) -> bool {
+    pub fn apply_delta(&mut self, delta: TemplateDelta) -> bool {
         if delta.version <= self.version || delta.base != self.version {
             return false;
         }
@@ -395,7 +396,7 @@
         if self.priority == 0 || self.priority > MAX_PRIORITY {
             faults.push(TemplateFault::Priority(id.clone(), self.priority));
         }
-        if self.output_limit.is_zero() || self.output_limit > MAX_OUTPUT {
+        if self.output_limit.is_zero() || self.output_limit > MAX_OUTPUT_TOKENS {
             faults.push(TemplateFault::OutputLimit(id.clone(), self.output_limit));
         }
         if self.queue_wait > MAX_WAIT {
@@ -411,9 +412,9 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TemplateDelta {
     /// The version that the receiver must have.
-    pub base: Version,
+    pub base: TemplateVersion,
     /// The version that the delta leads to.
-    pub version: Version,
+    pub version: TemplateVersion,
     /// The account templates that changed.
     pub accounts: Vec<(Account, AccountTemplate)>,
     /// The budget templates that changed.
--- a/crates/badgerfield-core/src/template_history.rs
+++ b/crates/badgerfield-core/src/template_history.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::ids::Version;
+use crate::ids::TemplateVersion;
 use crate::routing::{Route, RoutePart, Routing, RoutingDelta};
 use crate::template::{AccountTemplate, BudgetTemplate, TemplateDelta, TemplateSet};
 
@@ -27,7 +27,7 @@
 /// What one version held.
 #[derive(Debug)]
 struct Digests {
-    version: Version,
+    version: TemplateVersion,
     /// One for each account and budget template with its name, sorted.
     templates: Vec<u64>,
     /// One for each route, in their order.
@@ -38,7 +38,7 @@
 
 impl TemplateHistory {
     /// Notes a set that has come in force.
-    pub fn note(&mut self, set: &TemplateSet) {
+    pub fn record(&mut self, set: &TemplateSet) {
         let accounts = set.accounts.iter().map(|(id, t)| account_digest(id.as_str(), t));
         let budgets = set.budgets.iter().map(|(id, t)| budget_digest(id.as_str(), t));
         let mut templates: Vec<_> = accounts.chain(budgets).collect();
@@ -54,7 +54,7 @@
     /// Makes the difference between a version and a set; nothing if the version is not
     /// remembered, so that the whole set must be sent.
     #[must_use]
-    pub fn delta(&self, set: &TemplateSet, base: Version) -> Option<TemplateDelta> {
+    pub fn delta(&self, set: &TemplateSet, base: TemplateVersion) -> Option<TemplateDelta> {
         let old = self.versions.iter().find(|old| old.version == base)?;
         let is_new = |digest: u64| old.templates.binary_search(&digest).is_err();
         let accounts = set.accounts.iter().filter(|(id, t)| is_new(account_digest(id.as_str(), t)));
@@ -109,13 +109,13 @@
 
 /// Returns a number that stands for an account's template, whenever it changed.
 fn account_digest(id: &str, template: &AccountTemplate) -> u64 {
-    let template = AccountTemplate { changed: Version(0), ..template.clone() };
+    let template = AccountTemplate { changed: TemplateVersion(0), ..template.clone() };
     digest(&(id, template))
 }
 
 /// Returns a number that stands for a budget's template, whenever it changed.
 fn budget_digest(id: &str, template: &BudgetTemplate) -> u64 {
-    let template = BudgetTemplate { changed: Version(0), ..template.clone() };
+    let template = BudgetTemplate { changed: TemplateVersion(0), ..template.clone() };
     digest(&(id, template))
 }
 
--- a/crates/badgerfield-core/src/view.rs
+++ b/crates/badgerfield-core/src/view.rs
@@ -11,17 +11,17 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::ids::{Domain, Epoch, Incarnation, Region, RequestKey, VmId, weigh};
+use crate::ids::{Domain, Epoch, Incarnation, Region, RequestKey, VmId, rendezvous_weight};
 
 /// The most members of a small view, in which everybody does what in a large one is left to
 /// a few; `docs/PLATFORM.md` lists what that is.
-pub(crate) const SMALL_VIEW: usize = 16;
+pub(crate) const MAX_SMALL_VIEW_MEMBERS: usize = 16;
 /// How many doubts a view keeps.
 const MAX_DOUBTS: usize = 16;
 
 /// Whether a member takes on duties.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum MemberState {
     /// The member decides about keys and keeps parked amounts.
     Active,
     /// The member is stopping; it finishes what runs and takes on nothing new.
@@ -44,7 +44,7 @@
     /// The address for callers.
     pub caller: SocketAddr,
     /// Whether it takes on duties.
-    pub standing: Standing,
+    pub standing: MemberState,
 }
 
 /// What became of a member that decided about keys.
@@ -92,7 +92,7 @@
     pub deciders: Vec<Decider>,
     /// The doubts of late, oldest first.
     #[serde(rename = "doubts")]
-    pub doubts: Vec<Doubt>,
+    pub uncertain_keys: Vec<Doubt>,
 }
 
 /// Why a value is not a view.
@@ -137,19 +137,19 @@
     /// An earlier process of the same VM goes in the same step: the new one holds
     /// the VM's listener, so the old one has ended.
     #[must_use]
-    pub fn with(&self, member: Member, handed_over: bool) -> Self {
-        self.with_all(vec![member], handed_over)
+    pub fn with_member(&self, member: Member, handed_over: bool) -> Self {
+        self.with_members(vec![member], handed_over)
     }
 
     /// Returns the view in which several processes have joined in one step.
     #[must_use]
-    pub fn with_all(&self, mut guests: Vec<Member>, handed_over: bool) -> Self {
+    pub fn with_members(&self, mut guests: Vec<Member>, handed_over: bool) -> Self {
         // Of two processes of one VM, one has ended.
         let joins: BTreeMap<_, _> = guests.iter().map(|m| (m.vm.clone(), m.incarnation)).collect();
         guests.retain(|m| joins.get(&m.vm) == Some(&m.incarnation));
         let is_old = |m: &&Member| joins.get(&m.vm).is_some_and(|id| *id != m.incarnation);
         let old: Vec<_> = self.members.iter().filter(is_old).map(|m| m.incarnation).collect();
-        let mut next = self.without(&old, handed_over);
+        let mut next = self.without_members(&old, handed_over);
         next.members.retain(|m| !joins.contains_key(&m.vm));
         next.members.extend(guests);
         next.members.sort_by_key(|m| m.incarnation);
@@ -158,11 +158,11 @@
 
     /// Returns the view in which a member is leaving.
     #[must_use]
-    pub fn leaving(&self, id: Incarnation, handed_over: bool) -> Self {
-        let mut next = self.without(&[], handed_over);
+    pub fn with_leaving(&self, id: Incarnation, handed_over: bool) -> Self {
+        let mut next = self.without_members(&[], handed_over);
         for member in &mut next.members {
             if member.incarnation == id {
-                member.standing = Standing::Leaving;
+                member.standing = MemberState::Leaving;
             }
         }
         next
@@ -174,7 +174,7 @@
     /// of this view. While it has not, the view remembers who decided about keys; if
     /// more than one of those goes, what they decided may be lost, and the view says so.
     #[must_use]
-    pub fn without(&self, gone: &[Incarnation], handed_over: bool) -> Self {
+    pub fn without_members(&self, gone: &[Incarnation], handed_over: bool) -> Self {
         let mut next = if handed_over { self.completed() } else { self.clone() };
         next.note_deciders();
         next.epoch = self.epoch.next();
@@ -189,10 +189,10 @@
         }
         if lost > 1 && !gone.is_empty() {
             let (epoch, deciders) = (next.epoch, next.deciders.clone());
-            next.doubts.push(Doubt { epoch, deciders });
+            next.uncertain_keys.push(Doubt { epoch, deciders });
         }
-        let excess = next.doubts.len().saturating_sub(MAX_DOUBTS);
-        next.doubts.drain(..excess);
+        let excess = next.uncertain_keys.len().saturating_sub(MAX_DOUBTS);
+        next.uncertain_keys.drain(..excess);
         next
     }
 
@@ -202,7 +202,7 @@
         let mut next = self.clone();
         next.complete = self.epoch;
         next.deciders.clear();
-        for member in self.members.iter().filter(|m| m.standing == Standing::Active) {
+        for member in self.members.iter().filter(|m| m.standing == MemberState::Active) {
             let (id, region) = (member.incarnation, member.region.clone());
             next.deciders.push(Decider { id, region, fate: Fate::Stayed });
         }
@@ -211,7 +211,7 @@
 
     /// Adds members that decide about keys and are not noted yet.
     fn note_deciders(&mut self) {
-        for member in self.members.iter().filter(|m| m.standing == Standing::Active) {
+        for member in self.members.iter().filter(|m| m.standing == MemberState::Active) {
             let (id, region) = (member.incarnation, member.region.clone());
             if self.deciders.iter().all(|d| d.id != id) {
                 self.deciders.push(Decider { id, region, fate: Fate::Joined });
@@ -225,10 +225,11 @@
         let mut members: Vec<_> = self
             .members
             .iter()
-            .filter(|m| m.standing == Standing::Active)
+            .filter(|m| m.standing == MemberState::Active)
             .filter(|m| region.is_none_or(|r| &m.region == r))
             .collect();
-        members.sort_by_cached_key(|m| std::cmp::Reverse(weigh(subject, m.incarnation)));
+        members
+            .sort_by_cached_key(|m| std::cmp::Reverse(rendezvous_weight(subject, m.incarnation)));
         members
     }
 
@@ -244,10 +245,10 @@
         let mut second = None;
         for member in &self.members {
             let far = home.is_some_and(|home| &member.region != home);
-            if far || member.standing != Standing::Active {
+            if far || member.standing != MemberState::Active {
                 continue;
             }
-            let weight = weigh(&subject, member.incarnation);
+            let weight = rendezvous_weight(&subject, member.incarnation);
             if first.is_none_or(|(most, _): (u64, &Member)| weight > most) {
                 second = first.replace((weight, member));
             } else if second.is_none_or(|(most, _): (u64, &Member)| weight > most) {
@@ -263,11 +264,11 @@
     /// It is the next one in the ring of members, so that each keeps the amounts of few: what
     /// is parked with a member that is gone is out of reach until the view says so.
     #[must_use]
-    pub fn bank_of(&self, id: Incarnation) -> Option<&Member> {
+    pub fn witness_of(&self, id: Incarnation) -> Option<&Member> {
         let place = self.members.iter().position(|m| m.incarnation == id)?;
         let me = self.members.get(place)?;
         let ring = self.members.iter().cycle().skip(place + 1).take(self.members.len() - 1);
-        let is_fit = |m: &&Member| m.standing == Standing::Active && m.region == me.region;
+        let is_fit = |m: &&Member| m.standing == MemberState::Active && m.region == me.region;
         let mut others = ring.filter(is_fit);
         let first = others.next()?;
         if first.domain != me.domain {
@@ -279,7 +280,7 @@
     /// Returns the epoch since which a key's memory may be lost, if it may.
     #[must_use]
     pub fn doubts(&self, key: RequestKey, home: Option<&Region>) -> Option<Epoch> {
-        let doubt = self.doubts.iter().rev().find(|doubt| doubt.covers(key, home))?;
+        let doubt = self.uncertain_keys.iter().rev().find(|doubt| doubt.covers(key, home))?;
         Some(doubt.epoch)
     }
 }
@@ -291,7 +292,7 @@
     fn covers(&self, key: RequestKey, home: Option<&Region>) -> bool {
         let mut ranked: Vec<_> =
             self.deciders.iter().filter(|d| home.is_none_or(|r| &d.region == r)).collect();
-        ranked.sort_by_key(|d| std::cmp::Reverse(weigh(&key.0.to_be_bytes(), d.id)));
+        ranked.sort_by_key(|d| std::cmp::Reverse(rendezvous_weight(&key.0.to_be_bytes(), d.id)));
         for decider in ranked {
             match decider.fate {
                 Fate::Stayed => return false,
--- a/crates/badgerfield-core/src/view_update.rs
+++ b/crates/badgerfield-core/src/view_update.rs
@@ -12,7 +12,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::ids::{Epoch, Incarnation};
-use crate::view::{Doubt, Member, Standing, View};
+use crate::view::{Doubt, Member, MemberState, View};
 
 /// How many changes of members are remembered; a process that is further behind gets the
 /// whole view. 16 B each; three times the members of the full size.
@@ -53,7 +53,7 @@
         let mut doubts = Vec::new();
         if self.base > Epoch(0) {
             members.extend(old.members.iter().map(|m| (m.incarnation, m.clone())));
-            doubts.extend(old.doubts.iter().filter(|d| d.epoch <= self.base).cloned());
+            doubts.extend(old.uncertain_keys.iter().filter(|d| d.epoch <= self.base).cloned());
         }
         for id in &self.gone {
             members.remove(id);
@@ -65,7 +65,7 @@
             members: members.into_values().collect(),
             complete: self.complete,
             deciders: Vec::new(),
-            doubts,
+            uncertain_keys: doubts,
         };
         (digest(&view) == self.digest).then_some(view)
     }
@@ -97,7 +97,7 @@
     }
 
     /// Makes the update for a process that has an epoch.
-    pub(crate) fn update(&self, view: &View, base: Epoch) -> ViewUpdate {
+    pub(crate) fn update_since(&self, view: &View, base: Epoch) -> ViewUpdate {
         let mut update = ViewUpdate {
             epoch: view.epoch,
             complete: view.complete,
@@ -106,7 +106,7 @@
         };
         if base < self.since || base == Epoch(0) {
             update.members.clone_from(&view.members);
-            update.doubts.clone_from(&view.doubts);
+            update.doubts.clone_from(&view.uncertain_keys);
             return update;
         }
         update.base = base;
@@ -119,7 +119,7 @@
                 None => update.gone.push(*id),
             }
         }
-        update.doubts.extend(view.doubts.iter().filter(|d| d.epoch > base).cloned());
+        update.doubts.extend(view.uncertain_keys.iter().filter(|d| d.epoch > base).cloned());
         update
     }
 }
@@ -128,8 +128,8 @@
 fn digest(view: &View) -> u64 {
     let of = |m: &Member| {
         let seed = match m.standing {
-            Standing::Active => 0,
-            Standing::Leaving => 1,
+            MemberState::Active => 0,
+            MemberState::Leaving => 1,
         };
         xxh3_64_with_seed(&m.incarnation.0.to_be_bytes(), seed)
     };
--- a/crates/badgerfield-core/src/warm_up.rs
+++ b/crates/badgerfield-core/src/warm_up.rs
@@ -53,14 +53,14 @@
     /// How many times the rate.
     pub overshoot: f64,
     /// How many requests beside that.
-    pub allowance: f64,
+    pub extra_requests: f64,
 }
 
 impl WarmUpBound {
     /// Returns the most requests that a cold upstream may get in a second.
     #[must_use]
     pub fn max_rate(&self, warm_up: &WarmUp) -> f64 {
-        warm_up.rate() * self.overshoot + self.allowance
+        warm_up.rate() * self.overshoot + self.extra_requests
     }
 }
 
--- a/crates/badgerfield-core/tests/canary.rs
+++ b/crates/badgerfield-core/tests/canary.rs
@@ -418,7 +418,7 @@
 #[test]
 fn cold_upstreams_and_the_share_hold_together() {
     // Two cold upstreams bear 5 requests a second each; a share of a half would be 250.
-    let bound = WarmUpBound { overshoot: 1.5, allowance: 5.0 };
+    let bound = WarmUpBound { overshoot: 1.5, extra_requests: 5.0 };
     let slow = WarmUp { span: Duration::from_secs(20), interval: Duration::from_millis(200) };
     let mut table = table(10, 0);
     table.set_warm_up_bound(Some(bound), 1);
--- a/crates/badgerfield-core/tests/confirmations.rs
+++ b/crates/badgerfield-core/tests/confirmations.rs
@@ -8,8 +8,10 @@
 use badgerfield_core::claims::Claims;
 use badgerfield_core::event::{Order, Outbox};
 use badgerfield_core::ids::{Epoch, Incarnation, RequestKey};
-use badgerfield_core::message::{ClaimAsk, ClaimRecord, HandoverPart, Message, Progress, Verdict};
-use badgerfield_core::view::{Member, Standing, View};
+use badgerfield_core::message::{
+    ClaimDecision, ClaimRecord, ClaimRequest, HandoverPart, Message, Progress,
+};
+use badgerfield_core::view::{Member, MemberState, View};
 
 const NOW: Time = Time(Duration::from_secs(1));
 
@@ -21,7 +23,7 @@
         domain: "d".parse().expect("a name"),
         peer: ([127, 0, 0, 1], 1).into(),
         caller: ([127, 0, 0, 1], 2).into(),
-        standing: Standing::Active,
+        standing: MemberState::Active,
     };
     let members = members.map(member).collect();
     Arc::new(View { epoch: Epoch(epoch), members, ..View::default() })
@@ -98,20 +100,27 @@
         handovers(&mut out).into_iter().filter(|(to, _)| *to == Incarnation(4)).collect();
     let [(_, part)] = moved.as_slice() else { panic!("one hand-over to the new arbiter") };
 
-    let ask = ClaimAsk { key, home: None, serial: 9, epoch: Epoch(2), once: true, over: None };
+    let ask = ClaimRequest {
+        key,
+        home: None,
+        serial: 9,
+        epoch: Epoch(2),
+        at_most_once: true,
+        replaces: None,
+    };
     for word in
         [first.confirmation_status(), second.confirmation_status(), third.confirmation_status()]
     {
         fourth.merge_confirmations(Epoch(2), &word);
     }
     let early = fourth.decide(NOW, Incarnation(3), &ask, &mut out);
-    assert!(matches!(early, Some(Verdict::Wait { .. })), "{early:?}");
+    assert!(matches!(early, Some(ClaimDecision::Wait { .. })), "{early:?}");
 
     assert!(fourth.receive_handover(NOW, Incarnation(1), part));
-    first.handle_handover_ack(NOW, Incarnation(4), Epoch(2), part.part, &mut out);
+    first.handle_handover_ack(NOW, Incarnation(4), Epoch(2), part.index, &mut out);
     // The second keeper under the new view may be another member.
     for (to, part) in handovers(&mut out) {
-        first.handle_handover_ack(NOW, to, Epoch(2), part.part, &mut out);
+        first.handle_handover_ack(NOW, to, Epoch(2), part.index, &mut out);
     }
     for id in [2, 3] {
         first.handle_handover_ack(NOW, Incarnation(id), Epoch(2), 0, &mut out);
@@ -119,5 +128,5 @@
     fourth.merge_confirmations(Epoch(2), &first.confirmation_status());
     assert_eq!(fourth.complete_epoch(), Epoch(2));
     let verdict = fourth.decide(NOW, Incarnation(3), &ask, &mut out);
-    assert!(matches!(verdict, Some(Verdict::Owned { ended: true, .. })), "{verdict:?}");
+    assert!(matches!(verdict, Some(ClaimDecision::Owned { ended: true, .. })), "{verdict:?}");
 }
--- a/crates/badgerfield-core/tests/event_stream.rs
+++ b/crates/badgerfield-core/tests/event_stream.rs
@@ -71,7 +71,7 @@
 
 #[test]
 fn a_stream_taken_up_by_its_caller_goes_on_after_its_last_event() {
-    let mut scanner = EventScanner::after(Some(2));
+    let mut scanner = EventScanner::resume_after(Some(2));
     let whole = scanner.push(&stream(4));
     assert_eq!(numbers(&whole), vec![3, 4]);
 }
--- a/crates/badgerfield-core/tests/holdings.rs
+++ b/crates/badgerfield-core/tests/holdings.rs
@@ -9,9 +9,9 @@
 use badgerfield_core::amount::{Percent, Time, Tokens};
 use badgerfield_core::event::{Order, Outbox};
 use badgerfield_core::holdings::{Holdings, ReserveOutcome};
-use badgerfield_core::ids::{Epoch, Incarnation, Period, RunId, Version};
+use badgerfield_core::ids::{Epoch, Incarnation, Period, RunId, TemplateVersion};
 use badgerfield_core::ledger::{BudgetTerms, HoldingPlan, LedgerOp, LedgerReply};
-use badgerfield_core::message::{Lack, Message, ParkItem};
+use badgerfield_core::message::{Message, NoTokensReason, ParkItem};
 use badgerfield_core::refusal::Cause;
 use badgerfield_core::view::View;
 use support::{at, budget, member};
@@ -54,16 +54,17 @@
 #[test]
 fn who_begins_to_borrow_tells_the_ledger_that_it_holds_nothing() {
     let pacing = Pacing {
-        seals: true,
-        ahead: Duration::from_secs(11),
-        report: Duration::from_millis(500),
+        seal_holdings: true,
+        hold_ahead: Duration::from_secs(11),
+        report_interval: Duration::from_millis(500),
         ..Pacing::default()
     };
     let own = member(1);
     let mut holdings = Holdings::new(ME, own.vm.clone(), own.region.clone(), pacing);
     // In a small view every process holds rights of its own.
     holdings.apply_view(at(0), &Arc::new(view(4)), &mut Outbox::default());
-    let terms = BudgetTerms { version: Version(1), period: Period(1), limit: Tokens(2_000_000) };
+    let terms =
+        BudgetTerms { version: TemplateVersion(1), period: Period(1), limit: Tokens(2_000_000) };
     holdings.update_terms(at(0), &budget(), terms, Percent::new(50).expect("a share"));
     pass(&mut holdings, 0, 200, HELD);
     assert_eq!(holdings.balance(&budget()).free, HELD);
@@ -84,11 +85,12 @@
 /// Returns why a request is refused when the ledger is empty, this holder is named beside one
 /// other, and the only other member says that it has nothing.
 fn cause_with(other: u64) -> Cause {
-    let pacing = Pacing { seals: true, ..Pacing::default() };
+    let pacing = Pacing { seal_holdings: true, ..Pacing::default() };
     let vm = "vm-1".parse().expect("the name is valid");
     let region = "north".parse().expect("the name is valid");
     let mut holdings = Holdings::new(ME, vm, region, pacing);
-    let terms = BudgetTerms { version: Version(1), period: Period(1), limit: Tokens(1_000_000) };
+    let terms =
+        BudgetTerms { version: TemplateVersion(1), period: Period(1), limit: Tokens(1_000_000) };
     let spread = Percent::new(80).expect("a share");
     holdings.update_terms(at(0), &budget(), terms, spread);
     let out = &mut Outbox::default();
@@ -104,7 +106,7 @@
         orphaned_seals: Vec::new(),
     };
     holdings.apply_ledger_reply(at(20), &budget(), Period(1), &reply, out);
-    let nothing = (Tokens(500), Lack::Spent);
+    let nothing = (Tokens(500), NoTokensReason::Spent);
     holdings.handle_no_tokens(at(30), Incarnation(2), &budget(), nothing, out);
     let decision = holdings.take_decisions().pop().expect("it is decided");
     decision.refusal.expect("there are no tokens").cause
@@ -121,7 +123,8 @@
     let own = member(1);
     let mut holdings = Holdings::new(ME, own.vm.clone(), own.region, Pacing::default());
     holdings.apply_view(at(0), &Arc::new(view(2)), &mut Outbox::default());
-    let terms = BudgetTerms { version: Version(1), period: Period(1), limit: Tokens(2_000_000) };
+    let terms =
+        BudgetTerms { version: TemplateVersion(1), period: Period(1), limit: Tokens(2_000_000) };
     holdings.update_terms(at(0), &budget(), terms, Percent::new(50).expect("a share"));
     let waiter = (RunId(7), Tokens(1_000), at(5_000));
     holdings.reserve(at(10), &budget(), waiter, &mut Outbox::default());
@@ -176,7 +179,8 @@
     let waiter = (RunId(8), Tokens(1_000), at(5_000));
     let reserved = holdings.reserve(at(30), &budget(), waiter, &mut Outbox::default());
     // The budget is renewed before anybody asks for the period.
-    let terms = BudgetTerms { version: Version(2), period: Period(2), limit: Tokens(2_000_000) };
+    let terms =
+        BudgetTerms { version: TemplateVersion(2), period: Period(2), limit: Tokens(2_000_000) };
     holdings.update_terms(at(31), &budget(), terms, Percent::new(50).expect("a share"));
     assert_eq!(reserved, ReserveOutcome::Reserved(Period(1)));
     holdings.settle(at(40), &budget(), Period(1), Tokens(1_000), Tokens::ZERO);
@@ -186,15 +190,16 @@
 /// Makes the holder of a budget that seals its tokens, in a view of so many members.
 fn sealing_holder(me: u64, members: u64) -> Holdings {
     let pacing = Pacing {
-        seals: true,
-        ahead: Duration::from_secs(11),
-        report: Duration::from_millis(500),
+        seal_holdings: true,
+        hold_ahead: Duration::from_secs(11),
+        report_interval: Duration::from_millis(500),
         ..Pacing::default()
     };
     let own = member(me);
     let mut holdings = Holdings::new(Incarnation(me), own.vm.clone(), own.region, pacing);
     holdings.apply_view(at(0), &Arc::new(view(members)), &mut Outbox::default());
-    let terms = BudgetTerms { version: Version(1), period: Period(1), limit: Tokens(2_000_000) };
+    let terms =
+        BudgetTerms { version: TemplateVersion(1), period: Period(1), limit: Tokens(2_000_000) };
     holdings.update_terms(at(0), &budget(), terms, Percent::new(50).expect("a share"));
     holdings
 }
--- a/crates/badgerfield-core/tests/ledger.rs
+++ b/crates/badgerfield-core/tests/ledger.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use badgerfield_core::amount::{Percent, TokenRate, Tokens};
-use badgerfield_core::ids::{BudgetId, Incarnation, Period, Region, Version};
+use badgerfield_core::ids::{BudgetId, Incarnation, Period, Region, TemplateVersion};
 use badgerfield_core::ledger::{BudgetTerms, LedgerOp, LedgerReply, LedgerShard, WitnessReport};
 use badgerfield_core::seal::{FleetTime, Seal, SealClaim, SealRecord};
 use proptest::prelude::*;
@@ -68,7 +68,7 @@
     let region: Region = "north".parse().expect("the name is valid");
     LedgerOp {
         budget: budget(),
-        terms: BudgetTerms { version: Version(1), period: Period(1), limit: Tokens(LIMIT) },
+        terms: BudgetTerms { version: TemplateVersion(1), period: Period(1), limit: Tokens(LIMIT) },
         holder: Incarnation(id),
         seq: holder.seq,
         need: Tokens(need),
--- a/crates/badgerfield-core/tests/locality.rs
+++ b/crates/badgerfield-core/tests/locality.rs
@@ -6,13 +6,13 @@
 use badgerfield_core::amount::Time;
 use badgerfield_core::evacuation::DomainChange;
 use badgerfield_core::ids::{Domain, Incarnation, Region, Service, UpstreamId};
-use badgerfield_core::locality::{CrossingReason, Distance, DistanceCosts, Place, nearest};
+use badgerfield_core::locality::{CrossingReason, Distance, DistanceCosts, Location, nearest};
 use badgerfield_core::replica_list::{ListedUpstream, UpstreamEntry, UpstreamList};
 use badgerfield_core::replicas::{
     AttemptOutcome, ChosenUpstream, PromptPart, UpstreamCriteria, UpstreamTable,
 };
 use badgerfield_core::residency::{EVERYWHERE, RegionMap};
-use badgerfield_core::view::{Member, Standing};
+use badgerfield_core::view::{Member, MemberState};
 
 fn domain(name: &str) -> Domain {
     name.parse().expect("a name")
@@ -30,12 +30,12 @@
         domain: domain(at),
         peer: ([127, 0, 0, 1], n).into(),
         caller: ([127, 0, 0, 1], n).into(),
-        standing: Standing::Active,
+        standing: MemberState::Active,
     }
 }
 
-fn place(at: &str) -> Place {
-    Place { domain: Some(domain(at)), region: Some(region(&at[..1])) }
+fn place(at: &str) -> Location {
+    Location { domain: Some(domain(at)), region: Some(region(&at[..1])) }
 }
 
 /// A caller whose own domain has too few VMs is sent to those of its region, before all others.
@@ -43,7 +43,7 @@
 fn callers_are_sent_to_their_domain_then_their_region_then_anywhere() {
     let at = ["a-1", "a-1", "a-2", "b-1", "b-2", "c-1"];
     let members: Vec<_> = (0..).zip(at).map(|(n, at)| member(n, at)).collect();
-    let sent = |caller: &Place| -> Vec<String> {
+    let sent = |caller: &Location| -> Vec<String> {
         nearest(&members, caller).iter().map(|m| m.domain.to_string()).collect()
     };
     assert_eq!(sent(&place("a-1")), ["a-1", "a-1"]);
@@ -51,8 +51,8 @@
     assert_eq!(sent(&place("b-1")), ["b-1", "b-2"]);
     assert_eq!(sent(&place("b-9")), ["b-1", "b-2"], "a domain without VMs");
     assert_eq!(sent(&place("c-1")).len(), 6, "one VM is too few");
-    assert_eq!(sent(&Place { domain: None, region: Some(region("b")) }), ["b-1", "b-2"]);
-    assert_eq!(sent(&Place::default()).len(), 6);
+    assert_eq!(sent(&Location { domain: None, region: Some(region("b")) }), ["b-1", "b-2"]);
+    assert_eq!(sent(&Location::default()).len(), 6);
 }
 
 const DOMAINS: [&str; 4] = ["a-1", "a-2", "b-1", "b-2"];
--- a/crates/badgerfield-core/tests/mix.rs
+++ b/crates/badgerfield-core/tests/mix.rs
@@ -38,7 +38,10 @@
             let wait = 60.0 + f64::from(u32::try_from(own).expect("few tokens")) * read_ms;
             let first = Duration::from_secs_f64(wait / 1e3);
             let stream = Duration::from_millis(if route == "long" { 400 } else { 2000 });
-            mix.ended(route, &ObservedTiming { uncached_tokens: own, first, stream_time: stream });
+            mix.record_timing(
+                route,
+                &ObservedTiming { uncached_tokens: own, time_to_first: first, stream_time: stream },
+            );
         }
     }
     at(count * 100)
@@ -75,7 +78,7 @@
         );
     }
     assert_eq!(mix.demand(at(2500), &service(), SLOTS).long_threshold, 0);
-    assert_eq!(EngineDivision::of(&EngineDemand::default()), None);
+    assert_eq!(EngineDivision::from_demand(&EngineDemand::default()), None);
 }
 
 #[test]
@@ -85,7 +88,7 @@
     assert_eq!(mix.demand(now, &service(), SLOTS).long_threshold, 0, "six requests tell nothing");
     let now = serve(&mut mix, 30, 0.03);
     let needs = mix.demand(now, &service(), SLOTS);
-    let division = EngineDivision::of(&needs).expect("both kinds came");
+    let division = EngineDivision::from_demand(&needs).expect("both kinds came");
     assert_eq!(division.group(f64::from(LONG)), PromptGroup::Long);
     assert_eq!(division.group(f64::from(SHORT)), PromptGroup::Short);
 }
@@ -96,19 +99,19 @@
     let share = |read_ms| {
         let mut mix = RequestMix::default();
         let now = serve(&mut mix, 60, read_ms);
-        EngineDivision::of(&mix.demand(now, &service(), SLOTS))
+        EngineDivision::from_demand(&mix.demand(now, &service(), SLOTS))
             .expect("both kinds came")
             .short_share
     };
     assert!(share(0.1) < share(0.03), "{} {}", share(0.1), share(0.03));
     let needs = EngineDemand { service: 1, short: 1, long: 1_000_000, long_threshold: 5000 };
-    let division = EngineDivision::of(&needs).expect("both kinds need engines");
+    let division = EngineDivision::from_demand(&needs).expect("both kinds need engines");
     assert!(division.short_share >= 0.1, "a group was left without engines");
 }
 
 #[test]
 fn each_engine_takes_one_group() {
-    let division = EngineDivision { long_from: 3000.0, short_share: 0.4 };
+    let division = EngineDivision { long_threshold: 3000.0, short_share: 0.4 };
     for place in [0.0, 0.2, 0.39, 0.41, 0.99] {
         let takers =
             [PromptGroup::Short, PromptGroup::Long].map(|group| division.takes(group, place));
--- a/crates/badgerfield-core/tests/poison.rs
+++ b/crates/badgerfield-core/tests/poison.rs
@@ -62,7 +62,7 @@
     let later = NOW.after(Duration::from_secs(10));
     assert_matches!(
         table.status(later, request("q")),
-        PoisonStatus::Blocked { upstreams, age, left }
+        PoisonStatus::Blocked { upstreams, age, remaining: left }
             if upstreams == [upstream(1), upstream(2)]
                 && age == Duration::from_secs(10)
                 && left == Duration::from_secs(590)
@@ -107,7 +107,7 @@
     assert_matches!(news.as_slice(), [(_, true)]);
     // A cut way may have been the cause, and is mended soon.
     let left = Duration::from_secs(55);
-    assert_matches!(table.status(later, request("q")), PoisonStatus::Blocked { left: l, .. } if l == left);
+    assert_matches!(table.status(later, request("q")), PoisonStatus::Blocked { remaining: l, .. } if l == left);
     assert!(!is_blocked(&table, later.after(left), "q"));
 }
 
--- a/crates/badgerfield-core/tests/residency.rs
+++ b/crates/badgerfield-core/tests/residency.rs
@@ -6,11 +6,11 @@
 
 use badgerfield_core::amount::{Percent, Time, Tokens};
 use badgerfield_core::evacuation::DomainChange;
-use badgerfield_core::ids::{Account, Domain, Region, Service, UpstreamId, Version};
+use badgerfield_core::ids::{Account, Domain, Region, Service, TemplateVersion, UpstreamId};
 use badgerfield_core::replica_list::{ListedUpstream, UpstreamEntry, UpstreamList};
 use badgerfield_core::replicas::{AttemptOutcome, PromptPart, UpstreamCriteria, UpstreamTable};
-use badgerfield_core::residency::{Admission, EVERYWHERE, RegionMap, Residency, ResidencyFault};
-use badgerfield_core::routing::{Repeat, Route, RouteTable, Routing, Split};
+use badgerfield_core::residency::{Admission, EVERYWHERE, RegionMap, Residency, ResidencyError};
+use badgerfield_core::routing::{RetryPolicy, Route, RouteTable, Routing, WeightedService};
 use badgerfield_core::template::{AccountTemplate, TemplateSet};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -70,11 +70,11 @@
         name: "route".into(),
         host: HOST.into(),
         prefix: "/".into(),
-        repeat: Repeat::Safe,
+        repeat: RetryPolicy::Safe,
         timeout: Duration::from_secs(5),
         objective: Duration::from_millis(300),
         rank: 1,
-        split: vec![Split { service: service(), weight: 1 }],
+        split: vec![WeightedService { service: service(), weight: 1 }],
         attempts: 3,
         anonymous: false,
         affinity: false,
@@ -82,7 +82,7 @@
         regions: route.clone(),
     };
     let template = AccountTemplate {
-        changed: Version(version),
+        changed: TemplateVersion(version),
         priority: 1,
         models: BTreeSet::new(),
         adapters: BTreeSet::new(),
@@ -97,7 +97,7 @@
         regions: tenant.clone(),
     };
     TemplateSet {
-        version: Version(version),
+        version: TemplateVersion(version),
         accounts: BTreeMap::from([(account(), template)]),
         routing: Routing { routes: vec![route], ..Routing::default() },
         ..TemplateSet::default()
@@ -112,14 +112,17 @@
 #[test]
 fn both_bounds_hold_and_what_they_leave_is_checked() {
     let (ab, bc) = (within(&["a", "b"]), within(&["b", "c"]));
-    assert_eq!(ab.and(&bc), within(&["b"]));
-    assert_eq!(ab.and(&EVERYWHERE), ab);
-    assert_eq!(EVERYWHERE.and(&bc), bc);
+    assert_eq!(ab.intersect(&bc), within(&["b"]));
+    assert_eq!(ab.intersect(&EVERYWHERE), ab);
+    assert_eq!(EVERYWHERE.intersect(&bc), bc);
     assert!(EVERYWHERE.allows(None));
     assert!(!ab.allows(None), "what lies in an unknown region gets nothing that is bound");
-    assert_eq!(within(&["a"]).and(&within(&["c"])).check(&map()), Err(ResidencyFault::NoRegion));
+    assert_eq!(
+        within(&["a"]).intersect(&within(&["c"])).check(&map()),
+        Err(ResidencyError::NoRegion)
+    );
     let unknown = within(&["nowhere"]);
-    assert_eq!(unknown.check(&map()), Err(ResidencyFault::Unknown(unknown.clone())));
+    assert_eq!(unknown.check(&map()), Err(ResidencyError::Unknown(unknown.clone())));
     assert_eq!(within(&["nowhere", "c"]).check(&map()), Ok(()));
     assert_eq!(EVERYWHERE.check(&RegionMap::default()), Ok(()));
 }
@@ -138,14 +141,14 @@
     let decoded = TemplateSet::decode(&set.encode()).expect("it was just encoded");
     assert_eq!(decoded, set);
     let mut behind = templates(2, &EVERYWHERE, &EVERYWHERE);
-    assert!(behind.advance(set.since(Version(2))));
+    assert!(behind.apply_delta(set.delta_since(TemplateVersion(2))));
     assert_eq!((&behind.accounts, &behind.routing), (&set.accounts, &set.routing));
     // Templates that were written before there were bounds allow every region.
     let text = String::from_utf8(set.encode()).expect("it is text");
     let before = text.replace(r#","regions":["a"]"#, "").replace(r#","regions":["a","b"]"#, "");
     assert_ne!(before, text);
     let old = TemplateSet::decode(before.as_bytes()).expect("it can be read");
-    assert!(!old.routing.routes[0].regions.is_bound());
+    assert!(!old.routing.routes[0].regions.is_restricted());
 }
 
 /// A request under way, with all that the operators had bound it to so far.
@@ -156,7 +159,7 @@
 
 /// One process: what it has in force, and its table of upstreams.
 struct Process {
-    version: Version,
+    version: TemplateVersion,
     table: RouteTable,
     replicas: UpstreamTable,
 }
@@ -174,7 +177,7 @@
     /// Sends a request to one more upstream; returns where it went.
     fn send(&mut self, now: Time, waiting: &mut Waiting, draw: u64) -> Option<UpstreamId> {
         let newest = || self.table.residency_at(HOST, "/x", Some(&account()));
-        let residency = waiting.admission.residency_now(self.version, newest);
+        let residency = waiting.admission.current_residency(self.version, newest);
         let parts = [PromptPart { id: draw % 5, tokens: 900 }, PromptPart { id: draw, tokens: 90 }];
         let wanted = UpstreamCriteria {
             service: &service(),
@@ -227,15 +230,15 @@
                 0 => {
                     let (route, tenant) = (random_bound(&mut rng), random_bound(&mut rng));
                     version += 1;
-                    bound = route.and(&tenant);
-                    process.version = Version(version);
+                    bound = route.intersect(&tenant);
+                    process.version = TemplateVersion(version);
                     process.table = RouteTable::new(&templates(version, &route, &tenant));
                 }
                 1 => {
                     // What waited at the process that ended is sent by nobody any more.
                     let (route, tenant) = (random_bound(&mut rng), random_bound(&mut rng));
                     version += 1;
-                    bound = route.and(&tenant);
+                    bound = route.intersect(&tenant);
                     process = Process::start(&templates(version, &route, &tenant));
                     waiting.clear();
                 }
--- a/crates/badgerfield-core/tests/routing.rs
+++ b/crates/badgerfield-core/tests/routing.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use badgerfield_core::amount::{Percent, Tokens};
-use badgerfield_core::ids::{Period, Version};
+use badgerfield_core::ids::{Period, TemplateVersion};
 use badgerfield_core::residency::Residency;
-use badgerfield_core::routing::{Repeat, Route, RouteTable, Routing, Split};
+use badgerfield_core::routing::{RetryPolicy, Route, RouteTable, Routing, WeightedService};
 use badgerfield_core::template::{AccountTemplate, BudgetTemplate, KeyDigest, TemplateSet};
 
 fn route(name: &str, host: &str, prefix: &str, split: &[(&str, u32)]) -> Route {
-    let split = split.iter().map(|(service, weight)| Split {
+    let split = split.iter().map(|(service, weight)| WeightedService {
         service: service.parse().expect("the name is valid"),
         weight: *weight,
     });
@@ -18,7 +18,7 @@
         name: name.into(),
         host: host.into(),
         prefix: prefix.into(),
-        repeat: Repeat::Never,
+        repeat: RetryPolicy::Never,
         timeout: Duration::from_secs(1),
         objective: Duration::from_millis(300),
         rank: 0,
@@ -33,7 +33,7 @@
 
 fn set(version: u64, routes: Vec<Route>, keys: &[&str]) -> TemplateSet {
     let account = AccountTemplate {
-        changed: Version(version),
+        changed: TemplateVersion(version),
         priority: 1,
         models: BTreeSet::new(),
         adapters: BTreeSet::new(),
@@ -48,13 +48,13 @@
         regions: Residency::default(),
     };
     let budget = BudgetTemplate {
-        changed: Version(version),
+        changed: TemplateVersion(version),
         limit: Tokens(1000),
         period: Period(1),
         keys: keys.iter().map(|key| KeyDigest::of(key)).collect(),
     };
     TemplateSet {
-        version: Version(version),
+        version: TemplateVersion(version),
         accounts: BTreeMap::from([("tenant".parse().expect("the name is valid"), account)]),
         budgets: BTreeMap::from([("tenant/prepaid".parse().expect("the name is valid"), budget)]),
         routing: Routing { routes, ..Routing::default() },
@@ -88,7 +88,7 @@
     let route = route("r", "a.example", "/", &[("one", 90), ("two", 10), ("none", 0)]);
     let mut counts = BTreeMap::new();
     for draw in 0..1000 {
-        let service = route.service(draw).expect("there are services");
+        let service = route.choose_service(draw).expect("there are services");
         *counts.entry(service.to_string()).or_insert(0) += 1;
     }
     assert_eq!(counts, BTreeMap::from([("one".to_owned(), 900), ("two".to_owned(), 100)]));
@@ -112,9 +112,9 @@
     let decoded = TemplateSet::decode(&new.encode()).expect("it was just encoded");
     assert_eq!(decoded, new);
     let mut behind = old.clone();
-    assert!(behind.advance(new.since(Version(1))));
+    assert!(behind.apply_delta(new.delta_since(TemplateVersion(1))));
     assert_eq!(behind.routing, new.routing);
     // A peer that is behind takes nothing back.
-    assert!(!behind.advance(old.since(Version(0))));
-    assert_eq!(behind.version, Version(2));
+    assert!(!behind.apply_delta(old.delta_since(TemplateVersion(0))));
+    assert_eq!(behind.version, TemplateVersion(2));
 }
--- a/crates/badgerfield-core/tests/support/mod.rs
+++ b/crates/badgerfield-core/tests/support/mod.rs
@@ -2,7 +2,7 @@
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::{BudgetId, Incarnation};
-use badgerfield_core::view::{Member, Standing};
+use badgerfield_core::view::{Member, MemberState};
 
 pub(crate) fn budget() -> BudgetId {
     "account/main".parse().expect("the name is valid")
@@ -20,6 +20,6 @@
         domain: "d".parse().expect("the name is valid"),
         peer: ([127, 0, 0, 1], 1).into(),
         caller: ([127, 0, 0, 1], 2).into(),
-        standing: Standing::Active,
+        standing: MemberState::Active,
     }
 }
--- a/crates/badgerfield-core/tests/tally.rs
+++ b/crates/badgerfield-core/tests/tally.rs
@@ -39,7 +39,7 @@
 /// Notes an answer that took so long, with no prompt to read.
 fn answer(tallies: &mut Tallies, route: &str, is_target: bool, span: u64) -> AnswerSpeed {
     let (_, tally) = tallies.get_mut(&service()).expect("it is counted");
-    tally.answered(&seen(route, is_target), millis(span), Duration::ZERO)
+    tally.record_answer(&seen(route, is_target), millis(span), Duration::ZERO)
 }
 
 fn told(tallies: &Tallies) -> RolloutTally {
@@ -95,9 +95,9 @@
     }
     let (_, tally) = tallies.get_mut(&service()).expect("it is counted");
     // 160 ms is four times what is usual, and what reading and waiting come to together.
-    let pace = tally.answered(&seen("r", true), millis(160), millis(100));
+    let pace = tally.record_answer(&seen("r", true), millis(160), millis(100));
     assert_eq!(pace, AnswerSpeed::Normal);
-    let pace = tally.answered(&seen("r", true), millis(160), millis(5));
+    let pace = tally.record_answer(&seen("r", true), millis(160), millis(5));
     assert_eq!(pace, AnswerSpeed::Slow);
 }
 
@@ -170,7 +170,7 @@
         let (_, tally) = tallies.get_mut(&service()).expect("it is counted");
         let route = format!("route-{n}");
         let seen = AnswerSource { route: &route, upstream: n, is_target: true };
-        tally.answered(&seen, millis(40), Duration::ZERO);
+        tally.record_answer(&seen, millis(40), Duration::ZERO);
     }
     let told = told(&tallies);
     assert!(told.routes.len() <= 33 && told.upstreams.len() <= 64, "{told:?}");
--- a/crates/badgerfield-core/tests/template_history.rs
+++ b/crates/badgerfield-core/tests/template_history.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use badgerfield_core::amount::{Percent, Tokens};
-use badgerfield_core::ids::{Period, Version};
+use badgerfield_core::ids::{Period, TemplateVersion};
 use badgerfield_core::residency::Residency;
-use badgerfield_core::routing::{Repeat, Route, Split};
+use badgerfield_core::routing::{RetryPolicy, Route, WeightedService};
 use badgerfield_core::template::{AccountTemplate, BudgetTemplate, KeyDigest, TemplateSet};
 use badgerfield_core::template_history::TemplateHistory;
 use proptest::prelude::*;
@@ -14,7 +14,7 @@
 const ACCOUNTS: u64 = 40;
 const ROUTES: u64 = 60;
 
-fn account(version: Version) -> AccountTemplate {
+fn account(version: TemplateVersion) -> AccountTemplate {
     AccountTemplate {
         changed: version,
         priority: 1,
@@ -37,11 +37,11 @@
         name: format!("route-{n}"),
         host: "host.example".to_owned(),
         prefix: format!("/p{n}/"),
-        repeat: Repeat::Safe,
+        repeat: RetryPolicy::Safe,
         timeout: Duration::from_secs(5),
         objective: Duration::from_millis(300),
         rank: 1,
-        split: vec![Split { service: "pool".parse().expect("a name"), weight: 1 }],
+        split: vec![WeightedService { service: "pool".parse().expect("a name"), weight: 1 }],
         attempts: 2,
         anonymous: false,
         affinity: false,
@@ -52,7 +52,7 @@
 
 /// Makes a set as a platform writes it: all templates count as changed in its version.
 fn set(version: u64, limit: impl Fn(u64) -> u64, routes: Vec<Route>) -> TemplateSet {
-    let version = Version(version);
+    let version = TemplateVersion(version);
     let mut set = TemplateSet { version, ..TemplateSet::default() };
     for n in 0..ACCOUNTS {
         let keys = BTreeSet::from([KeyDigest::of(&format!("key-{n}"))]);
@@ -76,11 +76,11 @@
     routes[7].timeout = Duration::from_secs(9);
     let second = set(8, |n| if n == 4 { 2000 } else { 1000 }, routes);
     let mut history = TemplateHistory::default();
-    history.note(&first);
+    history.record(&first);
     let delta = history.delta(&second, first.version).expect("the version is known");
     assert!(size(&delta) * 10 < size(&second), "{} of {}", size(&delta), size(&second));
     let mut behind = first.clone();
-    assert!(behind.advance(delta));
+    assert!(behind.apply_delta(delta));
     assert_eq!(behind, second);
 }
 
@@ -88,15 +88,15 @@
 fn who_is_far_behind_or_elsewhere_gets_the_whole_set() {
     let mut history = TemplateHistory::default();
     for version in 1..=20 {
-        history.note(&set(version, |_| version, Vec::new()));
+        history.record(&set(version, |_| version, Vec::new()));
     }
     let last = set(21, |_| 21, Vec::new());
-    assert!(history.delta(&last, Version(2)).is_none());
-    let delta = history.delta(&last, Version(20)).expect("the version is known");
+    assert!(history.delta(&last, TemplateVersion(2)).is_none());
+    let delta = history.delta(&last, TemplateVersion(20)).expect("the version is known");
     // One that has meanwhile gone on must not mix what it has with a change to something else.
     let mut other = set(19, |_| 19, Vec::new());
-    assert!(!other.advance(delta));
-    assert_eq!(other.version, Version(19));
+    assert!(!other.apply_delta(delta));
+    assert_eq!(other.version, TemplateVersion(19));
 }
 
 proptest! {
@@ -108,10 +108,10 @@
         let first = set(1, |_| 5, old.into_iter().map(route).collect());
         let second = set(2, |_| 5, new.into_iter().map(route).collect());
         let mut history = TemplateHistory::default();
-        history.note(&first);
+        history.record(&first);
         let delta = history.delta(&second, first.version).expect("the version is known");
         let mut behind = first;
-        prop_assert!(behind.advance(delta));
+        prop_assert!(behind.apply_delta(delta));
         prop_assert_eq!(behind, second);
     }
 }
--- a/crates/badgerfield-core/tests/templates.rs
+++ b/crates/badgerfield-core/tests/templates.rs
@@ -5,7 +5,7 @@
 
 use assert_matches::assert_matches;
 use badgerfield_core::amount::{Percent, Tokens};
-use badgerfield_core::ids::{Author, Period, Version};
+use badgerfield_core::ids::{Author, Period, TemplateVersion};
 use badgerfield_core::residency::Residency;
 use badgerfield_core::template::{
     AccountTemplate, BudgetTemplate, KeyDigest, TemplateFault, TemplateSet,
@@ -18,7 +18,7 @@
 fn set() -> TemplateSet {
     let mut set = TemplateSet::default();
     let account = AccountTemplate {
-        changed: Version(0),
+        changed: TemplateVersion(0),
         priority: 1,
         models: BTreeSet::from(["m".parse().expect("the name is valid")]),
         adapters: BTreeSet::new(),
@@ -34,7 +34,8 @@
     };
     set.accounts.insert("a".parse().expect("the name is valid"), account);
     let keys = BTreeSet::from([KeyDigest::of("key")]);
-    let budget = BudgetTemplate { changed: Version(0), limit: Tokens(10), period: Period(2), keys };
+    let budget =
+        BudgetTemplate { changed: TemplateVersion(0), limit: Tokens(10), period: Period(2), keys };
     set.budgets.insert("a/b".parse().expect("the name is valid"), budget);
     set
 }
@@ -56,8 +57,8 @@
     bad.budgets.insert("c/d".parse().expect("the name is valid"), copy);
     let faults = next(&first, bad).expect_err("the set has faults");
     assert_eq!(faults.len(), 5, "{faults:?}");
-    assert_matches!(faults[0], TemplateFault::PeriodBack { .. });
-    assert_eq!(first.version, Version(1));
+    assert_matches!(faults[0], TemplateFault::PeriodDecreased { .. });
+    assert_eq!(first.version, TemplateVersion(1));
 }
 
 #[test]
@@ -68,7 +69,7 @@
     let second = next(&first, wanted).expect("the set has no fault");
     let account = second.accounts.values().next().expect("there is one");
     let budget = second.budgets.values().next().expect("there is one");
-    assert_eq!((account.changed, budget.changed), (Version(1), Version(2)));
+    assert_eq!((account.changed, budget.changed), (TemplateVersion(1), TemplateVersion(2)));
     assert_eq!(second.history.len(), 2);
     assert_eq!(second.history[1].diff, ["budget a/b: limit 10 to 20"]);
 }
@@ -80,16 +81,16 @@
     wanted.budgets.values_mut().next().expect("there is one").limit = Tokens(20);
     let second = next(&first, wanted).expect("the set has no fault");
     let mut behind = first.clone();
-    assert!(behind.advance(second.since(first.version)));
+    assert!(behind.apply_delta(second.delta_since(first.version)));
     assert_eq!(behind.version, second.version);
     assert_eq!(behind.budgets, second.budgets);
     // An older difference, or one that starts ahead of what is here, is not taken.
-    assert!(!behind.advance(first.since(Version(0))));
+    assert!(!behind.apply_delta(first.delta_since(TemplateVersion(0))));
     let mut empty = TemplateSet::default();
-    assert!(!empty.advance(second.since(first.version)));
+    assert!(!empty.apply_delta(second.delta_since(first.version)));
     // A removal shows in the counts, so that the whole set is asked for.
     let mut fewer = second.clone();
     fewer.budgets.clear();
     let third = next(&second, fewer).expect("the set has no fault");
-    assert!(!behind.advance(third.since(second.version)));
+    assert!(!behind.apply_delta(third.delta_since(second.version)));
 }
--- a/crates/badgerfield-core/tests/waiting.rs
+++ b/crates/badgerfield-core/tests/waiting.rs
@@ -16,9 +16,9 @@
 use badgerfield_core::amount::{Percent, Tokens};
 use badgerfield_core::event::{Order, Outbox};
 use badgerfield_core::holdings::{Holdings, ReserveOutcome};
-use badgerfield_core::ids::{Epoch, Incarnation, Period, ReservationId, RunId, Version};
+use badgerfield_core::ids::{Epoch, Incarnation, Period, ReservationId, RunId, TemplateVersion};
 use badgerfield_core::ledger::{BudgetTerms, HoldingPlan, LedgerReply};
-use badgerfield_core::message::{Ask, Lack, Message};
+use badgerfield_core::message::{Ask, Message, NoTokensReason};
 use badgerfield_core::refusal::Cause;
 use badgerfield_core::view::View;
 use support::{at, budget, member};
@@ -41,7 +41,8 @@
     let members = vec![member(1), member(2)];
     let view = View { epoch: Epoch(2), members, ..View::default() };
     holdings.apply_view(at(0), &Arc::new(view), &mut Outbox::default());
-    let terms = BudgetTerms { version: Version(1), period: Period(1), limit: Tokens(3_000) };
+    let terms =
+        BudgetTerms { version: TemplateVersion(1), period: Period(1), limit: Tokens(3_000) };
     holdings.update_terms(at(0), &budget(), terms, Percent::new(80).expect("a share"));
     assert_eq!(ask(&mut holdings, 10, RunId(1), 5_000), ReserveOutcome::Waiting);
     answer_ledger_with(&mut holdings, 20, Tokens(200 + BEFORE * USED.0), plan);
@@ -86,7 +87,7 @@
 /// Ends the search: the ledger has nothing, and the other holder has all of its own set aside.
 fn find_nothing(holdings: &mut Holdings, now: u64) {
     answer_ledger(holdings, now, Tokens::ZERO);
-    let lack = Lack::Reserved(std::time::Duration::from_secs(1));
+    let lack = NoTokensReason::Reserved(std::time::Duration::from_secs(1));
     holdings.handle_no_tokens(at(now), OTHER, &budget(), (NEED, lack), &mut Outbox::default());
 }
 
@@ -187,10 +188,10 @@
     // It has nothing now, and enough is to come back for this one, not for the next.
     let mut out = Outbox::default();
     holdings.handle_token_request(at(110), OTHER, &wish(60), &mut out);
-    assert_matches!(sent(out), Message::Nothing { lack: Lack::Reserved(_), .. });
+    assert_matches!(sent(out), Message::NoTokens { reason: NoTokensReason::Reserved(_), .. });
     let mut out = Outbox::default();
     holdings.handle_token_request(at(120), OTHER, &wish(2_000), &mut out);
-    assert_matches!(sent(out), Message::Nothing { lack: Lack::Spent, .. });
+    assert_matches!(sent(out), Message::NoTokens { reason: NoTokensReason::Spent, .. });
 }
 
 #[test]
@@ -222,7 +223,7 @@
 #[test]
 fn a_request_on_a_route_is_told_at_once() {
     let mut holdings = holder();
-    let run = ReservationId(2).run();
+    let run = ReservationId(2).to_run_id();
     assert_eq!(ask(&mut holdings, 100, run, 5_000), ReserveOutcome::Waiting);
     find_nothing(&mut holdings, 110);
     assert_eq!(held(&mut holdings), [run]);
--- a/crates/badgerfield-core/tests/warm_up.rs
+++ b/crates/badgerfield-core/tests/warm_up.rs
@@ -16,7 +16,7 @@
 use rand_chacha::ChaCha8Rng;
 
 /// A bound such as that of the users' sheets: 9.9 * 1.5 + 5 = 19.85 requests a second.
-const BOUND: WarmUpBound = WarmUpBound { overshoot: 1.5, allowance: 5.0 };
+const BOUND: WarmUpBound = WarmUpBound { overshoot: 1.5, extra_requests: 5.0 };
 const SENDERS: usize = 3;
 
 fn warm_up() -> WarmUp {
--- a/crates/badgerfield-node/src/callers.rs
+++ b/crates/badgerfield-node/src/callers.rs
@@ -8,7 +8,7 @@
 
 use badgerfield_core::Event;
 use badgerfield_core::event::{Answer, Arrival, Call, Work};
-use badgerfield_core::ids::{RequestId, Version};
+use badgerfield_core::ids::{RequestId, TemplateVersion};
 use badgerfield_core::message::Head;
 use badgerfield_core::refusal::{Cause, Outcome, Refusal};
 use badgerfield_core::template::KeyDigest;
@@ -408,10 +408,10 @@
 }
 
 /// Asks a VM which version of the templates it has in force.
-pub async fn version_at(address: SocketAddr) -> Option<Version> {
+pub async fn version_at(address: SocketAddr) -> Option<TemplateVersion> {
     let request = Request::get(format!("http://{address}/v1/vms")).body(Full::default()).ok()?;
     let answer = http::call(&http::client(), request, VERSION_WAIT).await.ok()?;
-    answer["templates"].as_u64().map(Version)
+    answer["templates"].as_u64().map(TemplateVersion)
 }
 
 /// Answers which addresses to use, and for how long.
--- a/crates/badgerfield-node/src/driver.rs
+++ b/crates/badgerfield-node/src/driver.rs
@@ -12,13 +12,13 @@
 use badgerfield_core::amount::Time;
 use badgerfield_core::event::{Answer, Bill, Dispatch, Note};
 use badgerfield_core::ids::{AttemptId, Incarnation, Period, RequestId, ReservationId};
-use badgerfield_core::locality::Place;
+use badgerfield_core::locality::Location;
 use badgerfield_core::message::Envelope;
 use badgerfield_core::mix::{EngineDemand, EngineDivision};
 use badgerfield_core::refusal::Refusal;
 use badgerfield_core::upstream::VmList;
-use badgerfield_core::view::{Member, Standing};
-use badgerfield_core::{Config, Event, Node, Order, TICK};
+use badgerfield_core::view::{Member, MemberState};
+use badgerfield_core::{Config, Event, Node, Order, TICK_INTERVAL};
 use http_body_util::Full;
 use hyper::{Request, Uri};
 use thiserror::Error;
@@ -131,15 +131,15 @@
             domain: settings.domain.clone(),
             peer: settings.advertised,
             caller: settings.gateway.map_or(settings.callers, |gateway| gateway.requests),
-            standing: Standing::Active,
+            standing: MemberState::Active,
         };
         let limits = settings.limits;
         let node = Node::new(Config {
             member,
-            shards: limits.shards,
-            remember: limits.remember,
-            replay: limits.replay,
-            max_replay: limits.replay_bytes,
+            ledger_shards: limits.shards,
+            key_retention: limits.remember,
+            answer_retention: limits.replay,
+            max_answer_bytes: limits.replay_bytes,
             directory_ttl: limits.directory,
             pacing: settings.pacing,
             seed,
@@ -152,7 +152,7 @@
             let senders = settings.pacing.policy.warm_up_senders;
             gateway.replicas().set_warm_up_bound(settings.warm_up, senders);
             let (domain, region) = (settings.domain.clone(), settings.region.clone());
-            let place = Place { domain: Some(domain), region: Some(region) };
+            let place = Location { domain: Some(domain), region: Some(region) };
             let mut replicas = gateway.replicas();
             replicas.set_regions(settings.regions.clone());
             replicas.set_location(place, settings.locality);
@@ -267,7 +267,7 @@
         // The sender lives as long as the driver.
         let _ = exit.wait_for(|ended| *ended).await;
         while self.gateway.as_ref().is_some_and(|gateway| gateway.open_count() > 0) {
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(TICK_INTERVAL).await;
         }
         self.peers.close().await;
     }
@@ -302,7 +302,8 @@
                 };
                 let from = self.node.id();
                 self.metrics.messages.count(&message);
-                let envelope = Envelope { from, address: self.settings.advertised, to, message };
+                let envelope =
+                    Envelope { from, sender_address: self.settings.advertised, to, message };
                 self.peers.send(address, envelope);
             }
             Order::KeyValue(ticket, call) => {
@@ -368,7 +369,7 @@
             return;
         };
         let news = gateway.replicas().divide_engines(needs);
-        for (service, EngineDivision { long_from, short_share }) in news {
+        for (service, EngineDivision { long_threshold: long_from, short_share }) in news {
             log::info!(
                 target: NODE,
                 "engines divided service={service} short_share={short_share:.2} \
@@ -481,7 +482,7 @@
     }
 
     async fn tick(self: Arc<Self>) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         let mut logged = self.now();
         let mut told = self.now();
         let mut count: u32 = 0;
--- a/crates/badgerfield-node/src/evacuations.rs
+++ b/crates/badgerfield-node/src/evacuations.rs
@@ -44,7 +44,7 @@
     /// Takes in who may send to cold upstreams, after a newer view has come into force.
     pub(crate) fn learn_senders(&self) {
         if let Some(gateway) = self.gateway() {
-            gateway.replicas().set_senders(self.now(), self.node.senders());
+            gateway.replicas().set_senders(self.now(), self.node.warm_up_senders());
         }
     }
 }
--- a/crates/badgerfield-node/src/follow.rs
+++ b/crates/badgerfield-node/src/follow.rs
@@ -5,9 +5,9 @@
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::event::{KvCall, KvName, KvResult};
-use badgerfield_core::ids::Version;
+use badgerfield_core::ids::TemplateVersion;
 use badgerfield_core::replica_list::UpstreamListChanges;
-use badgerfield_core::{Event, TICK};
+use badgerfield_core::{Event, TICK_INTERVAL};
 
 use crate::adapter::Watched;
 use crate::driver::{Driver, Source};
@@ -57,7 +57,7 @@
     loop {
         if !follows_templates(&driver) {
             after = 0;
-            driver.clock.sleep(pace(driver.node.version() == Version(0))).await;
+            driver.clock.sleep(pace(driver.node.version() == TemplateVersion(0))).await;
             continue;
         }
         if after == 0 {
@@ -149,7 +149,7 @@
 /// Returns how long to wait before looking again whether this process follows the platform;
 /// one that knows nothing yet looks often.
 fn pace(is_new: bool) -> Duration {
-    if is_new { TICK } else { WATCH_PACE }
+    if is_new { TICK_INTERVAL } else { WATCH_PACE }
 }
 
 /// Reads the whole list; returns its revision, or nothing if it cannot be read.
@@ -195,7 +195,7 @@
 /// Tells whether this process follows the templates itself: whenever it follows the list of
 /// upstreams. The first ones are read together with the view.
 fn follows_templates(driver: &Driver) -> bool {
-    driver.node.version() > Version(0) && is_on_duty(driver)
+    driver.node.version() > TemplateVersion(0) && is_on_duty(driver)
 }
 
 /// Closes what is of no more use, and tells what requests need and whether this process
--- a/crates/badgerfield-node/src/gateway/admit.rs
+++ b/crates/badgerfield-node/src/gateway/admit.rs
@@ -7,7 +7,7 @@
 use badgerfield_core::ids::Account;
 use badgerfield_core::mix::PromptSize;
 use badgerfield_core::refusal::{Cause, Refusal};
-use badgerfield_core::residency::{Admission, Residency, ResidencyFault};
+use badgerfield_core::residency::{Admission, Residency, ResidencyError};
 use badgerfield_core::routing::{Caller, Route, RouteTable};
 use badgerfield_core::template::KeyDigest;
 use bytes::Bytes;
@@ -74,17 +74,18 @@
     let fingerprint = suspicion::check(&driver, account_id, route, &terms, &original)
         .map_err(|refusal| (Some(id.clone()), refusal))?;
 
-    let service = route.service(rand::random()).ok_or_else(|| not_run(Cause::NoUpstream))?.clone();
+    let service =
+        route.choose_service(rand::random()).ok_or_else(|| not_run(Cause::NoUpstream))?.clone();
     let spec = table.service(&service).cloned().ok_or_else(|| not_run(Cause::NoUpstream))?;
     let objective = if route.objective.is_zero() { patience } else { route.objective };
-    let wait = objective * driver.settings.pacing.policy.budget_wait / 100;
+    let wait = objective * driver.settings.pacing.policy.budget_wait_percent / 100;
     let until = ends.min(arrived.after(wait));
     let reservation = reserve(&driver, &terms, caller.as_ref(), until).await;
     let reservation = reservation.map_err(|refusal| (Some(id.clone()), refusal))?;
     driver.gateway_counts().admitted.inc();
     let now = driver.now();
     gateway.retries().count_request(now, &service);
-    let divides = driver.settings.pacing.policy.divide;
+    let divides = driver.settings.pacing.policy.divide_engines;
     if let Some(size) = size_of(&terms).filter(|_| divides) {
         gateway.replicas().record_arrival(now, &service, &route.name, size);
     }
@@ -139,8 +140,8 @@
     checked.map_err(|fault| {
         record::outside(id, &route.name, &fault, in_force.version);
         match fault {
-            ResidencyFault::NoRegion => Refusal::not_run(Cause::NoRegionAllowed),
-            ResidencyFault::Unknown(_) => {
+            ResidencyError::NoRegion => Refusal::not_run(Cause::NoRegionAllowed),
+            ResidencyError::Unknown(_) => {
                 Refusal::not_run(Cause::RegionUnknown).with_retry_after(COME_BACK)
             }
         }
--- a/crates/badgerfield-node/src/gateway/directory.rs
+++ b/crates/badgerfield-node/src/gateway/directory.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use badgerfield_core::locality::{Place, nearest};
+use badgerfield_core::locality::{Location, nearest};
 use badgerfield_core::view::Member;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
@@ -98,15 +98,15 @@
 }
 
 /// Returns where a caller stands: a question that names no region may name a known domain.
-fn place_of(gateway: &Gateway, ask: DirectoryAsk) -> Place {
+fn place_of(gateway: &Gateway, ask: DirectoryAsk) -> Location {
     let DirectoryAsk { domain, region } = ask;
     let of_domain = || gateway.replicas().regions().region(domain.as_ref()?).cloned();
     let region = region.or_else(of_domain);
-    Place { domain, region }
+    Location { domain, region }
 }
 
 /// Returns the addresses of the VMs that a caller is sent to.
-fn choose(members: &[Member], caller: &Place) -> Vec<SocketAddr> {
+fn choose(members: &[Member], caller: &Location) -> Vec<SocketAddr> {
     let near = nearest(members, caller).into_iter();
     near.map(|member| member.caller).take(MAX_ADDRESSES).collect()
 }
--- a/crates/badgerfield-node/src/gateway/dispatch.rs
+++ b/crates/badgerfield-node/src/gateway/dispatch.rs
@@ -132,7 +132,7 @@
     /// and by the newest.
     fn residency(&self) -> Residency {
         let newest = self.gateway.in_force();
-        self.admission.residency_now(newest.version, || {
+        self.admission.current_residency(newest.version, || {
             // The caller's head may have lost its host: what concerns one connection is dropped.
             let path = self.original.head.uri.path();
             let account = self.caller.as_ref().map(|caller| &caller.account);
--- a/crates/badgerfield-node/src/gateway/flow.rs
+++ b/crates/badgerfield-node/src/gateway/flow.rs
@@ -338,7 +338,7 @@
         }
         let seen = ObservedTiming {
             uncached_tokens: self.unread,
-            first: first.saturating_sub(sent),
+            time_to_first: first.saturating_sub(sent),
             stream_time: last.saturating_sub(first),
         };
         self.gateway.replicas().record_timing(&self.service, &self.route.name, &seen);
--- a/crates/badgerfield-node/src/gateway/record.rs
+++ b/crates/badgerfield-node/src/gateway/record.rs
@@ -4,25 +4,25 @@
 use std::time::Duration;
 
 use badgerfield_core::amount::Time;
-use badgerfield_core::ids::{Incarnation, SoftwareVersion, UpstreamId, Version};
+use badgerfield_core::ids::{Incarnation, SoftwareVersion, TemplateVersion, UpstreamId};
 use badgerfield_core::locality::CrossingReason;
 use badgerfield_core::mix::PromptGroup;
 use badgerfield_core::poison::Fingerprint;
 use badgerfield_core::refusal::Refusal;
 use badgerfield_core::replicas::{ChosenUpstream, LimitChange};
 use badgerfield_core::request_limit::RateLimit;
-use badgerfield_core::residency::ResidencyFault;
+use badgerfield_core::residency::ResidencyError;
 
 use crate::logs::REQUESTS;
 
 /// Records that a request was let in.
-pub(crate) fn admitted(id: &str, route: &str, account: Option<&str>, version: Version) {
+pub(crate) fn admitted(id: &str, route: &str, account: Option<&str>, version: TemplateVersion) {
     let account = account.unwrap_or("-");
     log::info!(target: REQUESTS, "admitted id={id} route={route} account={account} templates={version}");
 }
 
 /// Records that a request may be served in no known region.
-pub(crate) fn outside(id: &str, route: &str, fault: &ResidencyFault, version: Version) {
+pub(crate) fn outside(id: &str, route: &str, fault: &ResidencyError, version: TemplateVersion) {
     log::warn!(target: REQUESTS, "outside id={id} route={route} templates={version} fault={fault:?}");
 }
 
--- a/crates/badgerfield-node/src/gateway/relay.rs
+++ b/crates/badgerfield-node/src/gateway/relay.rs
@@ -48,7 +48,7 @@
 /// Starts to pass a stream on.
 pub(crate) fn start(exchange: Exchange, answered: Box<Answered>) -> Response<AnswerBody> {
     let Answered { head, body, framed, hold } = *answered;
-    let scanner = EventScanner::after(exchange.terms.last_event);
+    let scanner = EventScanner::resume_after(exchange.terms.last_event);
     let status = head.status.as_u16();
     let source = Some(Source { body, framed, hold, has_begun: false });
     let relay = Relay { exchange, source, scanner, status, ended: false };
--- a/crates/badgerfield-node/src/gateway/state.rs
+++ b/crates/badgerfield-node/src/gateway/state.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use badgerfield_core::amount::Time;
-use badgerfield_core::ids::{UpstreamId, Version};
+use badgerfield_core::ids::{TemplateVersion, UpstreamId};
 use badgerfield_core::replicas::UpstreamTable;
 use badgerfield_core::retry_budget::{RetryBudget, RetryLimits};
 use badgerfield_core::rollout::{RolloutRule, RolloutRules};
@@ -24,7 +24,7 @@
 /// The routes in force, with the version that they came with.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct InForce {
-    pub(crate) version: Version,
+    pub(crate) version: TemplateVersion,
     pub(crate) table: Arc<RouteTable>,
 }
 
@@ -78,7 +78,7 @@
     }
 
     /// Puts newer routes in force; never steps back.
-    pub(crate) fn put_in_force(&self, version: Version, table: RouteTable) {
+    pub(crate) fn put_in_force(&self, version: TemplateVersion, table: RouteTable) {
         let mut routes = lock(&self.routes);
         if version > routes.version {
             *routes = InForce { version, table: Arc::new(table) };
--- a/crates/badgerfield-node/src/gateway/suspicion.rs
+++ b/crates/badgerfield-node/src/gateway/suspicion.rs
@@ -46,8 +46,8 @@
         return Ok(OnceLock::new());
     }
     let request = fingerprint(account, route, terms, original);
-    let standing = driver.node.request_standing(driver.now(), request);
-    let PoisonStatus::Blocked { upstreams, age, left } = standing else {
+    let standing = driver.node.request_status(driver.now(), request);
+    let PoisonStatus::Blocked { upstreams, age, remaining: left } = standing else {
         return Ok(OnceLock::from(request));
     };
     record::blocked(&original.id, request, &upstreams, age);
@@ -67,7 +67,7 @@
         if !self.driver.node.has_suspects() {
             return PoisonStatus::Clear;
         }
-        self.driver.node.request_standing(self.now(), self.fingerprint())
+        self.driver.node.request_status(self.now(), self.fingerprint())
     }
 
     /// Returns how often an upstream is known to have ended under the request.
@@ -75,7 +75,7 @@
         if !self.driver.node.has_suspects() {
             return 0;
         }
-        self.driver.node.ends_under(self.fingerprint(), upstream)
+        self.driver.node.crash_count(self.fingerprint(), upstream)
     }
 
     /// Returns the number by which all VMs choose alike for the request, if an upstream has
@@ -103,7 +103,7 @@
     /// Returns how much longer the request is blocked, if it is.
     pub(super) fn blocked_for(&self) -> Option<Duration> {
         match self.standing() {
-            PoisonStatus::Blocked { left, .. } => Some(left),
+            PoisonStatus::Blocked { remaining: left, .. } => Some(left),
             PoisonStatus::Clear | PoisonStatus::Suspect { .. } => None,
         }
     }
--- a/crates/badgerfield-node/src/metrics.rs
+++ b/crates/badgerfield-node/src/metrics.rs
@@ -329,13 +329,13 @@
         let count = |n: usize| u64::try_from(n).unwrap_or(u64::MAX);
         self.running.set(count(status.running));
         self.queued.set(count(status.queued));
-        self.claims.set(count(status.claims));
-        self.unsettled.set(count(status.unsettled));
+        self.claims.set(count(status.remembered_keys));
+        self.unsettled.set(count(status.unsettled_charges));
         self.members.set(count(status.members));
-        self.excess.set(status.excess.0);
+        self.excess.set(status.excess_tokens.0);
         self.epoch.set(status.epoch.0);
-        self.templates.set(status.version.0);
-        self.conflicts.set(status.conflicts.0);
+        self.templates.set(status.template_version.0);
+        self.conflicts.set(status.write_counts.0);
         self.dropped_lines.set(log_lines::dropped());
         for entry in &status.budgets {
             let label = BudgetLabel { budget: entry.budget.to_string() };
--- a/crates/badgerfield-node/src/operators.rs
+++ b/crates/badgerfield-node/src/operators.rs
@@ -105,18 +105,18 @@
         "region": driver.settings.region,
         "incarnation": status.incarnation.to_string(),
         "epoch": status.epoch,
-        "complete": status.complete,
-        "templates": status.version,
+        "complete": status.complete_epoch,
+        "templates": status.template_version,
         "active": status.active,
         "stopping": status.stopping,
         "members": status.members,
         "running": status.running,
         "queued": status.queued,
-        "keys": status.claims,
-        "charges_open": status.unsettled,
-        "excess": status.excess,
-        "ledger_writes": status.conflicts.1,
-        "ledger_conflicts": status.conflicts.0,
+        "keys": status.remembered_keys,
+        "charges_open": status.unsettled_charges,
+        "excess": status.excess_tokens,
+        "ledger_writes": status.write_counts.1,
+        "ledger_conflicts": status.write_counts.0,
         "evacuated": evacuated,
         "rollouts": rollouts_json(driver),
         "orders": orders_json(driver),
@@ -158,5 +158,5 @@
             "heard_as_judge": { "target": target, "others": others },
         })
     };
-    driver.node.rollouts(driver.now()).into_iter().map(line).collect()
+    driver.node.rollout_statuses(driver.now()).into_iter().map(line).collect()
 }
--- a/crates/badgerfield-node/src/settings.rs
+++ b/crates/badgerfield-node/src/settings.rs
@@ -314,12 +314,12 @@
     let other = Pacing::default();
     let (least, most) = (Duration::from_millis(50), Duration::from_secs(86_400));
     Pacing {
-        ahead: file.span_or("pacing", "ahead", other.ahead, (least, most)),
-        report: file.span_or("pacing", "report", other.report, (least, most)),
-        beat: file.span_or("pacing", "beat", other.beat, (least, most)),
-        hand_on: file.span_or("pacing", "hand_on", other.hand_on, (least, most)),
-        notice: file.span_or("pacing", "notice", other.notice, (least, most)),
-        seals: file.value_or("pacing", "seals", other.seals),
+        hold_ahead: file.span_or("pacing", "ahead", other.hold_ahead, (least, most)),
+        report_interval: file.span_or("pacing", "report", other.report_interval, (least, most)),
+        heartbeat_interval: file.span_or("pacing", "beat", other.heartbeat_interval, (least, most)),
+        return_timeout: file.span_or("pacing", "hand_on", other.return_timeout, (least, most)),
+        leave_notice: file.span_or("pacing", "notice", other.leave_notice, (least, most)),
+        seal_holdings: file.value_or("pacing", "seals", other.seal_holdings),
         rollout: read_rollout(file),
         policy: read_policy(file),
     }
@@ -329,10 +329,10 @@
     let other = Policy::default();
     let (least, most) = (Duration::ZERO, Duration::from_secs(60));
     Policy {
-        divide: file.value_or("policy", "divide", other.divide),
+        divide_engines: file.value_or("policy", "divide", other.divide_engines),
         top_up: file.value_or("policy", "top_up", other.top_up),
-        at_hand: file.span_or("policy", "at_hand", other.at_hand, (least, most)),
-        budget_wait: file.value_or("policy", "budget_wait", other.budget_wait),
+        prefetch_span: file.span_or("policy", "at_hand", other.prefetch_span, (least, most)),
+        budget_wait_percent: file.value_or("policy", "budget_wait", other.budget_wait_percent),
         warm_up_senders: file.value_or("policy", "warm_up_senders", other.warm_up_senders),
     }
 }
@@ -366,7 +366,7 @@
         return None;
     }
     let (overshoot, allowance) = (overshoot.unwrap_or(1.0), allowance.unwrap_or(0.0));
-    Some(WarmUpBound { overshoot, allowance })
+    Some(WarmUpBound { overshoot, extra_requests: allowance })
 }
 
 /// Reads the bound on versions that are rolled out; values that are empty, or a unit alone, as a
--- a/crates/badgerfield-node/src/suspects.rs
+++ b/crates/badgerfield-node/src/suspects.rs
@@ -47,8 +47,8 @@
             return Ok(());
         }
         let request = outgoing.fingerprint();
-        let standing = self.node.request_standing(self.now(), request);
-        let PoisonStatus::Blocked { upstreams, age, left } = standing else {
+        let standing = self.node.request_status(self.now(), request);
+        let PoisonStatus::Blocked { upstreams, age, remaining: left } = standing else {
             return Ok(());
         };
         let upstreams: Vec<_> = upstreams.iter().map(UpstreamId::as_str).collect();
@@ -66,7 +66,7 @@
         if !self.node.has_suspects() {
             return 0;
         }
-        self.node.ends_under(outgoing.fingerprint(), upstream)
+        self.node.crash_count(outgoing.fingerprint(), upstream)
     }
 
     /// Holds it against a request if an upstream that broke off under it has ended.
@@ -90,7 +90,7 @@
             return;
         }
         let request = outgoing.fingerprint();
-        if self.node.request_standing(self.now(), request) != PoisonStatus::Clear {
+        if self.node.request_status(self.now(), request) != PoisonStatus::Clear {
             self.feed(Event::SuspectServed(request));
         }
     }
--- a/crates/badgerfield-node/src/templates.rs
+++ b/crates/badgerfield-node/src/templates.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use badgerfield_core::amount::{Percent, Tokens};
-use badgerfield_core::ids::{Account, BudgetId, Period, Version};
+use badgerfield_core::ids::{Account, BudgetId, Period, TemplateVersion};
 use badgerfield_core::residency::Residency;
 use badgerfield_core::template::{AccountTemplate, BudgetTemplate, KeyDigest, TemplateSet};
 
@@ -77,7 +77,7 @@
     let spread = Percent::new(SPREAD).unwrap_or_else(|_| unreachable!("the default is in range"));
     let zero = Duration::ZERO;
     AccountTemplate {
-        changed: Version(0),
+        changed: TemplateVersion(0),
         priority: file.value_or(section, "priority", 1),
         models: file.list(section, "models").into_iter().collect(),
         adapters: file.list(section, "adapters").into_iter().collect(),
@@ -115,7 +115,7 @@
         file.fault(section, Some("keys"), what);
     }
     Some(BudgetTemplate {
-        changed: Version(0),
+        changed: TemplateVersion(0),
         limit: limit?,
         period,
         keys: keys.into_iter().collect(),
--- a/crates/badgerfield-node/src/upstreams.rs
+++ b/crates/badgerfield-node/src/upstreams.rs
@@ -99,7 +99,7 @@
 
     /// Asks all engines for their load.
     pub(crate) async fn poll_loads(&self, driver: &Arc<Driver>) {
-        let calls = driver.node.upstream_addresses().into_iter().map(|(id, address)| async move {
+        let calls = driver.node.engine_addresses().into_iter().map(|(id, address)| async move {
             let request =
                 Request::get(format!("http://{address}/load")).body(Full::default()).ok()?;
             let value = http::call(&self.client, request, LOAD).await.ok()?;
--- a/crates/badgerfield-node/tests/peers.rs
+++ b/crates/badgerfield-node/tests/peers.rs
@@ -38,7 +38,7 @@
         let message = Message::Heartbeat(Heartbeat::default());
         let envelope = Envelope {
             from: Incarnation(1),
-            address: ([127, 0, 0, 1], 1).into(),
+            sender_address: ([127, 0, 0, 1], 1).into(),
             to: Incarnation(2),
             message,
         };
@@ -106,7 +106,7 @@
                 let to = (n + step) % FLEET;
                 let envelope = Envelope {
                     from: Incarnation(u64::try_from(n)?),
-                    address: at(port(n)),
+                    sender_address: at(port(n)),
                     to: Incarnation(u64::try_from(to)?),
                     message: Message::Heartbeat(Heartbeat::default()),
                 };
--- a/crates/badgerfield-node/tests/settings.rs
+++ b/crates/badgerfield-node/tests/settings.rs
@@ -88,8 +88,8 @@
     assert_eq!(gateway.requests.port(), 6);
     assert_eq!(gateway.directory, None);
     assert_eq!(settings.platform.vm_list, None);
-    assert!(settings.pacing.seals);
-    assert_eq!(settings.pacing.ahead, std::time::Duration::from_secs(11));
+    assert!(settings.pacing.seal_holdings);
+    assert_eq!(settings.pacing.hold_ahead, std::time::Duration::from_secs(11));
 }
 
 #[test]
@@ -106,7 +106,7 @@
 fn a_bound_on_cold_upstreams_is_read_whole_or_is_absent() {
     let bound = |text: &str| read(&format!("{GOOD}{text}")).map(|settings| settings.warm_up);
     let both = bound("[warm_up]\novershoot = 1.5\nallowance = 5\n").expect("it is good");
-    assert_matches!(both, Some(bound) if bound.overshoot > 1.4 && bound.allowance > 4.9);
+    assert_matches!(both, Some(bound) if bound.overshoot > 1.4 && bound.extra_requests > 4.9);
     // A template leaves a value empty that its platform does not have.
     let empty = bound("[warm_up]\novershoot = \nallowance = \n").expect("it is good");
     assert_eq!(empty, None);
@@ -124,8 +124,8 @@
         assert!(faults.iter().any(|fault| fault.contains("[warm_up]")), "{text}: {faults:#?}");
     }
     let bound = |text: &str| read(text).expect("it is good").warm_up.expect("there is a bound");
-    assert_eq!(bound("overshoot = 1.5\n"), WarmUpBound { overshoot: 1.5, allowance: 0.0 });
-    assert_eq!(bound("allowance = 5\n"), WarmUpBound { overshoot: 1.0, allowance: 5.0 });
+    assert_eq!(bound("overshoot = 1.5\n"), WarmUpBound { overshoot: 1.5, extra_requests: 0.0 });
+    assert_eq!(bound("allowance = 5\n"), WarmUpBound { overshoot: 1.0, extra_requests: 5.0 });
 }
 
 #[test]
--- a/crates/badgerfield-standin/src/capacity.rs
+++ b/crates/badgerfield-standin/src/capacity.rs
@@ -8,9 +8,9 @@
 use badgerfield_core::amount::{Percent, Time, TokenRate, Tokens};
 use badgerfield_core::claims::Claims;
 use badgerfield_core::event::{Chat, Outbox, Work};
-use badgerfield_core::ids::{BudgetId, Incarnation, Period, RequestKey, Version};
+use badgerfield_core::ids::{BudgetId, Incarnation, Period, RequestKey, TemplateVersion};
 use badgerfield_core::ledger::{BudgetTerms, LedgerOp, LedgerShard};
-use badgerfield_core::message::ClaimAsk;
+use badgerfield_core::message::ClaimRequest;
 use badgerfield_core::residency::EVERYWHERE;
 use badgerfield_core::upstream::{VmList, VmUpstreamCriteria as RouteWish, VmUpstreams};
 use badgerfield_core::view::View;
@@ -212,7 +212,7 @@
         let me = Incarnation(1);
         let mut claims = Claims::new(me, Duration::from_secs(900));
         let mut out = Outbox::default();
-        let view = View::default().with(member(0, 0, 0, me), true);
+        let view = View::default().with_member(member(0, 0, 0, me), true);
         claims.apply_view(Time::default(), &Arc::new(view.clone()), &mut out);
         let before = resident();
         let work = Instant::now();
@@ -220,7 +220,14 @@
             let key =
                 RequestKey(u128::from(n) << 64 | u128::from(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
             let epoch = claims.epoch();
-            let ask = ClaimAsk { key, home: None, serial: n, epoch, once: false, over: None };
+            let ask = ClaimRequest {
+                key,
+                home: None,
+                serial: n,
+                epoch,
+                at_most_once: false,
+                replaces: None,
+            };
             claims.decide(Time::default(), me, &ask, &mut out);
         }
         let spent = work.elapsed();
@@ -274,7 +281,11 @@
         .unwrap_or_else(|_| unreachable!("the name is valid"));
     LedgerOp {
         budget,
-        terms: BudgetTerms { version: Version(1), period: Period(1), limit: Tokens(1_000_000_000) },
+        terms: BudgetTerms {
+            version: TemplateVersion(1),
+            period: Period(1),
+            limit: Tokens(1_000_000_000),
+        },
         holder: Incarnation(holder.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
         seq,
         need: Tokens(400),
@@ -334,7 +345,7 @@
         for n in 0..count {
             let id =
                 Incarnation(u64::try_from(n + 1).unwrap_or(0).wrapping_mul(0x9e37_79b9_7f4a_7c15));
-            view = view.with(member(n, 0, n, id), true);
+            view = view.with_member(member(n, 0, n, id), true);
         }
         let bytes = view.completed().encode().len();
         let start = Instant::now();
--- a/crates/badgerfield-standin/src/fleet/crashes.rs
+++ b/crates/badgerfield-standin/src/fleet/crashes.rs
@@ -22,7 +22,7 @@
     pub fn blocked_at(&self, request: Fingerprint) -> usize {
         let blocks = |vm: &usize| {
             let local = Time(self.now.since(self.vms[*vm].started));
-            let standing = |node: &Node| node.request_standing(local, request);
+            let standing = |node: &Node| node.request_status(local, request);
             self.node(*vm).is_some_and(|n| matches!(standing(n), PoisonStatus::Blocked { .. }))
         };
         (0..self.size()).filter(blocks).count()
--- a/crates/badgerfield-standin/src/fleet/mod.rs
+++ b/crates/badgerfield-standin/src/fleet/mod.rs
@@ -22,7 +22,7 @@
 use std::time::Duration;
 
 use badgerfield_core::amount::{Percent, Time, Tokens};
-use badgerfield_core::ids::{Account, BudgetId, Domain, Incarnation, RequestId, Version};
+use badgerfield_core::ids::{Account, BudgetId, Domain, Incarnation, RequestId, TemplateVersion};
 use badgerfield_core::refusal::Refusal;
 use badgerfield_core::template::TemplateSet;
 use badgerfield_core::upstream::{VmEntry, VmList};
@@ -89,7 +89,7 @@
     started: Time,
     frozen: bool,
     backlog: Vec<Event>,
-    version: Version,
+    version: TemplateVersion,
     /// The failure domains that its process believes to be evacuated.
     evacuated: BTreeSet<Domain>,
     gateway: rollouts::Gateway,
@@ -101,7 +101,7 @@
     Event(Incarnation, Event),
     Tick(Incarnation),
     Step(usize),
-    KvApply(Incarnation, badgerfield_core::ids::Ticket, badgerfield_core::event::KvCall, Time),
+    KvApply(Incarnation, badgerfield_core::ids::StoreCallId, badgerfield_core::event::KvCall, Time),
     List,
 }
 
@@ -385,7 +385,7 @@
                     started: self.now,
                     frozen: false,
                     backlog: Vec::new(),
-                    version: Version(0),
+                    version: TemplateVersion(0),
                     evacuated: BTreeSet::new(),
                     gateway: rollouts::Gateway::default(),
                 });
--- a/crates/badgerfield-standin/src/fleet/platform.rs
+++ b/crates/badgerfield-standin/src/fleet/platform.rs
@@ -6,7 +6,7 @@
 use badgerfield_core::amount::Time;
 use badgerfield_core::evacuation::DomainChange;
 use badgerfield_core::event::{Event, KvCall, KvName, KvResult, OperatorValues, Versioned};
-use badgerfield_core::ids::{Domain, Incarnation, Ticket};
+use badgerfield_core::ids::{Domain, Incarnation, StoreCallId};
 use badgerfield_core::ledger::LedgerShard;
 use badgerfield_core::template::TemplateSet;
 use badgerfield_core::view::View;
@@ -160,7 +160,7 @@
     pub(super) fn apply_call(
         &mut self,
         from: Incarnation,
-        ticket: Ticket,
+        ticket: StoreCallId,
         call: &KvCall,
         sent: Time,
     ) {
--- a/crates/badgerfield-standin/src/fleet/processes.rs
+++ b/crates/badgerfield-standin/src/fleet/processes.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use badgerfield_core::ids::{Incarnation, Version};
+use badgerfield_core::ids::{Incarnation, TemplateVersion};
 use badgerfield_core::policy::Policy;
 use badgerfield_core::{Config, Event, Node, Pacing};
 use rand::RngExt;
@@ -21,15 +21,15 @@
         vm.started = self.now;
         vm.frozen = false;
         vm.backlog.clear();
-        vm.version = Version(0);
+        vm.version = TemplateVersion(0);
         vm.evacuated.clear();
         vm.gateway = super::rollouts::Gateway::default();
         vm.node = Some(Node::new(Config {
             member: vm.member.clone(),
-            shards: self.shape.shards,
-            remember: Duration::from_mins(15),
-            replay: Duration::from_mins(2),
-            max_replay: 1_000_000,
+            ledger_shards: self.shape.shards,
+            key_retention: Duration::from_mins(15),
+            answer_retention: Duration::from_mins(2),
+            max_answer_bytes: 1_000_000,
             directory_ttl: Duration::from_secs(2),
             pacing,
             seed,
@@ -46,13 +46,13 @@
             return Pacing::default();
         }
         Pacing {
-            ahead: Duration::from_secs(11),
-            report: Duration::from_millis(500),
-            beat: Duration::from_millis(400),
-            hand_on: Duration::from_secs(1),
-            notice: Duration::from_secs(3),
+            hold_ahead: Duration::from_secs(11),
+            report_interval: Duration::from_millis(500),
+            heartbeat_interval: Duration::from_millis(400),
+            return_timeout: Duration::from_secs(1),
+            leave_notice: Duration::from_secs(3),
             policy: Policy::default(),
-            seals: true,
+            seal_holdings: true,
             rollout: super::rollouts::bound(),
         }
     }
--- a/crates/badgerfield-standin/src/fleet/rollouts.rs
+++ b/crates/badgerfield-standin/src/fleet/rollouts.rs
@@ -9,7 +9,7 @@
 use badgerfield_core::Event;
 use badgerfield_core::amount::{Percent, Time};
 use badgerfield_core::event::{KvCall, KvName, OperatorChanges};
-use badgerfield_core::ids::{Incarnation, Service, SoftwareVersion, Ticket};
+use badgerfield_core::ids::{Incarnation, Service, SoftwareVersion, StoreCallId};
 use badgerfield_core::rollout::{
     Allowance, AnswerCounts, OrderChange, RolloutBound, RolloutOrder, RolloutRecord, RolloutRule,
     RolloutState, RolloutTally, RouteTally,
@@ -305,7 +305,12 @@
     }
 
     /// Puts a write off that its caller gives up; tells whether it does.
-    pub(super) fn is_late(&mut self, from: Incarnation, ticket: Ticket, call: &KvCall) -> bool {
+    pub(super) fn is_late(
+        &mut self,
+        from: Incarnation,
+        ticket: StoreCallId,
+        call: &KvCall,
+    ) -> bool {
         let is_record = matches!(call, KvCall::Swap { name: KvName::Rollout(_), .. });
         if !is_record || self.rollouts.late_writes == 0 {
             return false;
--- a/crates/badgerfield-standin/src/fleet/shape.rs
+++ b/crates/badgerfield-standin/src/fleet/shape.rs
@@ -5,11 +5,11 @@
 
 use badgerfield_core::amount::{Percent, Tokens};
 use badgerfield_core::event::{Arrival, Call, Chat, Work};
-use badgerfield_core::ids::{Incarnation, Period, Region, Version};
+use badgerfield_core::ids::{Incarnation, Period, Region, TemplateVersion};
 use badgerfield_core::residency::Residency;
 use badgerfield_core::template::{AccountTemplate, BudgetTemplate, KeyDigest};
 use badgerfield_core::upstream::VmEntry;
-use badgerfield_core::view::{Member, Standing};
+use badgerfield_core::view::{Member, MemberState};
 
 use super::upstreams::{self, Upstreams};
 
@@ -89,7 +89,7 @@
             .unwrap_or_else(|_| unreachable!("the name is valid")),
         peer: ([127, 0, 0, 1], port).into(),
         caller: ([127, 0, 0, 1], port).into(),
-        standing: Standing::Active,
+        standing: MemberState::Active,
     }
 }
 
@@ -115,7 +115,7 @@
     let one = |name: &str| name.parse().unwrap_or_else(|_| unreachable!("the name is valid"));
     let service = "scoring".parse().unwrap_or_else(|_| unreachable!("the name is valid"));
     AccountTemplate {
-        changed: Version(0),
+        changed: TemplateVersion(0),
         priority: 3,
         models: BTreeSet::from([one("m")]),
         adapters: BTreeSet::new(),
@@ -133,7 +133,7 @@
 
 pub(super) fn budget_template(index: usize, limit: u64) -> BudgetTemplate {
     let keys = BTreeSet::from([secret(index)]);
-    BudgetTemplate { changed: Version(0), limit: Tokens(limit), period: Period(1), keys }
+    BudgetTemplate { changed: TemplateVersion(0), limit: Tokens(limit), period: Period(1), keys }
 }
 
 pub(super) fn arrival_of(wish: &Wish) -> Arrival {
--- a/crates/badgerfield-standin/src/fleet/steps.rs
+++ b/crates/badgerfield-standin/src/fleet/steps.rs
@@ -6,7 +6,7 @@
 use badgerfield_core::event::Order;
 use badgerfield_core::ids::Incarnation;
 use badgerfield_core::message::Envelope;
-use badgerfield_core::{Event, TICK};
+use badgerfield_core::{Event, TICK_INTERVAL};
 use rand::RngExt;
 
 use super::{FAR, Fleet, NEAR, SPREAD, Turn, link};
@@ -41,7 +41,7 @@
                 self.take(index, Event::Clock(wall));
                 self.take(index, Event::Tick);
                 self.gateway_tick(index);
-                self.at(self.now.after(TICK), Turn::Tick(to));
+                self.at(self.now.after(TICK_INTERVAL), Turn::Tick(to));
             }
             Turn::Step(stream) => self.step(stream),
             Turn::KvApply(from, ticket, call, at) => self.apply_call(from, ticket, &call, at),
@@ -84,7 +84,7 @@
                 let node = self.vms[index].node.as_ref();
                 if node.is_some_and(|node| node.peer_address(to).is_some()) {
                     let address = self.vms[index].member.peer;
-                    self.send(index, &Envelope { from, address, to, message });
+                    self.send(index, &Envelope { from, sender_address: address, to, message });
                 }
             }
             Order::KeyValue(ticket, call) => {
--- a/crates/badgerfield-standin/tests/histories.rs
+++ b/crates/badgerfield-standin/tests/histories.rs
@@ -291,7 +291,7 @@
     }
     // A VM that dies between the end of an answer and the arbiter's word takes the bill
     // with it, and keys in doubt are rather not billed than billed twice.
-    if fleet.kills() > 0 || !fleet.platform.view().doubts.is_empty() {
+    if fleet.kills() > 0 || !fleet.platform.view().uncertain_keys.is_empty() {
         return;
     }
     for asked in fleet.asked.values() {
--- a/crates/badgerfield-standin/tests/large_fleet.rs
+++ b/crates/badgerfield-standin/tests/large_fleet.rs
@@ -123,7 +123,7 @@
     assert_eq!(view.complete, view.epoch, "the platform's view");
     for node in (0..VMS).filter_map(|vm| fleet.node(vm)) {
         let status = node.status();
-        assert_eq!(status.complete, status.epoch, "{} is not sure of its claims", node.id());
+        assert_eq!(status.complete_epoch, status.epoch, "{} is not sure of its claims", node.id());
     }
 }
 
--- a/crates/badgerfield-standin/tests/residency.rs
+++ b/crates/badgerfield-standin/tests/residency.rs
@@ -34,7 +34,7 @@
 
 /// Returns how many bytes of ended answers a VM keeps.
 fn kept(fleet: &Fleet, vm: usize) -> usize {
-    fleet.node(vm).expect("it runs").status().kept
+    fleet.node(vm).expect("it runs").status().answer_bytes
 }
 
 fn runs(fleet: &Fleet) -> u64 {
--- a/crates/badgerfield-standin/tests/rollouts.rs
+++ b/crates/badgerfield-standin/tests/rollouts.rs
@@ -297,7 +297,7 @@
                 self.phases[vm] = None;
                 continue;
             };
-            let known = node.rollouts(self.fleet.now);
+            let known = node.rollout_statuses(self.fleet.now);
             let found = known.first().map(|s| (s.known.change.revision, s.known.phase()));
             assert!(found >= self.phases[vm], "VM {vm}: {:?} after {:?}", found, self.phases[vm]);
             self.phases[vm] = found;
--- a/crates/badgerfield-standin/tests/thin_link.rs
+++ b/crates/badgerfield-standin/tests/thin_link.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use badgerfield_core::ids::Version;
+use badgerfield_core::ids::TemplateVersion;
 use badgerfield_standin::fleet::{Fleet, Link, Shape};
 
 const VMS: usize = 60;
@@ -18,7 +18,8 @@
 
 /// Returns how many VMs are in the view, and know the templates.
 fn back(fleet: &Fleet) -> usize {
-    let knows = |vm: &usize| fleet.node(*vm).is_some_and(|node| node.version() > Version(0));
+    let knows =
+        |vm: &usize| fleet.node(*vm).is_some_and(|node| node.version() > TemplateVersion(0));
     fleet.usable().iter().filter(|vm| knows(vm)).count()
 }
 
--- a/crates/badgerfield-standin/tests/upstream_list.rs
+++ b/crates/badgerfield-standin/tests/upstream_list.rs
@@ -38,7 +38,7 @@
     let beat = Heartbeat { epoch, version: node.version(), list, ..Heartbeat::default() };
     let address = ([127, 0, 0, 1], 1).into();
     let message = Message::Heartbeat(beat);
-    let envelope = Envelope { from, address, to: node.id(), message };
+    let envelope = Envelope { from, sender_address: address, to: node.id(), message };
     node.handle(Time::from_millis(millis), Event::Peer(envelope))
 }
 
@@ -154,7 +154,7 @@
             reached[vm] += 1;
             steps = steps.max(step);
             let (from, address) = (node(&fleet, from).id(), ([127, 0, 0, 1], 1).into());
-            let envelope = Envelope { from, address, to, message };
+            let envelope = Envelope { from, sender_address: address, to, message };
             let orders = node(&fleet, vm).handle(now, Event::Peer(envelope));
             waiting.extend(orders.into_iter().map(|order| (vm, step + 1, order)));
         }
@@ -192,7 +192,7 @@
             }
             reached.insert(vm);
             let (from, address) = (node(&fleet, from).id(), ([127, 0, 0, 1], 1).into());
-            let envelope = Envelope { from, address, to, message };
+            let envelope = Envelope { from, sender_address: address, to, message };
             let orders = node(&fleet, vm).handle(now, Event::Peer(envelope));
             waiting.extend(orders.into_iter().map(|order| (vm, order)));
         }
@@ -218,7 +218,7 @@
             };
             let orders = node(&fleet, vm).handle(fleet.now, Event::EngineNeeds(vec![own]));
             told.extend(orders.into_iter().filter_map(|order| match order {
-                Order::DivideEngines(needs) => needs.first().and_then(EngineDivision::of),
+                Order::DivideEngines(needs) => needs.first().and_then(EngineDivision::from_demand),
                 _ => None,
             }));
         }
--- a/crates/badgerfield/src/template.rs
+++ b/crates/badgerfield/src/template.rs
@@ -6,8 +6,8 @@
 
 use anyhow::{Result, bail};
 use badgerfield_core::event::{KvCall, KvName, KvResult};
-use badgerfield_core::ids::{Author, Version};
-use badgerfield_core::template::{Change, KeyDigest, TemplateSet};
+use badgerfield_core::ids::{Author, TemplateVersion};
+use badgerfield_core::template::{KeyDigest, TemplateChange, TemplateSet};
 use badgerfield_core::view::View;
 use badgerfield_node::adapter::KeyValue;
 use badgerfield_node::templates;
@@ -75,7 +75,7 @@
     let author: Author = author.parse()?;
     let wanted = templates::open(path)?;
     let (old, revision) = platform.templates().await?;
-    let expected = args.get_one::<u64>("expect").copied().map(Version);
+    let expected = args.get_one::<u64>("expect").copied().map(TemplateVersion);
     if let Some(expected) = expected.filter(|e| *e != old.version) {
         eprintln!("expected {expected} in force, found {}", winner(&old));
         return Ok(CONFLICT);
@@ -133,7 +133,7 @@
 }
 
 fn winner(set: &TemplateSet) -> String {
-    let by = set.history.last().map(|change: &Change| format!(" by {}", change.author));
+    let by = set.history.last().map(|change: &TemplateChange| format!(" by {}", change.author));
     format!("{}{}", set.version, by.unwrap_or_default())
 }
 
@@ -149,7 +149,7 @@
 }
 
 /// Waits until every VM of the view has the version in force.
-async fn confirm(platform: &Platform, version: Version) -> Result<u8> {
+async fn confirm(platform: &Platform, version: TemplateVersion) -> Result<u8> {
     let until = std::time::Instant::now() + WAIT;
     let mut missing = BTreeSet::new();
     while std::time::Instant::now() < until {
