--- a/crates/badgerfield-core/src/calls.rs
+++ b/crates/badgerfield-core/src/calls.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use crate::event::KvName;
+use crate::event::StoreKey;
 use crate::ids::{Service, StoreCallId};
 use crate::rollout::RolloutRecord;
 use crate::view::View;
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Purpose {
     /// Reads a value that others wrote.
-    Read(KvName),
+    Read(StoreKey),
     /// Writes the view.
     Write(View),
     /// Reads or writes a shard of the ledger.
@@ -47,10 +47,10 @@
     }
 
     /// Tells whether a call about a value of this kind is under way.
-    pub(crate) fn is_open(&self, name: &KvName) -> bool {
+    pub(crate) fn is_open(&self, name: &StoreKey) -> bool {
         self.open.values().any(|purpose| match purpose {
             Purpose::Read(n) => n == name,
-            Purpose::Write(_) => *name == KvName::View,
+            Purpose::Write(_) => *name == StoreKey::View,
             Purpose::Draw(_)
             | Purpose::Rollout(..)
             | Purpose::PoisonRead
--- a/crates/badgerfield-core/src/charges.rs
+++ b/crates/badgerfield-core/src/charges.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use crate::amount::Time;
-use crate::event::due;
-use crate::message::{ChargeId, ClaimRecord, PendingCharge, Progress, SettleRequest};
+use crate::event::is_due;
+use crate::message::{ChargeId, ClaimProgress, ClaimRecord, PendingCharge, SettleRequest};
 
 /// How often an arbiter is asked again whether a charge may be billed.
 const RESEND: Duration = Duration::from_millis(500);
@@ -59,7 +59,7 @@
     pub(crate) fn due_requests(&mut self, now: Time) -> Vec<SettleRequest> {
         let mut asks = Vec::new();
         for entry in self.open.values_mut() {
-            if !due(now, entry.sent, RESEND) {
+            if !is_due(now, entry.sent, RESEND) {
                 continue;
             }
             entry.sent = Some(now);
@@ -84,9 +84,9 @@
             home: note.home.clone(),
             owner: id.owner,
             serial: id.serial,
-            turn: 0,
-            once: false,
-            progress: Progress::Ended(note.cost),
+            owner_changes: 0,
+            at_most_once: false,
+            progress: ClaimProgress::Ended(note.cost),
         })
     }
 
@@ -97,7 +97,7 @@
 
     /// Returns all charges, to hand them over; nothing if that was done just now.
     pub(crate) fn due_handover(&mut self, now: Time) -> Vec<PendingCharge> {
-        if !due(now, self.handed, RESEND) {
+        if !is_due(now, self.handed, RESEND) {
             return Vec::new();
         }
         self.handed = Some(now);
--- a/crates/badgerfield-core/src/claims/mod.rs
+++ b/crates/badgerfield-core/src/claims/mod.rs
@@ -16,7 +16,7 @@
 use crate::event::Outbox;
 use crate::ids::{Epoch, Incarnation, Region, RequestKey, UpstreamId};
 use crate::message::{
-    ChargeId, ClaimDecision, ClaimRecord, ClaimRequest, Message, Progress, SettleRequest,
+    ChargeId, ClaimDecision, ClaimProgress, ClaimRecord, ClaimRequest, Message, SettleRequest,
 };
 use crate::view::View;
 use handover::Moving;
@@ -157,20 +157,20 @@
             if ask.at_most_once && self.is_doubtful(now, ask.key, ask.home.as_ref()) {
                 return Some(ClaimDecision::Uncertain);
             }
-            self.record(now, from, ask, 0, Progress::Held);
+            self.record(now, from, ask, 0, ClaimProgress::Held);
             return None;
         };
         let record = &entry.record;
         if record.owner == from && record.serial == ask.serial {
             return None;
         }
-        let ended = matches!(record.progress, Progress::Ended(_));
+        let ended = matches!(record.progress, ClaimProgress::Ended(_));
         let replaces = ask.replaces == Some((record.owner, record.serial));
         if replaces && !ended {
             let progress = record.progress.clone();
-            let (turn, once) = (record.turn + 1, record.once);
+            let (turn, once) = (record.owner_changes + 1, record.at_most_once);
             // An unrepeatable request that may have run elsewhere can only be resumed.
-            if once && progress == Progress::Held {
+            if once && progress == ClaimProgress::Held {
                 return Some(ClaimDecision::Uncertain);
             }
             self.record(now, from, ask, turn, progress);
@@ -186,15 +186,15 @@
         from: Incarnation,
         ask: &ClaimRequest,
         turn: u32,
-        progress: Progress,
+        progress: ClaimProgress,
     ) {
         let record = ClaimRecord {
             key: ask.key,
             home: ask.home.clone(),
             owner: from,
             serial: ask.serial,
-            turn,
-            once: ask.at_most_once,
+            owner_changes: turn,
+            at_most_once: ask.at_most_once,
             progress,
         };
         // An asker in the home region remembers the claim itself.
@@ -222,7 +222,7 @@
     }
 
     fn is_doubtful(&self, now: Time, key: RequestKey, home: Option<&Region>) -> bool {
-        let Some(epoch) = self.view.doubts(key, home) else {
+        let Some(epoch) = self.view.uncertain_since(key, home) else {
             return false;
         };
         let seen = self.doubted.get(&epoch).copied().unwrap_or(now);
@@ -289,10 +289,10 @@
         let Some(entry) = self.owned(from, key, serial) else {
             return;
         };
-        if matches!(entry.record.progress, Progress::Ended(_)) {
+        if matches!(entry.record.progress, ClaimProgress::Ended(_)) {
             return;
         }
-        entry.record.progress = Progress::Dispatched(to);
+        entry.record.progress = ClaimProgress::Dispatched(to);
         entry.changed = now;
     }
 
@@ -302,9 +302,9 @@
             return;
         };
         let may = match entry.record.progress {
-            Progress::Held => true,
-            Progress::Dispatched(_) => !entry.record.once,
-            Progress::Ended(_) => false,
+            ClaimProgress::Held => true,
+            ClaimProgress::Dispatched(_) => !entry.record.at_most_once,
+            ClaimProgress::Ended(_) => false,
         };
         if may {
             self.entries.remove(&key);
@@ -315,8 +315,8 @@
     ///
     /// A word of an arbiter of another epoch does not count: a new arbiter may not know.
     pub fn agreed(&mut self, now: Time, epoch: Epoch, record: &ClaimRecord) -> bool {
-        let turn = self.entries.get(&record.key).map_or(0, |e| e.record.turn);
-        let record = ClaimRecord { turn, ..record.clone() };
+        let turn = self.entries.get(&record.key).map_or(0, |e| e.record.owner_changes);
+        let record = ClaimRecord { owner_changes: turn, ..record.clone() };
         self.record_claim(now, epoch, &record)
     }
 
@@ -338,9 +338,9 @@
             home: ask.home.clone(),
             owner: ask.id.owner,
             serial: ask.id.serial,
-            turn: self.entries.get(&ask.key).map_or(0, |e| e.record.turn),
-            once: false,
-            progress: Progress::Ended(ask.cost),
+            owner_changes: self.entries.get(&ask.key).map_or(0, |e| e.record.owner_changes),
+            at_most_once: false,
+            progress: ClaimProgress::Ended(ask.cost),
         };
         let near = (keeper.is_none() && from != self.me).then_some(from);
         let copied = keeper.is_none();
@@ -362,9 +362,9 @@
             }
             // Whoever ends first bills: an owner that has not ended may still be refused.
             Some(entry) => {
-                let once = entry.record.once;
+                let once = entry.record.at_most_once;
                 *entry = fresh;
-                entry.record.once = once;
+                entry.record.at_most_once = once;
             }
         }
         let entry = self.entries.get_mut(&ask.key)?;
@@ -393,7 +393,7 @@
     /// Takes in a record that another member remembers too, unless a later one is here.
     fn merge(&mut self, now: Time, from: Incarnation, record: &ClaimRecord) {
         let keeper = (from != self.me).then_some(from);
-        let rank = |r: &ClaimRecord| (r.turn, r.progress.clone());
+        let rank = |r: &ClaimRecord| (r.owner_changes, r.progress.clone());
         if let Some(entry) = self.entries.get_mut(&record.key)
             && rank(&entry.record) >= rank(record)
         {
@@ -412,17 +412,17 @@
     }
 }
 
-fn upstream(progress: &Progress) -> Option<UpstreamId> {
+fn upstream(progress: &ClaimProgress) -> Option<UpstreamId> {
     match progress {
-        Progress::Dispatched(upstream) => Some(upstream.clone()),
-        Progress::Held | Progress::Ended(_) => None,
+        ClaimProgress::Dispatched(upstream) => Some(upstream.clone()),
+        ClaimProgress::Held | ClaimProgress::Ended(_) => None,
     }
 }
 
 fn granted(record: &ClaimRecord) -> ClaimDecision {
     ClaimDecision::Granted {
         previous_upstream: upstream(&record.progress),
-        owner_changes: record.turn,
+        owner_changes: record.owner_changes,
     }
 }
 
--- a/crates/badgerfield-core/src/control/admission.rs
+++ b/crates/badgerfield-core/src/control/admission.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::amount::{Time, Tokens};
-use crate::event::{Answer, Arrival, Outbox, Work};
+use crate::event::{Answer, IncomingRequest, Outbox, Work};
 use crate::ids::{Account, BudgetId, Period, RequestId, RequestKey};
 use crate::node::Node;
 use crate::refusal::{Cause, Outcome, Refusal};
@@ -36,7 +36,7 @@
         &self,
         now: Time,
         request: RequestId,
-        arrival: Arrival,
+        arrival: IncomingRequest,
         out: &mut Outbox,
     ) {
         let keyed = arrival.key.is_some();
@@ -52,7 +52,12 @@
         }
     }
 
-    fn admit(&self, now: Time, request: RequestId, arrival: Arrival) -> Result<Run, Refusal> {
+    fn admit(
+        &self,
+        now: Time,
+        request: RequestId,
+        arrival: IncomingRequest,
+    ) -> Result<Run, Refusal> {
         self.check_open(now)?;
         let admitted = self.look_up(&arrival)?;
         let keyed = arrival.key.as_deref().map(|key| keyed(key, &admitted));
@@ -69,7 +74,7 @@
             return Err(Refusal::not_run(Cause::NoRegionAllowed));
         }
         let wait = arrival
-            .patience
+            .max_wait
             .unwrap_or(admitted.template.queue_wait)
             .min(admitted.template.queue_wait);
         let claimed = if keyed.is_some() { Claimed::Open } else { Claimed::Unneeded };
@@ -114,13 +119,13 @@
         Ok(())
     }
 
-    fn look_up(&self, arrival: &Arrival) -> Result<Admitted, Refusal> {
+    fn look_up(&self, arrival: &IncomingRequest) -> Result<Admitted, Refusal> {
         let templates = self.state.templates();
         if templates.version.0 == 0 {
             return Err(Refusal::not_run(Cause::NotReady).with_retry_after(ELSEWHERE));
         }
         let unknown = Refusal::not_run(Cause::UnknownCaller);
-        let found = find_budget(&templates, &arrival.secret).ok_or(unknown)?;
+        let found = find_budget(&templates, &arrival.secret_digest).ok_or(unknown)?;
         let template = templates.account_of(&found.0).ok_or(unknown)?.clone();
         let account = account_name(&found.0).parse().map_err(|_| unknown)?;
         Ok(Admitted { account, budget: found.0, period: found.1, template })
@@ -184,10 +189,10 @@
         return Ok((template.call_cost, Tokens::ZERO));
     };
     let bad = Refusal::not_run(Cause::BadOutput);
-    let output = chat.output.unwrap_or(template.output_limit);
+    let output = chat.output_limit.unwrap_or(template.output_limit);
     if output.is_zero() || output > MAX_OUTPUT_TOKENS {
         return Err(bad);
     }
-    let bound = chat.prompt.checked_add(output).ok_or(bad)?;
+    let bound = chat.prompt_tokens.checked_add(output).ok_or(bad)?;
     Ok((bound, output))
 }
--- a/crates/badgerfield-core/src/control/answer.rs
+++ b/crates/badgerfield-core/src/control/answer.rs
@@ -1,9 +1,9 @@
 //! Answers: passes what upstreams say to callers and followers, whole and in order.
 
 use crate::amount::{Time, Tokens};
-use crate::event::{Answer, Chunk, Order, Outbox, UpstreamEvent, Usage, Work};
+use crate::event::{Answer, Chunk, Command, Outbox, UpstreamEvent, Usage, Work};
 use crate::ids::{AttemptId, RequestId, RunId, UpstreamId};
-use crate::message::{AnswerPart, Content, Head, Message};
+use crate::message::{AnswerPart, Head, Message, PartContent};
 use crate::node::Node;
 use crate::refusal::{Cause, Outcome, Refusal};
 use crate::runs::{Claimed, Run, Stage};
@@ -29,13 +29,13 @@
             }
             UpstreamEvent::NotSent => {
                 if let Some((id, upstream)) = self.over(now, attempt) {
-                    self.state.upstreams().failed(now, &upstream);
+                    self.state.upstreams().record_failure(now, &upstream);
                     self.not_taken(now, id, out);
                 }
             }
             UpstreamEvent::Busy(rest) => {
                 if let Some((id, upstream)) = self.over(now, attempt) {
-                    self.state.upstreams().failed(now, &upstream);
+                    self.state.upstreams().record_failure(now, &upstream);
                     self.state.upstreams().back_off(now, &upstream, rest.unwrap_or_default());
                     self.not_taken(now, id, out);
                 }
@@ -47,7 +47,7 @@
             }
             UpstreamEvent::Broken => {
                 if let Some((id, upstream)) = self.over(now, attempt) {
-                    self.state.upstreams().failed(now, &upstream);
+                    self.state.upstreams().record_failure(now, &upstream);
                     self.resume_broken(now, id, &upstream, out);
                 }
             }
@@ -74,7 +74,7 @@
             }
         };
         match attempt {
-            Some(attempt) => out.push(Order::Cancel(attempt)),
+            Some(attempt) => out.push(Command::Cancel(attempt)),
             None => self.refuse(now, id, Refusal::not_run(Cause::BrokenOff), out),
         }
     }
@@ -119,11 +119,11 @@
             let (key, serial) = (keyed.key, id.0);
             for (to, next) in &run.followers {
                 if *next == 0 {
-                    out.send(*to, Message::NotHere { key, serial });
+                    out.send(*to, Message::UnknownRequest { key, serial });
                     continue;
                 }
                 let offset = u64::try_from(run.parts.len()).unwrap_or(u64::MAX);
-                let content = Content::Broken;
+                let content = PartContent::Broken;
                 out.send(*to, Message::AnswerPart(AnswerPart { key, serial, offset, content }));
             }
             if !matches!(run.claimed, Claimed::Open) {
@@ -207,7 +207,7 @@
             if run.has_head() {
                 return;
             }
-            run.push(Content::Head(head));
+            run.push(PartContent::Head(head));
             id
         };
         let _ = now;
@@ -233,7 +233,7 @@
             let before = run.usage.unwrap_or_default().output;
             run.usage = chunk.usage.or(run.usage);
             let served = run.usage.unwrap_or_default().output.saturating_sub(before);
-            run.push(Content::Data(chunk.data));
+            run.push(PartContent::Data(chunk.data));
             let Stage::Running { upstream, at, started, .. } = &mut run.stage else {
                 return;
             };
@@ -283,7 +283,7 @@
                 Work::Chat(_) => usage.map_or(run.bound, Usage::cost),
                 Work::Call(_) => run.bound,
             };
-            run.push(Content::End(cost));
+            run.push(PartContent::End(cost));
             runs.end(now, id);
             cost
         };
@@ -306,12 +306,12 @@
     }
 }
 
-fn answer(part: &Content) -> Answer {
+fn answer(part: &PartContent) -> Answer {
     match part {
-        Content::Head(head) => Answer::Head(head.clone()),
-        Content::Data(data) => Answer::Data(data.clone()),
-        Content::End(cost) => Answer::End(*cost),
-        Content::Broken => Answer::Broken(Refusal::may_have_run(Cause::BrokenOff)),
+        PartContent::Head(head) => Answer::Head(head.clone()),
+        PartContent::Data(data) => Answer::Data(data.clone()),
+        PartContent::End(cost) => Answer::End(*cost),
+        PartContent::Broken => Answer::Broken(Refusal::may_have_run(Cause::BrokenOff)),
     }
 }
 
--- a/crates/badgerfield-core/src/control/charging.rs
+++ b/crates/badgerfield-core/src/control/charging.rs
@@ -1,7 +1,7 @@
 //! Charging: settles reservations, and bills each key once.
 
 use crate::amount::{Time, Tokens};
-use crate::event::{Bill, Order, Outbox};
+use crate::event::{Bill, Command, Outbox};
 use crate::ids::{Epoch, Incarnation, RunId};
 use crate::message::{ChargeId, Message, PendingCharge, SettleRequest};
 use crate::node::Node;
@@ -24,7 +24,7 @@
             (self.note_of(id, run, cost), self.bill_of(id, run, cost))
         };
         let Some(note) = note else {
-            out.push(Order::Bill(bill));
+            out.push(Command::Bill(bill));
             return;
         };
         self.state.charges().add(now, note);
@@ -129,7 +129,7 @@
         self.state.holdings().record_charge(&note.budget, note.period, note.cost, billed);
         let (account, budget) = (note.account, note.budget);
         let (key, stream, cost) = (Some(note.key), note.stream, note.cost);
-        out.push(Order::Bill(Bill { account, budget, key, stream, cost, billed }));
+        out.push(Command::Bill(Bill { account, budget, key, stream, cost, billed }));
     }
 
     /// Hands open charges to another process, because this one ends.
--- a/crates/badgerfield-core/src/control/claiming.rs
+++ b/crates/badgerfield-core/src/control/claiming.rs
@@ -7,7 +7,8 @@
 use crate::event::Outbox;
 use crate::ids::{Epoch, Incarnation, RequestKey, RunId, UpstreamId};
 use crate::message::{
-    AnswerPart, ChargeId, ClaimDecision, ClaimRecord, ClaimRequest, Content, Message, Progress,
+    AnswerPart, ChargeId, ClaimDecision, ClaimProgress, ClaimRecord, ClaimRequest, Message,
+    PartContent,
 };
 use crate::node::Node;
 use crate::refusal::{Cause, Refusal};
@@ -282,13 +283,13 @@
                 run.followers.insert(from, next);
                 let idle = next == run.parts.len();
                 if idle {
-                    out.send(from, Message::Pending { key, serial });
+                    out.send(from, Message::AnswerPending { key, serial });
                 }
                 drop(runs);
                 self.deliver(id, out);
                 return;
             }
-            out.send(from, Message::NotHere { key, serial });
+            out.send(from, Message::UnknownRequest { key, serial });
             if settling {
                 return;
             }
@@ -321,7 +322,7 @@
             if part.offset != place {
                 return;
             }
-            let last = matches!(part.content, Content::End(_) | Content::Broken);
+            let last = matches!(part.content, PartContent::End(_) | PartContent::Broken);
             run.push(part.content);
             if last {
                 runs.end(now, id);
@@ -490,9 +491,10 @@
                 home: keyed.home,
                 owner: self.id(),
                 serial: id.0,
-                turn,
-                once: run.once,
-                progress: earlier.map_or(Progress::Held, |id| Progress::Dispatched(id.clone())),
+                owner_changes: turn,
+                at_most_once: run.once,
+                progress: earlier
+                    .map_or(ClaimProgress::Held, |id| ClaimProgress::Dispatched(id.clone())),
             }
         };
         self.state.claims().record_claim(now, epoch, &record)
--- a/crates/badgerfield-core/src/control/dispatch.rs
+++ b/crates/badgerfield-core/src/control/dispatch.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::amount::{Time, Tokens};
-use crate::event::{Dispatch, Order, Outbox, Work};
+use crate::event::{Command, Dispatch, Outbox, Work};
 use crate::ids::{Account, AttemptId, RunId, UpstreamId};
 use crate::message::Message;
 use crate::node::Node;
@@ -248,7 +248,7 @@
             }
         }
         self.state.upstreams().record_dispatch(now, upstream, &work);
-        out.push(Order::Dispatch(attempt, dispatch));
+        out.push(Command::Dispatch(attempt, dispatch));
     }
 
     fn dispatch_of(
@@ -261,7 +261,15 @@
         let (request, output, priority) =
             (run.listeners.first().map(|l| l.request), run.output, run.priority);
         let stream = self.stream_name(id, run);
-        Dispatch { run: id, request, upstream: upstream.clone(), stream, output, priority, resume }
+        Dispatch {
+            run: id,
+            request,
+            upstream: upstream.clone(),
+            stream,
+            output,
+            priority,
+            resume_from: resume,
+        }
     }
 
     /// Returns the name of a run's stream at its upstream, the same for all owners of a key.
@@ -289,7 +297,7 @@
 
 fn input_cost(work: &Work) -> Tokens {
     match work {
-        Work::Chat(chat) => chat.prompt,
+        Work::Chat(chat) => chat.prompt_tokens,
         Work::Call(_) => Tokens(1),
     }
 }
--- a/crates/badgerfield-core/src/control/evacuations.rs
+++ b/crates/badgerfield-core/src/control/evacuations.rs
@@ -9,9 +9,9 @@
 use crate::amount::Time;
 use crate::broadcast;
 use crate::evacuation::DomainChange;
-use crate::event::{OperatorChanges, OperatorValues, Order, Outbox, due};
+use crate::event::{Command, OperatorChanges, OperatorValues, Outbox, is_due};
 use crate::ids::Incarnation;
-use crate::message::{EvacuationNews, Message};
+use crate::message::{EvacuationUpdate, Message};
 use crate::node::Node;
 
 /// The least time between two comparisons with one member: shorter than signs of life are
@@ -23,7 +23,7 @@
     pub(crate) fn apply_operator_values(&self, now: Time, found: OperatorValues, out: &mut Outbox) {
         let OperatorValues { revision, templates, evacuated, rollouts } = found;
         self.read_orders(now, revision, rollouts, out);
-        let turned = self.state.evacuations().learn_all(revision, evacuated);
+        let turned = self.state.evacuations().apply_snapshot(revision, evacuated);
         self.tell_evacuations(now, &turned, out);
         out.evacuated(None, turned);
         if let Some(bytes) = templates {
@@ -53,12 +53,12 @@
         &self,
         now: Time,
         from: Incarnation,
-        news: EvacuationNews,
+        news: EvacuationUpdate,
         out: &mut Outbox,
     ) {
         if news.reach > 0 {
             for (to, reach) in self.state.membership().broadcast_targets(now, news.reach) {
-                let news = EvacuationNews { reach, ..news.clone() };
+                let news = EvacuationUpdate { reach, ..news.clone() };
                 out.send(to, Message::Evacuations(news));
             }
         }
@@ -79,7 +79,7 @@
             let mut members = self.state.membership();
             let known = self.state.evacuations();
             if known.digest() == theirs
-                || !due(now, members.evacuations_compared.get(&from).copied(), COMPARE)
+                || !is_due(now, members.evacuations_compared.get(&from).copied(), COMPARE)
             {
                 return;
             }
@@ -104,7 +104,7 @@
         };
         out.evacuated(Some(from), turned);
         if let Some(changes) = more {
-            out.send(from, Message::Evacuations(EvacuationNews { changes, reach: 0 }));
+            out.send(from, Message::Evacuations(EvacuationUpdate { changes, reach: 0 }));
         }
     }
 
@@ -115,7 +115,7 @@
         }
         let members = self.state.membership();
         for (to, reach) in members.broadcast_targets(now, broadcast::full_reach(&members.view)) {
-            let news = EvacuationNews { changes: turned.to_vec(), reach };
+            let news = EvacuationUpdate { changes: turned.to_vec(), reach };
             out.send(to, Message::Evacuations(news));
         }
     }
@@ -124,7 +124,7 @@
 impl Outbox {
     fn evacuated(&mut self, from: Option<Incarnation>, changes: Vec<DomainChange>) {
         if !changes.is_empty() {
-            self.push(Order::Evacuated(from, changes));
+            self.push(Command::ApplyEvacuations(from, changes));
         }
     }
 }
--- a/crates/badgerfield-core/src/control/members.rs
+++ b/crates/badgerfield-core/src/control/members.rs
@@ -7,7 +7,7 @@
 
 use crate::amount::Time;
 use crate::calls::Purpose;
-use crate::event::{KvCall, KvName, KvResult, Note, Order, Outbox, Versioned, due};
+use crate::event::{Command, Note, Outbox, StoreCall, StoreKey, StoreResult, Versioned, is_due};
 use crate::ids::{Epoch, Incarnation, StoreCallId, TemplateVersion};
 use crate::joining::JoinStep;
 use crate::membership::{Membership, MembershipIntent};
@@ -35,7 +35,7 @@
         let is_due = {
             let members = self.state.membership();
             members.confirmations_pending.is_some()
-                || due(now, members.heartbeat_at, self.config.pacing.heartbeat_interval)
+                || is_due(now, members.heartbeat_at, self.config.pacing.heartbeat_interval)
         };
         if is_due {
             self.spread(now, out);
@@ -55,16 +55,16 @@
             members.confirmations_pending = None;
             let beat = Heartbeat {
                 epoch: members.view.epoch,
-                confirmed,
+                confirmations: confirmed,
                 version,
                 serving: members.serving && members.stopping_since.is_none(),
-                list: members.upstream_list,
-                evacuations,
-                rollouts,
-                blocked,
-                wall: members.wall_ms(now),
+                upstream_list: members.upstream_list,
+                evacuations_digest: evacuations,
+                rollouts_digest: rollouts,
+                blocked_digest: blocked,
+                wall_ms: members.wall_ms(now),
                 needs: members.needs.average(now),
-                lags: members.delay_reports.clone(),
+                delay_reports: members.delay_reports.clone(),
             };
             (members.neighbours(), beat)
         };
@@ -102,13 +102,13 @@
         beat: &Heartbeat,
         out: &mut Outbox,
     ) {
-        self.compare_lists(now, from, beat.list, out);
-        self.compare_evacuations(now, from, beat.evacuations, out);
-        self.compare_rollouts(now, from, beat.rollouts, out);
-        self.compare_crashes(now, from, beat.blocked, out);
+        self.compare_lists(now, from, beat.upstream_list, out);
+        self.compare_evacuations(now, from, beat.evacuations_digest, out);
+        self.compare_rollouts(now, from, beat.rollouts_digest, out);
+        self.compare_crashes(now, from, beat.blocked_digest, out);
         self.hear_confirmed(now, beat);
-        if !beat.lags.is_empty() {
-            out.push(Order::LearnLags(beat.lags.clone()));
+        if !beat.delay_reports.is_empty() {
+            out.push(Command::ApplyDelayReports(beat.delay_reports.clone()));
         }
         let version = self.state.templates().version;
         let (epoch, is_near) = {
@@ -119,7 +119,9 @@
             // and not a neighbour, may hear only from members that it does not know yet, and
             // so cannot ask.
             let cannot_ask = !members.view.has(from) || !members.neighbours().contains(&from);
-            if is_behind && cannot_ask && due(now, members.views_pushed.get(&from).copied(), FETCH)
+            if is_behind
+                && cannot_ask
+                && is_due(now, members.views_pushed.get(&from).copied(), FETCH)
             {
                 // Some that were removed beat on for a while; nobody else forgets them here.
                 members.views_pushed.retain(|_, at| now.since(*at) < FETCH);
@@ -131,7 +133,7 @@
                 return;
             }
             let newer = beat.epoch > members.view.epoch || beat.version > version;
-            if !newer || !due(now, members.fetch_sent_at, FETCH) {
+            if !newer || !is_due(now, members.fetch_sent_at, FETCH) {
                 return;
             }
             members.fetch_sent_at = Some(now);
@@ -177,7 +179,7 @@
     fn hear_confirmed(&self, now: Time, beat: &Heartbeat) {
         let (is_news, has_claims) = {
             let mut claims = self.state.claims();
-            (claims.merge_confirmations(beat.epoch, &beat.confirmed), !claims.is_empty())
+            (claims.merge_confirmations(beat.epoch, &beat.confirmations), !claims.is_empty())
         };
         let mut members = self.state.membership();
         if is_news && (has_claims || members.view.members.len() <= MAX_SMALL_VIEW_MEMBERS) {
@@ -226,9 +228,9 @@
         self.state.claims().apply_view(now, view, out);
         self.state.ledger_writer().mark_removed(gone);
         self.state.holdings().apply_view(now, view, out);
-        out.push(Order::Note(Note::View(view.epoch)));
+        out.push(Command::Log(Note::View(view.epoch)));
         if removed {
-            out.push(Order::Note(Note::Removed));
+            out.push(Command::Log(Note::Removed));
             self.stop(now, out);
         }
         self.spread(now, out);
@@ -242,18 +244,18 @@
         let reads_view = members.is_reader(now)
             || !members.stored_known
             || members.must_read_to_complete(complete);
-        if due(now, members.view_read_at, members.view_read_interval(READ)) && reads_view {
+        if is_due(now, members.view_read_at, members.view_read_interval(READ)) && reads_view {
             members.view_read_at = Some(now);
-            read(&mut members, now, KvName::View, out);
+            read(&mut members, now, StoreKey::View, out);
         }
         let reads_templates = if version == TemplateVersion(0) {
             members.is_bootstrap_reader(now)
         } else {
             reads_view
         };
-        if due(now, members.templates_read_at, READ) && reads_templates {
+        if is_due(now, members.templates_read_at, READ) && reads_templates {
             members.templates_read_at = Some(now);
-            read(&mut members, now, KvName::Templates, out);
+            read(&mut members, now, StoreKey::Templates, out);
         }
         drop(members);
         self.write_view(now, out);
@@ -269,7 +271,7 @@
         let mut members = self.state.membership();
         // Without routes there is no list of their upstreams.
         let has_list = members.upstream_list.revision > 0 || !has_routes;
-        if (has_templates && has_list) || !due(now, members.bootstrap_at, FETCH) {
+        if (has_templates && has_list) || !is_due(now, members.bootstrap_at, FETCH) {
             return;
         }
         members.bootstrap_at = Some(now);
@@ -304,8 +306,8 @@
         let complete = self.state.claims().complete_epoch();
         let mut members = self.state.membership();
         if !members.stored_known
-            || members.store_calls.is_open(&KvName::View)
-            || !due(now, members.view_written_at, WRITE)
+            || members.store_calls.is_open(&StoreKey::View)
+            || !is_due(now, members.view_written_at, WRITE)
         {
             return;
         }
@@ -342,7 +344,7 @@
             let gone = members.members_to_remove(now);
             let may = members.is_member() && !gone.is_empty();
             for id in gone.iter().filter(|_| may) {
-                out.push(Order::Note(members.removal_entry(now, *id)));
+                out.push(Command::Log(members.removal_entry(now, *id)));
             }
             may.then(|| stored.without_members(&gone, handed_over))
         });
@@ -357,7 +359,10 @@
         let value = Bytes::from(next.encode());
         let expect = members.stored_revision;
         let ticket = members.store_calls.begin(Purpose::Write(next));
-        out.push(Order::KeyValue(ticket, KvCall::Swap { name: KvName::View, expect, value }));
+        out.push(Command::KeyValue(
+            ticket,
+            StoreCall::CompareAndSwap { key: StoreKey::View, expected_revision: expect, value },
+        ));
     }
 
     /// Takes in an answer of the key-value service.
@@ -365,7 +370,7 @@
         &self,
         now: Time,
         ticket: StoreCallId,
-        result: KvResult,
+        result: StoreResult,
         out: &mut Outbox,
     ) {
         let Some(purpose) = self.state.membership().store_calls.end(ticket) else {
@@ -378,16 +383,16 @@
             (Purpose::PoisonRead, result) => self.poison_answered(now, false, result, out),
             (Purpose::PoisonWrite, result) => self.poison_answered(now, true, result, out),
             (Purpose::Draw(shard), result) => self.ledger_answered(now, shard, result, out),
-            (Purpose::Read(KvName::Templates), KvResult::Value(found)) => {
+            (Purpose::Read(StoreKey::Templates), StoreResult::Value(found)) => {
                 self.apply_stored_templates(now, &found, out);
             }
-            (Purpose::Read(KvName::Templates), KvResult::Operators(found)) => {
+            (Purpose::Read(StoreKey::Templates), StoreResult::Operators(found)) => {
                 self.apply_operator_values(now, found, out);
             }
-            (Purpose::Read(KvName::View), KvResult::Value(found)) => {
+            (Purpose::Read(StoreKey::View), StoreResult::Value(found)) => {
                 self.read_view(now, &found, out);
             }
-            (Purpose::Write(view), KvResult::Written(revision)) => {
+            (Purpose::Write(view), StoreResult::Written(revision)) => {
                 let view = Arc::new(view);
                 {
                     let mut members = self.state.membership();
@@ -396,7 +401,7 @@
                 }
                 self.adopt_view(now, &view, out);
             }
-            (Purpose::Write(_), KvResult::Conflict(found)) => {
+            (Purpose::Write(_), StoreResult::Conflict(found)) => {
                 self.read_view(now, &found, out);
                 let mut members = self.state.membership();
                 members.view_written_at = None;
@@ -418,7 +423,7 @@
         let view = match View::decode(found.value.as_deref()) {
             Ok(view) => Arc::new(view),
             Err(error) => {
-                out.push(Order::Note(Note::BadValue(KvName::View, error.to_string())));
+                out.push(Command::Log(Note::BadValue(StoreKey::View, error.to_string())));
                 return;
             }
         };
@@ -443,13 +448,13 @@
 }
 
 /// Reads a value of the platform, unless that is under way.
-pub(super) fn read(members: &mut Membership, now: Time, name: KvName, out: &mut Outbox) {
+pub(super) fn read(members: &mut Membership, now: Time, name: StoreKey, out: &mut Outbox) {
     if members.store_calls.is_open(&name) {
         return;
     }
-    if name == KvName::View {
+    if name == StoreKey::View {
         members.view_requested_at = Some(now);
     }
     let ticket = members.store_calls.begin(Purpose::Read(name.clone()));
-    out.push(Order::KeyValue(ticket, KvCall::Get(name)));
+    out.push(Command::KeyValue(ticket, StoreCall::Get(name)));
 }
--- a/crates/badgerfield-core/src/control/poison.rs
+++ b/crates/badgerfield-core/src/control/poison.rs
@@ -10,9 +10,9 @@
 use crate::amount::Time;
 use crate::broadcast;
 use crate::calls::Purpose;
-use crate::event::{KvCall, KvName, KvResult, Note, Order, Outbox, Versioned, due};
+use crate::event::{Command, Note, Outbox, StoreCall, StoreKey, StoreResult, Versioned, is_due};
 use crate::ids::Incarnation;
-use crate::message::{CrashNews, Message};
+use crate::message::{CrashUpdate, Message};
 use crate::node::Node;
 use crate::poison::{Crash, Fingerprint};
 use crate::poison_record::{self, RecordCall};
@@ -55,12 +55,12 @@
         &self,
         now: Time,
         from: Incarnation,
-        news: CrashNews,
+        news: CrashUpdate,
         out: &mut Outbox,
     ) {
         if news.reach > 0 {
             for (to, reach) in self.state.membership().broadcast_targets(now, news.reach) {
-                out.send(to, Message::Crashes(CrashNews { reach, ..news.clone() }));
+                out.send(to, Message::Crashes(CrashUpdate { reach, ..news.clone() }));
             }
         }
         self.learn_crashes(now, Some(from), news.crashes, out);
@@ -79,7 +79,7 @@
             let mut members = self.state.membership();
             let known = self.state.poison();
             if known.digest(now) == theirs
-                || !due(now, members.crashes_compared.get(&from).copied(), COMPARE)
+                || !is_due(now, members.crashes_compared.get(&from).copied(), COMPARE)
             {
                 return;
             }
@@ -100,7 +100,7 @@
         self.learn_crashes(now, Some(from), theirs.to_vec(), out);
         let crashes = self.state.poison().missing_from(now, theirs);
         if !crashes.is_empty() {
-            out.send(from, Message::Crashes(CrashNews { crashes, reach: 0 }));
+            out.send(from, Message::Crashes(CrashUpdate { crashes, reach: 0 }));
         }
     }
 
@@ -109,13 +109,13 @@
         &self,
         now: Time,
         write: bool,
-        result: KvResult,
+        result: StoreResult,
         out: &mut Outbox,
     ) {
         match result {
-            KvResult::Written(revision) => self.state.poison_record().set_revision(revision),
-            KvResult::Value(found) => self.poison_found(now, &found, out),
-            KvResult::Conflict(found) => {
+            StoreResult::Written(revision) => self.state.poison_record().set_revision(revision),
+            StoreResult::Value(found) => self.poison_found(now, &found, out),
+            StoreResult::Conflict(found) => {
                 // What was to be written is known here still.
                 self.state.poison_record().mark_dirty();
                 self.poison_found(now, &found, out);
@@ -138,7 +138,7 @@
             Ok(crashes) => self.learn_crashes(now, None, crashes, out),
             // What nobody can read is replaced by the next record.
             Err(error) => {
-                out.push(Order::Note(Note::BadValue(KvName::Poison, error.to_string())));
+                out.push(Command::Log(Note::BadValue(StoreKey::Poison, error.to_string())));
             }
         }
     }
@@ -152,7 +152,7 @@
     ) {
         let (news, records) = {
             let mut poison = self.state.poison();
-            let news = poison.learn(now, crashes);
+            let news = poison.apply(now, crashes);
             // Two crashes may be seen at one moment by two processes: either writes it down.
             let records =
                 news.iter().any(|(c, blocks)| *blocks && poison.has_seen_crash(c.request));
@@ -173,7 +173,7 @@
             return;
         }
         for (to, reach) in members.broadcast_targets(now, broadcast::full_reach(&members.view)) {
-            let news = CrashNews { crashes: crashes.clone(), reach };
+            let news = CrashUpdate { crashes: crashes.clone(), reach };
             out.send(to, Message::Crashes(news));
         }
     }
@@ -186,14 +186,21 @@
             return;
         };
         let (purpose, call) = match call {
-            RecordCall::Read => (Purpose::PoisonRead, KvCall::Get(KvName::Poison)),
+            RecordCall::Read => (Purpose::PoisonRead, StoreCall::Get(StoreKey::Poison)),
             RecordCall::Write(expect) => {
                 let value = poison_record::encode(blocked);
-                (Purpose::PoisonWrite, KvCall::Swap { name: KvName::Poison, expect, value })
+                (
+                    Purpose::PoisonWrite,
+                    StoreCall::CompareAndSwap {
+                        key: StoreKey::Poison,
+                        expected_revision: expect,
+                        value,
+                    },
+                )
             }
         };
         let ticket = members.store_calls.begin(purpose);
-        out.push(Order::KeyValue(ticket, call));
+        out.push(Command::KeyValue(ticket, call));
     }
 }
 
@@ -205,10 +212,10 @@
         // What others saw is in their logs: a line here for each request at each crash would be
         // one for every VM of the fleet.
         for (crash, blocks) in news.into_iter().filter(|(_, blocks)| from.is_none() || *blocks) {
-            self.push(Order::Note(Note::Crash { crash, blocks, from }));
+            self.push(Command::Log(Note::Crash { crash, blocks, from }));
         }
         if !blocked.is_empty() {
-            self.push(Order::Block(blocked));
+            self.push(Command::BlockRequests(blocked));
         }
     }
 }
--- a/crates/badgerfield-core/src/control/rights.rs
+++ b/crates/badgerfield-core/src/control/rights.rs
@@ -5,7 +5,7 @@
 use crate::amount::Time;
 use crate::calls::Purpose;
 use crate::control::reservations;
-use crate::event::{KvResult, Order, Outbox};
+use crate::event::{Command, Outbox, StoreResult};
 use crate::holdings::ReserveOutcome;
 use crate::ids::{BudgetId, Incarnation, Period, ReservationId, RunId};
 use crate::ledger::{LedgerOp, LedgerReply, shard_of};
@@ -128,7 +128,7 @@
         self.call_ledger(now, out);
         for decision in decisions {
             let id = decision.run;
-            if let Some(reservation) = ReservationId::of(id) {
+            if let Some(reservation) = ReservationId::from_run_id(id) {
                 reservations::tell(reservation, &decision, out);
                 continue;
             }
@@ -194,7 +194,7 @@
         &self,
         now: Time,
         shard: u32,
-        result: KvResult,
+        result: StoreResult,
         out: &mut Outbox,
     ) {
         let replies = self.state.ledger_writer().handle_result(now, shard, result);
@@ -227,7 +227,7 @@
         let mut members = self.state.membership();
         for (shard, call) in calls {
             let ticket = members.store_calls.begin(Purpose::Draw(shard));
-            out.push(Order::KeyValue(ticket, call));
+            out.push(Command::KeyValue(ticket, call));
         }
     }
 
--- a/crates/badgerfield-core/src/control/rollouts.rs
+++ b/crates/badgerfield-core/src/control/rollouts.rs
@@ -14,9 +14,9 @@
 use crate::calls::Purpose;
 use crate::control::evacuations::COMPARE;
 use crate::control::members::read;
-use crate::event::{KvCall, KvName, KvResult, Note, Order, Outbox, Versioned, due};
+use crate::event::{Command, Note, Outbox, StoreCall, StoreKey, StoreResult, Versioned, is_due};
 use crate::ids::{Incarnation, Service};
-use crate::message::{Message, RolloutNews};
+use crate::message::{Message, RolloutUpdate};
 use crate::node::Node;
 use crate::rollout::{
     Evidence, KnownRollout, OrderChange, RecorderCall, RolloutLogEntry, RolloutPhase,
@@ -58,10 +58,10 @@
     }
 
     /// Takes in what another process tells, and passes it on to its part of the ring.
-    pub(crate) fn receive_rollout_update(&self, now: Time, news: RolloutNews, out: &mut Outbox) {
+    pub(crate) fn receive_rollout_update(&self, now: Time, news: RolloutUpdate, out: &mut Outbox) {
         if news.reach > 0 {
             for (to, reach) in self.state.membership().broadcast_targets(now, news.reach) {
-                out.send(to, Message::Rollouts(RolloutNews { reach, ..news.clone() }));
+                out.send(to, Message::Rollouts(RolloutUpdate { reach, ..news.clone() }));
             }
         }
         let turned = self.state.rollouts().apply(now, news.known);
@@ -84,7 +84,7 @@
                 table.record_agreement(members.is_active() && members.view.has(from));
                 return;
             }
-            if !due(now, members.rollouts_compared.get(&from).copied(), COMPARE) {
+            if !is_due(now, members.rollouts_compared.get(&from).copied(), COMPARE) {
                 return;
             }
             members.rollouts_compared.insert(from, now);
@@ -113,7 +113,7 @@
         };
         self.put_rules(now, turned, out);
         if known != theirs {
-            out.send(from, Message::Rollouts(RolloutNews { known, reach: 0 }));
+            out.send(from, Message::Rollouts(RolloutUpdate { known, reach: 0 }));
         }
     }
 
@@ -158,24 +158,24 @@
         now: Time,
         service: &Service,
         written: Option<RolloutRecord>,
-        result: KvResult,
+        result: StoreResult,
         out: &mut Outbox,
     ) {
         let missed = |outcome| {
             let note = RolloutLogEntry::CallFailed { service: service.clone(), outcome };
-            Order::Note(Note::Rollout(Box::new(note)))
+            Command::Log(Note::Rollout(Box::new(note)))
         };
         match (result, written) {
-            (KvResult::Written(revision), Some(record)) => {
+            (StoreResult::Written(revision), Some(record)) => {
                 self.record_found(now, service, revision, Some(record), out);
             }
-            (KvResult::Conflict(found), _) => {
+            (StoreResult::Conflict(found), _) => {
                 out.push(missed("another value stands there"));
                 self.record_read(now, service, &found, out);
             }
-            (KvResult::Value(found), _) => self.record_read(now, service, &found, out),
+            (StoreResult::Value(found), _) => self.record_read(now, service, &found, out),
             (result, _) => {
-                let refused = matches!(result, KvResult::Refused);
+                let refused = matches!(result, StoreResult::Refused);
                 out.push(missed(if refused { "refused" } else { "no answer" }));
                 if let Some(recorder) = self.state.rollouts().recorder_mut(service) {
                     recorder.invalidate();
@@ -189,8 +189,8 @@
             Ok(record) => record,
             // What nobody can read holds nothing up: the next record replaces it.
             Err(error) => {
-                let name = KvName::Rollout(service.clone());
-                out.push(Order::Note(Note::BadValue(name, error.to_string())));
+                let name = StoreKey::Rollout(service.clone());
+                out.push(Command::Log(Note::BadValue(name, error.to_string())));
                 None
             }
         };
@@ -282,7 +282,7 @@
     ) {
         let (service, revision) = (known.change.service.clone(), known.change.revision);
         let note = RolloutLogEntry::Rejected { service, revision, reason, evidence };
-        out.push(Order::Note(Note::Rollout(Box::new(note))));
+        out.push(Command::Log(Note::Rollout(Box::new(note))));
         self.tell_rollouts(now, &turned, out);
         self.put_rules(now, turned, out);
     }
@@ -296,11 +296,11 @@
         evidence: Evidence,
         out: &mut Outbox,
     ) {
-        let name = KvName::Rollout(service.clone());
+        let name = StoreKey::Rollout(service.clone());
         let (written, call) = match call {
-            RecorderCall::Read => (None, KvCall::Get(name)),
+            RecorderCall::Read => (None, StoreCall::Get(name)),
             RecorderCall::ReadView => {
-                read(&mut self.state.membership(), now, KvName::View, out);
+                read(&mut self.state.membership(), now, StoreKey::View, out);
                 return;
             }
             RecorderCall::Write(expect, record) => {
@@ -310,13 +310,16 @@
                     record: record.clone(),
                     evidence,
                 };
-                out.push(Order::Note(Note::Rollout(Box::new(note))));
-                (Some(record), KvCall::Swap { name, expect, value })
+                out.push(Command::Log(Note::Rollout(Box::new(note))));
+                (
+                    Some(record),
+                    StoreCall::CompareAndSwap { key: name, expected_revision: expect, value },
+                )
             }
         };
         let purpose = Purpose::Rollout(service.clone(), written);
         let ticket = self.state.membership().store_calls.begin(purpose);
-        out.push(Order::KeyValue(ticket, call));
+        out.push(Command::KeyValue(ticket, call));
     }
 
     /// Tells the judges how requests of this process went, where that is due.
@@ -351,7 +354,7 @@
         }
         let members = self.state.membership();
         for (to, reach) in members.broadcast_targets(now, broadcast::full_reach(&members.view)) {
-            let news = RolloutNews { known: turned.to_vec(), reach };
+            let news = RolloutUpdate { known: turned.to_vec(), reach };
             out.send(to, Message::Rollouts(news));
         }
     }
@@ -359,11 +362,11 @@
     /// Logs what was news, and puts the rules in force that follow from it.
     fn put_rules(&self, now: Time, turned: Vec<KnownRollout>, out: &mut Outbox) {
         for known in turned {
-            out.push(Order::Note(Note::Rollout(Box::new(RolloutLogEntry::Updated(known)))));
+            out.push(Command::Log(Note::Rollout(Box::new(RolloutLogEntry::Updated(known)))));
         }
         let bound = &self.config.pacing.rollout;
         if let Some(rules) = self.state.rollouts().changed_rules(now, bound) {
-            out.push(Order::RolloutRules(rules));
+            out.push(Command::ApplyRolloutRules(rules));
         }
     }
 
--- a/crates/badgerfield-core/src/control/stopping.rs
+++ b/crates/badgerfield-core/src/control/stopping.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::amount::Time;
-use crate::event::{Order, Outbox};
+use crate::event::{Command, Outbox};
 use crate::membership::MembershipIntent;
 use crate::node::Node;
 
@@ -72,7 +72,7 @@
             !members.is_member()
         };
         if gone || idle >= HAND_OVER {
-            out.push(Order::Exit);
+            out.push(Command::Exit);
         }
     }
 }
--- a/crates/badgerfield-core/src/control/upstream_news.rs
+++ b/crates/badgerfield-core/src/control/upstream_news.rs
@@ -8,10 +8,10 @@
 
 use crate::amount::Time;
 use crate::broadcast;
-use crate::event::{Order, Outbox, due};
+use crate::event::{Command, Outbox, is_due};
 use crate::ids::Incarnation;
 use crate::membership::NewerList;
-use crate::message::{Message, UpstreamNews};
+use crate::message::{Message, UpstreamUpdate};
 use crate::node::Node;
 use crate::replica_list::ListVersion;
 use crate::request_limit::LimitReport;
@@ -43,13 +43,13 @@
     pub(crate) fn announce_upstream_changes(
         &self,
         now: Time,
-        found: &UpstreamNews,
+        found: &UpstreamUpdate,
         out: &mut Outbox,
     ) {
-        let UpstreamNews { changes, mark, .. } = found;
+        let UpstreamUpdate { changes, mark, .. } = found;
         let is_news = !changes.written.is_empty() || !changes.gone.is_empty();
         let mut members = self.state.membership();
-        let news = |reach| UpstreamNews { reach, ..found.clone() };
+        let news = |reach| UpstreamUpdate { reach, ..found.clone() };
         if members.view.members.len() <= MAX_SMALL_VIEW_MEMBERS {
             if !is_news {
                 return;
@@ -60,7 +60,7 @@
             }
             return;
         }
-        if !is_news && !due(now, members.list_confirmed_at, CONFIRM) {
+        if !is_news && !is_due(now, members.list_confirmed_at, CONFIRM) {
             return;
         }
         members.list_confirmed_at = Some(now);
@@ -77,7 +77,7 @@
         }
         let neighbours = self.state.membership().neighbours();
         for to in neighbours {
-            out.send(to, Message::Limits(notes.to_vec()));
+            out.send(to, Message::LimitReports(notes.to_vec()));
         }
     }
 
@@ -86,7 +86,7 @@
         &self,
         now: Time,
         from: Incarnation,
-        news: UpstreamNews,
+        news: UpstreamUpdate,
         out: &mut Outbox,
     ) {
         let legs = {
@@ -99,10 +99,10 @@
             if news.reach == 0 { Vec::new() } else { members.broadcast_targets(now, news.reach) }
         };
         for (to, reach) in legs {
-            let news = UpstreamNews { reach, ..news.clone() };
+            let news = UpstreamUpdate { reach, ..news.clone() };
             out.send(to, Message::UpstreamChanges(news));
         }
-        out.push(Order::LearnChanges(from, news));
+        out.push(Command::ApplyUpstreamChanges(from, news));
     }
 
     /// Compares what a neighbour knows of the list of upstreams with what is known here.
@@ -120,7 +120,7 @@
             }
             if theirs.digest == members.upstream_list.digest {
                 members.upstream_list.revision = theirs.revision;
-                out.push(Order::ConfirmUpstreams(theirs.revision));
+                out.push(Command::ConfirmUpstreamList(theirs.revision));
                 return;
             }
         }
@@ -149,7 +149,7 @@
                     members.newer_list = Some(NewerList { revision, noticed_at: now });
                     return;
                 };
-                if !due(now, Some(behind.noticed_at), UNDER_WAY) {
+                if !is_due(now, Some(behind.noticed_at), UNDER_WAY) {
                     return;
                 }
             }
@@ -168,7 +168,7 @@
     fn ask_upstreams(&self, now: Time, from: Incarnation, since: u64, out: &mut Outbox) {
         let mut members = self.state.membership();
         let pace = if since == 0 && members.upstream_list.revision > 0 { WHOLE } else { FETCH };
-        if !due(now, members.list_requested_at, pace) {
+        if !is_due(now, members.list_requested_at, pace) {
             return;
         }
         members.list_requested_at = Some(now);
--- a/crates/badgerfield-core/src/evacuation.rs
+++ b/crates/badgerfield-core/src/evacuation.rs
@@ -57,7 +57,11 @@
     /// Takes in all domains that were evacuated at a revision: any other was taken back by then.
     ///
     /// Returns what [`Evacuations::learn`] does.
-    pub fn learn_all(&mut self, revision: u64, evacuated: Vec<DomainChange>) -> Vec<DomainChange> {
+    pub fn apply_snapshot(
+        &mut self,
+        revision: u64,
+        evacuated: Vec<DomainChange>,
+    ) -> Vec<DomainChange> {
         let is_missing = |domain: &Domain| evacuated.iter().all(|change| change.domain != *domain);
         let back = |known: &DomainChange| DomainChange {
             domain: known.domain.clone(),
--- a/crates/badgerfield-core/src/event.rs
+++ b/crates/badgerfield-core/src/event.rs
@@ -15,7 +15,7 @@
 };
 use crate::lag::DelayReport;
 use crate::ledger::HoldingPlan;
-use crate::message::{Envelope, Head, Message, UpstreamNews};
+use crate::message::{Envelope, Head, Message, UpstreamUpdate};
 use crate::mix::EngineDemand;
 use crate::poison::{Crash, Fingerprint};
 use crate::refusal::Refusal;
@@ -33,9 +33,9 @@
     /// Some time has passed; sent every [`crate::TICK`].
     Tick,
     /// A caller's request has arrived.
-    Arrived(RequestId, Box<Arrival>),
+    RequestArrived(RequestId, Box<IncomingRequest>),
     /// A caller has hung up.
-    HungUp(RequestId),
+    CallerDisconnected(RequestId),
     /// An upstream has answered.
     Upstream(AttemptId, UpstreamEvent),
     /// An upstream has reported its load.
@@ -43,7 +43,7 @@
     /// Another process has sent a message.
     Peer(Envelope),
     /// The key-value service has answered.
-    KeyValue(StoreCallId, KvResult),
+    StoreReply(StoreCallId, StoreResult),
     /// The VM list was read.
     VmList(VmList),
     /// The templates were read, or have changed at the platform.
@@ -53,34 +53,34 @@
     /// Operators have changed something at the platform.
     OperatorChanges(OperatorChanges),
     /// A request on a route wants tokens set aside; [`Order::Reserved`] answers.
-    Reserve(ReserveAsk),
+    Reserve(ReserveRequest),
     /// A request on a route that waits for tokens has gone.
-    Withdraw(ReserveAsk),
+    CancelReserve(ReserveRequest),
     /// A request on a route has ended, and this is what it used.
-    Settle(Settlement),
+    ReservationEnded(ReservationEnd),
     /// The time of day, in milliseconds since 1970; one clock's opinion.
-    Clock(u64),
+    WallClock(u64),
     /// Whether this process serves callers at present.
     Serving(bool),
     /// The list of upstreams was followed; its reach is for the core to set.
-    UpstreamChanges(UpstreamNews),
+    UpstreamChanges(UpstreamUpdate),
     /// Another process knows the list of upstreams up to this revision, and what it told leaves a
     /// gap here.
-    UpstreamsMissed(Incarnation, u64),
+    UpstreamListGap(Incarnation, u64),
     /// Another process knows as much of the list of upstreams as this one, and its list differs.
-    UpstreamsDiffer(Incarnation),
+    UpstreamListsDiffer(Incarnation),
     /// How much of the list of upstreams is known here.
-    ListMark(ListVersion),
+    UpstreamListVersion(ListVersion),
     /// What the requests of this process need of engines.
     EngineNeeds(Vec<EngineDemand>),
     /// The upstreams at which requests wait.
-    Lags(Vec<DelayReport>),
+    DelayReports(Vec<DelayReport>),
     /// What other processes should know of the limits that upstreams name.
     Limits(Vec<LimitReport>),
     /// How the requests of this process went at services that are rolled out, told now and then.
     RolloutTallies(Vec<RolloutTally>),
     /// An upstream has ended while a request of this process was there.
-    Crashed(Crash),
+    UpstreamCrashed(Crash),
     /// A request that was there when an upstream ended was served whole.
     SuspectServed(Fingerprint),
     /// The process is asked to stop.
@@ -89,7 +89,7 @@
 
 /// A wish to set tokens aside for a request on a route.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ReserveAsk {
+pub struct ReserveRequest {
     /// Names the reservation.
     pub id: ReservationId,
     /// The budget.
@@ -97,12 +97,12 @@
     /// The most that the request can cost.
     pub amount: Tokens,
     /// How long the request may wait for an answer.
-    pub until: Time,
+    pub deadline: Time,
 }
 
 /// The end of a reservation.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Settlement {
+pub struct ReservationEnd {
     /// The budget.
     pub budget: BudgetId,
     /// The period in which the tokens were set aside.
@@ -115,9 +115,9 @@
 
 /// What a caller wants.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Arrival {
+pub struct IncomingRequest {
     /// The digest of the caller's secret.
-    pub secret: KeyDigest,
+    pub secret_digest: KeyDigest,
     /// The caller's own key for the request, and the region that it names.
     pub key: Option<String>,
     /// Whether the caller forbids a second run.
@@ -125,7 +125,7 @@
     /// What is asked for.
     pub work: Work,
     /// How long the caller allows the request to wait; the template may allow less.
-    pub patience: Option<Duration>,
+    pub max_wait: Option<Duration>,
 }
 
 /// What a request asks an upstream to do.
@@ -145,11 +145,11 @@
     /// The adapter, if any.
     pub adapter: Option<Adapter>,
     /// The most tokens that the prompt can be.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// The output limit that the caller set.
-    pub output: Option<Tokens>,
+    pub output_limit: Option<Tokens>,
     /// Digests of the prompt's prefixes, the shortest first.
-    pub prefixes: Vec<u64>,
+    pub prefix_digests: Vec<u64>,
 }
 
 /// A call of a plain service.
@@ -251,7 +251,7 @@
 
 /// What became of a call to the key-value service.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum KvResult {
+pub enum StoreResult {
     /// The value that was read.
     Value(Versioned),
     /// The values of operators, where the platform keeps more than templates.
@@ -268,7 +268,7 @@
 
 /// A name in the key-value service.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum KvName {
+pub enum StoreKey {
     /// The templates.
     Templates,
     /// The membership view.
@@ -283,15 +283,15 @@
 
 /// A call to the key-value service.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum KvCall {
+pub enum StoreCall {
     /// Reads a value.
-    Get(KvName),
+    Get(StoreKey),
     /// Writes a value if the present one has the expected revision.
-    Swap {
+    CompareAndSwap {
         /// What is written to.
-        name: KvName,
+        key: StoreKey,
         /// The revision that must stand there; 0 means none.
-        expect: u64,
+        expected_revision: u64,
         /// The value.
         value: Bytes,
     },
@@ -313,7 +313,7 @@
     /// The account's priority.
     pub priority: u32,
     /// Resume the stream from this part on, instead of starting it.
-    pub resume: Option<u64>,
+    pub resume_from: Option<u64>,
 }
 
 /// A part of the answer to a caller.
@@ -350,11 +350,11 @@
 
 /// Something that the process wants done.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Order {
+pub enum Command {
     /// Send a message.
     Send(Incarnation, Message),
     /// Call the key-value service.
-    KeyValue(StoreCallId, KvCall),
+    KeyValue(StoreCallId, StoreCall),
     /// Send a request to an upstream.
     Dispatch(AttemptId, Dispatch),
     /// Stop what runs at an upstream.
@@ -362,32 +362,32 @@
     /// Pass something to a caller, as the part of its answer with this place.
     Answer(RequestId, usize, Answer),
     /// Tell a request on a route that its tokens are set aside in this period, or why not.
-    Reserved(ReservationId, Result<Period, Refusal>),
+    AnswerReserve(ReservationId, Result<Period, Refusal>),
     /// Take in changes of the list of upstreams that another process passed on.
-    LearnChanges(Incarnation, UpstreamNews),
+    ApplyUpstreamChanges(Incarnation, UpstreamUpdate),
     /// Take in the whole list of upstreams of another process.
-    LearnUpstreams(UpstreamList),
+    ApplyUpstreamList(UpstreamList),
     /// The list of upstreams is still as it is known here, up to a revision.
-    ConfirmUpstreams(u64),
+    ConfirmUpstreamList(u64),
     /// Divide the engines by what the requests of all processes need.
     DivideEngines(Vec<EngineDemand>),
     /// Take in at which upstreams requests of other processes wait.
-    LearnLags(Vec<DelayReport>),
+    ApplyDelayReports(Vec<DelayReport>),
     /// Take in what another process knows of the limits that upstreams name.
-    LearnLimits(Incarnation, Vec<LimitReport>),
+    ApplyLimitReports(Incarnation, Vec<LimitReport>),
     /// Stop or begin to use the upstreams of failure domains, as the platform or a process told.
-    Evacuated(Option<Incarnation>, Vec<DomainChange>),
+    ApplyEvacuations(Option<Incarnation>, Vec<DomainChange>),
     /// Divide the requests of services between versions by these rules, and by no others.
-    RolloutRules(RolloutRules),
+    ApplyRolloutRules(RolloutRules),
     /// Tell a process what has changed in the list of upstreams since a revision; the whole list
     /// since 0.
-    TellUpstreams(Incarnation, u64),
+    SendUpstreamList(Incarnation, u64),
     /// Some requests are blocked from now on: what runs of them is to be ended.
-    Block(Vec<Fingerprint>),
+    BlockRequests(Vec<Fingerprint>),
     /// Record a charge.
     Bill(Bill),
     /// Tell the operator.
-    Note(Note),
+    Log(Note),
     /// Everything is handed over: end the process.
     Exit,
 }
@@ -407,7 +407,7 @@
         borrowed: usize,
     },
     /// A holder has left the view, and this process is the witness of what it left untouched.
-    Untouched {
+    ParkedReturned {
         /// The budget.
         budget: BudgetId,
         /// The removed holder.
@@ -429,9 +429,9 @@
     /// The value of the templates cannot be used; the last good one stays in force.
     BadTemplates(String),
     /// A value of the platform cannot be used.
-    BadValue(KvName, String),
+    BadValue(StoreKey, String),
     /// This process writes the view without a member that it takes to be gone.
-    Removes {
+    RemovesMember {
         /// The member.
         member: Incarnation,
         /// Its VM.
@@ -444,7 +444,7 @@
     /// The view was formed without this process; it finishes what runs and ends.
     Removed,
     /// The ledger answered a change of a holding.
-    Drawn {
+    LedgerApplied {
         /// The budget.
         budget: BudgetId,
         /// Its limit.
@@ -471,7 +471,7 @@
         rate: TokenRate,
     },
     /// What a borrower has of a budget that is busy there, or that it has on the way back.
-    AtHand {
+    Prefetched {
         /// The budget.
         budget: BudgetId,
         /// Ready to spend.
@@ -486,7 +486,7 @@
         rate: TokenRate,
     },
     /// The budget period has ended and a new one is in force.
-    Renewed(BudgetId),
+    BudgetRenewed(BudgetId),
     /// Something about a roll-out.
     Rollout(Box<RolloutLogEntry>),
     /// An upstream ended under a request, or such a request was served whole since.
@@ -503,33 +503,33 @@
 /// Collects orders.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    orders: Vec<Order>,
+    orders: Vec<Command>,
 }
 
 impl Outbox {
     /// Adds an order.
-    pub fn push(&mut self, order: Order) {
+    pub fn push(&mut self, order: Command) {
         self.orders.push(order);
     }
 
     /// Adds a message.
     pub fn send(&mut self, to: Incarnation, message: Message) {
-        self.orders.push(Order::Send(to, message));
+        self.orders.push(Command::Send(to, message));
     }
 
     /// Adds a part of an answer with its place.
     pub fn answer(&mut self, to: RequestId, place: usize, answer: Answer) {
-        self.orders.push(Order::Answer(to, place, answer));
+        self.orders.push(Command::Answer(to, place, answer));
     }
 
     /// Takes all orders.
-    pub fn take(&mut self) -> Vec<Order> {
+    pub fn take(&mut self) -> Vec<Command> {
         std::mem::take(&mut self.orders)
     }
 }
 
 /// Tells whether a span has passed since an earlier time, or none is known.
 #[must_use]
-pub(crate) fn due(now: Time, last: Option<Time>, span: Duration) -> bool {
+pub(crate) fn is_due(now: Time, last: Option<Time>, span: Duration) -> bool {
     last.is_none_or(|last| now.since(last) >= span)
 }
--- a/crates/badgerfield-core/src/holdings/answers.rs
+++ b/crates/badgerfield-core/src/holdings/answers.rs
@@ -5,7 +5,7 @@
 use super::Holdings;
 use super::holding::Life;
 use crate::amount::{Time, Tokens};
-use crate::event::{Note, Order, Outbox, due};
+use crate::event::{Command, Note, Outbox, is_due};
 use crate::ids::{BudgetId, Period};
 use crate::ledger::{LedgerOp, LedgerReply};
 use crate::seal::sealed_part;
@@ -31,7 +31,7 @@
             };
             let waits = !op.need.is_zero();
             let resend = if waits { URGENT_RESEND } else { RESEND };
-            if !due(now, *sent, resend) {
+            if !is_due(now, *sent, resend) {
                 continue;
             }
             if let Some(clock) = clock.filter(|_| holding.tries > 0) {
@@ -91,7 +91,7 @@
                     sealing.heard = Some(now);
                     holding.orphans.clone_from(orphans);
                 }
-                out.push(Order::Note(Note::Drawn {
+                out.push(Command::Log(Note::LedgerApplied {
                     budget: budget.clone(),
                     limit: holding.terms.limit,
                     granted: *granted,
--- a/crates/badgerfield-core/src/holdings/lending.rs
+++ b/crates/badgerfield-core/src/holdings/lending.rs
@@ -7,7 +7,7 @@
 use super::waiting::{Queued, Waiter, Wanter};
 use super::{COME_BACK, Holdings};
 use crate::amount::{Time, Tokens};
-use crate::event::{Note, Order, Outbox, due};
+use crate::event::{Command, Note, Outbox, is_due};
 use crate::ids::{BudgetId, Incarnation, Period};
 use crate::ledger::HoldingPlan;
 use crate::lending::Lenders;
@@ -51,7 +51,7 @@
         if changed {
             let held = self.table.values().filter(|holding| !holding.borrows()).count();
             let borrowed = self.table.len() - held;
-            out.push(Order::Note(Note::Lending { epoch: self.view.epoch, held, borrowed }));
+            out.push(Command::Log(Note::Lending { epoch: self.view.epoch, held, borrowed }));
         }
     }
 
@@ -76,7 +76,7 @@
         let ahead = ahead.saturating_sub(need);
         holding.coming.ask(now, to, need, ahead);
         let (budget, period) = (budget.clone(), holding.terms.period);
-        out.send(to, Message::Ask(Ask { budget, period, need, ahead }));
+        out.send(to, Message::TokenRequest(Ask { budget, period, need, extra: ahead }));
     }
 
     /// Tells what this process has of the budgets that it borrows and that are busy here.
@@ -88,7 +88,7 @@
             if keep.is_zero() && moving.is_zero() {
                 continue;
             }
-            out.push(Order::Note(Note::AtHand {
+            out.push(Command::Log(Note::Prefetched {
                 budget: budget.clone(),
                 free: holding.free,
                 reserved: holding.reserved,
@@ -113,7 +113,7 @@
         let waiter = Waiter { wanter: Wanter::Borrower(from), need, until: now.after(WAIT) };
         if holding.lend(now, need) {
             let spare = holding.spare().part(1, AHEAD_PART);
-            let ahead = if lends_ahead { ask.ahead.min(spare) } else { Tokens::ZERO };
+            let ahead = if lends_ahead { ask.extra.min(spare) } else { Tokens::ZERO };
             holding.lend(now, ahead);
             let waiter = Waiter { need: need.saturating_add(ahead), ..waiter };
             self.decide(&ask.budget, vec![waiter], None);
@@ -208,7 +208,7 @@
     /// that is on its way, or it would pile up there as long as answers are slow.
     pub(super) fn ask_ahead(&mut self, now: Time, span: Duration) -> Tokens {
         let keep = self.at_hand(now, span);
-        if keep.is_zero() || self.coming.has_ahead(now) || !due(now, self.asked, ASK_AHEAD) {
+        if keep.is_zero() || self.coming.has_ahead(now) || !is_due(now, self.asked, ASK_AHEAD) {
             return Tokens::ZERO;
         }
         self.asked = Some(now);
@@ -235,7 +235,7 @@
             let (need, ahead) = (waiter.need, Tokens::ZERO);
             self.coming.ask(now, to, need, ahead);
             let (budget, period) = (budget.clone(), self.terms.period);
-            out.send(to, Message::Ask(Ask { budget, period, need, ahead }));
+            out.send(to, Message::TokenRequest(Ask { budget, period, need, extra: ahead }));
         }
     }
 
--- a/crates/badgerfield-core/src/holdings/mod.rs
+++ b/crates/badgerfield-core/src/holdings/mod.rs
@@ -29,7 +29,7 @@
 use self::holding::{Holding, Maker, Sealing, Search};
 use self::transfer::Transfers;
 use crate::amount::{Percent, Time, Tokens};
-use crate::event::{Outbox, due};
+use crate::event::{Outbox, is_due};
 use crate::ids::{BudgetId, Incarnation, Period, Region, RunId, TemplateVersion, VmId};
 use crate::ledger::{BudgetTerms, HoldingPlan};
 use crate::lending::Lenders;
@@ -265,7 +265,7 @@
     /// Does what is due: reports, parks, gives back, and ends searches.
     pub fn tick(&mut self, now: Time, out: &mut Outbox) {
         self.transfers.tick(now, out);
-        if due(now, self.checked, Duration::from_secs(1)) {
+        if is_due(now, self.checked, Duration::from_secs(1)) {
             self.checked = Some(now);
             self.touched.extend(self.table.keys().cloned());
             self.tell_at_hand(now, out);
--- a/crates/badgerfield-core/src/holdings/parking.rs
+++ b/crates/badgerfield-core/src/holdings/parking.rs
@@ -7,7 +7,7 @@
 use super::search::next_lender;
 use super::{Holdings, Leaving};
 use crate::amount::{Time, Tokens};
-use crate::event::{Outbox, due};
+use crate::event::{Outbox, is_due};
 use crate::ids::{BudgetId, Incarnation};
 use crate::ledger::HoldingPlan;
 use crate::message::{Message, ParkItem};
@@ -91,7 +91,7 @@
             }
             return;
         }
-        if !due(now, holding.drawn_at, report) || idle {
+        if !is_due(now, holding.drawn_at, report) || idle {
             return;
         }
         let surplus = holding.surplus(now).min(holding.returnable());
@@ -124,7 +124,7 @@
             holding.make_op(now, budget, &self.maker, all, true);
             return;
         }
-        if !due(now, holding.drawn_at, report) {
+        if !is_due(now, holding.drawn_at, report) {
             return;
         }
         // What went to lenders is held there; the ledger hands out less while it takes it to
@@ -170,7 +170,7 @@
         let is_left = leaves && has_witness && stays && !self.maker.is_sure(now);
         // What is to be given back is unparked only when it can go at once: should this
         // process die on the way, nobody else can spend it.
-        let ready = holding.op.is_none() && due(now, holding.drawn_at, report);
+        let ready = holding.op.is_none() && is_due(now, holding.drawn_at, report);
         let surplus = if ready { holding.surplus(now) } else { Tokens::ZERO };
         let keep = wanted.saturating_add(working);
         let half = working.part(1, 2);
@@ -217,7 +217,7 @@
             let Some(bank) = holding.parked.bank else {
                 continue;
             };
-            if !due(now, *at, PARK_RESEND) {
+            if !is_due(now, *at, PARK_RESEND) {
                 continue;
             }
             *at = Some(now);
@@ -263,7 +263,7 @@
         let may = !waits && (borrows || !self.leaving.closes());
         // Two that take each other for the collector must not pass tokens to and fro.
         let pace = if borrows { RETURN } else { PASS };
-        if !may || spare.is_zero() || !due(now, holding.passed, pace) {
+        if !may || spare.is_zero() || !is_due(now, holding.passed, pace) {
             return;
         }
         // What cannot leave this VM is of more use here, where the account's requests come.
--- a/crates/badgerfield-core/src/holdings/peers.rs
+++ b/crates/badgerfield-core/src/holdings/peers.rs
@@ -52,7 +52,7 @@
         let spare = holding.ready().saturating_sub(keep);
         // Who asks again and again gets more at once than what is ready for the next moment.
         let times = if collects || self.lenders.is_empty() { 1 } else { LUMP };
-        let wish = need.saturating_add(ask.ahead);
+        let wish = need.saturating_add(ask.extra);
         let lump = wish.part(times, 1);
         if spare < lump && holding.ready() < holding.free {
             holding.owed.retain(|(to, _)| *to != from);
--- a/crates/badgerfield-core/src/holdings/waiting.rs
+++ b/crates/badgerfield-core/src/holdings/waiting.rs
@@ -35,7 +35,7 @@
     /// Tells whether it waits for what running requests give back. Its caller said for how long;
     /// one on a route is told at once, and may try another VM.
     fn is_patient(&self) -> bool {
-        matches!(self.wanter, Wanter::Run(run) if ReservationId::of(run).is_none())
+        matches!(self.wanter, Wanter::Run(run) if ReservationId::from_run_id(run).is_none())
     }
 
     /// Returns it as one that waits for what running requests give back.
--- a/crates/badgerfield-core/src/ids.rs
+++ b/crates/badgerfield-core/src/ids.rs
@@ -185,7 +185,7 @@
 
     /// Returns the reservation that a number stands for, if it is none of a run.
     #[must_use]
-    pub(crate) fn of(run: RunId) -> Option<Self> {
+    pub(crate) fn from_run_id(run: RunId) -> Option<Self> {
         (run.0 & RESERVATION != 0).then_some(Self(run.0 & !RESERVATION))
     }
 }
--- a/crates/badgerfield-core/src/joining.rs
+++ b/crates/badgerfield-core/src/joining.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crate::amount::Time;
-use crate::event::due;
+use crate::event::is_due;
 use crate::ids::{Incarnation, rendezvous_weight};
 use crate::view::{Member, View};
 
@@ -70,7 +70,7 @@
         if self.lost < LOST || alive.is_empty() {
             return JoinStep::Write;
         }
-        if !due(now, self.asked, ASK) {
+        if !is_due(now, self.asked, ASK) {
             return JoinStep::Wait;
         }
         if self.asks >= ASKS {
--- a/crates/badgerfield-core/src/ledger_writer.rs
+++ b/crates/badgerfield-core/src/ledger_writer.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 
 use crate::amount::{Time, TokenRate};
-use crate::event::{KvCall, KvName, KvResult, Versioned, due};
+use crate::event::{StoreCall, StoreKey, StoreResult, Versioned, is_due};
 use crate::ids::{BudgetId, Incarnation, Period};
 use crate::ledger::{LedgerOp, LedgerReply, LedgerShard};
 
@@ -110,7 +110,7 @@
             return Some(OpResult { holder: op.holder, budget, period, reply });
         }
         let state = self.shards.entry(shard).or_default();
-        if !due(now, state.failed, PAUSE) {
+        if !is_due(now, state.failed, PAUSE) {
             return Some(down(&op));
         }
         let waiting = state.queue.entry((op.holder, op.budget.clone()));
@@ -123,7 +123,7 @@
     }
 
     /// Returns the calls that are due.
-    pub fn next_calls(&mut self, now: Time) -> Vec<(u32, KvCall)> {
+    pub fn next_calls(&mut self, now: Time) -> Vec<(u32, StoreCall)> {
         let mut calls = Vec::new();
         let gone: Vec<_> = self.gone.iter().copied().collect();
         for (id, shard) in &mut self.shards {
@@ -135,30 +135,30 @@
     }
 
     /// Takes in the platform's answer; returns what became of changes.
-    pub fn handle_result(&mut self, now: Time, id: u32, result: KvResult) -> Vec<OpResult> {
+    pub fn handle_result(&mut self, now: Time, id: u32, result: StoreResult) -> Vec<OpResult> {
         let Some(shard) = self.shards.get_mut(&id) else {
             return Vec::new();
         };
         match (std::mem::take(&mut shard.phase), result) {
-            (Phase::Reading, KvResult::Value(found)) => shard.learn(now, &found),
-            (Phase::Writing { next, replies }, KvResult::Written(revision)) => {
+            (Phase::Reading, StoreResult::Value(found)) => shard.learn(now, &found),
+            (Phase::Writing { next, replies }, StoreResult::Written(revision)) => {
                 self.writes += 1;
                 shard.cached = Some((next, revision));
                 shard.written = Some(now);
                 shard.settle(replies)
             }
-            (Phase::Writing { .. }, KvResult::Conflict(found)) => {
+            (Phase::Writing { .. }, StoreResult::Conflict(found)) => {
                 self.conflicts += 1;
                 self.writes += 1;
                 shard.learn(now, &found)
             }
             // The write may have taken effect; a read tells, and is made at once.
-            (Phase::Writing { .. }, KvResult::Unknown) => {
+            (Phase::Writing { .. }, StoreResult::Unknown) => {
                 shard.cached = None;
                 shard.written = None;
                 Vec::new()
             }
-            (_, KvResult::Refused | KvResult::Unknown) => shard.give_up(now),
+            (_, StoreResult::Refused | StoreResult::Unknown) => shard.give_up(now),
             (phase, _) => {
                 shard.phase = phase;
                 Vec::new()
@@ -174,7 +174,7 @@
         id: u32,
         gone: &[Incarnation],
         (stretch, slow): (u32, Duration),
-    ) -> Option<KvCall> {
+    ) -> Option<StoreCall> {
         if !matches!(self.phase, Phase::Idle) || self.queue.is_empty() {
             return None;
         }
@@ -184,13 +184,15 @@
             (true, true) => STARVED_PACE,
             (false, _) => slow,
         };
-        if !due(now, self.written, pace.saturating_mul(stretch)) || !due(now, self.failed, PAUSE) {
+        if !is_due(now, self.written, pace.saturating_mul(stretch))
+            || !is_due(now, self.failed, PAUSE)
+        {
             return None;
         }
-        let name = KvName::Ledger(id);
+        let name = StoreKey::Ledger(id);
         let Some((value, revision)) = &self.cached else {
             self.phase = Phase::Reading;
-            return Some(KvCall::Get(name));
+            return Some(StoreCall::Get(name));
         };
         let mut next = value.clone();
         next.remove_holders(gone);
@@ -198,7 +200,7 @@
         let value = Bytes::from(next.encode());
         let expect = *revision;
         self.phase = Phase::Writing { next, replies };
-        Some(KvCall::Swap { name, expect, value })
+        Some(StoreCall::CompareAndSwap { key: name, expected_revision: expect, value })
     }
 
     fn learn(&mut self, now: Time, found: &Versioned) -> Vec<OpResult> {
--- a/crates/badgerfield-core/src/lib.rs
+++ b/crates/badgerfield-core/src/lib.rs
@@ -79,5 +79,5 @@
 pub mod view_update;
 pub mod warm_up;
 
-pub use event::{Event, Order};
+pub use event::{Command, Event};
 pub use node::{BudgetStatus, Config, Node, Pacing, Status, TICK_INTERVAL};
--- a/crates/badgerfield-core/src/membership.rs
+++ b/crates/badgerfield-core/src/membership.rs
@@ -300,8 +300,8 @@
         if let Some(beat) = beat {
             sign.told = now;
             sign.closed = !beat.serving;
-            self.needs.hear(now, from, &beat.needs);
-            sign.offset = beat.wall.map(|wall| wall.saturating_sub(millis(now)));
+            self.needs.record_peer(now, from, &beat.needs);
+            sign.offset = beat.wall_ms.map(|wall| wall.saturating_sub(millis(now)));
         }
     }
 
@@ -475,7 +475,7 @@
     pub(crate) fn removal_entry(&self, now: Time, id: Incarnation) -> Note {
         let vm = self.view.member(id).map_or_else(|| self.me.vm.clone(), |m| m.vm.clone());
         let (silence, epoch) = (self.silence(now, id), self.stored.epoch);
-        Note::Removes { member: id, vm, silence, epoch }
+        Note::RemovesMember { member: id, vm, silence, epoch }
     }
 
     /// Returns the members whose signs of life come here, each with this process's turn.
--- a/crates/badgerfield-core/src/message.rs
+++ b/crates/badgerfield-core/src/message.rs
@@ -61,7 +61,7 @@
     /// Newer templates, whole.
     Templates(Box<TemplateSet>),
     /// Changes of the list of upstreams, passed on to all.
-    UpstreamChanges(UpstreamNews),
+    UpstreamChanges(UpstreamUpdate),
     /// Asks for the list of upstreams.
     FetchUpstreams {
         /// The revision of the list up to which the sender knows every change; 0 for none, which
@@ -71,15 +71,15 @@
     /// The whole list of upstreams.
     Upstreams(UpstreamList),
     /// Failure domains were evacuated or taken back; passed on to all.
-    Evacuations(EvacuationNews),
+    Evacuations(EvacuationUpdate),
     /// All that the sender knows of evacuated domains; asks for what the receiver knows beyond.
     CompareEvacuations(Vec<DomainChange>),
     /// Roll-outs were ordered, or have come further; passed on to all.
-    Rollouts(RolloutNews),
+    Rollouts(RolloutUpdate),
     /// All that the sender knows of roll-outs; asks for what the receiver knows beyond.
     CompareRollouts(Vec<KnownRollout>),
     /// Upstreams ended under requests, or such requests were served since; passed on to all.
-    Crashes(CrashNews),
+    Crashes(CrashUpdate),
     /// All that the sender knows of blocked requests; asks for what the receiver knows beyond.
     CompareCrashes(Vec<Crash>),
     /// How the requests of the sender went at a service of which the receiver is a judge.
@@ -89,7 +89,7 @@
     /// What became of changes in the ledger.
     LedgerReplies(Vec<(BudgetId, Period, LedgerReply)>),
     /// Asks another holder for tokens.
-    Ask(Ask),
+    TokenRequest(Ask),
     /// Answers an [`Ask`] that has nothing to give.
     NoTokens {
         /// The budget.
@@ -196,21 +196,21 @@
     /// A part of an answer.
     AnswerPart(AnswerPart),
     /// The owner is still at it and has nothing new.
-    Pending {
+    AnswerPending {
         /// The key.
         key: RequestKey,
         /// The owner's serial number.
         serial: u64,
     },
     /// The owner has no such request and will not run it.
-    NotHere {
+    UnknownRequest {
         /// The key.
         key: RequestKey,
         /// The serial number that was asked for.
         serial: u64,
     },
     /// The limits that upstreams name, or have ceased to name, as far as the sender knows.
-    Limits(Vec<LimitReport>),
+    LimitReports(Vec<LimitReport>),
 }
 
 impl Message {
@@ -228,8 +228,8 @@
             Self::Evacuations(_) | Self::CompareEvacuations(_) => "evacuations",
             Self::Rollouts(_) | Self::CompareRollouts(_) | Self::RolloutReport(_) => "rollouts",
             Self::Crashes(_) | Self::CompareCrashes(_) => "crashes",
-            Self::Limits(_) => "limits",
-            Self::Ask(_) | Self::NoTokens { .. } => "ask",
+            Self::LimitReports(_) => "limits",
+            Self::TokenRequest(_) | Self::NoTokens { .. } => "ask",
             Self::Transfer(_) | Self::TransferAck { .. } => "transfer",
             Self::Park(_) | Self::ParkAck(_) => "park",
             Self::ClaimRequest(_) | Self::ClaimReply { .. } => "claim",
@@ -242,21 +242,21 @@
             Self::Handover(_) | Self::HandoverAck { .. } => "handover",
             Self::AnswerRequest { .. }
             | Self::AnswerPart(_)
-            | Self::Pending { .. }
-            | Self::NotHere { .. } => "answer",
+            | Self::AnswerPending { .. }
+            | Self::UnknownRequest { .. } => "answer",
         }
     }
 
     /// Tells whether the message may as well be lost, since a newer one follows soon.
     #[must_use]
     pub fn is_repeated(&self) -> bool {
-        matches!(self, Self::Heartbeat(_) | Self::Limits(_))
+        matches!(self, Self::Heartbeat(_) | Self::LimitReports(_))
     }
 }
 
 /// News of the list of upstreams on its way to all members.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UpstreamNews {
+pub struct UpstreamUpdate {
     /// What changed; it may be nothing but the revision.
     pub changes: UpstreamListChanges,
     /// Whoever knows every change up to this revision knows, with these, every change up to
@@ -270,7 +270,7 @@
 
 /// News of evacuated failure domains on its way to all members.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EvacuationNews {
+pub struct EvacuationUpdate {
     /// What operators did.
     pub changes: Vec<DomainChange>,
     /// To how many members before it in the ring the receiver passes this on.
@@ -279,7 +279,7 @@
 
 /// News of roll-outs on its way to all members.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RolloutNews {
+pub struct RolloutUpdate {
     /// What is known of the services that the news is about.
     pub known: Vec<KnownRollout>,
     /// To how many members before it in the ring the receiver passes this on.
@@ -288,7 +288,7 @@
 
 /// News of upstreams that ended under requests, on its way to all members.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrashNews {
+pub struct CrashUpdate {
     /// What happened.
     pub crashes: Vec<Crash>,
     /// To how many members before it in the ring the receiver passes this on.
@@ -301,7 +301,7 @@
     /// Its counts.
     pub tally: RolloutTally,
     /// For how long it has known the order, and counted.
-    pub age: Duration,
+    pub order_age: Duration,
 }
 
 /// The regular sign of life.
@@ -310,25 +310,25 @@
     /// The epoch that the sender has.
     pub epoch: Epoch,
     /// What the sender knows of the hand-overs of its epoch.
-    pub confirmed: ConfirmationReport,
+    pub confirmations: ConfirmationReport,
     /// The version of the templates in force at the sender.
     pub version: TemplateVersion,
     /// Whether the sender serves callers.
     pub serving: bool,
     /// How much the sender knows of the list of upstreams.
-    pub list: ListVersion,
+    pub upstream_list: ListVersion,
     /// Stands for all that the sender knows of evacuated failure domains.
-    pub evacuations: u64,
+    pub evacuations_digest: u64,
     /// Stands for all that the sender knows of roll-outs.
-    pub rollouts: u64,
+    pub rollouts_digest: u64,
     /// Stands for all that the sender knows of blocked requests.
-    pub blocked: u64,
+    pub blocked_digest: u64,
     /// The time of day at the sender, in milliseconds since 1970, if it has told it.
-    pub wall: Option<u64>,
+    pub wall_ms: Option<u64>,
     /// What the sender takes requests to need of engines, its own and others'.
     pub needs: Vec<EngineDemand>,
     /// The upstreams at which requests wait, as far as the sender knows.
-    pub lags: Vec<DelayReport>,
+    pub delay_reports: Vec<DelayReport>,
 }
 
 /// A holder's wish for tokens of another holder.
@@ -342,7 +342,7 @@
     pub need: Tokens,
     /// What is wanted beside that: for others who wait, or by a borrower for the requests of its
     /// next moments.
-    pub ahead: Tokens,
+    pub extra: Tokens,
 }
 
 /// Why a process has no tokens to give.
@@ -478,7 +478,7 @@
 
 /// How far a claim has come.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Progress {
+pub enum ClaimProgress {
     /// The owner may run the request.
     Held,
     /// The owner was about to send it to this upstream.
@@ -499,18 +499,18 @@
     /// The owner's serial number.
     pub serial: u64,
     /// How often the key changed its owner.
-    pub turn: u32,
+    pub owner_changes: u32,
     /// Whether the request may run at most once.
-    pub once: bool,
+    pub at_most_once: bool,
     /// How far it has come.
-    pub progress: Progress,
+    pub progress: ClaimProgress,
 }
 
 impl ClaimRecord {
     /// Tells whether the request has ended.
     #[must_use]
     pub fn has_ended(&self) -> bool {
-        matches!(self.progress, Progress::Ended(_))
+        matches!(self.progress, ClaimProgress::Ended(_))
     }
 }
 
@@ -524,12 +524,12 @@
     /// The part's place in the answer.
     pub offset: u64,
     /// What the part is.
-    pub content: Content,
+    pub content: PartContent,
 }
 
 /// What a part of an answer is.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Content {
+pub enum PartContent {
     /// The head of the answer.
     Head(Head),
     /// Data, passed on as they are.
@@ -546,7 +546,7 @@
     /// The HTTP status.
     pub status: u16,
     /// The content type.
-    pub media: String,
+    pub content_type: String,
 }
 
 /// One part of the claims that a member hands over; the next follows its acknowledgement.
--- a/crates/badgerfield-core/src/mix.rs
+++ b/crates/badgerfield-core/src/mix.rs
@@ -341,7 +341,7 @@
     }
 
     /// Notes what a neighbour told.
-    pub(crate) fn hear(&mut self, now: Time, from: Incarnation, needs: &[EngineDemand]) {
+    pub(crate) fn record_peer(&mut self, now: Time, from: Incarnation, needs: &[EngineDemand]) {
         if !needs.is_empty() {
             self.heard.insert(from, (now, needs.to_vec()));
         }
--- a/crates/badgerfield-core/src/node.rs
+++ b/crates/badgerfield-core/src/node.rs
@@ -7,7 +7,7 @@
 use crate::board::SharedState;
 use crate::claims::Claims;
 use crate::evacuation::DomainChange;
-use crate::event::{Event, Order, Outbox};
+use crate::event::{Command, Event, Outbox};
 use crate::holdings::{HoldingBalance, Holdings};
 use crate::ids::{BudgetId, Epoch, Incarnation, RunId, TemplateVersion, UpstreamId};
 use crate::ledger_writer::LedgerWriter;
@@ -97,7 +97,7 @@
     /// The budget.
     pub budget: BudgetId,
     /// Its figures.
-    pub figures: HoldingBalance,
+    pub balance: HoldingBalance,
 }
 
 /// The state of one process, for operators.
@@ -165,7 +165,7 @@
     }
 
     /// Takes an event and returns what is to be done.
-    pub fn handle(&self, now: Time, event: Event) -> Vec<Order> {
+    pub fn handle(&self, now: Time, event: Event) -> Vec<Command> {
         let mut out = Outbox::default();
         self.take(now, event, &mut out);
         self.follow_up(now, &mut out);
@@ -186,7 +186,7 @@
 
     /// Returns the version of the templates in force.
     #[must_use]
-    pub fn version(&self) -> TemplateVersion {
+    pub fn template_version(&self) -> TemplateVersion {
         self.state.templates().version
     }
 
@@ -310,7 +310,7 @@
             let table = self.state.holdings();
             let status = |budget: &BudgetId| BudgetStatus {
                 budget: budget.clone(),
-                figures: table.balance(budget),
+                balance: table.balance(budget),
             };
             (table.excess(), table.budgets().map(status).collect())
         };
@@ -342,12 +342,14 @@
                 self.tick_poison(now, out);
             }
             Event::Tick => self.tick(now, out),
-            Event::Arrived(request, arrival) => self.handle_request(now, request, *arrival, out),
-            Event::HungUp(request) => self.handle_caller_disconnect(now, request, out),
+            Event::RequestArrived(request, arrival) => {
+                self.handle_request(now, request, *arrival, out)
+            }
+            Event::CallerDisconnected(request) => self.handle_caller_disconnect(now, request, out),
             Event::Upstream(attempt, event) => self.handle_upstream_event(now, attempt, event, out),
             Event::Load(id, report) => self.state.upstreams().apply_report(now, &id, report),
             Event::Peer(envelope) => self.peer(now, envelope, out),
-            Event::KeyValue(ticket, result) => self.handle_store_result(now, ticket, result, out),
+            Event::StoreReply(ticket, result) => self.handle_store_result(now, ticket, result, out),
             Event::VmList(list) => {
                 self.state.membership().learn(&list);
                 self.state.upstreams().learn(&list);
@@ -356,25 +358,25 @@
             Event::Operators(found) => self.apply_operator_values(now, found, out),
             Event::OperatorChanges(found) => self.apply_operator_changes(now, found, out),
             Event::Reserve(ask) => self.reserve_for_route(now, &ask, out),
-            Event::Withdraw(ask) => self.cancel_reserve(now, &ask, out),
-            Event::Settle(end) => self.settle_reservation(now, &end, out),
-            Event::Clock(wall) => self.state.membership().set_wall(now, wall),
+            Event::CancelReserve(ask) => self.cancel_reserve(now, &ask, out),
+            Event::ReservationEnded(end) => self.settle_reservation(now, &end, out),
+            Event::WallClock(wall) => self.state.membership().set_wall(now, wall),
             Event::Serving(serving) => self.state.membership().serving = serving,
             Event::UpstreamChanges(news) => self.announce_upstream_changes(now, &news, out),
-            Event::UpstreamsMissed(from, revision) => {
+            Event::UpstreamListGap(from, revision) => {
                 self.fetch_missing_upstreams(now, from, revision, out);
             }
-            Event::UpstreamsDiffer(from) => self.fetch_all_upstreams(now, from, out),
-            Event::ListMark(mark) => self.state.membership().note_list(mark),
+            Event::UpstreamListsDiffer(from) => self.fetch_all_upstreams(now, from, out),
+            Event::UpstreamListVersion(mark) => self.state.membership().note_list(mark),
             Event::EngineNeeds(own) => {
                 let mut members = self.state.membership();
                 members.needs.set_own(own);
-                out.push(Order::DivideEngines(members.needs.average(now)));
+                out.push(Command::DivideEngines(members.needs.average(now)));
             }
-            Event::Lags(lags) => self.state.membership().delay_reports = lags,
+            Event::DelayReports(lags) => self.state.membership().delay_reports = lags,
             Event::Limits(notes) => self.send_limits(&notes, out),
             Event::RolloutTallies(tallies) => self.record_rollout_tallies(now, tallies, out),
-            Event::Crashed(crash) => self.record_crash(now, crash, out),
+            Event::UpstreamCrashed(crash) => self.record_crash(now, crash, out),
             Event::SuspectServed(request) => self.record_suspect_served(now, request, out),
             Event::Stop => self.stop(now, out),
         }
@@ -426,9 +428,9 @@
             Message::TemplateDelta(delta) => self.apply_template_delta(now, from, *delta, out),
             Message::Templates(set) => self.apply_templates(now, *set, out),
             Message::UpstreamChanges(news) => self.receive_upstream_update(now, from, news, out),
-            Message::FetchUpstreams { since } => out.push(Order::TellUpstreams(from, since)),
-            Message::Upstreams(list) => out.push(Order::LearnUpstreams(list)),
-            Message::Limits(notes) => out.push(Order::LearnLimits(from, notes)),
+            Message::FetchUpstreams { since } => out.push(Command::SendUpstreamList(from, since)),
+            Message::Upstreams(list) => out.push(Command::ApplyUpstreamList(list)),
+            Message::LimitReports(notes) => out.push(Command::ApplyLimitReports(from, notes)),
             Message::Evacuations(news) => self.receive_evacuation_update(now, from, news, out),
             Message::CompareEvacuations(theirs) => self.reconcile_evacuations(from, &theirs, out),
             Message::Rollouts(news) => self.receive_rollout_update(now, news, out),
@@ -438,7 +440,9 @@
             Message::RolloutReport(report) => self.state.rollouts().apply_report(from, report),
             Message::LedgerRequest(ops) => self.handle_ledger_request(now, ops, out),
             Message::LedgerReplies(replies) => self.apply_ledger_replies(now, from, replies, out),
-            Message::Ask(ask) => self.state.holdings().handle_token_request(now, from, &ask, out),
+            Message::TokenRequest(ask) => {
+                self.state.holdings().handle_token_request(now, from, &ask, out)
+            }
             Message::NoTokens { budget, need, reason: lack, .. } => {
                 self.state.holdings().handle_no_tokens(now, from, &budget, (need, lack), out);
             }
@@ -486,8 +490,10 @@
                 );
             }
             Message::AnswerPart(part) => self.receive_answer_part(now, from, part, out),
-            Message::Pending { key, serial } => self.handle_answer_pending(now, from, key, serial),
-            Message::NotHere { key, serial } => {
+            Message::AnswerPending { key, serial } => {
+                self.handle_answer_pending(now, from, key, serial)
+            }
+            Message::UnknownRequest { key, serial } => {
                 self.handle_unknown_request(now, from, key, serial, out)
             }
         }
--- a/crates/badgerfield-core/src/poison/crash.rs
+++ b/crates/badgerfield-core/src/poison/crash.rs
@@ -18,7 +18,7 @@
 
 /// How certain it is that an upstream has ended.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Evidence {
+pub enum CrashEvidence {
     /// Its connection broke, and no connection to its address came up or was refused.
     Unreachable,
     /// Its address refused connections.
@@ -26,7 +26,7 @@
     Ended,
 }
 
-impl Evidence {
+impl CrashEvidence {
     /// Returns how long it is held against a request.
     pub(super) fn keep(self) -> Duration {
         match self {
@@ -68,7 +68,7 @@
     pub prior_crashes: u32,
     /// How certain it is.
     #[serde(default)]
-    pub evidence: Evidence,
+    pub evidence: CrashEvidence,
     /// How many events of the answer the caller had.
     #[serde(rename = "point")]
     pub events_sent: u64,
@@ -94,7 +94,7 @@
             account,
             upstream,
             prior_crashes: 0,
-            evidence: Evidence::Ended,
+            evidence: CrashEvidence::Ended,
             events_sent: point,
             cleared: false,
             age: Duration::ZERO,
@@ -104,7 +104,7 @@
     /// Says that the upstream can only not be reached any more.
     #[must_use]
     pub fn unconfirmed(self) -> Self {
-        Self { evidence: Evidence::Unreachable, ..self }
+        Self { evidence: CrashEvidence::Unreachable, ..self }
     }
 
     /// Says how often the upstream was known to have ended under the request when that was sent.
--- a/crates/badgerfield-core/src/poison/mod.rs
+++ b/crates/badgerfield-core/src/poison/mod.rs
@@ -15,6 +15,6 @@
 mod fingerprint;
 mod table;
 
-pub use self::crash::{Crash, Evidence};
+pub use self::crash::{Crash, CrashEvidence};
 pub use self::fingerprint::Fingerprint;
 pub use self::table::{PoisonStatus, PoisonTable};
--- a/crates/badgerfield-core/src/poison/table.rs
+++ b/crates/badgerfield-core/src/poison/table.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::Fingerprint;
-use super::crash::{Crash, Evidence, UNSURE_PER_CRASH, digest_of, says};
+use super::crash::{Crash, CrashEvidence, UNSURE_PER_CRASH, digest_of, says};
 use crate::amount::Time;
 use crate::ids::UpstreamId;
 
@@ -53,7 +53,7 @@
 struct Known {
     upstream: UpstreamId,
     life: u32,
-    evidence: Evidence,
+    evidence: CrashEvidence,
     point: u64,
     cleared: bool,
     /// Until when it is held against the request. A crash may be older than this process.
@@ -218,7 +218,7 @@
     pub fn record_crash(&mut self, now: Time, crash: Crash) -> Vec<(Crash, bool)> {
         let (request, upstream, life) =
             (crash.request, crash.upstream.clone(), crash.prior_crashes);
-        let news = self.learn(now, vec![crash]);
+        let news = self.apply(now, vec![crash]);
         let record = self.records.get_mut(&request).into_iter();
         for known in
             record.flat_map(|r| &mut r.crashes).filter(|k| k.process() == (&upstream, life))
@@ -236,7 +236,7 @@
 
     /// Takes in crashes, in any order; returns those that were news, each with whether its
     /// request is blocked by it.
-    pub fn learn(&mut self, now: Time, crashes: Vec<Crash>) -> Vec<(Crash, bool)> {
+    pub fn apply(&mut self, now: Time, crashes: Vec<Crash>) -> Vec<(Crash, bool)> {
         let mut news = Vec::new();
         for crash in crashes {
             if crash.age >= crash.evidence.keep() {
@@ -270,7 +270,7 @@
             .filter(|crash| !crash.cleared)
             .map(|crash| Crash { cleared: true, ..crash })
             .collect();
-        self.learn(now, cleared).into_iter().map(|(crash, _)| crash).collect()
+        self.apply(now, cleared).into_iter().map(|(crash, _)| crash).collect()
     }
 
     /// Forgets what is too old to be held against anybody.
--- a/crates/badgerfield-core/src/poison_record.rs
+++ b/crates/badgerfield-core/src/poison_record.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 use crate::amount::Time;
-use crate::event::due;
+use crate::event::is_due;
 use crate::poison::Crash;
 
 /// The least time between two reads of the record by one process: a store that is away is
@@ -69,7 +69,7 @@
             RecordCall::Read => (&mut self.read_at, READ),
             RecordCall::Write(_) => (&mut self.wrote_at, WRITE),
         };
-        if self.is_open || !due(now, *last, pace) {
+        if self.is_open || !is_due(now, *last, pace) {
             return None;
         }
         *last = Some(now);
@@ -103,7 +103,7 @@
 
     /// Takes the news that are to be told now; at once if one of them is urgent.
     pub(crate) fn take_update(&mut self, now: Time, is_urgent: bool) -> Vec<Crash> {
-        if self.waiting.is_empty() || !(is_urgent || due(now, self.told_at, GATHER)) {
+        if self.waiting.is_empty() || !(is_urgent || is_due(now, self.told_at, GATHER)) {
             return Vec::new();
         }
         self.told_at = Some(now);
--- a/crates/badgerfield-core/src/replicas/limits.rs
+++ b/crates/badgerfield-core/src/replicas/limits.rs
@@ -5,7 +5,7 @@
 use super::UpstreamTable;
 use super::replica::Replica;
 use crate::amount::Time;
-use crate::event::due;
+use crate::event::is_due;
 use crate::ids::{Service, UpstreamId};
 use crate::request_limit::{LimitReport, MAX_NOTES, RateLimit, place};
 
@@ -60,7 +60,7 @@
     /// Returns what other processes should be told of limits now, another few at each turn where
     /// there are many.
     pub fn limit_reports(&mut self, now: Time) -> Vec<LimitReport> {
-        if !due(now, self.limits_told, TELL_PACE) {
+        if !is_due(now, self.limits_told, TELL_PACE) {
             return Vec::new();
         }
         let note = |r: &Replica| r.said.limit.note(now, r.number(), r.process);
--- a/crates/badgerfield-core/src/rollout/judge.rs
+++ b/crates/badgerfield-core/src/rollout/judge.rs
@@ -6,7 +6,7 @@
 use super::verdict;
 use super::{Evidence, RolloutReason, RolloutTally};
 use crate::amount::Time;
-use crate::event::due;
+use crate::event::is_due;
 use crate::ids::Incarnation;
 
 /// How many processes' tallies are kept, those of ended ones among them: more than the largest
@@ -58,7 +58,7 @@
 
     /// Sets the evidence aside now and then, so that what came since can be looked at by itself.
     pub fn tick(&mut self, now: Time) {
-        if !due(now, self.set_aside_at, SET_ASIDE) {
+        if !is_due(now, self.set_aside_at, SET_ASIDE) {
             return;
         }
         self.set_aside_at = Some(now);
--- a/crates/badgerfield-core/src/rollout/recorder.rs
+++ b/crates/badgerfield-core/src/rollout/recorder.rs
@@ -14,7 +14,7 @@
     RolloutState,
 };
 use crate::amount::Time;
-use crate::event::due;
+use crate::event::is_due;
 use crate::ids::Incarnation;
 use crate::seal::FleetClock;
 
@@ -136,7 +136,7 @@
 
     /// Returns the call that is due, if one is.
     pub fn next_call(&mut self, at: &StepContext<'_>) -> Option<RecorderCall> {
-        if self.is_calling || !due(at.now, self.called_at, CALL_PAUSE) {
+        if self.is_calling || !is_due(at.now, self.called_at, CALL_PAUSE) {
             return None;
         }
         let Some((revision, record)) = &self.stored else {
--- a/crates/badgerfield-core/src/rollout/table.rs
+++ b/crates/badgerfield-core/src/rollout/table.rs
@@ -215,7 +215,7 @@
                 continue;
             }
             let age = now.since(own.heard);
-            reports.push((judges.clone(), RolloutReport { tally: tally.clone(), age }));
+            reports.push((judges.clone(), RolloutReport { tally: tally.clone(), order_age: age }));
             own.told = Some((now, judges, tally.clone()));
         }
         reports
@@ -223,7 +223,7 @@
 
     /// Takes in what a process tells this one as a judge.
     pub(crate) fn apply_report(&mut self, from: Incarnation, report: RolloutReport) {
-        let RolloutReport { tally, age } = report;
+        let RolloutReport { tally, order_age: age } = report;
         let revision = self.beliefs.get(&tally.service).map(|known| known.change.revision);
         if revision != Some(tally.revision) {
             return;
--- a/crates/badgerfield-core/src/runs.rs
+++ b/crates/badgerfield-core/src/runs.rs
@@ -8,12 +8,12 @@
 use std::time::Duration;
 
 use crate::amount::{Time, Tokens};
-use crate::event::{Arrival, Usage};
+use crate::event::{IncomingRequest, Usage};
 use crate::ids::{
     Account, AttemptId, BudgetId, Incarnation, Period, Region, RequestId, RequestKey, RunId,
     UpstreamId,
 };
-use crate::message::Content;
+use crate::message::PartContent;
 use crate::residency::Residency;
 
 /// The key of a run.
@@ -66,7 +66,7 @@
 /// One request.
 #[derive(Debug, Clone)]
 pub(crate) struct Run {
-    pub(crate) arrival: Arrival,
+    pub(crate) arrival: IncomingRequest,
     pub(crate) account: Account,
     pub(crate) budget: BudgetId,
     pub(crate) period: Period,
@@ -88,7 +88,7 @@
     pub(crate) resumes: u32,
     pub(crate) usage: Option<Usage>,
     /// The answer so far: the head, then data, then the end.
-    pub(crate) parts: Vec<Content>,
+    pub(crate) parts: Vec<PartContent>,
     pub(crate) bytes: usize,
     pub(crate) listeners: Vec<Listener>,
     /// Processes that follow the run, and the next part that each gets.
@@ -103,18 +103,18 @@
 
     /// Tells whether the head of the answer has come.
     pub(crate) fn has_head(&self) -> bool {
-        matches!(self.parts.first(), Some(Content::Head(_)))
+        matches!(self.parts.first(), Some(PartContent::Head(_)))
     }
 
     /// Returns the place of the next part of the upstream's stream.
     pub(crate) fn next_chunk(&self) -> u64 {
-        let data = self.parts.iter().filter(|p| matches!(p, Content::Data(_))).count();
+        let data = self.parts.iter().filter(|p| matches!(p, PartContent::Data(_))).count();
         u64::try_from(data).unwrap_or(u64::MAX)
     }
 
     /// Adds a part of the answer.
-    pub(crate) fn push(&mut self, part: Content) {
-        if let Content::Data(data) = &part {
+    pub(crate) fn push(&mut self, part: PartContent) {
+        if let PartContent::Data(data) = &part {
             self.bytes += data.len();
         }
         self.parts.push(part);
--- a/crates/badgerfield-core/src/upstream.rs
+++ b/crates/badgerfield-core/src/upstream.rs
@@ -163,7 +163,7 @@
 
     /// Returns the share of the prompt that the cache may hold, in tokens.
     fn cached(&self, now: Time, chat: &Chat, anchor: Option<&Anchor>) -> f64 {
-        for (i, prefix) in chat.prefixes.iter().enumerate().rev() {
+        for (i, prefix) in chat.prefix_digests.iter().enumerate().rev() {
             let Some(at) = self.prefixes.get(prefix) else {
                 continue;
             };
@@ -186,7 +186,7 @@
             return f64::MAX;
         };
         let prefill = real(engine.prefill.0.max(1));
-        let fresh = (real(chat.prompt.0) - self.cached(now, chat, anchor)).max(0.0);
+        let fresh = (real(chat.prompt_tokens.0) - self.cached(now, chat, anchor)).max(0.0);
         let ahead = real(self.report.prefill.0.max(self.reading.0));
         let reading = (fresh + ahead) / prefill;
         // A stream ends, and frees its slot, after a few hundred tokens.
@@ -326,8 +326,8 @@
         let Work::Chat(chat) = wish.work else {
             return None;
         };
-        let depth = chat.prefixes.iter().rposition(|p| self.seen.contains_key(p))?;
-        let subject = chat.prefixes.get(depth)?;
+        let depth = chat.prefix_digests.iter().rposition(|p| self.seen.contains_key(p))?;
+        let subject = chat.prefix_digests.get(depth)?;
         let fits = self.table.iter().filter(|(_, upstream)| serves(upstream, wish));
         let mut ranked: Vec<_> = fits.map(|(id, _)| id).collect();
         ranked.sort_by_cached_key(|id| xxh3_64_with_seed(id.as_str().as_bytes(), *subject));
@@ -337,8 +337,8 @@
 
     /// Remembers prefixes, and forgets old ones when there are too many.
     fn remember(&mut self, now: Time, chat: &Chat) {
-        forget_old(&mut self.seen, chat.prefixes.len());
-        for prefix in &chat.prefixes {
+        forget_old(&mut self.seen, chat.prefix_digests.len());
+        for prefix in &chat.prefix_digests {
             self.seen.insert(*prefix, now);
         }
     }
@@ -353,9 +353,9 @@
         let Work::Chat(chat) = work else {
             return;
         };
-        upstream.reading = upstream.reading.saturating_add(chat.prompt);
-        forget_old(&mut upstream.prefixes, chat.prefixes.len());
-        for prefix in &chat.prefixes {
+        upstream.reading = upstream.reading.saturating_add(chat.prompt_tokens);
+        forget_old(&mut upstream.prefixes, chat.prefix_digests.len());
+        for prefix in &chat.prefix_digests {
             upstream.prefixes.insert(*prefix, now);
         }
         self.remember(now, chat);
@@ -371,8 +371,8 @@
         let (Work::Chat(chat), UpstreamKind::Engine(engine)) = (work, &upstream.info.kind) else {
             return;
         };
-        upstream.reading = upstream.reading.saturating_sub(chat.prompt);
-        let expected = real(chat.prompt.0) / real(engine.prefill.0.max(1)) + 0.02;
+        upstream.reading = upstream.reading.saturating_sub(chat.prompt_tokens);
+        let expected = real(chat.prompt_tokens.0) / real(engine.prefill.0.max(1)) + 0.02;
         let ratio = (took.as_secs_f64() / expected).clamp(0.5, 20.0);
         upstream.slowness = upstream.slowness * (1.0 - SMOOTHING) + ratio * SMOOTHING;
     }
@@ -387,7 +387,7 @@
         if let Work::Chat(chat) = work
             && !started
         {
-            upstream.reading = upstream.reading.saturating_sub(chat.prompt);
+            upstream.reading = upstream.reading.saturating_sub(chat.prompt_tokens);
         }
     }
 
@@ -400,7 +400,7 @@
     }
 
     /// Notes a failure: the upstream gets nothing for a while that doubles each time.
-    pub fn failed(&mut self, now: Time, id: &UpstreamId) {
+    pub fn record_failure(&mut self, now: Time, id: &UpstreamId) {
         let Some(upstream) = self.table.get_mut(id) else {
             return;
         };
@@ -425,7 +425,7 @@
 /// Returns how many tokens the prefixes up to a place cover.
 fn covered(place: usize, chat: &Chat) -> f64 {
     let tokens = u64::try_from((place + 1) * PREFIX_STEP).unwrap_or(u64::MAX);
-    real(tokens.min(chat.prompt.0))
+    real(tokens.min(chat.prompt_tokens.0))
 }
 
 /// Digests the prefixes of a prompt, one every [`PREFIX_STEP`] bytes.
--- a/crates/badgerfield-core/src/view.rs
+++ b/crates/badgerfield-core/src/view.rs
@@ -279,7 +279,7 @@
 
     /// Returns the epoch since which a key's memory may be lost, if it may.
     #[must_use]
-    pub fn doubts(&self, key: RequestKey, home: Option<&Region>) -> Option<Epoch> {
+    pub fn uncertain_since(&self, key: RequestKey, home: Option<&Region>) -> Option<Epoch> {
         let doubt = self.uncertain_keys.iter().rev().find(|doubt| doubt.covers(key, home))?;
         Some(doubt.epoch)
     }
--- a/crates/badgerfield-core/tests/confirmations.rs
+++ b/crates/badgerfield-core/tests/confirmations.rs
@@ -6,10 +6,10 @@
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::claims::Claims;
-use badgerfield_core::event::{Order, Outbox};
+use badgerfield_core::event::{Command, Outbox};
 use badgerfield_core::ids::{Epoch, Incarnation, RequestKey};
 use badgerfield_core::message::{
-    ClaimDecision, ClaimRecord, ClaimRequest, HandoverPart, Message, Progress,
+    ClaimDecision, ClaimProgress, ClaimRecord, ClaimRequest, HandoverPart, Message,
 };
 use badgerfield_core::view::{Member, MemberState, View};
 
@@ -46,7 +46,7 @@
 
 fn handovers(out: &mut Outbox) -> Vec<(Incarnation, HandoverPart)> {
     let part = |order| match order {
-        Order::Send(to, Message::Handover(part)) => Some((to, part)),
+        Command::Send(to, Message::Handover(part)) => Some((to, part)),
         _ => None,
     };
     out.take().into_iter().filter_map(part).collect()
@@ -87,9 +87,9 @@
         home: None,
         owner: Incarnation(2),
         serial: 7,
-        turn: 0,
-        once: true,
-        progress: Progress::Ended(badgerfield_core::amount::Tokens(5)),
+        owner_changes: 0,
+        at_most_once: true,
+        progress: ClaimProgress::Ended(badgerfield_core::amount::Tokens(5)),
     };
     first.apply_view(NOW, &old, &mut out);
     assert!(first.record_claim(NOW, Epoch(1), &record));
--- a/crates/badgerfield-core/tests/evacuation.rs
+++ b/crates/badgerfield-core/tests/evacuation.rs
@@ -26,16 +26,16 @@
 fn a_reading_of_all_takes_back_what_it_does_not_hold() {
     let mut known = Evacuations::default();
     known.learn([change(1, 5, true), change(2, 6, true)]);
-    let turned = known.learn_all(10, vec![change(2, 6, true), change(3, 8, true)]);
+    let turned = known.apply_snapshot(10, vec![change(2, 6, true), change(3, 8, true)]);
     assert_eq!(turned, vec![change(3, 8, true), change(1, 10, false)]);
-    assert_eq!(known.learn_all(11, vec![change(2, 6, true), change(3, 8, true)]), Vec::new());
+    assert_eq!(known.apply_snapshot(11, vec![change(2, 6, true), change(3, 8, true)]), Vec::new());
 }
 
 #[test]
 fn a_reading_of_all_that_is_older_changes_nothing() {
     let mut known = Evacuations::default();
     known.learn([change(1, 5, true)]);
-    assert_eq!(known.learn_all(4, Vec::new()), Vec::new());
+    assert_eq!(known.apply_snapshot(4, Vec::new()), Vec::new());
     assert_eq!(known.changes(), vec![change(1, 5, true)]);
 }
 
--- a/crates/badgerfield-core/tests/holdings.rs
+++ b/crates/badgerfield-core/tests/holdings.rs
@@ -7,7 +7,7 @@
 
 use badgerfield_core::Pacing;
 use badgerfield_core::amount::{Percent, Time, Tokens};
-use badgerfield_core::event::{Order, Outbox};
+use badgerfield_core::event::{Command, Outbox};
 use badgerfield_core::holdings::{Holdings, ReserveOutcome};
 use badgerfield_core::ids::{Epoch, Incarnation, Period, RunId, TemplateVersion};
 use badgerfield_core::ledger::{BudgetTerms, HoldingPlan, LedgerOp, LedgerReply};
@@ -140,7 +140,7 @@
         let mut out = Outbox::default();
         holdings.tick(at(millis), &mut out);
         for order in out.take() {
-            let Order::Send(witness, Message::Park(items)) = order else {
+            let Command::Send(witness, Message::Park(items)) = order else {
                 continue;
             };
             holdings.confirm_parked(at(millis), witness, &items, &mut Outbox::default());
--- a/crates/badgerfield-core/tests/waiting.rs
+++ b/crates/badgerfield-core/tests/waiting.rs
@@ -14,7 +14,7 @@
 use assert_matches::assert_matches;
 use badgerfield_core::Pacing;
 use badgerfield_core::amount::{Percent, Tokens};
-use badgerfield_core::event::{Order, Outbox};
+use badgerfield_core::event::{Command, Outbox};
 use badgerfield_core::holdings::{Holdings, ReserveOutcome};
 use badgerfield_core::ids::{Epoch, Incarnation, Period, ReservationId, RunId, TemplateVersion};
 use badgerfield_core::ledger::{BudgetTerms, HoldingPlan, LedgerReply};
@@ -154,7 +154,7 @@
 /// Returns the message to the other holder.
 fn sent(mut out: Outbox) -> Message {
     let mut to_other = out.take().into_iter().filter_map(|order| match order {
-        Order::Send(OTHER, message) => Some(message),
+        Command::Send(OTHER, message) => Some(message),
         _ => None,
     });
     to_other.next().expect("something is sent")
@@ -170,7 +170,7 @@
     }
     let out = answer_ledger(&mut holdings, 110, Tokens::ZERO);
     let (need, ahead) = (Tokens(133 - 67), Tokens(2 * 133));
-    assert_matches!(sent(out), Message::Ask(ask) if (ask.need, ask.ahead) == (need, ahead));
+    assert_matches!(sent(out), Message::TokenRequest(ask) if (ask.need, ask.extra) == (need, ahead));
 }
 
 #[test]
@@ -179,7 +179,7 @@
         budget: budget(),
         period: Period(1),
         need: Tokens(need),
-        ahead: Tokens(2_000),
+        extra: Tokens(2_000),
     };
     let mut holdings = holder_with(HoldingPlan::Collect(Tokens(3_000)));
     let mut out = Outbox::default();
--- a/crates/badgerfield-node/src/adapter.rs
+++ b/crates/badgerfield-node/src/adapter.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use badgerfield_core::event::{KvCall, KvResult, OperatorChanges};
+use badgerfield_core::event::{OperatorChanges, StoreCall, StoreResult};
 use badgerfield_core::ids::{Account, Domain, Region, UpstreamId};
 use badgerfield_core::replica_list::{UpstreamList, UpstreamListChanges};
 use badgerfield_core::replicas::PromptPart;
@@ -20,12 +20,12 @@
 
 /// Everything that one platform needs translated.
 #[derive(Debug, Clone)]
-pub struct Adapter {
+pub struct PlatformAdapter {
     /// The platform's key-value service.
     pub store: Arc<dyn KeyValue>,
     /// The platform's list of upstreams, and the forms of requests on routes; nothing
     /// where the process takes no requests on routes.
-    pub routes: Option<RouteAdapter>,
+    pub route_adapter: Option<RouteAdapter>,
 }
 
 /// What requests on routes need translated.
@@ -34,12 +34,12 @@
     /// The platform's list of upstreams.
     pub discovery: Arc<dyn Discovery>,
     /// The forms of requests, of calls to upstreams and of the directory.
-    pub dialect: Arc<dyn Dialect>,
+    pub dialect: Arc<dyn Protocol>,
 }
 
 /// What came of waiting for a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Watched<T> {
+pub enum WatchResult<T> {
     /// There is a change; its revision is where the next wait goes on.
     Changed(T),
     /// Nothing changed up to this revision of the service.
@@ -51,12 +51,12 @@
 /// A key-value service with compare-and-swap.
 pub trait KeyValue: Debug + Send + Sync {
     /// Carries out a call.
-    fn call<'a>(&'a self, call: &'a KvCall) -> BoxFuture<'a, KvResult>;
+    fn call<'a>(&'a self, call: &'a StoreCall) -> BoxFuture<'a, StoreResult>;
 
     /// Waits for changes that operators make, after a revision of the service.
     ///
     /// A service without watches never answers.
-    fn watch_operators(&self, after: u64) -> BoxFuture<'_, Watched<OperatorChanges>>;
+    fn watch_operator_changes(&self, after: u64) -> BoxFuture<'_, WatchResult<OperatorChanges>>;
 }
 
 /// Why the list of upstreams could not be read.
@@ -79,12 +79,12 @@
     fn list(&self) -> BoxFuture<'_, Result<UpstreamList, DiscoveryError>>;
 
     /// Waits for changes of the list after a revision.
-    fn watch(&self, after: u64) -> BoxFuture<'_, Watched<UpstreamListChanges>>;
+    fn watch(&self, after: u64) -> BoxFuture<'_, WatchResult<UpstreamListChanges>>;
 }
 
 /// What a caller's head says about its request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RequestTerms {
+pub struct RequestHeaders {
     /// The caller's name for this request.
     pub id: String,
     /// How long the caller waits.
@@ -101,7 +101,7 @@
 
 /// Why a caller's head cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum TermsError {
+pub enum HeaderError {
     /// A header must be there.
     #[error("expected the header {0}")]
     Missing(&'static str),
@@ -120,7 +120,7 @@
 
 /// What one call to an upstream says beside the caller's own head.
 #[derive(Debug, Clone, Copy)]
-pub struct CallTerms<'a> {
+pub struct UpstreamHeaders<'a> {
     /// The upstream that is meant.
     pub upstream: &'a UpstreamId,
     /// How much time is left.
@@ -132,12 +132,12 @@
     /// The last event that arrived, of a stream that goes on elsewhere.
     pub last_event: Option<u64>,
     /// An upstream that has the shared parts of the prompt in its memory.
-    pub fetch: Option<SocketAddr>,
+    pub fetch_from: Option<SocketAddr>,
 }
 
 /// What the head of an upstream's answer says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ResponseKind {
     /// It is the answer to this request.
     Answer,
     /// The upstream did not run the request, and never will.
@@ -148,47 +148,47 @@
 
 /// What the head of an upstream's answer says of the upstream itself.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct UpstreamStatement {
+pub struct UpstreamAnnouncement {
     /// How many requests a second it takes from all VMs together.
-    pub limit: Stated<RateLimit>,
+    pub limit: ParsedHeader<RateLimit>,
     /// Whether it is about to leave.
     pub leaving: bool,
     /// For how long it wants nothing more from this VM, if it turns the request away.
-    pub rest: Stated<Duration>,
+    pub back_off: ParsedHeader<Duration>,
 }
 
-impl UpstreamStatement {
+impl UpstreamAnnouncement {
     /// Tells whether it holds anything that cannot be read.
     pub fn is_unreadable(&self) -> bool {
-        self.limit == Stated::Unreadable || self.rest == Stated::Unreadable
+        self.limit == ParsedHeader::Invalid || self.back_off == ParsedHeader::Invalid
     }
 }
 
 /// A value that an upstream may state.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Stated<T> {
+pub enum ParsedHeader<T> {
     /// It states none.
     #[default]
-    Nothing,
+    Absent,
     /// It states this one.
     Value(T),
     /// It states one that cannot be read.
-    Unreadable,
+    Invalid,
 }
 
-impl<T> Stated<T> {
+impl<T> ParsedHeader<T> {
     /// Returns the value, if there is one that can be read.
     pub fn value(self) -> Option<T> {
         match self {
             Self::Value(value) => Some(value),
-            Self::Nothing | Self::Unreadable => None,
+            Self::Absent | Self::Invalid => None,
         }
     }
 }
 
 /// A caller's question which VMs to use.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DirectoryAsk {
+pub struct DirectoryRequest {
     /// The failure domain that the caller is in or near.
     pub domain: Option<Domain>,
     /// The region that the caller is in.
@@ -196,31 +196,31 @@
 }
 
 /// The forms of requests on routes.
-pub trait Dialect: Debug + Send + Sync {
+pub trait Protocol: Debug + Send + Sync {
     /// Reads what a caller's head says.
     ///
     /// # Errors
     ///
     /// Refuses what is missing, stands twice, or has another form.
-    fn read(&self, head: &HeaderMap) -> Result<RequestTerms, TermsError>;
+    fn read(&self, head: &HeaderMap) -> Result<RequestHeaders, HeaderError>;
 
     /// Turns a caller's head into that of a call to an upstream.
-    fn write(&self, head: &mut HeaderMap, terms: &CallTerms<'_>);
+    fn write_headers(&self, head: &mut HeaderMap, terms: &UpstreamHeaders<'_>);
 
     /// Tells what the head of an upstream's answer to a request means.
-    fn verdict(&self, id: &str, status: StatusCode, head: &HeaderMap) -> Verdict;
+    fn verdict(&self, id: &str, status: StatusCode, head: &HeaderMap) -> ResponseKind;
 
     /// Reads what the head of an answer says of the upstream that was asked; nothing if another
     /// one has answered in its place.
-    fn statement(
+    fn parse_announcement(
         &self,
         asked: &UpstreamId,
         status: StatusCode,
         head: &HeaderMap,
-    ) -> Option<UpstreamStatement>;
+    ) -> Option<UpstreamAnnouncement>;
 
     /// Reads a question to the directory; nothing if it is none.
-    fn directory_ask(&self, uri: &Uri) -> Option<DirectoryAsk>;
+    fn parse_directory_request(&self, uri: &Uri) -> Option<DirectoryRequest>;
 
     /// Writes the answer of the directory as JSON.
     fn directory_answer(&self, addresses: &[SocketAddr], keep: Duration) -> Bytes;
--- a/crates/badgerfield-node/src/callers.rs
+++ b/crates/badgerfield-node/src/callers.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use badgerfield_core::Event;
-use badgerfield_core::event::{Answer, Arrival, Call, Work};
+use badgerfield_core::event::{Answer, Call, IncomingRequest, Work};
 use badgerfield_core::ids::{RequestId, TemplateVersion};
 use badgerfield_core::message::Head;
 use badgerfield_core::refusal::{Cause, Outcome, Refusal};
@@ -181,7 +181,7 @@
         Ok(arrival) => arrival,
         Err(error) => return bad(&error),
     };
-    let outgoing = Outgoing { target, secret: arrival.secret };
+    let outgoing = Outgoing { target, secret: arrival.secret_digest };
     if let Err(refusal) = driver.check_outgoing(&outgoing) {
         // Whether a key has run before is known to its arbiter only.
         let outcome = if arrival.key.is_some() { Outcome::Unknown } else { refusal.outcome };
@@ -196,11 +196,11 @@
     };
     driver.metrics.requests.inc();
     let line = Line { driver: Arc::clone(&driver), id, answers, next: 0, early: BTreeMap::new() };
-    driver.feed(Event::Arrived(id, Box::new(arrival)));
+    driver.feed(Event::RequestArrived(id, Box::new(arrival)));
     respond(line, form).await
 }
 
-fn arrival(headers: &HeaderMap, work: Work) -> Result<Arrival, Bad> {
+fn arrival(headers: &HeaderMap, work: Work) -> Result<IncomingRequest, Bad> {
     let secret = text(headers, header::AUTHORIZATION.as_str()).unwrap_or_default();
     let secret = secret.strip_prefix("Bearer ").unwrap_or_default();
     let key = match headers.get("idempotency-key") {
@@ -222,7 +222,13 @@
             Some(Duration::from_millis(millis.into()))
         }
     };
-    Ok(Arrival { secret: KeyDigest::of(secret), key, once, work, patience })
+    Ok(IncomingRequest {
+        secret_digest: KeyDigest::of(secret),
+        key,
+        once,
+        work,
+        max_wait: patience,
+    })
 }
 
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
@@ -231,7 +237,7 @@
 
 async fn read_body(driver: &Driver, body: Incoming) -> Result<Bytes, Bad> {
     let limit = driver.settings.limits.body;
-    let read = http::read(body, limit);
+    let read = http::read_body(body, limit);
     let body = tokio::time::timeout(BODY_WAIT, read).await.map_err(|_| Bad::Slow)?;
     body.ok_or(Bad::TooLarge(limit))
 }
@@ -275,7 +281,7 @@
 }
 
 async fn begin(line: Line, head: Head, form: Option<Form>) -> Response<Body> {
-    let events = head.media == "text/event-stream" && head.status == 200;
+    let events = head.content_type == "text/event-stream" && head.status == 200;
     match form.filter(|_| events) {
         Some(form) if form.stream => stream_events(line, &head, form),
         Some(_) => whole_chat(line).await,
@@ -318,7 +324,7 @@
         match line.next().await {
             Some(Answer::Data(data)) => whole.add(&data),
             Some(Answer::End(cost)) => {
-                let mut response = http::json(StatusCode::OK, &whole.into_json());
+                let mut response = http::json_response(StatusCode::OK, &whole.into_json());
                 response.headers_mut().insert("x-cost", HeaderValue::from(cost.0));
                 return response;
             }
@@ -351,7 +357,7 @@
 fn respond_with(head: &Head, body: Body) -> Response<Body> {
     let mut response = Response::new(body);
     *response.status_mut() = StatusCode::from_u16(head.status).unwrap_or(StatusCode::BAD_GATEWAY);
-    if let Ok(media) = HeaderValue::from_str(&head.media) {
+    if let Ok(media) = HeaderValue::from_str(&head.content_type) {
         response.headers_mut().insert(header::CONTENT_TYPE, media);
     }
     response
@@ -371,7 +377,7 @@
 
 fn refuse(refusal: &Refusal) -> Response<Body> {
     let status = StatusCode::from_u16(refusal.cause.status()).unwrap_or(StatusCode::BAD_GATEWAY);
-    let mut response = http::json(status, &error_of(refusal));
+    let mut response = http::json_response(status, &error_of(refusal));
     if let Some(after) = refusal.retry_after {
         let seconds = after.as_millis().div_ceil(1000);
         let value = HeaderValue::from(u64::try_from(seconds).unwrap_or(u64::MAX));
@@ -404,13 +410,13 @@
         }
     };
     let error = json!({ "type": code, "message": message, "outcome": "not_run" });
-    http::json(status, &json!({ "error": error }))
+    http::json_response(status, &json!({ "error": error }))
 }
 
 /// Asks a VM which version of the templates it has in force.
-pub async fn version_at(address: SocketAddr) -> Option<TemplateVersion> {
+pub async fn fetch_templates_version(address: SocketAddr) -> Option<TemplateVersion> {
     let request = Request::get(format!("http://{address}/v1/vms")).body(Full::default()).ok()?;
-    let answer = http::call(&http::client(), request, VERSION_WAIT).await.ok()?;
+    let answer = http::call_json(&http::client(), request, VERSION_WAIT).await.ok()?;
     answer["templates"].as_u64().map(TemplateVersion)
 }
 
@@ -430,5 +436,5 @@
         "ttl_s": limits.directory.as_secs(),
         "keys_kept_s": limits.remember.as_secs(),
     });
-    http::json(StatusCode::OK, &answer)
+    http::json_response(StatusCode::OK, &answer)
 }
--- a/crates/badgerfield-node/src/chat.rs
+++ b/crates/badgerfield-node/src/chat.rs
@@ -79,7 +79,13 @@
         // A byte-level tokenizer never yields more tokens than there are bytes.
         let bound = u64::try_from(prompt.len()).unwrap_or(u64::MAX).saturating_add(TEMPLATE_ROOM);
         let prefixes = prefix_digests(prompt.as_bytes());
-        let chat = Chat { model, adapter, prompt: Tokens(bound), output, prefixes };
+        let chat = Chat {
+            model,
+            adapter,
+            prompt_tokens: Tokens(bound),
+            output_limit: output,
+            prefix_digests: prefixes,
+        };
         Ok(Self { chat, stream, usage, body })
     }
 
--- a/crates/badgerfield-node/src/clock.rs
+++ b/crates/badgerfield-node/src/clock.rs
@@ -24,10 +24,10 @@
 /// The clocks of a VM, each as the span since some moment of its own.
 pub trait VmClocks: Debug + Send + Sync {
     /// Reads the clock that goes on while the VM is suspended.
-    fn since_boot(&self) -> Duration;
+    fn boottime(&self) -> Duration;
 
     /// Reads the clock that timers go by. It stands still while the VM is suspended.
-    fn awake(&self) -> Duration;
+    fn monotonic(&self) -> Duration;
 }
 
 /// The clocks of the system that the process runs on.
@@ -35,11 +35,11 @@
 pub struct SystemClocks;
 
 impl VmClocks for SystemClocks {
-    fn since_boot(&self) -> Duration {
+    fn boottime(&self) -> Duration {
         read(ClockId::CLOCK_BOOTTIME)
     }
 
-    fn awake(&self) -> Duration {
+    fn monotonic(&self) -> Duration {
         read(ClockId::CLOCK_MONOTONIC)
     }
 }
@@ -87,21 +87,21 @@
 
 impl Clock {
     pub(crate) fn new(vm: Box<dyn VmClocks>) -> Self {
-        let started = vm.since_boot();
+        let started = vm.boottime();
         Self { vm, started, ticks: Mutex::default(), wakes: watch::Sender::new(0) }
     }
 
     /// Returns the present time.
     pub(crate) fn now(&self) -> Time {
-        Time(self.vm.since_boot().saturating_sub(self.started))
+        Time(self.vm.boottime().saturating_sub(self.started))
     }
 
     /// Notes that the process goes on, as it does with every tick; returns the span over which it
     /// did not, if that was long or the VM was suspended meanwhile.
     pub(crate) fn tick(&self) -> Option<StoodStill> {
-        let before = self.vm.awake();
-        let boot = self.vm.since_boot();
-        let after = self.vm.awake();
+        let before = self.vm.monotonic();
+        let boot = self.vm.boottime();
+        let after = self.vm.monotonic();
         let now = Time(boot.saturating_sub(self.started));
         let mut ticks = lock(&self.ticks);
         let last = ticks.last.replace(now);
--- a/crates/badgerfield-node/src/driver.rs
+++ b/crates/badgerfield-node/src/driver.rs
@@ -18,13 +18,13 @@
 use badgerfield_core::refusal::Refusal;
 use badgerfield_core::upstream::VmList;
 use badgerfield_core::view::{Member, MemberState};
-use badgerfield_core::{Config, Event, Node, Order, TICK_INTERVAL};
+use badgerfield_core::{Command, Config, Event, Node, TICK_INTERVAL};
 use http_body_util::Full;
 use hyper::{Request, Uri};
 use thiserror::Error;
 use tokio::sync::{mpsc, oneshot, watch};
 
-use crate::adapter::{Adapter, KeyValue};
+use crate::adapter::{KeyValue, PlatformAdapter};
 use crate::callers::Outgoing;
 use crate::clock::{Clock, StoodStill, SystemClocks, VmClocks};
 use crate::follow;
@@ -32,7 +32,7 @@
 use crate::http;
 use crate::logs::{BILLS, NODE, PLATFORM, REQUESTS};
 use crate::metrics::{GatewayCounts, Metrics};
-use crate::peers::{PeerError, Peers};
+use crate::peers::{PeerError, PeerTransport};
 use crate::rollouts::TELL_EVERY;
 use crate::settings::Settings;
 use crate::store_calls::{self, CallKind};
@@ -94,7 +94,7 @@
     next_reservation: AtomicU64,
     /// When the order to stop came.
     stopped: watch::Sender<Option<Time>>,
-    peers: Arc<Peers>,
+    peers: Arc<PeerTransport>,
     upstreams: Upstreams,
     requests: Mutex<HashMap<RequestId, OpenRequest>>,
     next_request: AtomicU64,
@@ -107,7 +107,7 @@
     /// # Errors
     ///
     /// Fails if peers cannot be talked to, or the system gives no random bits.
-    pub fn new(settings: Settings, adapter: Adapter) -> Result<Arc<Self>, StartError> {
+    pub fn new(settings: Settings, adapter: PlatformAdapter) -> Result<Arc<Self>, StartError> {
         Self::with_clocks(settings, adapter, Box::new(SystemClocks))
     }
 
@@ -118,19 +118,20 @@
     /// Fails if peers cannot be talked to, or the system gives no random bits.
     pub fn with_clocks(
         settings: Settings,
-        adapter: Adapter,
+        adapter: PlatformAdapter,
         clocks: Box<dyn VmClocks>,
     ) -> Result<Arc<Self>, StartError> {
         let incarnation = Incarnation(getrandom::u64()?);
         let seed = getrandom::u64()?;
-        let peers = Peers::listen(settings.peers, &settings.secret, &settings.accepted)?;
+        let peers =
+            PeerTransport::listen(settings.peer_address, &settings.secret, &settings.accepted)?;
         let member = Member {
             vm: settings.vm.clone(),
             incarnation,
             region: settings.region.clone(),
             domain: settings.domain.clone(),
-            peer: settings.advertised,
-            caller: settings.gateway.map_or(settings.callers, |gateway| gateway.requests),
+            peer: settings.advertised_address,
+            caller: settings.gateway.map_or(settings.callers, |gateway| gateway.request_address),
             standing: MemberState::Active,
         };
         let limits = settings.limits;
@@ -144,7 +145,7 @@
             pacing: settings.pacing,
             seed,
         });
-        let Adapter { store, routes } = adapter;
+        let PlatformAdapter { store, route_adapter: routes } = adapter;
         let clock = Arc::new(Clock::new(clocks));
         let gateway = routes
             .map(|routes| Arc::new(Gateway::new(routes, settings.retries, Arc::clone(&clock))));
@@ -262,7 +263,7 @@
     }
 
     /// Waits until the process may end.
-    pub async fn ended(&self) {
+    pub async fn wait_for_exit(&self) {
         let mut exit = self.exit.subscribe();
         // The sender lives as long as the driver.
         let _ = exit.wait_for(|ended| *ended).await;
@@ -291,33 +292,37 @@
     /// Closes a request whose caller has its answer or is gone.
     pub(crate) fn close(self: &Arc<Self>, id: RequestId) {
         lock(&self.requests).remove(&id);
-        self.feed(Event::HungUp(id));
+        self.feed(Event::CallerDisconnected(id));
     }
 
-    pub(crate) fn carry_out(self: &Arc<Self>, order: Order) {
+    pub(crate) fn carry_out(self: &Arc<Self>, order: Command) {
         match order {
-            Order::Send(to, message) => {
+            Command::Send(to, message) => {
                 let Some(address) = self.node.peer_address(to) else {
                     return;
                 };
                 let from = self.node.id();
                 self.metrics.messages.count(&message);
-                let envelope =
-                    Envelope { from, sender_address: self.settings.advertised, to, message };
+                let envelope = Envelope {
+                    from,
+                    sender_address: self.settings.advertised_address,
+                    to,
+                    message,
+                };
                 self.peers.send(address, envelope);
             }
-            Order::KeyValue(ticket, call) => {
+            Command::KeyValue(ticket, call) => {
                 let driver = Arc::clone(self);
                 self.metrics.calls.count(CallKind::of(&call));
                 tokio::spawn(async move {
                     let result = driver.store.call(&call).await;
                     driver.metrics.count_kv(&result);
-                    driver.feed(Event::KeyValue(ticket, result));
+                    driver.feed(Event::StoreReply(ticket, result));
                 });
             }
-            Order::Dispatch(attempt, dispatch) => self.dispatch(attempt, dispatch),
-            Order::Cancel(attempt) => self.upstreams.cancel(attempt),
-            Order::Answer(id, place, answer) => {
+            Command::Dispatch(attempt, dispatch) => self.dispatch(attempt, dispatch),
+            Command::Cancel(attempt) => self.upstreams.cancel(attempt),
+            Command::Answer(id, place, answer) => {
                 if let Answer::Refused(refusal) | Answer::Broken(refusal) = &answer {
                     self.metrics.count_refusal(refusal);
                     log_refusal(id, refusal);
@@ -327,36 +332,36 @@
                     let _ = request.answers.send((place, answer));
                 }
             }
-            Order::Reserved(id, result) => {
+            Command::AnswerReserve(id, result) => {
                 let answer = lock(&self.reservations).remove(&id);
                 // A request that has gone meanwhile settles what it was given.
                 let _ = answer.map(|answer| answer.send(result));
             }
-            Order::LearnChanges(from, news) => self.hear_changes(from, news),
-            Order::LearnUpstreams(list) => self.learn_list(list, Source::Peer),
-            Order::ConfirmUpstreams(revision) => {
+            Command::ApplyUpstreamChanges(from, news) => self.hear_changes(from, news),
+            Command::ApplyUpstreamList(list) => self.learn_list(list, Source::Peer),
+            Command::ConfirmUpstreamList(revision) => {
                 if let Some(gateway) = &self.gateway {
                     gateway.replicas().confirm_revision(self.now(), revision);
                 }
             }
-            Order::DivideEngines(needs) => self.divide_engines(&needs),
-            Order::LearnLags(notes) => {
+            Command::DivideEngines(needs) => self.divide_engines(&needs),
+            Command::ApplyDelayReports(notes) => {
                 if let Some(gateway) = &self.gateway {
                     gateway.replicas().apply_delay_reports(self.now(), &notes);
                 }
             }
-            Order::LearnLimits(from, notes) => self.learn_limits(from, &notes),
-            Order::Evacuated(from, changes) => self.evacuate(from, &changes),
-            Order::RolloutRules(rules) => self.divide_versions(rules),
-            Order::TellUpstreams(to, since) => self.tell_upstreams(to, since),
-            Order::Block(requests) => {
+            Command::ApplyLimitReports(from, notes) => self.learn_limits(from, &notes),
+            Command::ApplyEvacuations(from, changes) => self.evacuate(from, &changes),
+            Command::ApplyRolloutRules(rules) => self.divide_versions(rules),
+            Command::SendUpstreamList(to, since) => self.tell_upstreams(to, since),
+            Command::BlockRequests(requests) => {
                 if let Some(gateway) = &self.gateway {
                     gateway.note_blocked(requests.len());
                 }
             }
-            Order::Bill(bill) => self.record(&bill),
-            Order::Note(note) => self.note(&note),
-            Order::Exit => {
+            Command::Bill(bill) => self.record(&bill),
+            Command::Log(note) => self.note(&note),
+            Command::Exit => {
                 log::info!(target: NODE, "everything is handed over");
                 self.exit.send_replace(true);
             }
@@ -419,13 +424,13 @@
             Note::BadValue(name, error) => {
                 log::error!(target: PLATFORM, "cannot use {name:?}: {error}");
             }
-            Note::Removes { member, vm, silence, epoch } => log::warn!(
+            Note::RemovesMember { member, vm, silence, epoch } => log::warn!(
                 target: NODE,
                 "removes member={member} vm={vm} silent_ms={} view={epoch}",
                 silence.as_millis()
             ),
             Note::Removed => log::error!(target: NODE, "removed from the view; ends when idle"),
-            Note::Drawn {
+            Note::LedgerApplied {
                 budget,
                 limit,
                 granted,
@@ -445,7 +450,7 @@
                  took_ms={} plan={plan} rate={rate}",
                 took.as_millis()
             ),
-            Note::AtHand { budget, free, reserved, moving, waiting, rate } => log::info!(
+            Note::Prefetched { budget, free, reserved, moving, waiting, rate } => log::info!(
                 target: NODE,
                 "at hand budget={budget} free={free} reserved={reserved} moving={moving} \
                  waiting={waiting} rate={rate}"
@@ -453,7 +458,7 @@
             Note::Lending { epoch, held, borrowed } => {
                 log::info!(target: NODE, "lending view={epoch} held={held} borrowed={borrowed}");
             }
-            Note::Untouched { budget, holder, amount, epoch } => log::warn!(
+            Note::ParkedReturned { budget, holder, amount, epoch } => log::warn!(
                 target: NODE,
                 "untouched budget={budget} holder={holder} amount={amount} view={epoch}: \
                  given back for a removed holder"
@@ -477,7 +482,7 @@
                 );
             }
             Note::Rollout(note) => log::info!(target: NODE, "{note}"),
-            Note::Renewed(budget) => log::info!(target: NODE, "budget {budget} renewed"),
+            Note::BudgetRenewed(budget) => log::info!(target: NODE, "budget {budget} renewed"),
         }
     }
 
@@ -499,7 +504,7 @@
                 count = 0;
             }
             if count.is_multiple_of(CLOCK_TICKS) {
-                self.feed(Event::Clock(wall_clock()));
+                self.feed(Event::WallClock(wall_clock()));
             }
             count = count.wrapping_add(1);
             let now = self.now();
@@ -548,7 +553,7 @@
 
 async fn read_vms(client: &http::HttpClient, uri: &Uri, timeout: Duration) -> Option<VmList> {
     let request = Request::get(uri.clone()).body(Full::default()).ok()?;
-    let value = http::call(client, request, timeout).await.ok()?;
+    let value = http::call_json(client, request, timeout).await.ok()?;
     serde_json::from_value(value).ok()
 }
 
--- a/crates/badgerfield-node/src/follow.rs
+++ b/crates/badgerfield-node/src/follow.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use badgerfield_core::amount::Time;
-use badgerfield_core::event::{KvCall, KvName, KvResult};
+use badgerfield_core::event::{StoreCall, StoreKey, StoreResult};
 use badgerfield_core::ids::TemplateVersion;
 use badgerfield_core::replica_list::UpstreamListChanges;
 use badgerfield_core::{Event, TICK_INTERVAL};
 
-use crate::adapter::Watched;
+use crate::adapter::WatchResult;
 use crate::driver::{Driver, Source};
 use crate::gateway::directory;
 use crate::gateway::state::Gateway;
@@ -57,19 +57,19 @@
     loop {
         if !follows_templates(&driver) {
             after = 0;
-            driver.clock.sleep(pace(driver.node.version() == TemplateVersion(0))).await;
+            driver.clock.sleep(pace(driver.node.template_version() == TemplateVersion(0))).await;
             continue;
         }
         if after == 0 {
-            let call = KvCall::Get(KvName::Templates);
+            let call = StoreCall::Get(StoreKey::Templates);
             driver.metrics.calls.count(CallKind::of(&call));
             // Where there are none yet, the watch waits for the first.
             match driver.store.call(&call).await {
-                KvResult::Value(found) => {
+                StoreResult::Value(found) => {
                     after = found.revision;
                     driver.feed(Event::Templates(found));
                 }
-                KvResult::Operators(found) => {
+                StoreResult::Operators(found) => {
                     after = found.revision;
                     driver.feed(Event::Operators(found));
                 }
@@ -80,17 +80,17 @@
             }
         }
         driver.metrics.calls.count(CallKind::TemplatesWatch);
-        match driver.store.watch_operators(after).await {
-            Watched::Changed(found) => {
+        match driver.store.watch_operator_changes(after).await {
+            WatchResult::Changed(found) => {
                 pause = Pause::default();
                 after = after.max(found.revision);
                 driver.feed(Event::OperatorChanges(found));
             }
-            Watched::Quiet(revision) => {
+            WatchResult::Quiet(revision) => {
                 pause = Pause::default();
                 after = after.max(revision);
             }
-            Watched::Lost => {
+            WatchResult::Lost => {
                 after = 0;
                 driver.clock.sleep(pause.next(&driver)).await;
             }
@@ -130,17 +130,17 @@
             driver.metrics.calls.count(CallKind::UpstreamsWatch);
             let watched = gateway.adapter.discovery.watch(after);
             match driver.clock.timeout_at(until, watched).await {
-                Ok(Watched::Changed(changes)) => {
+                Ok(WatchResult::Changed(changes)) => {
                     after = after.max(changes.revision);
                     driver.learn_changes(changes);
                 }
-                Ok(Watched::Quiet(revision)) => {
+                Ok(WatchResult::Quiet(revision)) => {
                     after = after.max(revision);
                     let changes =
                         UpstreamListChanges { revision, ..UpstreamListChanges::default() };
                     driver.learn_changes(changes);
                 }
-                Ok(Watched::Lost) | Err(_) => break,
+                Ok(WatchResult::Lost) | Err(_) => break,
             }
         }
     }
@@ -195,7 +195,7 @@
 /// Tells whether this process follows the templates itself: whenever it follows the list of
 /// upstreams. The first ones are read together with the view.
 fn follows_templates(driver: &Driver) -> bool {
-    driver.node.version() > TemplateVersion(0) && is_on_duty(driver)
+    driver.node.template_version() > TemplateVersion(0) && is_on_duty(driver)
 }
 
 /// Closes what is of no more use, and tells what requests need and whether this process
@@ -210,6 +210,6 @@
     };
     driver.feed(Event::Limits(limits));
     driver.feed(Event::EngineNeeds(needs));
-    driver.feed(Event::Lags(lags));
+    driver.feed(Event::DelayReports(lags));
     driver.feed(Event::Serving(directory::is_ready(gateway)));
 }
--- a/crates/badgerfield-node/src/gateway/admit.rs
+++ b/crates/badgerfield-node/src/gateway/admit.rs
@@ -15,7 +15,7 @@
 use hyper::body::Incoming;
 use hyper::{HeaderMap, Request, header};
 
-use crate::adapter::RequestTerms;
+use crate::adapter::RequestHeaders;
 use crate::driver::Driver;
 use crate::gateway::attempt::{Original, strip};
 use crate::gateway::flow::{COME_BACK, Exchange, Sending};
@@ -118,7 +118,7 @@
 }
 
 /// Returns what a request asks of an engine; nothing if it is not for one.
-fn size_of(terms: &RequestTerms) -> Option<PromptSize> {
+fn size_of(terms: &RequestHeaders) -> Option<PromptSize> {
     let own = terms.parts.last()?.tokens;
     let prompt = terms.parts.iter().map(|part| part.tokens).sum();
     Some(PromptSize { total_tokens: prompt, unshared_tokens: own })
@@ -159,7 +159,7 @@
 fn caller_of(
     table: &RouteTable,
     route: &Route,
-    terms: &RequestTerms,
+    terms: &RequestHeaders,
 ) -> Result<Option<Caller>, Cause> {
     if route.anonymous {
         return Ok(None);
@@ -187,7 +187,7 @@
 /// Sets aside the most that a request can cost, if its account pays in advance.
 async fn reserve(
     driver: &Arc<Driver>,
-    terms: &RequestTerms,
+    terms: &RequestHeaders,
     caller: Option<&Caller>,
     until: Time,
 ) -> Result<Option<Reservation>, Refusal> {
--- a/crates/badgerfield-node/src/gateway/attempt.rs
+++ b/crates/badgerfield-node/src/gateway/attempt.rs
@@ -15,7 +15,7 @@
 use hyper::http::{request, response};
 use hyper::{HeaderMap, Request, StatusCode, header};
 
-use crate::adapter::{CallTerms, Verdict};
+use crate::adapter::{ResponseKind, UpstreamHeaders};
 use crate::driver::Driver;
 use crate::gateway::connections::{Connection, SendError, named_keep};
 use crate::gateway::state::Gateway;
@@ -250,7 +250,7 @@
 pub(crate) async fn attempt(
     mut hold: UpstreamHold,
     original: &Original,
-    terms: &CallTerms<'_>,
+    terms: &UpstreamHeaders<'_>,
     given_up: impl Future<Output = ()>,
     blocked: impl Future<Output = ()>,
 ) -> AttemptEnd {
@@ -286,21 +286,21 @@
     let head = (response.status(), response.headers());
     let dialect = &gateway.adapter.dialect;
     let verdict = dialect.verdict(&original.id, head.0, head.1);
-    if verdict != Verdict::Foreign {
+    if verdict != ResponseKind::Foreign {
         let asked = (&hold.id, hold.process);
         hold.driver.hear_upstream(&gateway, &original.id, asked, head);
     }
     match verdict {
-        Verdict::NotRun => {
+        ResponseKind::NotRun => {
             hold.note_unrun(AttemptOutcome::Full);
             return AttemptEnd::NotRun(response.status());
         }
-        Verdict::Foreign => {
+        ResponseKind::Foreign => {
             hold.wait = None;
             hold.note_failed();
             return AttemptEnd::Broken("foreign");
         }
-        Verdict::Answer => {}
+        ResponseKind::Answer => {}
     }
     hold.keep = named_keep(response.headers());
     hold.closes = closes(response.headers());
@@ -343,12 +343,16 @@
     }
 }
 
-fn call_of(gateway: &Gateway, original: &Original, terms: &CallTerms<'_>) -> Request<Full<Bytes>> {
+fn call_of(
+    gateway: &Gateway,
+    original: &Original,
+    terms: &UpstreamHeaders<'_>,
+) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(original.body.clone()));
     *request.method_mut() = original.head.method.clone();
     *request.uri_mut() = original.head.uri.clone();
     *request.headers_mut() = original.head.headers.clone();
-    gateway.adapter.dialect.write(request.headers_mut(), terms);
+    gateway.adapter.dialect.write_headers(request.headers_mut(), terms);
     request
 }
 
--- a/crates/badgerfield-node/src/gateway/directory.rs
+++ b/crates/badgerfield-node/src/gateway/directory.rs
@@ -14,7 +14,7 @@
 use hyper_util::rt::TokioIo;
 use serde_json::json;
 
-use crate::adapter::DirectoryAsk;
+use crate::adapter::DirectoryRequest;
 use crate::callers::listen;
 use crate::driver::{Driver, StartError};
 use crate::gateway::connections::guard;
@@ -72,7 +72,10 @@
 
 fn answer(driver: &Driver, gateway: &Gateway, request: &Request<Incoming>) -> Response<Body> {
     if request.method() != Method::GET {
-        return http::json(StatusCode::METHOD_NOT_ALLOWED, &json!({ "error": "expected GET" }));
+        return http::json_response(
+            StatusCode::METHOD_NOT_ALLOWED,
+            &json!({ "error": "expected GET" }),
+        );
     }
     if request.uri().path() == "/readyz" {
         let mut response = Response::new(http::full(""));
@@ -81,14 +84,17 @@
         }
         return response;
     }
-    let Some(ask) = gateway.adapter.dialect.directory_ask(request.uri()) else {
-        return http::json(StatusCode::NOT_FOUND, &json!({ "error": "expected a question" }));
+    let Some(ask) = gateway.adapter.dialect.parse_directory_request(request.uri()) else {
+        return http::json_response(
+            StatusCode::NOT_FOUND,
+            &json!({ "error": "expected a question" }),
+        );
     };
     let members = driver.node.available_members(driver.now());
     let addresses = choose(&members, &place_of(gateway, ask));
     if addresses.is_empty() {
         let error = json!({ "error": "no VM is ready; come back later" });
-        return http::json(StatusCode::SERVICE_UNAVAILABLE, &error);
+        return http::json_response(StatusCode::SERVICE_UNAVAILABLE, &error);
     }
     let text = gateway.adapter.dialect.directory_answer(&addresses, KEEP);
     let mut response = Response::new(http::full(text));
@@ -98,8 +104,8 @@
 }
 
 /// Returns where a caller stands: a question that names no region may name a known domain.
-fn place_of(gateway: &Gateway, ask: DirectoryAsk) -> Location {
-    let DirectoryAsk { domain, region } = ask;
+fn place_of(gateway: &Gateway, ask: DirectoryRequest) -> Location {
+    let DirectoryRequest { domain, region } = ask;
     let of_domain = || gateway.replicas().regions().region(domain.as_ref()?).cloned();
     let region = region.or_else(of_domain);
     Location { domain, region }
--- a/crates/badgerfield-node/src/gateway/dispatch.rs
+++ b/crates/badgerfield-node/src/gateway/dispatch.rs
@@ -8,7 +8,7 @@
 use badgerfield_core::residency::Residency;
 use hyper::StatusCode;
 
-use crate::adapter::CallTerms;
+use crate::adapter::UpstreamHeaders;
 use crate::gateway::attempt::{Answered, AttemptEnd, BROKEN, UpstreamHold, attempt};
 use crate::gateway::flow::{Exchange, Sending};
 use crate::gateway::record;
@@ -50,13 +50,13 @@
                 self.gateway.retries().try_take(now, &self.service, vms);
             }
             self.tried.push(chosen.id.clone());
-            let terms = CallTerms {
+            let terms = UpstreamHeaders {
                 upstream: &chosen.id,
                 remaining: left,
                 account: self.caller.as_ref().map(|caller| &caller.account),
                 rank: self.rank(),
                 last_event: last,
-                fetch: None,
+                fetch_from: None,
             };
             self.sent = Sending { at: now, life: self.life_of(&chosen.id) };
             self.unread = chosen.uncached_tokens.saturating_add(self.own_tokens());
--- a/crates/badgerfield-node/src/gateway/flow.rs
+++ b/crates/badgerfield-node/src/gateway/flow.rs
@@ -31,7 +31,7 @@
 use hyper::{Request, Response, StatusCode, header};
 use thiserror::Error;
 
-use crate::adapter::RequestTerms;
+use crate::adapter::RequestHeaders;
 use crate::driver::Driver;
 use crate::gateway::admit::admit;
 use crate::gateway::attempt::{Answered, BROKEN, CUT, Original};
@@ -71,7 +71,7 @@
     pub(crate) driver: Arc<Driver>,
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) original: Original,
-    pub(crate) terms: RequestTerms,
+    pub(crate) terms: RequestHeaders,
     pub(crate) route: Arc<Route>,
     pub(crate) spec: ServiceSpec,
     pub(crate) reservation: Option<Reservation>,
--- a/crates/badgerfield-node/src/gateway/listener.rs
+++ b/crates/badgerfield-node/src/gateway/listener.rs
@@ -35,8 +35,8 @@
     let Some((gateway, settings)) = driver.gateway().cloned().zip(driver.settings.gateway) else {
         return Ok(());
     };
-    directory::serve(driver, &gateway, settings.directory, settings.ready).await?;
-    let listener = listen(settings.requests).await?;
+    directory::serve(driver, &gateway, settings.directory_address, settings.ready).await?;
+    let listener = listen(settings.request_address).await?;
     let places = Arc::new(Semaphore::new(settings.connections));
     let driver = Arc::clone(driver);
     tokio::spawn(async move {
--- a/crates/badgerfield-node/src/gateway/reservation.rs
+++ b/crates/badgerfield-node/src/gateway/reservation.rs
@@ -4,7 +4,7 @@
 
 use badgerfield_core::Event;
 use badgerfield_core::amount::{Time, Tokens};
-use badgerfield_core::event::{ReserveAsk, Settlement};
+use badgerfield_core::event::{ReservationEnd, ReserveRequest};
 use badgerfield_core::ids::{BudgetId, Period};
 use badgerfield_core::refusal::{Cause, Refusal};
 use tokio::sync::oneshot;
@@ -34,7 +34,7 @@
         until: Time,
     ) -> Result<Self, Refusal> {
         let (id, answer) = driver.await_reservation();
-        let ask = ReserveAsk { id, budget: budget.clone(), amount, until };
+        let ask = ReserveRequest { id, budget: budget.clone(), amount, deadline: until };
         let mut wait = Wait { driver, ask: Some(ask.clone()), answer };
         driver.feed(Event::Reserve(ask));
         let result = (&mut wait.answer).await;
@@ -62,7 +62,7 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        self.driver.feed(Event::Settle(Settlement {
+        self.driver.feed(Event::ReservationEnded(ReservationEnd {
             budget: self.budget.clone(),
             period: self.period,
             reserved: self.reserved,
@@ -74,7 +74,7 @@
 /// The wait for an answer; gives the tokens back if the request goes meanwhile.
 struct Wait<'a> {
     driver: &'a Arc<Driver>,
-    ask: Option<ReserveAsk>,
+    ask: Option<ReserveRequest>,
     answer: oneshot::Receiver<Result<Period, Refusal>>,
 }
 
@@ -83,10 +83,10 @@
         let Some(ask) = self.ask.take() else {
             return;
         };
-        self.driver.feed(Event::Withdraw(ask.clone()));
+        self.driver.feed(Event::CancelReserve(ask.clone()));
         // The answer is there now: either the wish was withdrawn, or tokens had come.
         if let Ok(Ok(period)) = self.answer.try_recv() {
-            self.driver.feed(Event::Settle(Settlement {
+            self.driver.feed(Event::ReservationEnded(ReservationEnd {
                 budget: ask.budget,
                 period,
                 reserved: ask.amount,
--- a/crates/badgerfield-node/src/gateway/statements.rs
+++ b/crates/badgerfield-node/src/gateway/statements.rs
@@ -8,7 +8,7 @@
 use badgerfield_core::request_limit::{LimitReport, RateLimit};
 use hyper::{HeaderMap, StatusCode};
 
-use crate::adapter::UpstreamStatement;
+use crate::adapter::UpstreamAnnouncement;
 use crate::driver::Driver;
 use crate::gateway::record;
 use crate::gateway::state::Gateway;
@@ -22,7 +22,8 @@
         (upstream, process): (&UpstreamId, u32),
         (status, head): (StatusCode, &HeaderMap),
     ) {
-        let Some(statement) = gateway.adapter.dialect.statement(upstream, status, head) else {
+        let Some(statement) = gateway.adapter.dialect.parse_announcement(upstream, status, head)
+        else {
             return;
         };
         // The answer of a process that has ended says nothing of the one that has its id now.
@@ -32,7 +33,7 @@
         if statement.is_unreadable() {
             self.note_unreadable(gateway, upstream);
         }
-        let UpstreamStatement { limit, leaving, rest } = statement;
+        let UpstreamAnnouncement { limit, leaving, back_off: rest } = statement;
         if leaving {
             self.hear_leaving(gateway, id, upstream);
         }
--- a/crates/badgerfield-node/src/gateway/suspicion.rs
+++ b/crates/badgerfield-node/src/gateway/suspicion.rs
@@ -13,7 +13,7 @@
 use badgerfield_core::routing::Route;
 use tokio::runtime::Handle;
 
-use crate::adapter::RequestTerms;
+use crate::adapter::RequestHeaders;
 use crate::driver::Driver;
 use crate::gateway::attempt::Original;
 use crate::gateway::connections::{LISTENS, Listening, WATCH};
@@ -24,7 +24,7 @@
 pub(super) fn fingerprint(
     account: Option<&Account>,
     route: &Route,
-    terms: &RequestTerms,
+    terms: &RequestHeaders,
     original: &Original,
 ) -> Fingerprint {
     let head = &original.head;
@@ -39,7 +39,7 @@
     driver: &Driver,
     account: Option<&Account>,
     route: &Route,
-    terms: &RequestTerms,
+    terms: &RequestHeaders,
     original: &Original,
 ) -> Result<OnceLock<Fingerprint>, Refusal> {
     if !driver.node.has_suspects() {
@@ -153,7 +153,7 @@
         record::broke(id, upstream, listening.as_str(), self.now().since(asked));
         match listening {
             Listening::Refused => {
-                self.driver.feed(Event::Crashed(crash()));
+                self.driver.feed(Event::UpstreamCrashed(crash()));
                 true
             }
             Listening::Open(connection) => {
@@ -167,7 +167,7 @@
                         .ends_after_all(&crash.upstream, address, connection, span)
                         .await;
                     if ends && !driver.clock.stood_still_since(asked) {
-                        driver.feed(Event::Crashed(crash));
+                        driver.feed(Event::UpstreamCrashed(crash));
                     }
                     drop(place);
                 });
@@ -175,7 +175,7 @@
             }
             // What takes its host with it refuses no connection.
             Listening::Unknown => {
-                self.driver.feed(Event::Crashed(crash().unconfirmed()));
+                self.driver.feed(Event::UpstreamCrashed(crash().unconfirmed()));
                 false
             }
         }
@@ -198,7 +198,7 @@
         runtime.spawn(async move {
             let ends = connections.ends_soon(&crash.upstream, address).await;
             if ends && !driver.clock.stood_still_since(since) {
-                driver.feed(Event::Crashed(crash));
+                driver.feed(Event::UpstreamCrashed(crash));
             }
             drop(place);
         });
--- a/crates/badgerfield-node/src/http.rs
+++ b/crates/badgerfield-node/src/http.rs
@@ -71,7 +71,7 @@
 
 /// Makes an answer in JSON.
 #[must_use]
-pub fn json(status: StatusCode, value: &Value) -> Response<Body> {
+pub fn json_response(status: StatusCode, value: &Value) -> Response<Body> {
     let mut response = Response::new(full(value.to_string()));
     *response.status_mut() = status;
     let media = header::HeaderValue::from_static("application/json");
@@ -84,7 +84,7 @@
 /// # Errors
 ///
 /// Tells apart what was not sent from what may have taken effect.
-pub async fn call(
+pub async fn call_json(
     client: &HttpClient,
     request: Request<Full<Bytes>>,
     timeout: Duration,
@@ -100,7 +100,7 @@
             CallError::Lost(uri.clone())
         })?;
         let status = response.status();
-        let body = read(response.into_body(), MAX_ANSWER).await;
+        let body = read_body(response.into_body(), MAX_ANSWER).await;
         let body = body.ok_or_else(|| CallError::Lost(uri.clone()))?;
         if !status.is_success() {
             return Err(CallError::Status { uri: uri.clone(), status });
@@ -111,7 +111,7 @@
 }
 
 /// Reads a body up to a limit; nothing if it is longer or breaks off.
-pub async fn read(body: Incoming, limit: usize) -> Option<Bytes> {
+pub async fn read_body(body: Incoming, limit: usize) -> Option<Bytes> {
     let whole = Limited::new(body, limit).collect().await.ok()?;
     Some(whole.to_bytes())
 }
--- a/crates/badgerfield-node/src/ini.rs
+++ b/crates/badgerfield-node/src/ini.rs
@@ -43,7 +43,7 @@
 
 /// Why a file cannot be used.
 #[derive(Debug, Error)]
-pub enum FileError {
+pub enum IniError {
     /// The file cannot be read.
     #[error("cannot read {file}: {error}")]
     Read {
@@ -75,7 +75,7 @@
 
 /// A file being read.
 #[derive(Debug)]
-pub struct File {
+pub struct IniFile {
     path: PathBuf,
     text: String,
     ini: Ini,
@@ -83,21 +83,21 @@
     faults: Vec<Fault>,
 }
 
-impl File {
+impl IniFile {
     /// Reads a file.
     ///
     /// # Errors
     ///
     /// Refuses what cannot be read, is too large, or is not INI.
-    pub fn open(path: &Path) -> Result<Self, FileError> {
+    pub fn open(path: &Path) -> Result<Self, IniError> {
         let file = path.to_owned();
         let size = std::fs::metadata(path).map(|m| m.len());
-        let size = size.map_err(|error| FileError::Read { file: file.clone(), error })?;
+        let size = size.map_err(|error| IniError::Read { file: file.clone(), error })?;
         if size > MAX_FILE {
-            return Err(FileError::TooLarge(file));
+            return Err(IniError::TooLarge(file));
         }
         let text = std::fs::read_to_string(path);
-        let text = text.map_err(|error| FileError::Read { file, error })?;
+        let text = text.map_err(|error| IniError::Read { file, error })?;
         Self::parse(path, text)
     }
 
@@ -106,10 +106,10 @@
     /// # Errors
     ///
     /// Refuses what is not INI.
-    pub fn parse(path: &Path, text: String) -> Result<Self, FileError> {
+    pub fn parse(path: &Path, text: String) -> Result<Self, IniError> {
         let path = path.to_owned();
         let ini = Ini::load_from_str(&text)
-            .map_err(|error| FileError::NotIni { file: path.clone(), error: error.to_string() })?;
+            .map_err(|error| IniError::NotIni { file: path.clone(), error: error.to_string() })?;
         Ok(Self { path, text, ini, used: BTreeSet::new(), faults: Vec::new() })
     }
 
@@ -208,7 +208,7 @@
     /// # Errors
     ///
     /// Returns every fault.
-    pub fn finish(mut self, known: impl Fn(&str) -> bool) -> Result<(), FileError> {
+    pub fn finish(mut self, known: impl Fn(&str) -> bool) -> Result<(), IniError> {
         let mut unknown = Vec::new();
         for (section, properties) in &self.ini {
             let name = section.unwrap_or("");
@@ -236,7 +236,7 @@
         if self.faults.is_empty() {
             return Ok(());
         }
-        Err(FileError::Faulty(self.faults))
+        Err(IniError::Faulty(self.faults))
     }
 
     /// Reads a text as a value; one that cannot be read is a fault.
--- a/crates/badgerfield-node/src/kv.rs
+++ b/crates/badgerfield-node/src/kv.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use badgerfield_core::event::{KvCall, KvName, KvResult, OperatorChanges, Versioned};
+use badgerfield_core::event::{OperatorChanges, StoreCall, StoreKey, StoreResult, Versioned};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use bytes::Bytes;
@@ -13,50 +13,52 @@
 use hyper::{Request, Uri, header};
 use serde_json::{Value, json};
 
-use crate::adapter::{KeyValue, Watched};
+use crate::adapter::{KeyValue, WatchResult};
 use crate::http::{self, CallError, HttpClient};
 
 /// A client of the key-value service.
 #[derive(Debug, Clone)]
-pub struct Kv {
+pub struct EtcdStore {
     client: HttpClient,
     base: Uri,
     prefix: String,
     timeout: Duration,
 }
 
-impl KeyValue for Kv {
-    fn call<'a>(&'a self, call: &'a KvCall) -> BoxFuture<'a, KvResult> {
+impl KeyValue for EtcdStore {
+    fn call<'a>(&'a self, call: &'a StoreCall) -> BoxFuture<'a, StoreResult> {
         Box::pin(async move {
             match call {
-                KvCall::Get(name) => self.get(name).await,
-                KvCall::Swap { name, expect, value } => self.swap(name, *expect, value).await,
+                StoreCall::Get(name) => self.get(name).await,
+                StoreCall::CompareAndSwap { key: name, expected_revision: expect, value } => {
+                    self.swap(name, *expect, value).await
+                }
             }
         })
     }
 
-    fn watch_operators(&self, _after: u64) -> BoxFuture<'_, Watched<OperatorChanges>> {
+    fn watch_operator_changes(&self, _after: u64) -> BoxFuture<'_, WatchResult<OperatorChanges>> {
         Box::pin(futures::future::pending())
     }
 }
 
-impl Kv {
+impl EtcdStore {
     /// Makes a client.
     #[must_use]
     pub fn new(base: Uri, prefix: String, timeout: Duration) -> Self {
         Self { client: http::client(), base, prefix, timeout }
     }
 
-    async fn get(&self, name: &KvName) -> KvResult {
+    async fn get(&self, name: &StoreKey) -> StoreResult {
         let body = json!({ "key": self.key(name) });
         match self.post("/v3/kv/range", &body).await {
-            Ok(answer) => found(&answer).map_or(KvResult::Unknown, KvResult::Value),
-            Err(CallError::Connect(_) | CallError::Status { .. }) => KvResult::Refused,
-            Err(_) => KvResult::Unknown,
+            Ok(answer) => found(&answer).map_or(StoreResult::Unknown, StoreResult::Value),
+            Err(CallError::Connect(_) | CallError::Status { .. }) => StoreResult::Refused,
+            Err(_) => StoreResult::Unknown,
         }
     }
 
-    async fn swap(&self, name: &KvName, expect: u64, value: &Bytes) -> KvResult {
+    async fn swap(&self, name: &StoreKey, expect: u64, value: &Bytes) -> StoreResult {
         let key = self.key(name);
         let body = json!({
             "compare": [{ "key": key, "target": "MOD", "result": "EQUAL", "mod_revision": expect.to_string() }],
@@ -65,19 +67,19 @@
         });
         let answer = match self.post("/v3/kv/txn", &body).await {
             Ok(answer) => answer,
-            Err(CallError::Connect(_)) => return KvResult::Refused,
+            Err(CallError::Connect(_)) => return StoreResult::Refused,
             // A rate limit refuses before anything is done; other failures may come later.
             Err(CallError::Status { status, .. }) if status.as_u16() == 429 => {
-                return KvResult::Refused;
+                return StoreResult::Refused;
             }
-            Err(_) => return KvResult::Unknown,
+            Err(_) => return StoreResult::Unknown,
         };
         if answer["succeeded"].as_bool() == Some(true) {
             return number(&answer["header"]["revision"])
-                .map_or(KvResult::Unknown, KvResult::Written);
+                .map_or(StoreResult::Unknown, StoreResult::Written);
         }
         let range = &answer["responses"][0]["response_range"];
-        found(range).map_or(KvResult::Unknown, KvResult::Conflict)
+        found(range).map_or(StoreResult::Unknown, StoreResult::Conflict)
     }
 
     async fn post(&self, path: &str, body: &Value) -> Result<Value, CallError> {
@@ -86,16 +88,16 @@
             .header(header::CONTENT_TYPE, "application/json")
             .body(Full::from(body.to_string()))
             .map_err(|_| CallError::Connect(self.base.clone()))?;
-        http::call(&self.client, request, self.timeout).await
+        http::call_json(&self.client, request, self.timeout).await
     }
 
-    fn key(&self, name: &KvName) -> String {
+    fn key(&self, name: &StoreKey) -> String {
         let name = match name {
-            KvName::Templates => "templates".to_owned(),
-            KvName::View => "view".to_owned(),
-            KvName::Ledger(shard) => format!("ledger/{shard}"),
-            KvName::Rollout(service) => format!("rollout/{service}"),
-            KvName::Poison => "poison".to_owned(),
+            StoreKey::Templates => "templates".to_owned(),
+            StoreKey::View => "view".to_owned(),
+            StoreKey::Ledger(shard) => format!("ledger/{shard}"),
+            StoreKey::Rollout(service) => format!("rollout/{service}"),
+            StoreKey::Poison => "poison".to_owned(),
         };
         STANDARD.encode(format!("{}{name}", self.prefix))
     }
--- a/crates/badgerfield-node/src/log_lines.rs
+++ b/crates/badgerfield-node/src/log_lines.rs
@@ -15,9 +15,9 @@
 use crate::sync::lock;
 
 /// The most bytes that wait to be written.
-pub const MAX_WAITING: usize = 256 * 1024;
+pub const MAX_PENDING_BYTES: usize = 256 * 1024;
 /// From how many waiting bytes on lines about requests that went well are dropped.
-const CROWDED: usize = MAX_WAITING / 2;
+const CROWDED: usize = MAX_PENDING_BYTES / 2;
 /// How often the buffer is written out.
 const PACE: Duration = Duration::from_millis(100);
 /// The most bytes that are written at once, but for a longer line: as many as a pipe takes whole
@@ -31,7 +31,7 @@
 
 /// Returns how many lines were dropped since the start.
 #[must_use]
-pub fn dropped() -> u64 {
+pub fn dropped_lines() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
@@ -51,11 +51,11 @@
 
 /// A log whose lines go to a sink through a buffer.
 #[derive(Debug, Clone, Default)]
-pub struct LogLines {
+pub struct BufferedLog {
     shared: Arc<Shared>,
 }
 
-impl LogLines {
+impl BufferedLog {
     /// Starts the thread that writes lines to a sink.
     ///
     /// # Errors
@@ -70,13 +70,13 @@
 
     /// Returns how many bytes wait to be written.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn pending_bytes(&self) -> usize {
         lock(&self.shared.waiting).bytes.len()
     }
 
     fn push(&self, line: &str, good: bool) {
         let mut waiting = lock(&self.shared.waiting);
-        let most = if good { CROWDED } else { MAX_WAITING };
+        let most = if good { CROWDED } else { MAX_PENDING_BYTES };
         if waiting.bytes.len() + line.len() >= most {
             waiting.dropped += 1;
             DROPPED.fetch_add(1, Ordering::Relaxed);
@@ -87,7 +87,7 @@
     }
 }
 
-impl Log for LogLines {
+impl Log for BufferedLog {
     fn enabled(&self, _metadata: &Metadata<'_>) -> bool {
         true
     }
--- a/crates/badgerfield-node/src/logs.rs
+++ b/crates/badgerfield-node/src/logs.rs
@@ -5,7 +5,7 @@
 use log::{LevelFilter, Log, SetLoggerError};
 use thiserror::Error;
 
-use crate::log_lines::LogLines;
+use crate::log_lines::BufferedLog;
 use crate::settings::LogSettings;
 
 /// Membership, templates and stops.
@@ -45,7 +45,7 @@
 /// Fails if logging has started already, or its thread cannot be started.
 pub fn start(settings: &LogSettings) -> Result<(), LogError> {
     let json = settings.json;
-    let lines: Box<dyn Log> = Box::new(LogLines::start(std::io::stdout())?);
+    let lines: Box<dyn Log> = Box::new(BufferedLog::start(std::io::stdout())?);
     let mut dispatch = fern::Dispatch::new().level(LevelFilter::Warn).chain(lines);
     for part in PARTS {
         dispatch = dispatch.level_for(part, settings.level);
--- a/crates/badgerfield-node/src/metrics.rs
+++ b/crates/badgerfield-node/src/metrics.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use badgerfield_core::Status;
-use badgerfield_core::event::{Bill, KvResult};
+use badgerfield_core::event::{Bill, StoreResult};
 use badgerfield_core::ids::Service;
 use badgerfield_core::locality::{CrossingReason, Distance};
 use badgerfield_core::refusal::Refusal;
@@ -293,13 +293,13 @@
         );
     }
 
-    pub(crate) fn count_kv(&self, result: &KvResult) {
+    pub(crate) fn count_kv(&self, result: &StoreResult) {
         let result = match result {
-            KvResult::Value(_) | KvResult::Operators(_) => "value",
-            KvResult::Written(_) => "written",
-            KvResult::Conflict(_) => "conflict",
-            KvResult::Refused => "refused",
-            KvResult::Unknown => "unknown",
+            StoreResult::Value(_) | StoreResult::Operators(_) => "value",
+            StoreResult::Written(_) => "written",
+            StoreResult::Conflict(_) => "conflict",
+            StoreResult::Refused => "refused",
+            StoreResult::Unknown => "unknown",
         };
         self.kv_results.get_or_create(&KvLabel { result }).inc();
     }
@@ -336,10 +336,10 @@
         self.epoch.set(status.epoch.0);
         self.templates.set(status.template_version.0);
         self.conflicts.set(status.write_counts.0);
-        self.dropped_lines.set(log_lines::dropped());
+        self.dropped_lines.set(log_lines::dropped_lines());
         for entry in &status.budgets {
             let label = BudgetLabel { budget: entry.budget.to_string() };
-            let figures = entry.figures;
+            let figures = entry.balance;
             self.free.get_or_create(&label).set(figures.free.0);
             self.reserved.get_or_create(&label).set(figures.reserved.0);
             self.parked.get_or_create(&label).set(figures.parked.0);
--- a/crates/badgerfield-node/src/operators.rs
+++ b/crates/badgerfield-node/src/operators.rs
@@ -46,7 +46,10 @@
 
 fn answer(driver: &Driver, request: &Request<Incoming>) -> Response<Body> {
     if request.method() != Method::GET {
-        return http::json(StatusCode::METHOD_NOT_ALLOWED, &json!({ "error": "expected GET" }));
+        return http::json_response(
+            StatusCode::METHOD_NOT_ALLOWED,
+            &json!({ "error": "expected GET" }),
+        );
     }
     match request.uri().path() {
         "/healthz" => Response::new(http::full("alive\n")),
@@ -63,10 +66,12 @@
             }
             Response::new(http::full(driver.metrics.render(&driver.node.status())))
         }
-        "/v1/status" => http::json(StatusCode::OK, &status_json(driver, &driver.node.status())),
+        "/v1/status" => {
+            http::json_response(StatusCode::OK, &status_json(driver, &driver.node.status()))
+        }
         _ => {
             let error = json!({ "error": "expected /healthz, /readyz, /metrics or /v1/status" });
-            http::json(StatusCode::NOT_FOUND, &error)
+            http::json_response(StatusCode::NOT_FOUND, &error)
         }
     }
 }
@@ -87,14 +92,14 @@
         .map(|b| {
             json!({
                 "budget": b.budget,
-                "free": b.figures.free,
-                "reserved": b.figures.reserved,
-                "parked": b.figures.parked,
-                "sealed": b.figures.sealed,
-                "moving": b.figures.in_transit,
-                "banked": b.figures.witnessed,
-                "billed": b.figures.billed,
-                "wasted": b.figures.wasted,
+                "free": b.balance.free,
+                "reserved": b.balance.reserved,
+                "parked": b.balance.parked,
+                "sealed": b.balance.sealed,
+                "moving": b.balance.in_transit,
+                "banked": b.balance.witnessed,
+                "billed": b.balance.billed,
+                "wasted": b.balance.wasted,
             })
         })
         .collect();
--- a/crates/badgerfield-node/src/peers.rs
+++ b/crates/badgerfield-node/src/peers.rs
@@ -79,20 +79,20 @@
 
 /// A secret of the fleet: 32 bytes, written as 64 hexadecimal digits.
 #[derive(Clone, PartialEq, Eq)]
-pub struct Secret([u8; 32]);
+pub struct FleetSecret([u8; 32]);
 
 /// Why a text is not a secret.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("expected 64 hexadecimal digits; make some with `badgerfield key --fleet`")]
 pub struct SecretError;
 
-impl fmt::Debug for Secret {
+impl fmt::Debug for FleetSecret {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Secret(..)")
     }
 }
 
-impl FromStr for Secret {
+impl FromStr for FleetSecret {
     type Err = SecretError;
 
     fn from_str(text: &str) -> Result<Self, SecretError> {
@@ -102,7 +102,7 @@
     }
 }
 
-impl Secret {
+impl FleetSecret {
     fn certified(&self) -> Result<CertifiedKey, PeerError> {
         let mut der = PKCS8.to_vec();
         der.extend_from_slice(&self.0);
@@ -225,7 +225,7 @@
 
 /// Sends messages to peers and receives theirs.
 #[derive(Debug)]
-pub struct Peers {
+pub struct PeerTransport {
     network: Network,
     lines: Mutex<HashMap<Incarnation, Line>>,
 }
@@ -255,7 +255,7 @@
     queue: mpsc::Sender<Envelope>,
 }
 
-impl Peers {
+impl PeerTransport {
     /// Listens for peers and prepares to connect to them.
     ///
     /// # Errors
@@ -263,8 +263,8 @@
     /// Fails if the secret gives no key, or the address is taken.
     pub fn listen(
         address: SocketAddr,
-        secret: &Secret,
-        accepted: &[Secret],
+        secret: &FleetSecret,
+        accepted: &[FleetSecret],
     ) -> Result<Self, PeerError> {
         let own = Arc::new(secret.certified()?);
         let mut keys = vec![raw_key(&own)];
--- a/crates/badgerfield-node/src/settings.rs
+++ b/crates/badgerfield-node/src/settings.rs
@@ -17,8 +17,8 @@
 use hyper::Uri;
 use log::LevelFilter;
 
-use crate::ini::{File, FileError};
-use crate::peers::Secret;
+use crate::ini::{IniError, IniFile};
+use crate::peers::FleetSecret;
 
 /// The highest price of bytes, in milliseconds per 1,000: it outweighs every delay that a caller
 /// waits for.
@@ -45,9 +45,9 @@
     /// Where callers connect.
     pub callers: SocketAddr,
     /// Where the system's other processes connect.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// The address that they are told, where it is another: behind a relay, for instance.
-    pub advertised: SocketAddr,
+    pub advertised_address: SocketAddr,
     /// Where operators connect.
     pub operators: SocketAddr,
     /// Where requests on routes are taken, if they are.
@@ -55,9 +55,9 @@
     /// The platform.
     pub platform: Platform,
     /// The secret that the system's processes share, for now.
-    pub secret: Secret,
+    pub secret: FleetSecret,
     /// Earlier and coming secrets that are accepted too.
-    pub accepted: Vec<Secret>,
+    pub accepted: Vec<FleetSecret>,
     /// Limits.
     pub limits: Limits,
     /// How far ahead and how often regular work is done.
@@ -74,7 +74,7 @@
 #[derive(Debug, Clone)]
 pub struct Platform {
     /// The key-value service.
-    pub kv: Uri,
+    pub store_uri: Uri,
     /// What the names of all values begin with.
     pub prefix: String,
     /// How long a call may take.
@@ -93,9 +93,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct GatewaySettings {
     /// Where callers send requests.
-    pub requests: SocketAddr,
+    pub request_address: SocketAddr,
     /// Where callers ask which VMs to use, if this VM answers that.
-    pub directory: Option<SocketAddr>,
+    pub directory_address: Option<SocketAddr>,
     /// Where the platform asks whether this VM is ready.
     pub ready: SocketAddr,
     /// How long after the order to stop the process is ended at the latest.
@@ -168,8 +168,8 @@
     /// # Errors
     ///
     /// Returns every fault of the file.
-    pub fn open(path: &Path) -> Result<Self, FileError> {
-        Self::read(File::open(path)?)
+    pub fn load(path: &Path) -> Result<Self, IniError> {
+        Self::read(IniFile::open(path)?)
     }
 
     /// Reads and checks a file that is open.
@@ -177,7 +177,7 @@
     /// # Errors
     ///
     /// Returns every fault of the file.
-    pub fn read(mut file: File) -> Result<Self, FileError> {
+    pub fn read(mut file: IniFile) -> Result<Self, IniError> {
         let vm = file.value("vm", "name");
         let region = file.value("vm", "region");
         let domain = file.value("vm", "domain");
@@ -207,8 +207,8 @@
                 regions,
                 locality,
                 callers: callers?,
-                peers: peers?,
-                advertised: advertised?,
+                peer_address: peers?,
+                advertised_address: advertised?,
                 operators: operators?,
                 gateway,
                 platform: platform?,
@@ -224,12 +224,12 @@
         let settings = read();
         file.finish(|section| SECTIONS.contains(&section))?;
         // A value that is missing has left a fault.
-        settings.ok_or(FileError::Faulty(Vec::new()))
+        settings.ok_or(IniError::Faulty(Vec::new()))
     }
 }
 
 impl Platform {
-    fn read(file: &mut File) -> Option<Self> {
+    fn read(file: &mut IniFile) -> Option<Self> {
         let kv = url(file, "kv");
         let adapter = file.value_or("platform", "adapter", AdapterKind::Etcd);
         let listed = adapter == AdapterKind::Etcd;
@@ -243,12 +243,12 @@
             file.span_or("platform", "vm_poll", millis(2000), (millis(200), millis(60_000)));
         let replicas_poll =
             file.span_or("platform", "replicas_poll", millis(800), (millis(50), millis(60_000)));
-        Some(Self { kv: kv?, adapter, prefix, timeout, vm_list, replicas_poll, vm_poll })
+        Some(Self { store_uri: kv?, adapter, prefix, timeout, vm_list, replicas_poll, vm_poll })
     }
 }
 
 impl GatewaySettings {
-    fn read(file: &mut File) -> Option<Self> {
+    fn read(file: &mut IniFile) -> Option<Self> {
         if !file.sections().iter().any(|name| name == "gateway") {
             return None;
         }
@@ -262,12 +262,18 @@
         let secs = Duration::from_secs;
         let grace = file.span_or("gateway", "grace", secs(8), (secs(1), secs(600)));
         let connections = file.value_or("gateway", "connections", 2000);
-        Some(Self { requests: requests?, directory, ready: ready?, grace, connections })
+        Some(Self {
+            request_address: requests?,
+            directory_address: directory,
+            ready: ready?,
+            grace,
+            connections,
+        })
     }
 }
 
 /// Reads which failure domain lies in which region; a domain lies in one region only.
-fn read_regions(file: &mut File, own: Option<&Domain>, region: Option<&Region>) -> RegionMap {
+fn read_regions(file: &mut IniFile, own: Option<&Domain>, region: Option<&Region>) -> RegionMap {
     let mut domains: BTreeMap<Domain, Region> = BTreeMap::new();
     if let Some((own, region)) = own.zip(region) {
         domains.insert(own.clone(), region.clone());
@@ -288,7 +294,7 @@
     RegionMap::new(domains)
 }
 
-fn read_locality(file: &mut File) -> DistanceCosts {
+fn read_locality(file: &mut IniFile) -> DistanceCosts {
     let other = DistanceCosts::default();
     let (least, most) = (Duration::ZERO, Duration::from_secs(10));
     DistanceCosts {
@@ -300,7 +306,7 @@
 }
 
 /// Reads a price of bytes, in milliseconds per 1,000 of them.
-fn read_price(file: &mut File, key: &str, other: f64) -> f64 {
+fn read_price(file: &mut IniFile, key: &str, other: f64) -> f64 {
     let price = file.value_or("locality", key, other);
     if (0.0..=MAX_PRICE).contains(&price) {
         return price;
@@ -310,7 +316,7 @@
     other
 }
 
-fn read_pacing(file: &mut File) -> Pacing {
+fn read_pacing(file: &mut IniFile) -> Pacing {
     let other = Pacing::default();
     let (least, most) = (Duration::from_millis(50), Duration::from_secs(86_400));
     Pacing {
@@ -325,7 +331,7 @@
     }
 }
 
-fn read_policy(file: &mut File) -> Policy {
+fn read_policy(file: &mut IniFile) -> Policy {
     let other = Policy::default();
     let (least, most) = (Duration::ZERO, Duration::from_secs(60));
     Policy {
@@ -337,7 +343,7 @@
     }
 }
 
-fn read_retries(file: &mut File) -> RetryLimits {
+fn read_retries(file: &mut IniFile) -> RetryLimits {
     let other = RetryLimits::default();
     let (least, most) = (Duration::from_millis(100), Duration::from_secs(3600));
     RetryLimits {
@@ -349,7 +355,7 @@
 
 /// Reads the bound on cold upstreams; values that are empty, as a template leaves them where
 /// the platform has none, count as absent. Of a bound with one value the other allows nothing.
-fn read_warm_up(file: &mut File) -> Option<WarmUpBound> {
+fn read_warm_up(file: &mut IniFile) -> Option<WarmUpBound> {
     let mut read = |key| {
         let text = file.optional_text("warm_up", key).unwrap_or_default();
         if text.is_empty() {
@@ -371,9 +377,9 @@
 
 /// Reads the bound on versions that are rolled out; values that are empty, or a unit alone, as a
 /// template leaves them where the platform has none, count as absent.
-fn read_rollout(file: &mut File) -> RolloutBound {
+fn read_rollout(file: &mut IniFile) -> RolloutBound {
     let other = RolloutBound::default();
-    let is_blank = |file: &mut File, key| {
+    let is_blank = |file: &mut IniFile, key| {
         let text = file.optional_text("rollout", key).unwrap_or_default();
         text.is_empty() || text == "ms"
     };
@@ -400,7 +406,7 @@
 }
 
 impl Limits {
-    fn read(file: &mut File) -> Self {
+    fn read(file: &mut IniFile) -> Self {
         let secs = Duration::from_secs;
         Self {
             body: number(file, "body", 1_000_000, (1_000, 64_000_000)),
@@ -416,7 +422,7 @@
 }
 
 impl LogSettings {
-    fn read(file: &mut File) -> Self {
+    fn read(file: &mut IniFile) -> Self {
         let level = file.value_or("log", "level", LevelFilter::Info);
         let json = match file.optional_text("log", "format").as_deref() {
             None | Some("text") => false,
@@ -443,7 +449,7 @@
     }
 }
 
-fn url(file: &mut File, key: &str) -> Option<Uri> {
+fn url(file: &mut IniFile, key: &str) -> Option<Uri> {
     let uri: Uri = file.value("platform", key)?;
     if uri.scheme_str() != Some("http") || uri.authority().is_none() {
         let what = format!("expected an address such as http://10.0.0.1:2379, found {uri}");
@@ -453,7 +459,7 @@
     Some(uri)
 }
 
-fn number(file: &mut File, key: &str, other: usize, bounds: (usize, usize)) -> usize {
+fn number(file: &mut IniFile, key: &str, other: usize, bounds: (usize, usize)) -> usize {
     let Some(text) = file.optional_text("limits", key) else {
         return other;
     };
--- a/crates/badgerfield-node/src/store_calls.rs
+++ b/crates/badgerfield-node/src/store_calls.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use badgerfield_core::event::{KvCall, KvName};
+use badgerfield_core::event::{StoreCall, StoreKey};
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -62,19 +62,18 @@
     ];
 
     /// Tells what a call is for.
-    pub(crate) fn of(call: &KvCall) -> Self {
+    pub(crate) fn of(call: &StoreCall) -> Self {
         match call {
-            KvCall::Get(KvName::View) => Self::ViewRead,
-            KvCall::Get(KvName::Templates) | KvCall::Swap { name: KvName::Templates, .. } => {
-                Self::TemplatesRead
-            }
-            KvCall::Get(KvName::Ledger(_)) => Self::LedgerRead,
-            KvCall::Get(KvName::Rollout(_)) => Self::RolloutRead,
-            KvCall::Swap { name: KvName::Rollout(_), .. } => Self::RolloutWrite,
-            KvCall::Get(KvName::Poison) => Self::PoisonRead,
-            KvCall::Swap { name: KvName::Poison, .. } => Self::PoisonWrite,
-            KvCall::Swap { name: KvName::View, .. } => Self::ViewWrite,
-            KvCall::Swap { name: KvName::Ledger(_), .. } => Self::LedgerWrite,
+            StoreCall::Get(StoreKey::View) => Self::ViewRead,
+            StoreCall::Get(StoreKey::Templates)
+            | StoreCall::CompareAndSwap { key: StoreKey::Templates, .. } => Self::TemplatesRead,
+            StoreCall::Get(StoreKey::Ledger(_)) => Self::LedgerRead,
+            StoreCall::Get(StoreKey::Rollout(_)) => Self::RolloutRead,
+            StoreCall::CompareAndSwap { key: StoreKey::Rollout(_), .. } => Self::RolloutWrite,
+            StoreCall::Get(StoreKey::Poison) => Self::PoisonRead,
+            StoreCall::CompareAndSwap { key: StoreKey::Poison, .. } => Self::PoisonWrite,
+            StoreCall::CompareAndSwap { key: StoreKey::View, .. } => Self::ViewWrite,
+            StoreCall::CompareAndSwap { key: StoreKey::Ledger(_), .. } => Self::LedgerWrite,
         }
     }
 
--- a/crates/badgerfield-node/src/suspects.rs
+++ b/crates/badgerfield-node/src/suspects.rs
@@ -81,7 +81,7 @@
         }
         let account = self.node.find_account(&outgoing.secret);
         let crash = Crash::new(outgoing.fingerprint(), account.as_ref(), upstream, point);
-        self.feed(Event::Crashed(crash.with_prior_crashes(life)));
+        self.feed(Event::UpstreamCrashed(crash.with_prior_crashes(life)));
     }
 
     /// Notes that a request was served whole.
--- a/crates/badgerfield-node/src/templates.rs
+++ b/crates/badgerfield-node/src/templates.rs
@@ -8,7 +8,7 @@
 use badgerfield_core::residency::Residency;
 use badgerfield_core::template::{AccountTemplate, BudgetTemplate, KeyDigest, TemplateSet};
 
-use crate::ini::{File, FileError};
+use crate::ini::{IniError, IniFile};
 
 /// The output limit of a request that names none, unless the template says otherwise.
 const OUTPUT_LIMIT: Tokens = Tokens(1024);
@@ -22,8 +22,8 @@
 /// # Errors
 ///
 /// Returns every fault of the file.
-pub fn open(path: &Path) -> Result<TemplateSet, FileError> {
-    read(File::open(path)?)
+pub fn open(path: &Path) -> Result<TemplateSet, IniError> {
+    read(IniFile::open(path)?)
 }
 
 /// Reads a template file that is open.
@@ -31,7 +31,7 @@
 /// # Errors
 ///
 /// Returns every fault of the file.
-pub fn read(mut file: File) -> Result<TemplateSet, FileError> {
+pub fn read(mut file: IniFile) -> Result<TemplateSet, IniError> {
     let mut set = TemplateSet::default();
     for section in file.sections() {
         if let Some(name) = section.strip_prefix("account ") {
@@ -57,7 +57,7 @@
     Ok(set)
 }
 
-fn name_of<T>(file: &mut File, section: &str, name: &str) -> Option<T>
+fn name_of<T>(file: &mut IniFile, section: &str, name: &str) -> Option<T>
 where
     T: std::str::FromStr,
     T::Err: std::fmt::Display,
@@ -71,7 +71,7 @@
     }
 }
 
-fn account(file: &mut File, section: &str) -> AccountTemplate {
+fn account(file: &mut IniFile, section: &str) -> AccountTemplate {
     let home = file.optional_text(section, "home");
     let home = home.and_then(|text| name_of(file, section, &text));
     let spread = Percent::new(SPREAD).unwrap_or_else(|_| unreachable!("the default is in range"));
@@ -94,7 +94,7 @@
 }
 
 /// Reads the regions of an account; a key without a region would refuse every request.
-fn regions(file: &mut File, section: &str) -> Residency {
+fn regions(file: &mut IniFile, section: &str) -> Residency {
     let Some(text) = file.optional_text(section, "regions") else {
         return Residency::default();
     };
@@ -105,7 +105,7 @@
     Residency::within(file.list(section, "regions").into_iter().collect())
 }
 
-fn budget(file: &mut File, section: &str) -> Option<BudgetTemplate> {
+fn budget(file: &mut IniFile, section: &str) -> Option<BudgetTemplate> {
     let limit = file.value(section, "limit");
     let period = Period(file.value_or(section, "period", 1));
     let keys: Vec<KeyDigest> = file.list(section, "keys");
--- a/crates/badgerfield-node/src/upstream_list.rs
+++ b/crates/badgerfield-node/src/upstream_list.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 
 use badgerfield_core::ids::{Incarnation, UpstreamId};
-use badgerfield_core::message::{Message, UpstreamNews};
+use badgerfield_core::message::{Message, UpstreamUpdate};
 use badgerfield_core::replica_list::{UpstreamList, UpstreamListChanges};
 use badgerfield_core::replicas::ListGap;
-use badgerfield_core::{Event, Order};
+use badgerfield_core::{Command, Event};
 
 use crate::driver::{Driver, Source};
 use crate::gateway::state::Gateway;
@@ -26,17 +26,17 @@
     }
 
     /// Takes in changes of the list of upstreams that a peer passed on.
-    pub(crate) fn hear_changes(self: &Arc<Self>, from: Incarnation, news: UpstreamNews) {
+    pub(crate) fn hear_changes(self: &Arc<Self>, from: Incarnation, news: UpstreamUpdate) {
         let Some(gateway) = self.gateway() else {
             return;
         };
-        let UpstreamNews { changes, since, mark, .. } = news;
+        let UpstreamUpdate { changes, since, mark, .. } = news;
         let (news, lacking) = gateway.replicas().apply_update(self.now(), changes, since, mark);
         self.learned(gateway, &news, Source::Peer);
         match lacking {
             ListGap::Nothing => {}
-            ListGap::Changes => self.feed(Event::UpstreamsMissed(from, mark.revision)),
-            ListGap::FullList => self.feed(Event::UpstreamsDiffer(from)),
+            ListGap::Changes => self.feed(Event::UpstreamListGap(from, mark.revision)),
+            ListGap::FullList => self.feed(Event::UpstreamListsDiffer(from)),
         }
     }
 
@@ -65,7 +65,7 @@
         for id in &started_again {
             log::info!(target: PLATFORM, "upstream started again id={id} list={}", mark.revision);
         }
-        self.feed(Event::ListMark(mark));
+        self.feed(Event::UpstreamListVersion(mark));
         if !news.is_empty() {
             let few: Vec<_> = news.iter().take(LOGGED_UPSTREAMS).map(UpstreamId::as_str).collect();
             log::info!(
@@ -97,7 +97,7 @@
                 // Others see from the revision that they lack something, and ask for it.
                 None => (replicas.changes_of(self.now(), news), mark.revision),
             };
-            UpstreamNews { changes, since, mark, reach: 0 }
+            UpstreamUpdate { changes, since, mark, reach: 0 }
         };
         self.feed(Event::UpstreamChanges(news));
     }
@@ -117,11 +117,11 @@
             match changes {
                 Some(changes) => {
                     let mark = replicas.list_version();
-                    Message::UpstreamChanges(UpstreamNews { changes, since, mark, reach: 0 })
+                    Message::UpstreamChanges(UpstreamUpdate { changes, since, mark, reach: 0 })
                 }
                 None => Message::Upstreams(replicas.list(self.now())),
             }
         };
-        self.carry_out(Order::Send(to, message));
+        self.carry_out(Command::Send(to, message));
     }
 }
