--- a/crates/badgerfield-node/src/upstreams.rs
+++ b/crates/badgerfield-node/src/upstreams.rs
@@ -102,7 +102,7 @@
         let calls = driver.node.engine_addresses().into_iter().map(|(id, address)| async move {
             let request =
                 Request::get(format!("http://{address}/load")).body(Full::default()).ok()?;
-            let value = http::call(&self.client, request, LOAD).await.ok()?;
+            let value = http::call_json(&self.client, request, LOAD).await.ok()?;
             let report: LoadReport = serde_json::from_value(value).ok()?;
             Some((id, report))
         });
@@ -131,7 +131,7 @@
         };
         match (&last, outgoing) {
             (UpstreamEvent::Broken, Some(outgoing)) => {
-                let point = self.dispatch.resume.unwrap_or(0);
+                let point = self.dispatch.resume_from.unwrap_or(0);
                 let to = (upstream, self.address);
                 driver.note_outgoing_broken(outgoing, to, (life, point)).await;
             }
@@ -154,7 +154,7 @@
             Ok(Err(_)) | Err(_) => return UpstreamEvent::Broken,
         };
         self.report(driver, &response);
-        match (self.dispatch.resume, response.status()) {
+        match (self.dispatch.resume_from, response.status()) {
             (_, StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE) => {
                 self.refused(&response)
             }
@@ -183,7 +183,7 @@
     /// Makes the request; nothing if its body is gone with its caller.
     fn request(&self) -> Option<Request<Full<Bytes>>> {
         let (address, name) = (self.address, &self.dispatch.stream);
-        if let Some(from) = self.dispatch.resume {
+        if let Some(from) = self.dispatch.resume_from {
             let uri = format!("http://{address}/v1/streams/{name}?from={from}");
             return Request::get(uri).body(Full::default()).ok();
         }
@@ -212,7 +212,7 @@
 
     fn is_chat(&self) -> bool {
         let chat = self.outgoing.as_ref().is_some_and(|o| matches!(o.target, Target::Chat(_)));
-        chat || self.dispatch.resume.is_some()
+        chat || self.dispatch.resume_from.is_some()
     }
 
     /// Takes in the report of load that travels with an answer.
@@ -232,7 +232,7 @@
     ) -> UpstreamEvent {
         self.tell(
             driver,
-            UpstreamEvent::Head(Head { status: 200, media: "text/event-stream".into() }),
+            UpstreamEvent::Head(Head { status: 200, content_type: "text/event-stream".into() }),
         );
         let mut body = response.into_body();
         let mut buffer = BytesMut::new();
@@ -268,7 +268,7 @@
         let status = response.status().as_u16();
         let media = response.headers().get(header::CONTENT_TYPE).and_then(|v| v.to_str().ok());
         let media = media.unwrap_or("application/octet-stream").to_owned();
-        self.tell(driver, UpstreamEvent::Head(Head { status, media }));
+        self.tell(driver, UpstreamEvent::Head(Head { status, content_type: media }));
         let mut body = response.into_body();
         let mut offset = 0;
         loop {
@@ -296,7 +296,7 @@
         let Ok(request) = request else {
             return UpstreamEvent::Broken;
         };
-        match http::call(&self.client, request, CANCEL).await {
+        match http::call_json(&self.client, request, CANCEL).await {
             Ok(answer) => UpstreamEvent::Ended { parts: 0, usage: chat::usage(&answer) },
             Err(_) => UpstreamEvent::Broken,
         }
@@ -309,7 +309,7 @@
 
 /// Tells whether a request that would be run anew is blocked. One that has begun goes on where it is.
 fn is_blocked(driver: &Driver, dispatch: &Dispatch, outgoing: Option<&Outgoing>) -> bool {
-    let anew = outgoing.filter(|_| dispatch.resume.is_none());
+    let anew = outgoing.filter(|_| dispatch.resume_from.is_none());
     anew.is_some_and(|outgoing| driver.check_outgoing(outgoing).is_err())
 }
 
--- a/crates/badgerfield-node/tests/decoders.rs
+++ b/crates/badgerfield-node/tests/decoders.rs
@@ -5,7 +5,7 @@
 use badgerfield_core::ledger::LedgerShard;
 use badgerfield_core::template::TemplateSet;
 use badgerfield_core::view::View;
-use badgerfield_node::ini::File;
+use badgerfield_node::ini::IniFile;
 use badgerfield_node::settings::Settings;
 use badgerfield_node::{peers, templates};
 use proptest::prelude::*;
@@ -44,10 +44,10 @@
     #[test]
     fn files(text in file_text()) {
         let path = Path::new("some.ini");
-        if let Ok(file) = File::parse(path, text.clone()) {
+        if let Ok(file) = IniFile::parse(path, text.clone()) {
             let _ = Settings::read(file);
         }
-        if let Ok(file) = File::parse(path, text) {
+        if let Ok(file) = IniFile::parse(path, text) {
             let _ = templates::read(file);
         }
     }
--- a/crates/badgerfield-node/tests/log_lines.rs
+++ b/crates/badgerfield-node/tests/log_lines.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-use badgerfield_node::log_lines::{LogLines, MAX_WAITING, dropped};
+use badgerfield_node::log_lines::{BufferedLog, MAX_PENDING_BYTES, dropped_lines};
 use badgerfield_node::logs::{NODE, REQUESTS};
 use log::{Log, Record};
 
@@ -37,7 +37,7 @@
     }
 }
 
-fn log(lines: &LogLines, target: &str, text: &str) {
+fn log(lines: &BufferedLog, target: &str, text: &str) {
     lines.log(&Record::builder().target(target).args(format_args!("{text}")).build());
 }
 
@@ -48,16 +48,16 @@
 
 #[test]
 fn a_blocked_reader_delays_nobody() {
-    let lines = LogLines::start(Blocked).expect("a thread starts");
+    let lines = BufferedLog::start(Blocked).expect("a thread starts");
     log(&lines, NODE, "first");
     std::thread::sleep(Duration::from_millis(250));
-    let (before, started) = (dropped(), Instant::now());
+    let (before, started) = (dropped_lines(), Instant::now());
     for n in 0..100_000 {
         log(&lines, REQUESTS, &format!("ended id={n} outcome=broken_off status=502"));
     }
     assert!(started.elapsed() < Duration::from_secs(2), "{:?}", started.elapsed());
-    assert!(lines.waiting() <= MAX_WAITING);
-    assert!(dropped() > before);
+    assert!(lines.pending_bytes() <= MAX_PENDING_BYTES);
+    assert!(dropped_lines() > before);
 }
 
 #[test]
@@ -65,7 +65,7 @@
     // At a VM with 900 requests in two seconds a line in two was missing: 9 to 20 KB were handed
     // over ten times a second, and whoever collects logs took 8 KB of each.
     let (sink, told) = channel();
-    let lines = LogLines::start(Told(sink)).expect("a thread starts");
+    let lines = BufferedLog::start(Told(sink)).expect("a thread starts");
     let longest = "x".repeat(6000);
     for n in 0..500 {
         let text =
@@ -84,22 +84,22 @@
 
 #[test]
 fn lines_about_failures_outlast_those_about_successes() {
-    let lines = LogLines::start(Blocked).expect("a thread starts");
+    let lines = BufferedLog::start(Blocked).expect("a thread starts");
     log(&lines, NODE, "first");
     std::thread::sleep(Duration::from_millis(250));
     for n in 0..10_000 {
         log(&lines, REQUESTS, &format!("ended id={n} outcome=served status=200"));
     }
-    let crowded = lines.waiting();
-    assert!(crowded < MAX_WAITING / 2 + 100);
+    let crowded = lines.pending_bytes();
+    assert!(crowded < MAX_PENDING_BYTES / 2 + 100);
     log(&lines, REQUESTS, "ended id=x outcome=budget_held status=503");
-    assert!(lines.waiting() > crowded);
+    assert!(lines.pending_bytes() > crowded);
 }
 
 #[test]
 fn lines_come_out_whole_and_in_order() {
     let (tell, told) = channel();
-    let lines = LogLines::start(Told(tell)).expect("a thread starts");
+    let lines = BufferedLog::start(Told(tell)).expect("a thread starts");
     log(&lines, NODE, "one");
     log(&lines, REQUESTS, "two");
     lines.flush();
--- a/crates/badgerfield-node/tests/peers.rs
+++ b/crates/badgerfield-node/tests/peers.rs
@@ -8,11 +8,11 @@
 use anyhow::Result;
 use badgerfield_core::ids::Incarnation;
 use badgerfield_core::message::{Envelope, Heartbeat, Message};
-use badgerfield_node::peers::{Peers, Secret};
+use badgerfield_node::peers::{FleetSecret, PeerTransport};
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-fn secret(digit: char) -> Secret {
+fn secret(digit: char) -> FleetSecret {
     digit.to_string().repeat(64).parse().expect("the digits are hexadecimal")
 }
 
@@ -22,13 +22,13 @@
     SocketAddr::from(([127, run, 255, 1], port))
 }
 
-fn listen(port: u16, own: char, accepted: &[char]) -> Result<Arc<Peers>> {
+fn listen(port: u16, own: char, accepted: &[char]) -> Result<Arc<PeerTransport>> {
     let accepted: Vec<_> = accepted.iter().map(|digit| secret(*digit)).collect();
-    Ok(Arc::new(Peers::listen(at(port), &secret(own), &accepted)?))
+    Ok(Arc::new(PeerTransport::listen(at(port), &secret(own), &accepted)?))
 }
 
 /// Sends messages from one to the other until one arrives, or some time has passed.
-async fn arrives(from: &Peers, to: &Arc<Peers>, port: u16) -> bool {
+async fn arrives(from: &PeerTransport, to: &Arc<PeerTransport>, port: u16) -> bool {
     let (heard, mut line) = mpsc::unbounded_channel();
     let receiver = Arc::clone(to);
     tokio::spawn(async move {
--- a/crates/badgerfield-node/tests/settings.rs
+++ b/crates/badgerfield-node/tests/settings.rs
@@ -6,7 +6,7 @@
 use assert_matches::assert_matches;
 use badgerfield_core::rollout::RolloutBound;
 use badgerfield_core::warm_up::WarmUpBound;
-use badgerfield_node::ini::{File, FileError};
+use badgerfield_node::ini::{IniError, IniFile};
 use badgerfield_node::settings::Settings;
 use badgerfield_node::templates;
 
@@ -25,13 +25,13 @@
 fleet = 6f3d1c0f8a5b4e7d9c2a1b0e6f5d4c3b2a1908f7e6d5c4b3a29180f7e6d5c4b3
 ";
 
-fn read(text: &str) -> Result<Settings, FileError> {
-    Settings::read(File::parse(Path::new("vm.ini"), text.to_owned())?)
+fn read(text: &str) -> Result<Settings, IniError> {
+    Settings::read(IniFile::parse(Path::new("vm.ini"), text.to_owned())?)
 }
 
-fn faults(result: Result<impl std::fmt::Debug, FileError>) -> Vec<String> {
+fn faults(result: Result<impl std::fmt::Debug, IniError>) -> Vec<String> {
     match result {
-        Err(FileError::Faulty(faults)) => faults.iter().map(ToString::to_string).collect(),
+        Err(IniError::Faulty(faults)) => faults.iter().map(ToString::to_string).collect(),
         other => panic!("expected faults, found {other:?}"),
     }
 }
@@ -63,7 +63,7 @@
 #[test]
 fn template_file_with_faults_is_refused_whole() {
     let text = "[account a]\npriority = many\nmodels = m\n[budget a/b]\nlimit = -3\nkeys = 12\n[budget c/d]\nlimit = 5\n";
-    let file = File::parse(Path::new("t.ini"), text.to_owned()).expect("the text is INI");
+    let file = IniFile::parse(Path::new("t.ini"), text.to_owned()).expect("the text is INI");
     let faults = faults(templates::read(file));
     for place in [
         "t.ini:2: [account a] priority",
@@ -85,8 +85,8 @@
            [pacing]\nahead = 11s\nseals = true\n[retries]\nratio = 0.2\nallowance = 52\n";
     let settings = read(&text).expect("the settings are good");
     let gateway = settings.gateway.expect("the section is there");
-    assert_eq!(gateway.requests.port(), 6);
-    assert_eq!(gateway.directory, None);
+    assert_eq!(gateway.request_address.port(), 6);
+    assert_eq!(gateway.directory_address, None);
     assert_eq!(settings.platform.vm_list, None);
     assert!(settings.pacing.seal_holdings);
     assert_eq!(settings.pacing.hold_ahead, std::time::Duration::from_secs(11));
@@ -149,10 +149,10 @@
 fn another_address_may_be_told_to_peers() {
     let text = GOOD.replace("operators", "advertise = 10.0.0.1:2\noperators");
     let settings = read(&text).expect("the settings are good");
-    assert_eq!(settings.advertised.to_string(), "10.0.0.1:2");
-    assert_eq!(settings.peers.to_string(), "127.0.0.1:2");
+    assert_eq!(settings.advertised_address.to_string(), "10.0.0.1:2");
+    assert_eq!(settings.peer_address.to_string(), "127.0.0.1:2");
     let plain = read(GOOD).expect("the settings are good");
-    assert_eq!(plain.advertised, plain.peers);
+    assert_eq!(plain.advertised_address, plain.peer_address);
 }
 
 /// A domain of a region that is read wrongly would be served where it must not be.
@@ -184,7 +184,7 @@
 fn regions_of_an_account_are_read_and_an_empty_list_is_a_fault() {
     let read = |line: &str| {
         let text = format!("[account a]\nmodels = m\n{line}");
-        templates::read(File::parse(Path::new("t.ini"), text).expect("the text is INI"))
+        templates::read(IniFile::parse(Path::new("t.ini"), text).expect("the text is INI"))
     };
     let regions = |line: &str| {
         let set = read(line).expect("it is good");
--- a/crates/badgerfield-standin/src/capacity.rs
+++ b/crates/badgerfield-standin/src/capacity.rs
@@ -315,9 +315,9 @@
         let work = Work::Chat(Chat {
             model: "m".parse().unwrap_or_else(|_| unreachable!("the name is valid")),
             adapter: None,
-            prompt: Tokens(2000),
-            output: None,
-            prefixes: (0..8).collect(),
+            prompt_tokens: Tokens(2000),
+            output_limit: None,
+            prefix_digests: (0..8).collect(),
         });
         let template = account();
         let region = region_name(0);
--- a/crates/badgerfield-standin/src/fleet/callers.rs
+++ b/crates/badgerfield-standin/src/fleet/callers.rs
@@ -19,7 +19,7 @@
             self.end(id, End::Lost);
             return id;
         }
-        self.deliver(vm, Event::Arrived(id, Box::new(arrival)));
+        self.deliver(vm, Event::RequestArrived(id, Box::new(arrival)));
         id
     }
 
@@ -28,7 +28,7 @@
         let Some(vm) = self.asked.get(&id).map(|a| a.vm) else {
             return;
         };
-        self.deliver(vm, Event::HungUp(id));
+        self.deliver(vm, Event::CallerDisconnected(id));
     }
 
     /// Forgets requests that have ended, for long runs.
--- a/crates/badgerfield-standin/src/fleet/crashes.rs
+++ b/crates/badgerfield-standin/src/fleet/crashes.rs
@@ -9,7 +9,7 @@
 impl Fleet {
     /// Has a VM see that an upstream ended while a request of its was there.
     pub fn crash(&mut self, vm: usize, crash: Crash) {
-        self.take(vm, Event::Crashed(crash));
+        self.take(vm, Event::UpstreamCrashed(crash));
     }
 
     /// Has a VM see that a request was served whole.
--- a/crates/badgerfield-standin/src/fleet/link.rs
+++ b/crates/badgerfield-standin/src/fleet/link.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use badgerfield_core::amount::Time;
-use badgerfield_core::event::{KvCall, KvResult};
+use badgerfield_core::event::{StoreCall, StoreResult};
 use badgerfield_core::ids::Incarnation;
 use badgerfield_core::patience::AdaptiveTimeout;
 
@@ -71,20 +71,20 @@
 }
 
 /// Returns how long a call is, in bytes.
-pub(super) fn call_size(call: &KvCall) -> usize {
+pub(super) fn call_size(call: &StoreCall) -> usize {
     match call {
-        KvCall::Get(_) => HEAD,
-        KvCall::Swap { value, .. } => encoded(value.len()),
+        StoreCall::Get(_) => HEAD,
+        StoreCall::CompareAndSwap { value, .. } => encoded(value.len()),
     }
 }
 
 /// Returns how long an answer is, in bytes.
-pub(super) fn answer_size(result: &KvResult) -> usize {
+pub(super) fn answer_size(result: &StoreResult) -> usize {
     match result {
-        KvResult::Value(found) | KvResult::Conflict(found) => {
+        StoreResult::Value(found) | StoreResult::Conflict(found) => {
             encoded(found.value.as_ref().map_or(0, bytes::Bytes::len))
         }
-        KvResult::Operators(found) => {
+        StoreResult::Operators(found) => {
             encoded(found.templates.as_ref().map_or(0, bytes::Bytes::len))
         }
         _ => HEAD,
--- a/crates/badgerfield-standin/src/fleet/mod.rs
+++ b/crates/badgerfield-standin/src/fleet/mod.rs
@@ -101,7 +101,12 @@
     Event(Incarnation, Event),
     Tick(Incarnation),
     Step(usize),
-    KvApply(Incarnation, badgerfield_core::ids::StoreCallId, badgerfield_core::event::KvCall, Time),
+    KvApply(
+        Incarnation,
+        badgerfield_core::ids::StoreCallId,
+        badgerfield_core::event::StoreCall,
+        Time,
+    ),
     List,
 }
 
@@ -344,7 +349,7 @@
         let Some(node) = &vm.node else {
             return;
         };
-        let version = node.version();
+        let version = node.template_version();
         if version < vm.version {
             self.faults.push(format!("templates went back from {} to {version}", vm.version));
         }
--- a/crates/badgerfield-standin/src/fleet/platform.rs
+++ b/crates/badgerfield-standin/src/fleet/platform.rs
@@ -5,7 +5,7 @@
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::evacuation::DomainChange;
-use badgerfield_core::event::{Event, KvCall, KvName, KvResult, OperatorValues, Versioned};
+use badgerfield_core::event::{Event, OperatorValues, StoreCall, StoreKey, StoreResult, Versioned};
 use badgerfield_core::ids::{Domain, Incarnation, StoreCallId};
 use badgerfield_core::ledger::LedgerShard;
 use badgerfield_core::template::TemplateSet;
@@ -43,8 +43,8 @@
     /// Bytes written so far.
     pub bytes: u64,
     evacuated: BTreeMap<Domain, u64>,
-    values: BTreeMap<KvName, Versioned>,
-    former: BTreeMap<KvName, Versioned>,
+    values: BTreeMap<StoreKey, Versioned>,
+    former: BTreeMap<StoreKey, Versioned>,
     revision: u64,
 }
 
@@ -57,14 +57,14 @@
     /// Returns a shard of the ledger as it stands.
     #[must_use]
     pub fn ledger(&self, shard: u32) -> LedgerShard {
-        let value = self.values.get(&KvName::Ledger(shard)).and_then(|v| v.value.clone());
+        let value = self.values.get(&StoreKey::Ledger(shard)).and_then(|v| v.value.clone());
         LedgerShard::decode(value.as_deref()).unwrap_or_default()
     }
 
     /// Returns the view as it stands.
     #[must_use]
     pub fn view(&self) -> View {
-        let value = self.values.get(&KvName::View).and_then(|v| v.value.clone());
+        let value = self.values.get(&StoreKey::View).and_then(|v| v.value.clone());
         View::decode(value.as_deref()).unwrap_or_default()
     }
 
@@ -73,7 +73,7 @@
         if self.down {
             return false;
         }
-        self.put(KvName::Templates, Bytes::from(set.encode()));
+        self.put(StoreKey::Templates, Bytes::from(set.encode()));
         true
     }
 
@@ -96,7 +96,7 @@
     }
 
     /// Returns a value as it stands.
-    pub fn value(&self, name: &KvName) -> Option<Bytes> {
+    pub fn value(&self, name: &StoreKey) -> Option<Bytes> {
         self.values.get(name)?.value.clone()
     }
 
@@ -115,7 +115,7 @@
         }
     }
 
-    fn put(&mut self, name: KvName, value: Bytes) -> u64 {
+    fn put(&mut self, name: StoreKey, value: Bytes) -> u64 {
         self.revision += 1;
         let revision = self.revision;
         let new = Versioned { value: Some(value), revision };
@@ -126,30 +126,30 @@
     }
 
     /// Carries out a call; returns its result and whether the reply is lost.
-    fn call(&mut self, call: &KvCall) -> (KvResult, bool) {
+    fn call(&mut self, call: &StoreCall) -> (StoreResult, bool) {
         match call {
-            KvCall::Get(name) => {
+            StoreCall::Get(name) => {
                 self.reads += 1;
                 let stale = self.stale && self.reads.is_multiple_of(2);
                 let values = if stale { &self.former } else { &self.values };
                 let found = values.get(name).cloned().unwrap_or_default();
-                if *name == KvName::Templates {
-                    return (KvResult::Operators(self.operators(found.value)), false);
+                if *name == StoreKey::Templates {
+                    return (StoreResult::Operators(self.operators(found.value)), false);
                 }
-                (KvResult::Value(found), false)
+                (StoreResult::Value(found), false)
             }
-            KvCall::Swap { name, expect, value } => {
+            StoreCall::CompareAndSwap { key: name, expected_revision: expect, value } => {
                 self.writes += 1;
                 let found = self.values.get(name).cloned().unwrap_or_default();
                 if found.revision != *expect {
                     self.conflicts += 1;
-                    return (KvResult::Conflict(found), false);
+                    return (StoreResult::Conflict(found), false);
                 }
                 self.bytes += u64::try_from(value.len()).unwrap_or(0);
                 let revision = self.put(name.clone(), value.clone());
                 let lost = self.lose_replies > 0;
                 self.lose_replies = self.lose_replies.saturating_sub(1);
-                (KvResult::Written(revision), lost)
+                (StoreResult::Written(revision), lost)
             }
         }
     }
@@ -161,32 +161,32 @@
         &mut self,
         from: Incarnation,
         ticket: StoreCallId,
-        call: &KvCall,
+        call: &StoreCall,
         sent: Time,
     ) {
         let vm = self.owners.get(&from).copied().unwrap_or(0);
         let region = self.region_of(vm);
         let is_cut = self.platform.cut.contains(&region) || self.platform.cut_vms.contains(&vm);
         if self.is_late(from, ticket, call) {
-            let event = Event::KeyValue(ticket, KvResult::Unknown);
+            let event = Event::StoreReply(ticket, StoreResult::Unknown);
             self.at(self.now.after(TIMEOUT), Turn::Event(from, event));
             return;
         }
         let (result, delay) = if self.platform.down || is_cut {
-            (KvResult::Unknown, TIMEOUT)
+            (StoreResult::Unknown, TIMEOUT)
         } else {
             let (result, is_lost) = self.platform.call(call);
             self.record_written();
             match (self.with_orders(result), is_lost) {
-                (_, true) => (KvResult::Unknown, TIMEOUT),
+                (_, true) => (StoreResult::Unknown, TIMEOUT),
                 (result, false) => (result, self.platform.delay()),
             }
         };
         let size = link::answer_size(&result);
         let (event, at) = match self.answer_over_link(from, region, size, sent) {
-            None => (Event::KeyValue(ticket, result), self.now.after(delay)),
-            Some(Ok(at)) => (Event::KeyValue(ticket, result), at.after(delay)),
-            Some(Err(given_up)) => (Event::KeyValue(ticket, KvResult::Unknown), given_up),
+            None => (Event::StoreReply(ticket, result), self.now.after(delay)),
+            Some(Ok(at)) => (Event::StoreReply(ticket, result), at.after(delay)),
+            Some(Err(given_up)) => (Event::StoreReply(ticket, StoreResult::Unknown), given_up),
         };
         self.at(at, Turn::Event(from, event));
     }
@@ -213,12 +213,12 @@
         Some(arrives.ok_or(until))
     }
 
-    fn with_orders(&self, result: KvResult) -> KvResult {
-        let KvResult::Operators(mut found) = result else {
+    fn with_orders(&self, result: StoreResult) -> StoreResult {
+        let StoreResult::Operators(mut found) = result else {
             return result;
         };
         let orders = self.rollouts.orders.values().filter(|change| change.order.is_some());
         found.rollouts = orders.cloned().collect();
-        KvResult::Operators(found)
+        StoreResult::Operators(found)
     }
 }
--- a/crates/badgerfield-standin/src/fleet/rollouts.rs
+++ b/crates/badgerfield-standin/src/fleet/rollouts.rs
@@ -8,7 +8,7 @@
 
 use badgerfield_core::Event;
 use badgerfield_core::amount::{Percent, Time};
-use badgerfield_core::event::{KvCall, KvName, OperatorChanges};
+use badgerfield_core::event::{OperatorChanges, StoreCall, StoreKey};
 use badgerfield_core::ids::{Incarnation, Service, SoftwareVersion, StoreCallId};
 use badgerfield_core::rollout::{
     Allowance, AnswerCounts, OrderChange, RolloutBound, RolloutOrder, RolloutRecord, RolloutRule,
@@ -270,7 +270,7 @@
 
     /// Checks what the record has become, and ends the upstreams that it ends.
     pub(super) fn record_written(&mut self) {
-        let value = self.platform.value(&KvName::Rollout(service()));
+        let value = self.platform.value(&StoreKey::Rollout(service()));
         let Ok(Some(next)) = RolloutRecord::decode(value.as_deref()) else {
             return;
         };
@@ -309,9 +309,9 @@
         &mut self,
         from: Incarnation,
         ticket: StoreCallId,
-        call: &KvCall,
+        call: &StoreCall,
     ) -> bool {
-        let is_record = matches!(call, KvCall::Swap { name: KvName::Rollout(_), .. });
+        let is_record = matches!(call, StoreCall::CompareAndSwap { key: StoreKey::Rollout(_), .. });
         if !is_record || self.rollouts.late_writes == 0 {
             return false;
         }
--- a/crates/badgerfield-standin/src/fleet/shape.rs
+++ b/crates/badgerfield-standin/src/fleet/shape.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use badgerfield_core::amount::{Percent, Tokens};
-use badgerfield_core::event::{Arrival, Call, Chat, Work};
+use badgerfield_core::event::{Call, Chat, IncomingRequest, Work};
 use badgerfield_core::ids::{Incarnation, Period, Region, TemplateVersion};
 use badgerfield_core::residency::Residency;
 use badgerfield_core::template::{AccountTemplate, BudgetTemplate, KeyDigest};
@@ -136,7 +136,7 @@
     BudgetTemplate { changed: TemplateVersion(0), limit: Tokens(limit), period: Period(1), keys }
 }
 
-pub(super) fn arrival_of(wish: &Wish) -> Arrival {
+pub(super) fn arrival_of(wish: &Wish) -> IncomingRequest {
     let name = |text: &str| text.parse().unwrap_or_else(|_| unreachable!("the name is valid"));
     let work = if wish.service {
         let service = "scoring".parse().unwrap_or_else(|_| unreachable!("the name is valid"));
@@ -145,11 +145,11 @@
         Work::Chat(Chat {
             model: name("m"),
             adapter: None,
-            prompt: Tokens(wish.prompt),
-            output: Some(Tokens(wish.output)),
-            prefixes: Vec::new(),
+            prompt_tokens: Tokens(wish.prompt),
+            output_limit: Some(Tokens(wish.output)),
+            prefix_digests: Vec::new(),
         })
     };
     let (secret, key, once) = (secret(wish.budget), wish.key.clone(), wish.once);
-    Arrival { secret, key, once, work, patience: None }
+    IncomingRequest { secret_digest: secret, key, once, work, max_wait: None }
 }
--- a/crates/badgerfield-standin/src/fleet/steps.rs
+++ b/crates/badgerfield-standin/src/fleet/steps.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use badgerfield_core::amount::Time;
-use badgerfield_core::event::Order;
+use badgerfield_core::event::Command;
 use badgerfield_core::ids::Incarnation;
 use badgerfield_core::message::Envelope;
 use badgerfield_core::{Event, TICK_INTERVAL};
@@ -38,7 +38,7 @@
                     return;
                 };
                 let wall = self.wall_clock(index);
-                self.take(index, Event::Clock(wall));
+                self.take(index, Event::WallClock(wall));
                 self.take(index, Event::Tick);
                 self.gateway_tick(index);
                 self.at(self.now.after(TICK_INTERVAL), Turn::Tick(to));
@@ -77,9 +77,9 @@
         self.check_version(index);
     }
 
-    pub(super) fn carry_out(&mut self, index: usize, from: Incarnation, order: Order) {
+    pub(super) fn carry_out(&mut self, index: usize, from: Incarnation, order: Command) {
         match order {
-            Order::Send(to, message) => {
+            Command::Send(to, message) => {
                 // As in a process: a message goes only to an address that is known.
                 let node = self.vms[index].node.as_ref();
                 if node.is_some_and(|node| node.peer_address(to).is_some()) {
@@ -87,31 +87,31 @@
                     self.send(index, &Envelope { from, sender_address: address, to, message });
                 }
             }
-            Order::KeyValue(ticket, call) => {
+            Command::KeyValue(ticket, call) => {
                 let sent = self.now;
                 let way = (self.region_of(index), link::STORE_REGION);
                 let crossed = self.cross(way, link::call_size(&call), None).unwrap_or(sent);
                 let at = crossed.after(self.platform.delay());
                 self.at(at, Turn::KvApply(from, ticket, call, sent));
             }
-            Order::Dispatch(attempt, dispatch) => self.dispatch(from, attempt, dispatch),
-            Order::Cancel(attempt) => self.cancel(from, attempt),
-            Order::Answer(id, _, answer) => self.answered(id, answer),
+            Command::Dispatch(attempt, dispatch) => self.dispatch(from, attempt, dispatch),
+            Command::Cancel(attempt) => self.cancel(from, attempt),
+            Command::Answer(id, _, answer) => self.answered(id, answer),
             // These fleets have no routes, and so no list of their upstreams.
-            Order::LearnChanges(..)
-            | Order::LearnUpstreams(_)
-            | Order::ConfirmUpstreams(_)
-            | Order::DivideEngines(_)
-            | Order::LearnLags(_)
-            | Order::LearnLimits(..)
-            | Order::TellUpstreams(..)
-            | Order::Block(_)
-            | Order::Note(_)
-            | Order::Reserved(..) => {}
-            Order::RolloutRules(set) => self.put_rules(index, set.rules),
-            Order::Evacuated(_, changes) => self.note_evacuated(index, &changes),
-            Order::Bill(bill) => self.truth.bill(&bill),
-            Order::Exit => self.end_process(index),
+            Command::ApplyUpstreamChanges(..)
+            | Command::ApplyUpstreamList(_)
+            | Command::ConfirmUpstreamList(_)
+            | Command::DivideEngines(_)
+            | Command::ApplyDelayReports(_)
+            | Command::ApplyLimitReports(..)
+            | Command::SendUpstreamList(..)
+            | Command::BlockRequests(_)
+            | Command::Log(_)
+            | Command::AnswerReserve(..) => {}
+            Command::ApplyRolloutRules(set) => self.put_rules(index, set.rules),
+            Command::ApplyEvacuations(_, changes) => self.note_evacuated(index, &changes),
+            Command::Bill(bill) => self.truth.bill(&bill),
+            Command::Exit => self.end_process(index),
         }
     }
 
--- a/crates/badgerfield-standin/src/fleet/upstreams.rs
+++ b/crates/badgerfield-standin/src/fleet/upstreams.rs
@@ -116,7 +116,7 @@
             self.tell(from, attempt, UpstreamEvent::NotSent);
             return;
         }
-        if let Some(next) = dispatch.resume {
+        if let Some(next) = dispatch.resume_from {
             self.resume(from, attempt, &(index, dispatch.stream), next);
             return;
         }
@@ -270,5 +270,5 @@
 }
 
 fn head() -> Head {
-    Head { status: 200, media: "text/event-stream".into() }
+    Head { status: 200, content_type: "text/event-stream".into() }
 }
--- a/crates/badgerfield-standin/src/load.rs
+++ b/crates/badgerfield-standin/src/load.rs
@@ -249,7 +249,7 @@
         .header("authorization", format!("Bearer {}", plan.key))
         .body(Full::default())
         .ok()?;
-    let answer = http::call(client, request, Duration::from_secs(2)).await.ok()?;
+    let answer = http::call_json(client, request, Duration::from_secs(2)).await.ok()?;
     let vms = answer["vms"].as_array()?;
     let vms = vms.iter().filter_map(|vm| vm["address"].as_str()?.parse().ok()).collect();
     let ttl = Duration::from_secs(answer["ttl_s"].as_u64().unwrap_or(1));
@@ -261,7 +261,7 @@
     let mut sum = 0;
     for admin in engines {
         let request = Request::get(format!("http://{admin}/truth")).body(Full::default())?;
-        let truth = http::call(client, request, Duration::from_secs(5)).await?;
+        let truth = http::call_json(client, request, Duration::from_secs(5)).await?;
         for stream in truth.as_object().into_iter().flat_map(serde_json::Map::values) {
             sum += stream["prompt"].as_u64().unwrap_or(0) + stream["output"].as_u64().unwrap_or(0);
         }
--- a/crates/badgerfield-standin/src/route.rs
+++ b/crates/badgerfield-standin/src/route.rs
@@ -162,9 +162,9 @@
         let work = Work::Chat(Chat {
             model: "m".parse().unwrap_or_else(|_| unreachable!("the name is valid")),
             adapter: None,
-            prompt: Tokens(PROMPT.0 + PROMPT.1),
-            output: None,
-            prefixes: digests,
+            prompt_tokens: Tokens(PROMPT.0 + PROMPT.1),
+            output_limit: None,
+            prefix_digests: digests,
         });
         let (vm, output) = (rng.random_range(0..VMS), rng.random_range(50..350));
         jobs.push(Job { at, vm, prefix, output, work });
@@ -474,9 +474,9 @@
         let Work::Chat(chat) = &job.work else {
             return None;
         };
-        let digest =
-            badgerfield_core::upstream::prefix_digests(&chat.prefixes[0].to_be_bytes().repeat(32))
-                [0];
+        let digest = badgerfield_core::upstream::prefix_digests(
+            &chat.prefix_digests[0].to_be_bytes().repeat(32),
+        )[0];
         let first = usize::try_from(digest % u64::try_from(ENGINES).ok()?).ok()?;
         let Some(bound) = self.bound else {
             return Some(first);
@@ -555,7 +555,7 @@
     }
 
     fn failed(&mut self, now: Duration, job: &Job, engine: usize) {
-        self.tables[job.vm].failed(Time(now), &name(engine));
+        self.tables[job.vm].record_failure(Time(now), &name(engine));
     }
 
     fn report(&mut self, now: Duration, vm: usize, engine: usize, report: LoadReport) {
--- a/crates/badgerfield-standin/src/server.rs
+++ b/crates/badgerfield-standin/src/server.rs
@@ -94,7 +94,7 @@
     W: Future<Output = Answer>,
 {
     let (parts, body) = request.into_parts();
-    let body = http::read(body, MAX_BODY).await.ok_or(Dropped)?;
+    let body = http::read_body(body, MAX_BODY).await.ok_or(Dropped)?;
     let path = parts.uri.path().to_owned();
     let query = parts.uri.query().unwrap_or_default().to_owned();
     let read = Read { method: parts.method, path, query, headers: parts.headers, body };
@@ -122,11 +122,11 @@
 /// Makes an answer that says "done".
 #[must_use]
 pub fn ok(value: &Value) -> Answer {
-    Some(http::json(StatusCode::OK, value))
+    Some(http::json_response(StatusCode::OK, value))
 }
 
 /// Makes an answer with another status.
 #[must_use]
 pub fn status(code: StatusCode) -> Answer {
-    Some(http::json(code, &json!({ "error": code.as_str() })))
+    Some(http::json_response(code, &json!({ "error": code.as_str() })))
 }
--- a/crates/badgerfield-standin/src/site.rs
+++ b/crates/badgerfield-standin/src/site.rs
@@ -362,7 +362,7 @@
         let work = async {
             let response = self.client.request(request).await.ok()?;
             let status = response.status().as_u16();
-            let body = http::read(response.into_body(), 16_000_000).await?;
+            let body = http::read_body(response.into_body(), 16_000_000).await?;
             Some(Got { status, body: String::from_utf8_lossy(&body).into_owned() })
         };
         tokio::time::timeout(PATIENCE, work).await.ok().flatten().unwrap_or(lost)
--- a/crates/badgerfield-standin/tests/histories.rs
+++ b/crates/badgerfield-standin/tests/histories.rs
@@ -283,7 +283,7 @@
 /// Checks what must hold once all faults are over.
 fn check_settled(fleet: &Fleet) {
     for vm in 0..VMS {
-        let version = fleet.node(vm).map(badgerfield_core::Node::version);
+        let version = fleet.node(vm).map(badgerfield_core::Node::template_version);
         assert_eq!(version, Some(fleet.templates.version), "templates on VM {vm}");
     }
     for (id, asked) in &fleet.asked {
--- a/crates/badgerfield-standin/tests/joining.rs
+++ b/crates/badgerfield-standin/tests/joining.rs
@@ -4,7 +4,7 @@
 
 use badgerfield_core::Event;
 use badgerfield_core::amount::{Time, Tokens};
-use badgerfield_core::event::{KvCall, KvName, Order, ReserveAsk, Versioned};
+use badgerfield_core::event::{Command, ReserveRequest, StoreCall, StoreKey, Versioned};
 use badgerfield_core::ids::ReservationId;
 use badgerfield_standin::fleet::{Fleet, Shape};
 
@@ -71,10 +71,13 @@
 }
 
 /// Tells whether an order reads or writes the ledger.
-fn is_about_ledger(order: &Order) -> bool {
+fn is_about_ledger(order: &Command) -> bool {
     match order {
-        Order::KeyValue(_, KvCall::Get(name) | KvCall::Swap { name, .. }) => {
-            matches!(name, KvName::Ledger(_))
+        Command::KeyValue(
+            _,
+            StoreCall::Get(name) | StoreCall::CompareAndSwap { key: name, .. },
+        ) => {
+            matches!(name, StoreKey::Ledger(_))
         }
         _ => false,
     }
@@ -89,13 +92,13 @@
     let at = Time::from_millis;
     node.handle(at(1), Event::Templates(Versioned { value, revision: 1 }));
     let (id, budget) = (ReservationId(1), Fleet::budget(0));
-    let ask = ReserveAsk { id, budget, amount: Tokens(100), until: at(900) };
+    let ask = ReserveRequest { id, budget, amount: Tokens(100), deadline: at(900) };
     let mut orders = node.handle(at(2), Event::Reserve(ask));
     for tick in 1..=20 {
         orders.extend(node.handle(at(tick * 50), Event::Tick));
     }
     assert!(!orders.iter().any(is_about_ledger), "{orders:?}");
     // It waits for the view, and no longer than it may.
-    let refused = orders.iter().any(|o| matches!(o, Order::Reserved(_, Err(_))));
+    let refused = orders.iter().any(|o| matches!(o, Command::AnswerReserve(_, Err(_))));
     assert!(refused, "{orders:?}");
 }
--- a/crates/badgerfield-standin/tests/promises.rs
+++ b/crates/badgerfield-standin/tests/promises.rs
@@ -48,7 +48,7 @@
         assert!(fleet.apply(change(7)));
         fleet.advance(Duration::from_secs(4));
         let version = fleet.templates.version;
-        let behind = |vm: &usize| fleet.node(*vm).is_none_or(|n| n.version() < version);
+        let behind = |vm: &usize| fleet.node(*vm).is_none_or(|n| n.template_version() < version);
         let behind: Vec<_> = (0..2 * size).filter(behind).collect();
         assert!(behind.is_empty(), "of {} VMs not in force on {behind:?}", 2 * size);
     }
--- a/crates/badgerfield-standin/tests/thin_link.rs
+++ b/crates/badgerfield-standin/tests/thin_link.rs
@@ -18,8 +18,9 @@
 
 /// Returns how many VMs are in the view, and know the templates.
 fn back(fleet: &Fleet) -> usize {
-    let knows =
-        |vm: &usize| fleet.node(*vm).is_some_and(|node| node.version() > TemplateVersion(0));
+    let knows = |vm: &usize| {
+        fleet.node(*vm).is_some_and(|node| node.template_version() > TemplateVersion(0))
+    };
     fleet.usable().iter().filter(|vm| knows(vm)).count()
 }
 
--- a/crates/badgerfield-standin/tests/threads.rs
+++ b/crates/badgerfield-standin/tests/threads.rs
@@ -13,24 +13,24 @@
 use std::time::Duration;
 
 use badgerfield_core::amount::{Time, Tokens};
-use badgerfield_core::event::{Arrival, Chat, Dispatch, Work};
+use badgerfield_core::event::{Chat, Dispatch, IncomingRequest, Work};
 use badgerfield_core::ids::{RequestId, RunId};
-use badgerfield_core::{Event, Node, Order};
+use badgerfield_core::{Command, Event, Node};
 use badgerfield_standin::fleet::{Fleet, Shape, Wish, secret};
 
 const THREADS: u64 = 4;
 const REQUESTS: u64 = 400;
 
-fn arrival() -> Arrival {
+fn arrival() -> IncomingRequest {
     let chat = Chat {
         model: "m".parse().expect("the name is valid"),
         adapter: None,
-        prompt: Tokens(3),
-        output: Some(Tokens(8)),
-        prefixes: Vec::new(),
+        prompt_tokens: Tokens(3),
+        output_limit: Some(Tokens(8)),
+        prefix_digests: Vec::new(),
     };
     let work = Work::Chat(chat);
-    Arrival { secret: secret(0), key: None, once: false, work, patience: None }
+    IncomingRequest { secret_digest: secret(0), key: None, once: false, work, max_wait: None }
 }
 
 fn wish() -> Wish {
@@ -47,8 +47,8 @@
                 barrier.wait();
             }
             let id = RequestId(1_000_000 + thread * REQUESTS + n);
-            for order in node.handle(now, Event::Arrived(id, Box::new(arrival()))) {
-                if let Order::Dispatch(_, Dispatch { run, .. }) = order {
+            for order in node.handle(now, Event::RequestArrived(id, Box::new(arrival()))) {
+                if let Command::Dispatch(_, Dispatch { run, .. }) = order {
                     sent.push(run);
                 }
             }
--- a/crates/badgerfield-standin/tests/upstream_list.rs
+++ b/crates/badgerfield-standin/tests/upstream_list.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use badgerfield_core::amount::Time;
-use badgerfield_core::event::Order;
+use badgerfield_core::event::Command;
 use badgerfield_core::ids::Incarnation;
-use badgerfield_core::message::{Envelope, Heartbeat, Message, UpstreamNews};
+use badgerfield_core::message::{Envelope, Heartbeat, Message, UpstreamUpdate};
 use badgerfield_core::mix::{EngineDemand, EngineDivision};
 use badgerfield_core::replica_list::{ListVersion, UpstreamListChanges};
 use badgerfield_core::{Event, Node};
@@ -29,13 +29,18 @@
 }
 
 /// Lets a node hear a neighbour's sign of life with a mark of its list; returns the orders.
-fn hear(node: &Node, from: Incarnation, list: ListVersion) -> Vec<Order> {
+fn hear(node: &Node, from: Incarnation, list: ListVersion) -> Vec<Command> {
     hear_at(5_000, node, from, list)
 }
 
-fn hear_at(millis: u64, node: &Node, from: Incarnation, list: ListVersion) -> Vec<Order> {
+fn hear_at(millis: u64, node: &Node, from: Incarnation, list: ListVersion) -> Vec<Command> {
     let epoch = node.view().epoch;
-    let beat = Heartbeat { epoch, version: node.version(), list, ..Heartbeat::default() };
+    let beat = Heartbeat {
+        epoch,
+        version: node.template_version(),
+        upstream_list: list,
+        ..Heartbeat::default()
+    };
     let address = ([127, 0, 0, 1], 1).into();
     let message = Message::Heartbeat(beat);
     let envelope = Envelope { from, sender_address: address, to: node.id(), message };
@@ -43,19 +48,19 @@
 }
 
 /// Returns what a follower of the platform tells of changes.
-fn followed(changes: UpstreamListChanges) -> UpstreamNews {
-    UpstreamNews { changes, since: 0, mark: ListVersion::default(), reach: 0 }
+fn followed(changes: UpstreamListChanges) -> UpstreamUpdate {
+    UpstreamUpdate { changes, since: 0, mark: ListVersion::default(), reach: 0 }
 }
 
 /// Returns since which revision the list is asked for, if it is.
-fn asked_since(orders: &[Order]) -> Option<u64> {
+fn asked_since(orders: &[Command]) -> Option<u64> {
     orders.iter().find_map(|order| match order {
-        Order::Send(_, Message::FetchUpstreams { since }) => Some(*since),
+        Command::Send(_, Message::FetchUpstreams { since }) => Some(*since),
         _ => None,
     })
 }
 
-fn asks_for_list(orders: &[Order]) -> bool {
+fn asks_for_list(orders: &[Command]) -> bool {
     asked_since(orders).is_some()
 }
 
@@ -79,11 +84,14 @@
 fn a_newer_list_is_fetched_and_an_equal_one_confirms_what_is_known() {
     let fleet = fleet(3);
     let (here, other) = (node(&fleet, 0), node(&fleet, 1).id());
-    here.handle(Time::from_millis(5_000), Event::ListMark(ListVersion { revision: 7, digest: 1 }));
+    here.handle(
+        Time::from_millis(5_000),
+        Event::UpstreamListVersion(ListVersion { revision: 7, digest: 1 }),
+    );
     let older = hear(here, other, ListVersion { revision: 6, digest: 2 });
     assert!(!asks_for_list(&older), "{older:?}");
     let equal = hear(here, other, ListVersion { revision: 9, digest: 1 });
-    assert!(equal.contains(&Order::ConfirmUpstreams(9)), "{equal:?}");
+    assert!(equal.contains(&Command::ConfirmUpstreamList(9)), "{equal:?}");
     assert!(!asks_for_list(&equal), "{equal:?}");
     // What is newer may be under way by the broadcast; it is asked for at the next sign of life.
     let newer = hear(here, other, ListVersion { revision: 11, digest: 3 });
@@ -97,7 +105,10 @@
     // A VM that had missed one change fetched the whole list: 330 KB for 3,000 upstreams.
     let fleet = fleet(3);
     let (here, other) = (node(&fleet, 0), node(&fleet, 1).id());
-    here.handle(Time::from_millis(5_000), Event::ListMark(ListVersion { revision: 7, digest: 1 }));
+    here.handle(
+        Time::from_millis(5_000),
+        Event::UpstreamListVersion(ListVersion { revision: 7, digest: 1 }),
+    );
     let mark = ListVersion { revision: 11, digest: 3 };
     assert_eq!(asked_since(&hear(here, other, mark)), None);
     assert_eq!(asked_since(&hear_at(5_300, here, other, mark)), Some(7));
@@ -113,11 +124,11 @@
     let fleet = fleet(3);
     let (here, other) = (node(&fleet, 0), node(&fleet, 1).id());
     let at = Time::from_millis;
-    here.handle(at(5_000), Event::ListMark(ListVersion { revision: 7, digest: 1 }));
-    assert_eq!(asked_since(&here.handle(at(5_000), Event::UpstreamsDiffer(other))), Some(0));
+    here.handle(at(5_000), Event::UpstreamListVersion(ListVersion { revision: 7, digest: 1 }));
+    assert_eq!(asked_since(&here.handle(at(5_000), Event::UpstreamListsDiffer(other))), Some(0));
     // Not again with each piece of news that finds it different before the answer.
-    assert_eq!(asked_since(&here.handle(at(5_500), Event::UpstreamsDiffer(other))), None);
-    assert_eq!(asked_since(&here.handle(at(7_100), Event::UpstreamsDiffer(other))), Some(0));
+    assert_eq!(asked_since(&here.handle(at(5_500), Event::UpstreamListsDiffer(other))), None);
+    assert_eq!(asked_since(&here.handle(at(7_100), Event::UpstreamListsDiffer(other))), Some(0));
 }
 
 #[test]
@@ -129,8 +140,9 @@
         ..UpstreamListChanges::default()
     };
     let orders = here.handle(Time::from_millis(5_000), Event::UpstreamChanges(followed(changes)));
-    let told =
-        orders.iter().filter(|order| matches!(order, Order::Send(_, Message::UpstreamChanges(_))));
+    let told = orders
+        .iter()
+        .filter(|order| matches!(order, Command::Send(_, Message::UpstreamChanges(_))));
     assert_eq!(told.count(), 3);
 }
 
@@ -147,7 +159,7 @@
         let mut reached = vec![0; vms];
         let mut steps = 0;
         while let Some((from, step, order)) = waiting.pop() {
-            let Order::Send(to, message @ Message::UpstreamChanges(_)) = order else {
+            let Command::Send(to, message @ Message::UpstreamChanges(_)) = order else {
                 continue;
             };
             let vm = index[&to];
@@ -183,7 +195,7 @@
         let mut waiting: Vec<_> = orders.into_iter().map(|order| (0, order)).collect();
         let mut reached = BTreeSet::from([0]);
         while let Some((from, order)) = waiting.pop() {
-            let Order::Send(to, message @ Message::UpstreamChanges(_)) = order else {
+            let Command::Send(to, message @ Message::UpstreamChanges(_)) = order else {
                 continue;
             };
             let vm = index[&to];
@@ -218,7 +230,9 @@
             };
             let orders = node(&fleet, vm).handle(fleet.now, Event::EngineNeeds(vec![own]));
             told.extend(orders.into_iter().filter_map(|order| match order {
-                Order::DivideEngines(needs) => needs.first().and_then(EngineDivision::from_demand),
+                Command::DivideEngines(needs) => {
+                    needs.first().and_then(EngineDivision::from_demand)
+                }
                 _ => None,
             }));
         }
--- a/crates/badgerfield/src/budget.rs
+++ b/crates/badgerfield/src/budget.rs
@@ -1,7 +1,7 @@
 //! `badgerfield budget`.
 
 use anyhow::Result;
-use badgerfield_core::event::KvName;
+use badgerfield_core::event::StoreKey;
 use badgerfield_core::ledger::{BudgetEntry, LedgerShard};
 use clap::ArgMatches;
 use serde_json::json;
@@ -17,7 +17,7 @@
     let only: Option<&String> = args.get_one("budget");
     block_on(async {
         for shard in 0..platform.settings.limits.shards {
-            let found = platform.get(KvName::Ledger(shard)).await?;
+            let found = platform.get(StoreKey::Ledger(shard)).await?;
             let value = LedgerShard::decode(found.value.as_deref())?;
             for (id, entry) in &value.budgets {
                 if only.is_none_or(|o| o == id.as_str()) {
--- a/crates/badgerfield/src/check.rs
+++ b/crates/badgerfield/src/check.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use anyhow::{Result, bail};
-use badgerfield_node::ini::FileError;
+use badgerfield_node::ini::IniError;
 use badgerfield_node::settings::Settings;
 use badgerfield_node::templates;
 use clap::ArgMatches;
@@ -18,7 +18,7 @@
     }
     let mut code = DONE;
     if let Some(path) = settings {
-        code = code.max(report(path, Settings::open(path).map(|_| ())));
+        code = code.max(report(path, Settings::load(path).map(|_| ())));
     }
     if let Some(path) = file {
         code = code.max(report(path, templates::open(path).map(|_| ())));
@@ -26,7 +26,7 @@
     Ok(code)
 }
 
-fn report(path: &std::path::Path, result: Result<(), FileError>) -> u8 {
+fn report(path: &std::path::Path, result: Result<(), IniError>) -> u8 {
     match result {
         Ok(()) => {
             println!("{}: no faults", path.display());
--- a/crates/badgerfield/src/main.rs
+++ b/crates/badgerfield/src/main.rs
@@ -11,7 +11,7 @@
 
 use std::process::ExitCode;
 
-use badgerfield_node::ini::FileError;
+use badgerfield_node::ini::IniError;
 
 /// The command did what it was asked.
 const DONE: u8 = 0;
@@ -41,7 +41,7 @@
         Ok(code) => ExitCode::from(code),
         Err(error) => {
             eprintln!("{error:#}");
-            let faulty = error.downcast_ref::<FileError>().is_some();
+            let faulty = error.downcast_ref::<IniError>().is_some();
             ExitCode::from(if faulty { FAULTY } else { FAILED })
         }
     }
--- a/crates/badgerfield/src/platform.rs
+++ b/crates/badgerfield/src/platform.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use anyhow::{Context, Result, bail};
-use badgerfield_core::event::{KvCall, KvName, KvResult, Versioned};
+use badgerfield_core::event::{StoreCall, StoreKey, StoreResult, Versioned};
 use badgerfield_core::template::TemplateSet;
 use badgerfield_node::adapter::KeyValue;
-use badgerfield_node::kv::Kv;
+use badgerfield_node::kv::EtcdStore;
 use badgerfield_node::settings::Settings;
 use clap::ArgMatches;
 
@@ -18,33 +18,34 @@
 
 /// A connection to the platform.
 pub(crate) struct Platform {
-    pub(crate) kv: Kv,
+    pub(crate) kv: EtcdStore,
     pub(crate) settings: Settings,
 }
 
 impl Platform {
     pub(crate) fn open(args: &ArgMatches) -> Result<Self> {
         let path: &PathBuf = args.get_one("settings").expect("the argument is required");
-        let settings = Settings::open(path)?;
+        let settings = Settings::load(path)?;
         let platform = &settings.platform;
-        let kv = Kv::new(platform.kv.clone(), platform.prefix.clone(), platform.timeout);
+        let kv =
+            EtcdStore::new(platform.store_uri.clone(), platform.prefix.clone(), platform.timeout);
         Ok(Self { kv, settings })
     }
 
     /// Reads a value, trying again while the service does not answer.
-    pub(crate) async fn get(&self, name: KvName) -> Result<Versioned> {
+    pub(crate) async fn get(&self, name: StoreKey) -> Result<Versioned> {
         for _ in 0..TRIES {
-            if let KvResult::Value(found) = self.kv.call(&KvCall::Get(name.clone())).await {
+            if let StoreResult::Value(found) = self.kv.call(&StoreCall::Get(name.clone())).await {
                 return Ok(found);
             }
             tokio::time::sleep(PAUSE).await;
         }
-        bail!("the key-value service at {} does not answer", self.settings.platform.kv)
+        bail!("the key-value service at {} does not answer", self.settings.platform.store_uri)
     }
 
     /// Reads the templates with their revision.
     pub(crate) async fn templates(&self) -> Result<(TemplateSet, u64)> {
-        let found = self.get(KvName::Templates).await?;
+        let found = self.get(StoreKey::Templates).await?;
         let Some(bytes) = &found.value else {
             return Ok((TemplateSet::default(), found.revision));
         };
--- a/crates/badgerfield/src/rollout.rs
+++ b/crates/badgerfield/src/rollout.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use anyhow::{Context, Result, bail};
-use badgerfield_core::event::{KvCall, KvName, KvResult};
+use badgerfield_core::event::{StoreCall, StoreKey, StoreResult};
 use badgerfield_core::ids::Service;
 use badgerfield_core::rollout::{OrderChange, RolloutRecord, RolloutState};
 use badgerfield_node::adapter::KeyValue;
@@ -39,7 +39,7 @@
         return Ok(DONE);
     };
     let path: &PathBuf = args.get_one("settings").expect("the argument is required");
-    let settings = Settings::open(path)?;
+    let settings = Settings::load(path)?;
     let store = adapter(&settings)?.store;
     let service: Option<&Service> = args.get_one("service");
     match name {
@@ -106,8 +106,8 @@
     };
     let mut all = BTreeMap::new();
     for service in services {
-        let name = KvName::Rollout(service.clone());
-        let KvResult::Value(found) = call(store, name).await? else {
+        let name = StoreKey::Rollout(service.clone());
+        let StoreResult::Value(found) = call(store, name).await? else {
             bail!("expected a record or none of {service}");
         };
         let record = RolloutRecord::decode(found.value.as_deref());
@@ -120,16 +120,16 @@
 
 /// Reads the orders; a platform whose operators cannot order any has none.
 async fn orders(store: &Arc<dyn KeyValue>) -> Result<Vec<OrderChange>> {
-    match call(store, KvName::Templates).await? {
-        KvResult::Operators(found) => Ok(found.rollouts),
+    match call(store, StoreKey::Templates).await? {
+        StoreResult::Operators(found) => Ok(found.rollouts),
         _ => Ok(Vec::new()),
     }
 }
 
-async fn call(store: &Arc<dyn KeyValue>, name: KvName) -> Result<KvResult> {
+async fn call(store: &Arc<dyn KeyValue>, name: StoreKey) -> Result<StoreResult> {
     for _ in 0..TRIES {
-        let result = store.call(&KvCall::Get(name.clone())).await;
-        if matches!(result, KvResult::Value(_) | KvResult::Operators(_)) {
+        let result = store.call(&StoreCall::Get(name.clone())).await;
+        if matches!(result, StoreResult::Value(_) | StoreResult::Operators(_)) {
             return Ok(result);
         }
         tokio::time::sleep(PAUSE).await;
--- a/crates/badgerfield/src/run.rs
+++ b/crates/badgerfield/src/run.rs
@@ -6,10 +6,10 @@
 use std::sync::Arc;
 
 use anyhow::Result;
-use badgerfield_node::adapter::Adapter;
+use badgerfield_node::adapter::PlatformAdapter;
 use badgerfield_node::driver::Driver;
 use badgerfield_node::gateway::listener;
-use badgerfield_node::kv::Kv;
+use badgerfield_node::kv::EtcdStore;
 use badgerfield_node::settings::AdapterKind;
 use badgerfield_node::settings::Settings;
 use badgerfield_node::{callers, logs, operators};
@@ -21,7 +21,7 @@
 
 pub(crate) fn run(args: &ArgMatches) -> Result<u8> {
     let path: &PathBuf = args.get_one("settings").expect("the argument is required");
-    let settings = Settings::open(path)?;
+    let settings = Settings::load(path)?;
     logs::start(&settings.log)?;
     let served = runtime()?.block_on(serve(path, settings));
     log::logger().flush();
@@ -44,11 +44,11 @@
             _ = term.recv() => break,
             _ = int.recv() => break,
             _ = hup.recv() => reload(path),
-            () = driver.ended() => return Ok(()),
+            () = driver.wait_for_exit() => return Ok(()),
         }
     }
     driver.stop();
-    driver.ended().await;
+    driver.wait_for_exit().await;
     Ok(())
 }
 
@@ -62,14 +62,18 @@
 }
 
 /// Chooses what translates for this platform.
-pub(crate) fn adapter(settings: &Settings) -> Result<Adapter> {
+pub(crate) fn adapter(settings: &Settings) -> Result<PlatformAdapter> {
     let platform = &settings.platform;
     match platform.adapter {
         AdapterKind::Etcd => {
-            let kv = Kv::new(platform.kv.clone(), platform.prefix.clone(), platform.timeout);
-            Ok(Adapter { store: Arc::new(kv), routes: None })
+            let kv = EtcdStore::new(
+                platform.store_uri.clone(),
+                platform.prefix.clone(),
+                platform.timeout,
+            );
+            Ok(PlatformAdapter { store: Arc::new(kv), route_adapter: None })
         }
-        AdapterKind::Platform => Ok(badgerfield_platform::adapter(platform)?),
+        AdapterKind::Platform => Ok(badgerfield_platform::new_adapter(platform)?),
     }
 }
 
@@ -78,7 +82,7 @@
 /// What a process was started with stays in force until its next start: addresses and
 /// keys cannot change under open connections.
 fn reload(path: &Path) {
-    match Settings::open(path) {
+    match Settings::load(path) {
         Ok(_) => log::info!(target: logs::NODE, "reload outcome=good; in force at the next start"),
         Err(error) => log::error!(target: logs::NODE, "reload outcome=faulty: {error}"),
     }
--- a/crates/badgerfield/src/template.rs
+++ b/crates/badgerfield/src/template.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use anyhow::{Result, bail};
-use badgerfield_core::event::{KvCall, KvName, KvResult};
+use badgerfield_core::event::{StoreCall, StoreKey, StoreResult};
 use badgerfield_core::ids::{Author, TemplateVersion};
 use badgerfield_core::template::{KeyDigest, TemplateChange, TemplateSet};
 use badgerfield_core::view::View;
@@ -109,12 +109,17 @@
 /// Writes the set; finds out what became of a write whose reply was lost.
 async fn write(platform: &Platform, expect: u64, next: &TemplateSet, mark: &str) -> Result<u8> {
     let value = Bytes::from(next.encode());
-    let call = KvCall::Swap { name: KvName::Templates, expect, value };
+    let call =
+        StoreCall::CompareAndSwap { key: StoreKey::Templates, expected_revision: expect, value };
     match platform.kv.call(&call).await {
-        KvResult::Written(_) => return Ok(DONE),
-        KvResult::Refused => bail!("the key-value service refused the write; nothing is changed"),
-        KvResult::Conflict(_) | KvResult::Unknown | KvResult::Value(_) | KvResult::Operators(_) => {
+        StoreResult::Written(_) => return Ok(DONE),
+        StoreResult::Refused => {
+            bail!("the key-value service refused the write; nothing is changed")
         }
+        StoreResult::Conflict(_)
+        | StoreResult::Unknown
+        | StoreResult::Value(_)
+        | StoreResult::Operators(_) => {}
     }
     for _ in 0..LOOKS {
         let (set, revision) = platform.templates().await?;
@@ -153,11 +158,11 @@
     let until = std::time::Instant::now() + WAIT;
     let mut missing = BTreeSet::new();
     while std::time::Instant::now() < until {
-        let found = platform.get(KvName::View).await?;
+        let found = platform.get(StoreKey::View).await?;
         let view = View::decode(found.value.as_deref())?;
         missing.clear();
         for member in &view.members {
-            let seen = badgerfield_node::callers::version_at(member.caller).await;
+            let seen = badgerfield_node::callers::fetch_templates_version(member.caller).await;
             if seen.is_none_or(|seen| seen < version) {
                 missing.insert(member.vm.to_string());
             }
