--- a/crates/badgerfield-core/src/claims/handover.rs
+++ b/crates/badgerfield-core/src/claims/handover.rs
@@ -33,7 +33,7 @@
         }
         let old = std::mem::replace(&mut self.view, Arc::clone(view));
         self.since.push(Arc::clone(view));
-        self.confirmations = Confirmations::of(view);
+        self.confirmations = Confirmations::new(view);
         for doubt in &view.uncertain_keys {
             self.doubted.entry(doubt.epoch).or_insert(now);
         }
--- a/crates/badgerfield-core/src/confirmations.rs
+++ b/crates/badgerfield-core/src/confirmations.rs
@@ -35,7 +35,7 @@
 
 impl Confirmations {
     /// Starts anew for a view that nobody has confirmed.
-    pub(crate) fn of(view: &View) -> Self {
+    pub(crate) fn new(view: &View) -> Self {
         let members = view.members.len();
         Self { bits: vec![0; members.div_ceil(PER_BYTE)], members, missing: members }
     }
--- a/crates/badgerfield-core/src/control/admission.rs
+++ b/crates/badgerfield-core/src/control/admission.rs
@@ -61,7 +61,7 @@
         self.check_open(now)?;
         let admitted = self.look_up(&arrival)?;
         let keyed = arrival.key.as_deref().map(|key| keyed(key, &admitted));
-        let once = arrival.once || forbids_repeats(&admitted.template, &arrival.work);
+        let once = arrival.at_most_once || forbids_repeats(&admitted.template, &arrival.work);
         if once && keyed.is_none() {
             return Err(Refusal::not_run(Cause::KeyMissing));
         }
--- a/crates/badgerfield-core/src/control/dispatch.rs
+++ b/crates/badgerfield-core/src/control/dispatch.rs
@@ -266,7 +266,7 @@
             request,
             upstream: upstream.clone(),
             stream,
-            output,
+            output_limit: output,
             priority,
             resume_from: resume,
         }
--- a/crates/badgerfield-core/src/control/members.rs
+++ b/crates/badgerfield-core/src/control/members.rs
@@ -7,7 +7,9 @@
 
 use crate::amount::Time;
 use crate::calls::Purpose;
-use crate::event::{Command, Note, Outbox, StoreCall, StoreKey, StoreResult, Versioned, is_due};
+use crate::event::{
+    Command, LogEntry, Outbox, StoreCall, StoreKey, StoreResult, Versioned, is_due,
+};
 use crate::ids::{Epoch, Incarnation, StoreCallId, TemplateVersion};
 use crate::joining::JoinStep;
 use crate::membership::{Membership, MembershipIntent};
@@ -228,9 +230,9 @@
         self.state.claims().apply_view(now, view, out);
         self.state.ledger_writer().mark_removed(gone);
         self.state.holdings().apply_view(now, view, out);
-        out.push(Command::Log(Note::View(view.epoch)));
+        out.push(Command::Log(LogEntry::View(view.epoch)));
         if removed {
-            out.push(Command::Log(Note::Removed));
+            out.push(Command::Log(LogEntry::Removed));
             self.stop(now, out);
         }
         self.spread(now, out);
@@ -359,7 +361,7 @@
         let value = Bytes::from(next.encode());
         let expect = members.stored_revision;
         let ticket = members.store_calls.begin(Purpose::Write(next));
-        out.push(Command::KeyValue(
+        out.push(Command::CallStore(
             ticket,
             StoreCall::CompareAndSwap { key: StoreKey::View, expected_revision: expect, value },
         ));
@@ -423,7 +425,7 @@
         let view = match View::decode(found.value.as_deref()) {
             Ok(view) => Arc::new(view),
             Err(error) => {
-                out.push(Command::Log(Note::BadValue(StoreKey::View, error.to_string())));
+                out.push(Command::Log(LogEntry::BadValue(StoreKey::View, error.to_string())));
                 return;
             }
         };
@@ -456,5 +458,5 @@
         members.view_requested_at = Some(now);
     }
     let ticket = members.store_calls.begin(Purpose::Read(name.clone()));
-    out.push(Command::KeyValue(ticket, StoreCall::Get(name)));
+    out.push(Command::CallStore(ticket, StoreCall::Get(name)));
 }
--- a/crates/badgerfield-core/src/control/poison.rs
+++ b/crates/badgerfield-core/src/control/poison.rs
@@ -10,7 +10,9 @@
 use crate::amount::Time;
 use crate::broadcast;
 use crate::calls::Purpose;
-use crate::event::{Command, Note, Outbox, StoreCall, StoreKey, StoreResult, Versioned, is_due};
+use crate::event::{
+    Command, LogEntry, Outbox, StoreCall, StoreKey, StoreResult, Versioned, is_due,
+};
 use crate::ids::Incarnation;
 use crate::message::{CrashUpdate, Message};
 use crate::node::Node;
@@ -138,7 +140,7 @@
             Ok(crashes) => self.learn_crashes(now, None, crashes, out),
             // What nobody can read is replaced by the next record.
             Err(error) => {
-                out.push(Command::Log(Note::BadValue(StoreKey::Poison, error.to_string())));
+                out.push(Command::Log(LogEntry::BadValue(StoreKey::Poison, error.to_string())));
             }
         }
     }
@@ -200,7 +202,7 @@
             }
         };
         let ticket = members.store_calls.begin(purpose);
-        out.push(Command::KeyValue(ticket, call));
+        out.push(Command::CallStore(ticket, call));
     }
 }
 
@@ -212,7 +214,7 @@
         // What others saw is in their logs: a line here for each request at each crash would be
         // one for every VM of the fleet.
         for (crash, blocks) in news.into_iter().filter(|(_, blocks)| from.is_none() || *blocks) {
-            self.push(Command::Log(Note::Crash { crash, blocks, from }));
+            self.push(Command::Log(LogEntry::Crash { crash, blocks, from }));
         }
         if !blocked.is_empty() {
             self.push(Command::BlockRequests(blocked));
--- a/crates/badgerfield-core/src/control/rights.rs
+++ b/crates/badgerfield-core/src/control/rights.rs
@@ -227,7 +227,7 @@
         let mut members = self.state.membership();
         for (shard, call) in calls {
             let ticket = members.store_calls.begin(Purpose::Draw(shard));
-            out.push(Command::KeyValue(ticket, call));
+            out.push(Command::CallStore(ticket, call));
         }
     }
 
--- a/crates/badgerfield-core/src/control/rollouts.rs
+++ b/crates/badgerfield-core/src/control/rollouts.rs
@@ -14,7 +14,9 @@
 use crate::calls::Purpose;
 use crate::control::evacuations::COMPARE;
 use crate::control::members::read;
-use crate::event::{Command, Note, Outbox, StoreCall, StoreKey, StoreResult, Versioned, is_due};
+use crate::event::{
+    Command, LogEntry, Outbox, StoreCall, StoreKey, StoreResult, Versioned, is_due,
+};
 use crate::ids::{Incarnation, Service};
 use crate::message::{Message, RolloutUpdate};
 use crate::node::Node;
@@ -163,7 +165,7 @@
     ) {
         let missed = |outcome| {
             let note = RolloutLogEntry::CallFailed { service: service.clone(), outcome };
-            Command::Log(Note::Rollout(Box::new(note)))
+            Command::Log(LogEntry::Rollout(Box::new(note)))
         };
         match (result, written) {
             (StoreResult::Written(revision), Some(record)) => {
@@ -190,7 +192,7 @@
             // What nobody can read holds nothing up: the next record replaces it.
             Err(error) => {
                 let name = StoreKey::Rollout(service.clone());
-                out.push(Command::Log(Note::BadValue(name, error.to_string())));
+                out.push(Command::Log(LogEntry::BadValue(name, error.to_string())));
                 None
             }
         };
@@ -282,7 +284,7 @@
     ) {
         let (service, revision) = (known.change.service.clone(), known.change.revision);
         let note = RolloutLogEntry::Rejected { service, revision, reason, evidence };
-        out.push(Command::Log(Note::Rollout(Box::new(note))));
+        out.push(Command::Log(LogEntry::Rollout(Box::new(note))));
         self.tell_rollouts(now, &turned, out);
         self.put_rules(now, turned, out);
     }
@@ -310,7 +312,7 @@
                     record: record.clone(),
                     evidence,
                 };
-                out.push(Command::Log(Note::Rollout(Box::new(note))));
+                out.push(Command::Log(LogEntry::Rollout(Box::new(note))));
                 (
                     Some(record),
                     StoreCall::CompareAndSwap { key: name, expected_revision: expect, value },
@@ -319,7 +321,7 @@
         };
         let purpose = Purpose::Rollout(service.clone(), written);
         let ticket = self.state.membership().store_calls.begin(purpose);
-        out.push(Command::KeyValue(ticket, call));
+        out.push(Command::CallStore(ticket, call));
     }
 
     /// Tells the judges how requests of this process went, where that is due.
@@ -362,7 +364,7 @@
     /// Logs what was news, and puts the rules in force that follow from it.
     fn put_rules(&self, now: Time, turned: Vec<KnownRollout>, out: &mut Outbox) {
         for known in turned {
-            out.push(Command::Log(Note::Rollout(Box::new(RolloutLogEntry::Updated(known)))));
+            out.push(Command::Log(LogEntry::Rollout(Box::new(RolloutLogEntry::Updated(known)))));
         }
         let bound = &self.config.pacing.rollout;
         if let Some(rules) = self.state.rollouts().changed_rules(now, bound) {
--- a/crates/badgerfield-core/src/control/settings.rs
+++ b/crates/badgerfield-core/src/control/settings.rs
@@ -1,7 +1,7 @@
 //! Templates: reads them from the platform and from peers, and never steps back.
 
 use crate::amount::Time;
-use crate::event::{Command, Note, Outbox, Versioned};
+use crate::event::{Command, LogEntry, Outbox, Versioned};
 use crate::ids::{BudgetId, Incarnation};
 use crate::ledger::BudgetTerms;
 use crate::message::Message;
@@ -20,7 +20,7 @@
     pub(crate) fn decode_templates(&self, now: Time, bytes: &[u8], out: &mut Outbox) {
         match TemplateSet::decode(bytes) {
             Ok(set) => self.apply_templates(now, set, out),
-            Err(error) => out.push(Command::Log(Note::BadTemplates(error.to_string()))),
+            Err(error) => out.push(Command::Log(LogEntry::BadTemplates(error.to_string()))),
         }
     }
 
@@ -83,13 +83,13 @@
             self.state.template_history().record(&table);
             table.version
         };
-        out.push(Command::Log(Note::Templates(version)));
+        out.push(Command::Log(LogEntry::Templates(version)));
         let held: Vec<_> = self.state.holdings().budgets().cloned().collect();
         for budget in held {
             let before = self.state.holdings().period(&budget);
             self.learn_terms(now, &budget);
             if self.state.holdings().period(&budget) != before {
-                out.push(Command::Log(Note::BudgetRenewed(budget)));
+                out.push(Command::Log(LogEntry::BudgetRenewed(budget)));
             }
         }
         self.spread(now, out);
--- a/crates/badgerfield-core/src/control/upstream_news.rs
+++ b/crates/badgerfield-core/src/control/upstream_news.rs
@@ -46,7 +46,7 @@
         found: &UpstreamUpdate,
         out: &mut Outbox,
     ) {
-        let UpstreamUpdate { changes, mark, .. } = found;
+        let UpstreamUpdate { changes, version: mark, .. } = found;
         let is_news = !changes.written.is_empty() || !changes.gone.is_empty();
         let mut members = self.state.membership();
         let news = |reach| UpstreamUpdate { reach, ..found.clone() };
@@ -94,7 +94,7 @@
             members.list_confirmed_at = Some(now);
             // In a small view each passes on what it has heard, and so tells it itself.
             if members.view.members.len() > MAX_SMALL_VIEW_MEMBERS {
-                members.announced_revision = members.announced_revision.max(news.mark.revision);
+                members.announced_revision = members.announced_revision.max(news.version.revision);
             }
             if news.reach == 0 { Vec::new() } else { members.broadcast_targets(now, news.reach) }
         };
--- a/crates/badgerfield-core/src/event.rs
+++ b/crates/badgerfield-core/src/event.rs
@@ -76,7 +76,7 @@
     /// The upstreams at which requests wait.
     DelayReports(Vec<DelayReport>),
     /// What other processes should know of the limits that upstreams name.
-    Limits(Vec<LimitReport>),
+    LimitReports(Vec<LimitReport>),
     /// How the requests of this process went at services that are rolled out, told now and then.
     RolloutTallies(Vec<RolloutTally>),
     /// An upstream has ended while a request of this process was there.
@@ -121,7 +121,7 @@
     /// The caller's own key for the request, and the region that it names.
     pub key: Option<String>,
     /// Whether the caller forbids a second run.
-    pub once: bool,
+    pub at_most_once: bool,
     /// What is asked for.
     pub work: Work,
     /// How long the caller allows the request to wait; the template may allow less.
@@ -309,7 +309,7 @@
     /// The name under which the upstream keeps the stream, for resuming it.
     pub stream: String,
     /// The output limit, for engines.
-    pub output: Tokens,
+    pub output_limit: Tokens,
     /// The account's priority.
     pub priority: u32,
     /// Resume the stream from this part on, instead of starting it.
@@ -354,7 +354,7 @@
     /// Send a message.
     Send(Incarnation, Message),
     /// Call the key-value service.
-    KeyValue(StoreCallId, StoreCall),
+    CallStore(StoreCallId, StoreCall),
     /// Send a request to an upstream.
     Dispatch(AttemptId, Dispatch),
     /// Stop what runs at an upstream.
@@ -387,14 +387,14 @@
     /// Record a charge.
     Bill(Bill),
     /// Tell the operator.
-    Log(Note),
+    Log(LogEntry),
     /// Everything is handed over: end the process.
     Exit,
 }
 
 /// Something that an operator should know.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Note {
+pub enum LogEntry {
     /// A newer view is in force.
     View(crate::ids::Epoch),
     /// Other budgets are held or borrowed here, by the ranks of a view.
--- a/crates/badgerfield-core/src/holdings/answers.rs
+++ b/crates/badgerfield-core/src/holdings/answers.rs
@@ -5,7 +5,7 @@
 use super::Holdings;
 use super::holding::Life;
 use crate::amount::{Time, Tokens};
-use crate::event::{Command, Note, Outbox, is_due};
+use crate::event::{Command, LogEntry, Outbox, is_due};
 use crate::ids::{BudgetId, Period};
 use crate::ledger::{LedgerOp, LedgerReply};
 use crate::seal::sealed_part;
@@ -91,7 +91,7 @@
                     sealing.heard = Some(now);
                     holding.orphans.clone_from(orphans);
                 }
-                out.push(Command::Log(Note::LedgerApplied {
+                out.push(Command::Log(LogEntry::LedgerApplied {
                     budget: budget.clone(),
                     limit: holding.terms.limit,
                     granted: *granted,
--- a/crates/badgerfield-core/src/holdings/holding.rs
+++ b/crates/badgerfield-core/src/holdings/holding.rs
@@ -11,7 +11,7 @@
 use crate::amount::{Percent, Time, TokenRate, Tokens};
 use crate::ids::{BudgetId, Incarnation, Region, VmId};
 use crate::ledger::{BudgetTerms, HoldingPlan, LedgerOp, WitnessReport};
-use crate::message::Ask;
+use crate::message::TokenRequest;
 use crate::rate::RateMeter;
 use crate::refusal::Refusal;
 use crate::seal::{FleetClock, Orphan, Seal, SealClaim, falls_ms};
@@ -152,7 +152,7 @@
     pub(crate) waiters: VecDeque<Waiter>,
     pub(crate) search: Option<Search>,
     /// Holders that asked for tokens while they were parked.
-    pub(crate) owed: Vec<(Incarnation, Ask)>,
+    pub(crate) owed: Vec<(Incarnation, TokenRequest)>,
     pub(crate) used_at: Time,
     pub(crate) largest: Tokens,
     pub(crate) meter: RateMeter,
--- a/crates/badgerfield-core/src/holdings/lending.rs
+++ b/crates/badgerfield-core/src/holdings/lending.rs
@@ -7,11 +7,11 @@
 use super::waiting::{Queued, Waiter, Wanter};
 use super::{COME_BACK, Holdings};
 use crate::amount::{Time, Tokens};
-use crate::event::{Command, Note, Outbox, is_due};
+use crate::event::{Command, LogEntry, Outbox, is_due};
 use crate::ids::{BudgetId, Incarnation, Period};
 use crate::ledger::HoldingPlan;
 use crate::lending::Lenders;
-use crate::message::{Ask, Message, NoTokensReason};
+use crate::message::{Message, NoTokensReason, TokenRequest};
 use crate::refusal::{Cause, Refusal};
 
 /// How long a borrower's ask may wait at its lender.
@@ -51,7 +51,7 @@
         if changed {
             let held = self.table.values().filter(|holding| !holding.borrows()).count();
             let borrowed = self.table.len() - held;
-            out.push(Command::Log(Note::Lending { epoch: self.view.epoch, held, borrowed }));
+            out.push(Command::Log(LogEntry::Lending { epoch: self.view.epoch, held, borrowed }));
         }
     }
 
@@ -76,7 +76,7 @@
         let ahead = ahead.saturating_sub(need);
         holding.coming.ask(now, to, need, ahead);
         let (budget, period) = (budget.clone(), holding.terms.period);
-        out.send(to, Message::TokenRequest(Ask { budget, period, need, extra: ahead }));
+        out.send(to, Message::TokenRequest(TokenRequest { budget, period, need, extra: ahead }));
     }
 
     /// Tells what this process has of the budgets that it borrows and that are busy here.
@@ -88,7 +88,7 @@
             if keep.is_zero() && moving.is_zero() {
                 continue;
             }
-            out.push(Command::Log(Note::Prefetched {
+            out.push(Command::Log(LogEntry::Prefetched {
                 budget: budget.clone(),
                 free: holding.free,
                 reserved: holding.reserved,
@@ -100,7 +100,13 @@
     }
 
     /// Lends to a borrower, now or when the ledger has answered.
-    pub(super) fn lend(&mut self, now: Time, from: Incarnation, ask: &Ask, out: &mut Outbox) {
+    pub(super) fn lend(
+        &mut self,
+        now: Time,
+        from: Incarnation,
+        ask: &TokenRequest,
+        out: &mut Outbox,
+    ) {
         let Some(holding) = self.table.get_mut(&ask.budget) else {
             return;
         };
@@ -235,7 +241,10 @@
             let (need, ahead) = (waiter.need, Tokens::ZERO);
             self.coming.ask(now, to, need, ahead);
             let (budget, period) = (budget.clone(), self.terms.period);
-            out.send(to, Message::TokenRequest(Ask { budget, period, need, extra: ahead }));
+            out.send(
+                to,
+                Message::TokenRequest(TokenRequest { budget, period, need, extra: ahead }),
+            );
         }
     }
 
--- a/crates/badgerfield-core/src/holdings/peers.rs
+++ b/crates/badgerfield-core/src/holdings/peers.rs
@@ -6,7 +6,7 @@
 use crate::event::Outbox;
 use crate::ids::{BudgetId, Incarnation};
 use crate::ledger::HoldingPlan;
-use crate::message::{Ask, Message, NoTokensReason, ParkItem, Transfer};
+use crate::message::{Message, NoTokensReason, ParkItem, TokenRequest, Transfer};
 
 /// How many times its need a holder may get at once, to ask less often.
 const LUMP: u64 = 8;
@@ -17,7 +17,7 @@
         &mut self,
         now: Time,
         from: Incarnation,
-        ask: &Ask,
+        ask: &TokenRequest,
         out: &mut Outbox,
     ) {
         let (budget, period) = (ask.budget.clone(), ask.period);
--- a/crates/badgerfield-core/src/holdings/search.rs
+++ b/crates/badgerfield-core/src/holdings/search.rs
@@ -8,10 +8,10 @@
 use super::waiting::{Waiter, Wanter};
 use super::{COME_BACK, Holdings, ReserveDecision};
 use crate::amount::{Time, Tokens};
-use crate::event::{Command, Note, Outbox};
+use crate::event::{Command, LogEntry, Outbox};
 use crate::ids::{BudgetId, Incarnation};
 use crate::ledger::HoldingPlan;
-use crate::message::{Ask, Message};
+use crate::message::{Message, TokenRequest};
 use crate::refusal::{Cause, Refusal};
 use crate::view::View;
 
@@ -155,7 +155,10 @@
                 }
                 let ahead = holding.ask_ahead(now, self.pacing.policy.prefetch_span);
                 holding.coming.ask(now, to, need, ahead);
-                out.send(to, Message::TokenRequest(Ask { budget, period, need, extra: ahead }));
+                out.send(
+                    to,
+                    Message::TokenRequest(TokenRequest { budget, period, need, extra: ahead }),
+                );
             }
             (None, None) if !holding.may_draw() => self.refuse_silent(now, budget),
             (None, None) => {
@@ -298,7 +301,10 @@
         let ahead = lack.saturating_sub(need);
         for to in &open {
             let (budget, period) = (budget.clone(), holding.terms.period);
-            out.send(*to, Message::TokenRequest(Ask { budget, period, need, extra: ahead }));
+            out.send(
+                *to,
+                Message::TokenRequest(TokenRequest { budget, period, need, extra: ahead }),
+            );
         }
         let alone = open.is_empty();
         holding.search = Some(Search::Peers { since: now, open, reach: Tokens::ZERO });
@@ -404,7 +410,7 @@
                     holding.coming.give_up(lender);
                     self.mute.insert(lender, now);
                     let budget = budget.clone();
-                    out.push(Command::Log(Note::LenderSilent { budget, lender }));
+                    out.push(Command::Log(LogEntry::LenderSilent { budget, lender }));
                 }
                 self.skip_lender(now, budget, out);
             }
--- a/crates/badgerfield-core/src/holdings/views.rs
+++ b/crates/badgerfield-core/src/holdings/views.rs
@@ -5,7 +5,7 @@
 use super::holding::{Holding, Life};
 use super::{Holdings, Leaving};
 use crate::amount::Time;
-use crate::event::{Command, Note, Outbox};
+use crate::event::{Command, LogEntry, Outbox};
 use crate::ledger::WitnessReport;
 use crate::view::View;
 
@@ -36,7 +36,7 @@
                 let (holder, amount) = (inherited.owner, inherited.amount);
                 holding.untouched.push(WitnessReport { holder, amount });
                 let (budget, epoch) = (inherited.budget.clone(), view.epoch);
-                out.push(Command::Log(Note::ParkedReturned { budget, holder, amount, epoch }));
+                out.push(Command::Log(LogEntry::ParkedReturned { budget, holder, amount, epoch }));
             } else {
                 holding.free = holding.free.saturating_add(inherited.amount);
             }
--- a/crates/badgerfield-core/src/membership.rs
+++ b/crates/badgerfield-core/src/membership.rs
@@ -8,7 +8,7 @@
 use crate::amount::Time;
 use crate::broadcast::{self, Leg};
 use crate::calls::PendingCalls;
-use crate::event::Note;
+use crate::event::LogEntry;
 use crate::first_read;
 use crate::ids::{Epoch, Incarnation, VmId};
 use crate::joining::Joining;
@@ -472,10 +472,10 @@
     }
 
     /// Describes the removal of a member for the log.
-    pub(crate) fn removal_entry(&self, now: Time, id: Incarnation) -> Note {
+    pub(crate) fn removal_entry(&self, now: Time, id: Incarnation) -> LogEntry {
         let vm = self.view.member(id).map_or_else(|| self.me.vm.clone(), |m| m.vm.clone());
         let (silence, epoch) = (self.silence(now, id), self.stored.epoch);
-        Note::RemovesMember { member: id, vm, silence, epoch }
+        LogEntry::RemovesMember { member: id, vm, silence, epoch }
     }
 
     /// Returns the members whose signs of life come here, each with this process's turn.
--- a/crates/badgerfield-core/src/message.rs
+++ b/crates/badgerfield-core/src/message.rs
@@ -89,7 +89,7 @@
     /// What became of changes in the ledger.
     LedgerReplies(Vec<(BudgetId, Period, LedgerReply)>),
     /// Asks another holder for tokens.
-    TokenRequest(Ask),
+    TokenRequest(TokenRequest),
     /// Answers an [`Ask`] that has nothing to give.
     NoTokens {
         /// The budget.
@@ -263,7 +263,7 @@
     /// that of the mark.
     pub since: u64,
     /// The list to which this leads, at whoever read it from the platform.
-    pub mark: ListVersion,
+    pub version: ListVersion,
     /// To how many members before it in the ring the receiver passes this on.
     pub reach: u32,
 }
@@ -333,7 +333,7 @@
 
 /// A holder's wish for tokens of another holder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct TokenRequest {
     /// The budget.
     pub budget: BudgetId,
     /// The period.
--- a/crates/badgerfield-core/src/node.rs
+++ b/crates/badgerfield-core/src/node.rs
@@ -352,7 +352,7 @@
             Event::StoreReply(ticket, result) => self.handle_store_result(now, ticket, result, out),
             Event::VmList(list) => {
                 self.state.membership().learn(&list);
-                self.state.upstreams().learn(&list);
+                self.state.upstreams().apply_list(&list);
             }
             Event::Templates(found) => self.apply_stored_templates(now, &found, out),
             Event::Operators(found) => self.apply_operator_values(now, found, out),
@@ -374,7 +374,7 @@
                 out.push(Command::DivideEngines(members.needs.average(now)));
             }
             Event::DelayReports(lags) => self.state.membership().delay_reports = lags,
-            Event::Limits(notes) => self.send_limits(&notes, out),
+            Event::LimitReports(notes) => self.send_limits(&notes, out),
             Event::RolloutTallies(tallies) => self.record_rollout_tallies(now, tallies, out),
             Event::UpstreamCrashed(crash) => self.record_crash(now, crash, out),
             Event::SuspectServed(request) => self.record_suspect_served(now, request, out),
--- a/crates/badgerfield-core/src/upstream.rs
+++ b/crates/badgerfield-core/src/upstream.rs
@@ -240,7 +240,7 @@
 
 impl VmUpstreams {
     /// Takes in a VM list unless it is older than the last one.
-    pub fn learn(&mut self, list: &VmList) -> bool {
+    pub fn apply_list(&mut self, list: &VmList) -> bool {
         if list.version < self.version {
             return false;
         }
--- a/crates/badgerfield-core/tests/waiting.rs
+++ b/crates/badgerfield-core/tests/waiting.rs
@@ -18,7 +18,7 @@
 use badgerfield_core::holdings::{Holdings, ReserveOutcome};
 use badgerfield_core::ids::{Epoch, Incarnation, Period, ReservationId, RunId, TemplateVersion};
 use badgerfield_core::ledger::{BudgetTerms, HoldingPlan, LedgerReply};
-use badgerfield_core::message::{Ask, Message, NoTokensReason};
+use badgerfield_core::message::{Message, NoTokensReason, TokenRequest};
 use badgerfield_core::refusal::Cause;
 use badgerfield_core::view::View;
 use support::{at, budget, member};
@@ -175,7 +175,7 @@
 
 #[test]
 fn a_collector_gives_a_crowd_what_it_has() {
-    let wish = |need: u64| Ask {
+    let wish = |need: u64| TokenRequest {
         budget: budget(),
         period: Period(1),
         need: Tokens(need),
--- a/crates/badgerfield-node/src/callers.rs
+++ b/crates/badgerfield-node/src/callers.rs
@@ -225,7 +225,7 @@
     Ok(IncomingRequest {
         secret_digest: KeyDigest::of(secret),
         key,
-        once,
+        at_most_once: once,
         work,
         max_wait: patience,
     })
--- a/crates/badgerfield-node/src/driver.rs
+++ b/crates/badgerfield-node/src/driver.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use badgerfield_core::amount::Time;
-use badgerfield_core::event::{Answer, Bill, Dispatch, Note};
+use badgerfield_core::event::{Answer, Bill, Dispatch, LogEntry};
 use badgerfield_core::ids::{AttemptId, Incarnation, Period, RequestId, ReservationId};
 use badgerfield_core::locality::Location;
 use badgerfield_core::message::Envelope;
@@ -311,7 +311,7 @@
                 };
                 self.peers.send(address, envelope);
             }
-            Command::KeyValue(ticket, call) => {
+            Command::CallStore(ticket, call) => {
                 let driver = Arc::clone(self);
                 self.metrics.calls.count(CallKind::of(&call));
                 tokio::spawn(async move {
@@ -401,15 +401,15 @@
         self.metrics.count_bill(bill);
     }
 
-    fn note(&self, note: &Note) {
+    fn note(&self, note: &LogEntry) {
         match note {
-            Note::View(epoch) => {
+            LogEntry::View(epoch) => {
                 log::info!(target: NODE, "view {epoch} in force");
                 let view = self.node.view();
                 self.peers.keep(|id| view.has(id));
                 self.learn_senders();
             }
-            Note::Templates(version) => {
+            LogEntry::Templates(version) => {
                 if let Some(gateway) = &self.gateway {
                     let (version, table) = self.node.route_table();
                     gateway.put_in_force(version, table);
@@ -417,20 +417,20 @@
                 }
                 log::info!(target: NODE, "templates {version} in force");
             }
-            Note::BadTemplates(error) => {
+            LogEntry::BadTemplates(error) => {
                 self.metrics.bad_templates.inc();
                 log::error!(target: NODE, "templates not used, the last good ones stay: {error}");
             }
-            Note::BadValue(name, error) => {
+            LogEntry::BadValue(name, error) => {
                 log::error!(target: PLATFORM, "cannot use {name:?}: {error}");
             }
-            Note::RemovesMember { member, vm, silence, epoch } => log::warn!(
+            LogEntry::RemovesMember { member, vm, silence, epoch } => log::warn!(
                 target: NODE,
                 "removes member={member} vm={vm} silent_ms={} view={epoch}",
                 silence.as_millis()
             ),
-            Note::Removed => log::error!(target: NODE, "removed from the view; ends when idle"),
-            Note::LedgerApplied {
+            LogEntry::Removed => log::error!(target: NODE, "removed from the view; ends when idle"),
+            LogEntry::LedgerApplied {
                 budget,
                 limit,
                 granted,
@@ -450,23 +450,23 @@
                  took_ms={} plan={plan} rate={rate}",
                 took.as_millis()
             ),
-            Note::Prefetched { budget, free, reserved, moving, waiting, rate } => log::info!(
+            LogEntry::Prefetched { budget, free, reserved, moving, waiting, rate } => log::info!(
                 target: NODE,
                 "at hand budget={budget} free={free} reserved={reserved} moving={moving} \
                  waiting={waiting} rate={rate}"
             ),
-            Note::Lending { epoch, held, borrowed } => {
+            LogEntry::Lending { epoch, held, borrowed } => {
                 log::info!(target: NODE, "lending view={epoch} held={held} borrowed={borrowed}");
             }
-            Note::ParkedReturned { budget, holder, amount, epoch } => log::warn!(
+            LogEntry::ParkedReturned { budget, holder, amount, epoch } => log::warn!(
                 target: NODE,
                 "untouched budget={budget} holder={holder} amount={amount} view={epoch}: \
                  given back for a removed holder"
             ),
-            Note::LenderSilent { budget, lender } => {
+            LogEntry::LenderSilent { budget, lender } => {
                 log::warn!(target: NODE, "lender silent budget={budget} lender={lender}");
             }
-            Note::Crash { crash, blocks, from } => {
+            LogEntry::Crash { crash, blocks, from } => {
                 let from = from.map_or_else(|| "-".to_owned(), |id| id.to_string());
                 log::warn!(
                     target: REQUESTS,
@@ -481,8 +481,8 @@
                     crash.age.as_millis()
                 );
             }
-            Note::Rollout(note) => log::info!(target: NODE, "{note}"),
-            Note::BudgetRenewed(budget) => log::info!(target: NODE, "budget {budget} renewed"),
+            LogEntry::Rollout(note) => log::info!(target: NODE, "{note}"),
+            LogEntry::BudgetRenewed(budget) => log::info!(target: NODE, "budget {budget} renewed"),
         }
     }
 
--- a/crates/badgerfield-node/src/follow.rs
+++ b/crates/badgerfield-node/src/follow.rs
@@ -208,7 +208,7 @@
         let lags = replicas.delay_reports(now, gateway.next_turn());
         (replicas.engine_demand(now), lags, replicas.limit_reports(now))
     };
-    driver.feed(Event::Limits(limits));
+    driver.feed(Event::LimitReports(limits));
     driver.feed(Event::EngineNeeds(needs));
     driver.feed(Event::DelayReports(lags));
     driver.feed(Event::Serving(directory::is_ready(gateway)));
--- a/crates/badgerfield-node/src/gateway/statements.rs
+++ b/crates/badgerfield-node/src/gateway/statements.rs
@@ -70,7 +70,7 @@
         };
         record::limit_named(id, &change);
         let notes = gateway.replicas().limit_reports(self.now());
-        self.feed(Event::Limits(notes));
+        self.feed(Event::LimitReports(notes));
     }
 
     /// Takes in what another process knows of the limits that upstreams name.
--- a/crates/badgerfield-node/src/settings.rs
+++ b/crates/badgerfield-node/src/settings.rs
@@ -169,7 +169,7 @@
     ///
     /// Returns every fault of the file.
     pub fn load(path: &Path) -> Result<Self, IniError> {
-        Self::read(IniFile::open(path)?)
+        Self::from_ini(IniFile::open(path)?)
     }
 
     /// Reads and checks a file that is open.
@@ -177,7 +177,7 @@
     /// # Errors
     ///
     /// Returns every fault of the file.
-    pub fn read(mut file: IniFile) -> Result<Self, IniError> {
+    pub fn from_ini(mut file: IniFile) -> Result<Self, IniError> {
         let vm = file.value("vm", "name");
         let region = file.value("vm", "region");
         let domain = file.value("vm", "domain");
--- a/crates/badgerfield-node/src/templates.rs
+++ b/crates/badgerfield-node/src/templates.rs
@@ -22,7 +22,7 @@
 /// # Errors
 ///
 /// Returns every fault of the file.
-pub fn open(path: &Path) -> Result<TemplateSet, IniError> {
+pub fn load(path: &Path) -> Result<TemplateSet, IniError> {
     read(IniFile::open(path)?)
 }
 
--- a/crates/badgerfield-node/src/upstream_list.rs
+++ b/crates/badgerfield-node/src/upstream_list.rs
@@ -30,7 +30,7 @@
         let Some(gateway) = self.gateway() else {
             return;
         };
-        let UpstreamUpdate { changes, since, mark, .. } = news;
+        let UpstreamUpdate { changes, since, version: mark, .. } = news;
         let (news, lacking) = gateway.replicas().apply_update(self.now(), changes, since, mark);
         self.learned(gateway, &news, Source::Peer);
         match lacking {
@@ -97,7 +97,7 @@
                 // Others see from the revision that they lack something, and ask for it.
                 None => (replicas.changes_of(self.now(), news), mark.revision),
             };
-            UpstreamUpdate { changes, since, mark, reach: 0 }
+            UpstreamUpdate { changes, since, version: mark, reach: 0 }
         };
         self.feed(Event::UpstreamChanges(news));
     }
@@ -117,7 +117,12 @@
             match changes {
                 Some(changes) => {
                     let mark = replicas.list_version();
-                    Message::UpstreamChanges(UpstreamUpdate { changes, since, mark, reach: 0 })
+                    Message::UpstreamChanges(UpstreamUpdate {
+                        changes,
+                        since,
+                        version: mark,
+                        reach: 0,
+                    })
                 }
                 None => Message::Upstreams(replicas.list(self.now())),
             }
--- a/crates/badgerfield-node/src/upstreams.rs
+++ b/crates/badgerfield-node/src/upstreams.rs
@@ -190,7 +190,7 @@
         let outgoing = self.outgoing.as_ref()?;
         match &outgoing.target {
             Target::Chat(body) => {
-                let body = body.for_engine(self.dispatch.output, self.dispatch.priority);
+                let body = body.for_engine(self.dispatch.output_limit, self.dispatch.priority);
                 Request::post(format!("http://{address}/v1/chat/completions"))
                     .header(header::CONTENT_TYPE, "application/json")
                     .header(STREAM_HEADER, name)
--- a/crates/badgerfield-node/tests/decoders.rs
+++ b/crates/badgerfield-node/tests/decoders.rs
@@ -45,7 +45,7 @@
     fn files(text in file_text()) {
         let path = Path::new("some.ini");
         if let Ok(file) = IniFile::parse(path, text.clone()) {
-            let _ = Settings::read(file);
+            let _ = Settings::from_ini(file);
         }
         if let Ok(file) = IniFile::parse(path, text) {
             let _ = templates::read(file);
--- a/crates/badgerfield-node/tests/settings.rs
+++ b/crates/badgerfield-node/tests/settings.rs
@@ -26,7 +26,7 @@
 ";
 
 fn read(text: &str) -> Result<Settings, IniError> {
-    Settings::read(IniFile::parse(Path::new("vm.ini"), text.to_owned())?)
+    Settings::from_ini(IniFile::parse(Path::new("vm.ini"), text.to_owned())?)
 }
 
 fn faults(result: Result<impl std::fmt::Debug, IniError>) -> Vec<String> {
--- a/crates/badgerfield-standin/src/capacity.rs
+++ b/crates/badgerfield-standin/src/capacity.rs
@@ -311,7 +311,7 @@
     println!("  {:>9} {:>12}", "replicas", "us a choice");
     for count in [20_usize, 100, 400, 1700] {
         let mut table = VmUpstreams::default();
-        table.learn(&VmList { version: 1, vms: engines(count) });
+        table.apply_list(&VmList { version: 1, vms: engines(count) });
         let work = Work::Chat(Chat {
             model: "m".parse().unwrap_or_else(|_| unreachable!("the name is valid")),
             adapter: None,
--- a/crates/badgerfield-standin/src/fleet/shape.rs
+++ b/crates/badgerfield-standin/src/fleet/shape.rs
@@ -151,5 +151,5 @@
         })
     };
     let (secret, key, once) = (secret(wish.budget), wish.key.clone(), wish.once);
-    IncomingRequest { secret_digest: secret, key, once, work, max_wait: None }
+    IncomingRequest { secret_digest: secret, key, at_most_once: once, work, max_wait: None }
 }
--- a/crates/badgerfield-standin/src/fleet/steps.rs
+++ b/crates/badgerfield-standin/src/fleet/steps.rs
@@ -87,7 +87,7 @@
                     self.send(index, &Envelope { from, sender_address: address, to, message });
                 }
             }
-            Command::KeyValue(ticket, call) => {
+            Command::CallStore(ticket, call) => {
                 let sent = self.now;
                 let way = (self.region_of(index), link::STORE_REGION);
                 let crossed = self.cross(way, link::call_size(&call), None).unwrap_or(sent);
--- a/crates/badgerfield-standin/src/route.rs
+++ b/crates/badgerfield-standin/src/route.rs
@@ -513,7 +513,7 @@
         let vms: Vec<_> = (0..ENGINES).map(|i| entry(case, i)).collect();
         let table = || {
             let mut table = VmUpstreams::default();
-            table.learn(&VmList { version: 1, vms: vms.clone() });
+            table.apply_list(&VmList { version: 1, vms: vms.clone() });
             table
         };
         let tables = (0..VMS).map(|_| table()).collect();
--- a/crates/badgerfield-standin/tests/joining.rs
+++ b/crates/badgerfield-standin/tests/joining.rs
@@ -73,7 +73,7 @@
 /// Tells whether an order reads or writes the ledger.
 fn is_about_ledger(order: &Command) -> bool {
     match order {
-        Command::KeyValue(
+        Command::CallStore(
             _,
             StoreCall::Get(name) | StoreCall::CompareAndSwap { key: name, .. },
         ) => {
--- a/crates/badgerfield-standin/tests/threads.rs
+++ b/crates/badgerfield-standin/tests/threads.rs
@@ -30,7 +30,13 @@
         prefix_digests: Vec::new(),
     };
     let work = Work::Chat(chat);
-    IncomingRequest { secret_digest: secret(0), key: None, once: false, work, max_wait: None }
+    IncomingRequest {
+        secret_digest: secret(0),
+        key: None,
+        at_most_once: false,
+        work,
+        max_wait: None,
+    }
 }
 
 fn wish() -> Wish {
--- a/crates/badgerfield-standin/tests/upstream_list.rs
+++ b/crates/badgerfield-standin/tests/upstream_list.rs
@@ -49,7 +49,7 @@
 
 /// Returns what a follower of the platform tells of changes.
 fn followed(changes: UpstreamListChanges) -> UpstreamUpdate {
-    UpstreamUpdate { changes, since: 0, mark: ListVersion::default(), reach: 0 }
+    UpstreamUpdate { changes, since: 0, version: ListVersion::default(), reach: 0 }
 }
 
 /// Returns since which revision the list is asked for, if it is.
--- a/crates/badgerfield/src/check.rs
+++ b/crates/badgerfield/src/check.rs
@@ -21,7 +21,7 @@
         code = code.max(report(path, Settings::load(path).map(|_| ())));
     }
     if let Some(path) = file {
-        code = code.max(report(path, templates::open(path).map(|_| ())));
+        code = code.max(report(path, templates::load(path).map(|_| ())));
     }
     Ok(code)
 }
--- a/crates/badgerfield/src/template.rs
+++ b/crates/badgerfield/src/template.rs
@@ -73,7 +73,7 @@
     let path: &PathBuf = args.get_one("file").expect("the argument is required");
     let author: &String = args.get_one("author").expect("the argument is required");
     let author: Author = author.parse()?;
-    let wanted = templates::open(path)?;
+    let wanted = templates::load(path)?;
     let (old, revision) = platform.templates().await?;
     let expected = args.get_one::<u64>("expect").copied().map(TemplateVersion);
     if let Some(expected) = expected.filter(|e| *e != old.version) {
