--- a/crates/badgerfield-core/src/control/evacuations.rs
+++ b/crates/badgerfield-core/src/control/evacuations.rs
@@ -40,7 +40,7 @@
     ) {
         let OperatorChanges { templates, domains, rollouts, .. } = found;
         self.orders_changed(now, rollouts, out);
-        let turned = self.state.evacuations().learn(domains);
+        let turned = self.state.evacuations().apply(domains);
         self.tell_evacuations(now, &turned, out);
         out.evacuated(None, turned);
         if let Some(bytes) = templates {
@@ -62,7 +62,7 @@
                 out.send(to, Message::Evacuations(news));
             }
         }
-        let turned = self.state.evacuations().learn(news.changes);
+        let turned = self.state.evacuations().apply(news.changes);
         out.evacuated(Some(from), turned);
     }
 
@@ -98,7 +98,7 @@
     ) {
         let (turned, more) = {
             let mut known = self.state.evacuations();
-            let turned = known.learn(theirs.iter().cloned());
+            let turned = known.apply(theirs.iter().cloned());
             let changes = known.changes();
             (turned, (changes != theirs).then_some(changes))
         };
--- a/crates/badgerfield-core/src/evacuation.rs
+++ b/crates/badgerfield-core/src/evacuation.rs
@@ -37,7 +37,7 @@
 impl Evacuations {
     /// Takes in changes, in any order; returns those after which a domain is evacuated that was
     /// not, or the other way round.
-    pub fn learn(&mut self, changes: impl IntoIterator<Item = DomainChange>) -> Vec<DomainChange> {
+    pub fn apply(&mut self, changes: impl IntoIterator<Item = DomainChange>) -> Vec<DomainChange> {
         let mut turned = Vec::new();
         for change in changes {
             let known = self.changes.get(&change.domain);
@@ -74,7 +74,7 @@
             .filter(|known| known.evacuated && is_missing(&known.domain))
             .map(back)
             .collect();
-        self.learn(evacuated.into_iter().chain(taken_back))
+        self.apply(evacuated.into_iter().chain(taken_back))
     }
 
     /// Returns every change that is known, for processes that may know less.
--- a/crates/badgerfield-core/src/template.rs
+++ b/crates/badgerfield-core/src/template.rs
@@ -36,7 +36,7 @@
 impl KeyDigest {
     /// Digests a secret.
     #[must_use]
-    pub fn of(secret: &str) -> Self {
+    pub fn from_secret(secret: &str) -> Self {
         Self(Sha256::digest(secret.as_bytes()).into())
     }
 }
--- a/crates/badgerfield-core/tests/evacuation.rs
+++ b/crates/badgerfield-core/tests/evacuation.rs
@@ -15,17 +15,17 @@
 #[test]
 fn only_what_turns_a_domain_is_told_on() {
     let mut known = Evacuations::default();
-    assert_eq!(known.learn([change(1, 5, true)]), vec![change(1, 5, true)]);
-    assert_eq!(known.learn([change(1, 5, true)]), Vec::new(), "heard again");
-    assert_eq!(known.learn([change(1, 7, true)]), Vec::new(), "evacuated once more");
-    assert_eq!(known.learn([change(1, 6, false)]), Vec::new(), "older than what is known");
-    assert_eq!(known.learn([change(1, 9, false)]), vec![change(1, 9, false)]);
+    assert_eq!(known.apply([change(1, 5, true)]), vec![change(1, 5, true)]);
+    assert_eq!(known.apply([change(1, 5, true)]), Vec::new(), "heard again");
+    assert_eq!(known.apply([change(1, 7, true)]), Vec::new(), "evacuated once more");
+    assert_eq!(known.apply([change(1, 6, false)]), Vec::new(), "older than what is known");
+    assert_eq!(known.apply([change(1, 9, false)]), vec![change(1, 9, false)]);
 }
 
 #[test]
 fn a_reading_of_all_takes_back_what_it_does_not_hold() {
     let mut known = Evacuations::default();
-    known.learn([change(1, 5, true), change(2, 6, true)]);
+    known.apply([change(1, 5, true), change(2, 6, true)]);
     let turned = known.apply_snapshot(10, vec![change(2, 6, true), change(3, 8, true)]);
     assert_eq!(turned, vec![change(3, 8, true), change(1, 10, false)]);
     assert_eq!(known.apply_snapshot(11, vec![change(2, 6, true), change(3, 8, true)]), Vec::new());
@@ -34,7 +34,7 @@
 #[test]
 fn a_reading_of_all_that_is_older_changes_nothing() {
     let mut known = Evacuations::default();
-    known.learn([change(1, 5, true)]);
+    known.apply([change(1, 5, true)]);
     assert_eq!(known.apply_snapshot(4, Vec::new()), Vec::new());
     assert_eq!(known.changes(), vec![change(1, 5, true)]);
 }
@@ -48,7 +48,7 @@
 fn names_at_random_are_bounded() {
     let mut known = Evacuations::default();
     for revision in 1..=200 {
-        known.learn([change(u8::try_from(revision).expect("small"), revision, true)]);
+        known.apply([change(u8::try_from(revision).expect("small"), revision, true)]);
     }
     assert_eq!(known.changes().len(), 64);
     assert!(known.changes().iter().all(|change| change.revision > 136));
@@ -63,11 +63,11 @@
     ) {
         let news: Vec<_> = (1..).zip(&news).map(|(r, (n, evacuated))| change(*n, r, *evacuated)).collect();
         let (mut here, mut there) = (Evacuations::default(), Evacuations::default());
-        here.learn(news.iter().cloned());
+        here.apply(news.iter().cloned());
         for index in &order {
-            there.learn([index.get(&news).clone()]);
+            there.apply([index.get(&news).clone()]);
         }
-        there.learn(news.iter().rev().cloned());
+        there.apply(news.iter().rev().cloned());
         prop_assert_eq!(here.changes(), there.changes());
         prop_assert_eq!(here.digest(), there.digest());
     }
@@ -76,12 +76,12 @@
 #[test]
 fn a_domain_that_is_evacuated_is_not_forgotten_for_those_that_are_back() {
     let mut known = Evacuations::default();
-    known.learn([change(0, 1, true)]);
+    known.apply([change(0, 1, true)]);
     for n in 1..=70 {
         let revision = u64::from(n) * 10;
-        known.learn([change(n, revision, true)]);
-        known.learn([change(n, revision + 1, false)]);
+        known.apply([change(n, revision, true)]);
+        known.apply([change(n, revision + 1, false)]);
     }
     assert!(known.changes().contains(&change(0, 1, true)));
-    assert_eq!(known.learn([change(0, 5_000, false)]), vec![change(0, 5_000, false)]);
+    assert_eq!(known.apply([change(0, 5_000, false)]), vec![change(0, 5_000, false)]);
 }
--- a/crates/badgerfield-core/tests/routing.rs
+++ b/crates/badgerfield-core/tests/routing.rs
@@ -51,7 +51,7 @@
         changed: TemplateVersion(version),
         limit: Tokens(1000),
         period: Period(1),
-        keys: keys.iter().map(|key| KeyDigest::of(key)).collect(),
+        keys: keys.iter().map(|key| KeyDigest::from_secret(key)).collect(),
     };
     TemplateSet {
         version: TemplateVersion(version),
@@ -97,12 +97,12 @@
 #[test]
 fn keys_are_known_until_they_are_taken_away() {
     let table = RouteTable::new(&set(1, Vec::new(), &["first", "second"]));
-    let caller = table.caller(&KeyDigest::of("first")).expect("the key is known");
+    let caller = table.caller(&KeyDigest::from_secret("first")).expect("the key is known");
     assert_eq!(caller.account.as_str(), "tenant");
     assert_eq!(caller.limit, Some(Tokens(1000)));
     let table = RouteTable::new(&set(2, Vec::new(), &["second"]));
-    assert!(table.caller(&KeyDigest::of("first")).is_none());
-    assert!(table.caller(&KeyDigest::of("second")).is_some());
+    assert!(table.caller(&KeyDigest::from_secret("first")).is_none());
+    assert!(table.caller(&KeyDigest::from_secret("second")).is_some());
 }
 
 #[test]
--- a/crates/badgerfield-core/tests/template_history.rs
+++ b/crates/badgerfield-core/tests/template_history.rs
@@ -55,7 +55,7 @@
     let version = TemplateVersion(version);
     let mut set = TemplateSet { version, ..TemplateSet::default() };
     for n in 0..ACCOUNTS {
-        let keys = BTreeSet::from([KeyDigest::of(&format!("key-{n}"))]);
+        let keys = BTreeSet::from([KeyDigest::from_secret(&format!("key-{n}"))]);
         let limit = Tokens(limit(n));
         let budget = BudgetTemplate { changed: version, limit, period: Period(1), keys };
         set.accounts.insert(format!("a{n}").parse().expect("a name"), account(version));
--- a/crates/badgerfield-core/tests/templates.rs
+++ b/crates/badgerfield-core/tests/templates.rs
@@ -33,7 +33,7 @@
         regions: Residency::default(),
     };
     set.accounts.insert("a".parse().expect("the name is valid"), account);
-    let keys = BTreeSet::from([KeyDigest::of("key")]);
+    let keys = BTreeSet::from([KeyDigest::from_secret("key")]);
     let budget =
         BudgetTemplate { changed: TemplateVersion(0), limit: Tokens(10), period: Period(2), keys };
     set.budgets.insert("a/b".parse().expect("the name is valid"), budget);
--- a/crates/badgerfield-node/src/adapter.rs
+++ b/crates/badgerfield-node/src/adapter.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone)]
 pub struct PlatformAdapter {
     /// The platform's key-value service.
-    pub store: Arc<dyn KeyValue>,
+    pub store: Arc<dyn KeyValueStore>,
     /// The platform's list of upstreams, and the forms of requests on routes; nothing
     /// where the process takes no requests on routes.
     pub route_adapter: Option<RouteAdapter>,
@@ -49,7 +49,7 @@
 }
 
 /// A key-value service with compare-and-swap.
-pub trait KeyValue: Debug + Send + Sync {
+pub trait KeyValueStore: Debug + Send + Sync {
     /// Carries out a call.
     fn call<'a>(&'a self, call: &'a StoreCall) -> BoxFuture<'a, StoreResult>;
 
--- a/crates/badgerfield-node/src/callers.rs
+++ b/crates/badgerfield-node/src/callers.rs
@@ -223,7 +223,7 @@
         }
     };
     Ok(IncomingRequest {
-        secret_digest: KeyDigest::of(secret),
+        secret_digest: KeyDigest::from_secret(secret),
         key,
         at_most_once: once,
         work,
@@ -423,7 +423,7 @@
 /// Answers which addresses to use, and for how long.
 fn directory(driver: &Driver, headers: &HeaderMap) -> Response<Body> {
     let secret = text(headers, header::AUTHORIZATION.as_str()).unwrap_or_default();
-    let secret = secret.strip_prefix("Bearer ").map(KeyDigest::of);
+    let secret = secret.strip_prefix("Bearer ").map(KeyDigest::from_secret);
     let members = driver.node.directory(driver.now(), secret.as_ref());
     let vms: Vec<_> = members
         .iter()
--- a/crates/badgerfield-node/src/driver.rs
+++ b/crates/badgerfield-node/src/driver.rs
@@ -24,7 +24,7 @@
 use thiserror::Error;
 use tokio::sync::{mpsc, oneshot, watch};
 
-use crate::adapter::{KeyValue, PlatformAdapter};
+use crate::adapter::{KeyValueStore, PlatformAdapter};
 use crate::callers::Outgoing;
 use crate::clock::{Clock, StoodStill, SystemClocks, VmClocks};
 use crate::follow;
@@ -88,7 +88,7 @@
     pub(crate) settings: Settings,
     pub(crate) metrics: Metrics,
     pub(crate) clock: Arc<Clock>,
-    pub(crate) store: Arc<dyn KeyValue>,
+    pub(crate) store: Arc<dyn KeyValueStore>,
     gateway: Option<Arc<Gateway>>,
     reservations: Mutex<HashMap<ReservationId, ReservationAnswer>>,
     next_reservation: AtomicU64,
--- a/crates/badgerfield-node/src/gateway/admit.rs
+++ b/crates/badgerfield-node/src/gateway/admit.rs
@@ -165,7 +165,7 @@
         return Ok(None);
     }
     let key = terms.key.as_ref().ok_or(Cause::UnknownCaller)?;
-    let caller = table.caller(&KeyDigest::of(key)).ok_or(Cause::UnknownCaller)?;
+    let caller = table.caller(&KeyDigest::from_secret(key)).ok_or(Cause::UnknownCaller)?;
     Ok(Some(caller.clone()))
 }
 
--- a/crates/badgerfield-node/src/kv.rs
+++ b/crates/badgerfield-node/src/kv.rs
@@ -13,7 +13,7 @@
 use hyper::{Request, Uri, header};
 use serde_json::{Value, json};
 
-use crate::adapter::{KeyValue, WatchResult};
+use crate::adapter::{KeyValueStore, WatchResult};
 use crate::http::{self, CallError, HttpClient};
 
 /// A client of the key-value service.
@@ -25,7 +25,7 @@
     timeout: Duration,
 }
 
-impl KeyValue for EtcdStore {
+impl KeyValueStore for EtcdStore {
     fn call<'a>(&'a self, call: &'a StoreCall) -> BoxFuture<'a, StoreResult> {
         Box::pin(async move {
             match call {
--- a/crates/badgerfield-node/src/templates.rs
+++ b/crates/badgerfield-node/src/templates.rs
@@ -23,7 +23,7 @@
 ///
 /// Returns every fault of the file.
 pub fn load(path: &Path) -> Result<TemplateSet, IniError> {
-    read(IniFile::open(path)?)
+    from_ini(IniFile::open(path)?)
 }
 
 /// Reads a template file that is open.
@@ -31,7 +31,7 @@
 /// # Errors
 ///
 /// Returns every fault of the file.
-pub fn read(mut file: IniFile) -> Result<TemplateSet, IniError> {
+pub fn from_ini(mut file: IniFile) -> Result<TemplateSet, IniError> {
     let mut set = TemplateSet::default();
     for section in file.sections() {
         if let Some(name) = section.strip_prefix("account ") {
--- a/crates/badgerfield-node/tests/decoders.rs
+++ b/crates/badgerfield-node/tests/decoders.rs
@@ -48,7 +48,7 @@
             let _ = Settings::from_ini(file);
         }
         if let Ok(file) = IniFile::parse(path, text) {
-            let _ = templates::read(file);
+            let _ = templates::from_ini(file);
         }
     }
 }
--- a/crates/badgerfield-node/tests/settings.rs
+++ b/crates/badgerfield-node/tests/settings.rs
@@ -64,7 +64,7 @@
 fn template_file_with_faults_is_refused_whole() {
     let text = "[account a]\npriority = many\nmodels = m\n[budget a/b]\nlimit = -3\nkeys = 12\n[budget c/d]\nlimit = 5\n";
     let file = IniFile::parse(Path::new("t.ini"), text.to_owned()).expect("the text is INI");
-    let faults = faults(templates::read(file));
+    let faults = faults(templates::from_ini(file));
     for place in [
         "t.ini:2: [account a] priority",
         "t.ini:5: [budget a/b] limit",
@@ -184,7 +184,7 @@
 fn regions_of_an_account_are_read_and_an_empty_list_is_a_fault() {
     let read = |line: &str| {
         let text = format!("[account a]\nmodels = m\n{line}");
-        templates::read(IniFile::parse(Path::new("t.ini"), text).expect("the text is INI"))
+        templates::from_ini(IniFile::parse(Path::new("t.ini"), text).expect("the text is INI"))
     };
     let regions = |line: &str| {
         let set = read(line).expect("it is good");
--- a/crates/badgerfield-standin/src/fleet/shape.rs
+++ b/crates/badgerfield-standin/src/fleet/shape.rs
@@ -72,7 +72,7 @@
 /// Returns the secret with which callers draw on a budget.
 #[must_use]
 pub fn secret(budget: usize) -> KeyDigest {
-    KeyDigest::of(&format!("secret-{budget}"))
+    KeyDigest::from_secret(&format!("secret-{budget}"))
 }
 
 /// Returns a member of a fleet.
--- a/crates/badgerfield-standin/src/site.rs
+++ b/crates/badgerfield-standin/src/site.rs
@@ -490,7 +490,7 @@
 }
 
 fn templates(limit: u64) -> String {
-    let digest = KeyDigest::of(KEY);
+    let digest = KeyDigest::from_secret(KEY);
     format!(
         "[account parcelview]\nmodels = land-7b\nservices = scoring\nunrepeatable = scoring/score\n\
          output_limit = 64\n[budget {BUDGET}]\nlimit = {limit}\nkeys = {digest}\n"
--- a/crates/badgerfield/src/keys.rs
+++ b/crates/badgerfield/src/keys.rs
@@ -8,7 +8,7 @@
 
 pub(crate) fn run(args: &ArgMatches) -> Result<u8> {
     if let Some(key) = args.get_one::<String>("digest") {
-        println!("{}", KeyDigest::of(key));
+        println!("{}", KeyDigest::from_secret(key));
         return Ok(DONE);
     }
     let secret = random()?;
@@ -18,7 +18,7 @@
     }
     let key = format!("bf-{secret}");
     println!("key    {key}");
-    println!("digest {}", KeyDigest::of(&key));
+    println!("digest {}", KeyDigest::from_secret(&key));
     Ok(DONE)
 }
 
--- a/crates/badgerfield/src/rollout.rs
+++ b/crates/badgerfield/src/rollout.rs
@@ -9,7 +9,7 @@
 use badgerfield_core::event::{StoreCall, StoreKey, StoreResult};
 use badgerfield_core::ids::Service;
 use badgerfield_core::rollout::{OrderChange, RolloutRecord, RolloutState};
-use badgerfield_node::adapter::KeyValue;
+use badgerfield_node::adapter::KeyValueStore;
 use badgerfield_node::settings::Settings;
 use clap::ArgMatches;
 use serde_json::{Value, json};
@@ -48,7 +48,7 @@
     }
 }
 
-async fn status(store: &Arc<dyn KeyValue>, service: Option<&Service>) -> Result<u8> {
+async fn status(store: &Arc<dyn KeyValueStore>, service: Option<&Service>) -> Result<u8> {
     for (service, found) in look(store, service).await? {
         println!("{}", line(&service, &found));
     }
@@ -56,7 +56,7 @@
 }
 
 /// Prints each change until every roll-out has ended.
-async fn watch(store: &Arc<dyn KeyValue>, service: Option<&Service>) -> Result<u8> {
+async fn watch(store: &Arc<dyn KeyValueStore>, service: Option<&Service>) -> Result<u8> {
     let mut printed: BTreeMap<Service, String> = BTreeMap::new();
     loop {
         let all = look(store, service).await?;
@@ -96,7 +96,7 @@
 
 /// Reads what there is of a service, or of all services with an order.
 async fn look(
-    store: &Arc<dyn KeyValue>,
+    store: &Arc<dyn KeyValueStore>,
     only: Option<&Service>,
 ) -> Result<BTreeMap<Service, Found>> {
     let orders = orders(store).await?;
@@ -119,14 +119,14 @@
 }
 
 /// Reads the orders; a platform whose operators cannot order any has none.
-async fn orders(store: &Arc<dyn KeyValue>) -> Result<Vec<OrderChange>> {
+async fn orders(store: &Arc<dyn KeyValueStore>) -> Result<Vec<OrderChange>> {
     match call(store, StoreKey::Templates).await? {
         StoreResult::Operators(found) => Ok(found.rollouts),
         _ => Ok(Vec::new()),
     }
 }
 
-async fn call(store: &Arc<dyn KeyValue>, name: StoreKey) -> Result<StoreResult> {
+async fn call(store: &Arc<dyn KeyValueStore>, name: StoreKey) -> Result<StoreResult> {
     for _ in 0..TRIES {
         let result = store.call(&StoreCall::Get(name.clone())).await;
         if matches!(result, StoreResult::Value(_) | StoreResult::Operators(_)) {
--- a/crates/badgerfield/src/template.rs
+++ b/crates/badgerfield/src/template.rs
@@ -9,7 +9,7 @@
 use badgerfield_core::ids::{Author, TemplateVersion};
 use badgerfield_core::template::{KeyDigest, TemplateChange, TemplateSet};
 use badgerfield_core::view::View;
-use badgerfield_node::adapter::KeyValue;
+use badgerfield_node::adapter::KeyValueStore;
 use badgerfield_node::templates;
 use bytes::Bytes;
 use clap::ArgMatches;
