--- a/crates/badgerfield-core/src/evacuation.rs
+++ b/crates/badgerfield-core/src/evacuation.rs
@@ -56,7 +56,7 @@
 
     /// Takes in all domains that were evacuated at a revision: any other was taken back by then.
     ///
-    /// Returns what [`Evacuations::learn`] does.
+    /// Returns what [`Evacuations::apply`] does.
     pub fn apply_snapshot(
         &mut self,
         revision: u64,
--- a/crates/badgerfield-core/src/event.rs
+++ b/crates/badgerfield-core/src/event.rs
@@ -1,6 +1,6 @@
 //! What happens to a process, and what it wants done: the core's one border.
 //!
-//! The core takes an [`Event`] with the present time and yields [`Order`]s. Whoever
+//! The core takes an [`Event`] with the present time and yields [`Command`]s. Whoever
 //! drives it turns orders into input and output, and their outcome into events.
 
 use std::time::Duration;
@@ -13,24 +13,24 @@
     Account, Adapter, AttemptId, BudgetId, Incarnation, Model, Period, RequestId, RequestKey,
     ReservationId, RunId, Service, StoreCallId, UpstreamId, VmId,
 };
-use crate::lag::DelayReport;
 use crate::ledger::HoldingPlan;
 use crate::message::{Envelope, Head, Message, UpstreamUpdate};
-use crate::mix::EngineDemand;
 use crate::poison::{Crash, Fingerprint};
+use crate::queueing_delay::DelayReport;
+use crate::rate_limit::LimitReport;
 use crate::refusal::Refusal;
-use crate::replica_list::{ListVersion, UpstreamList};
-use crate::request_limit::LimitReport;
+use crate::request_mix::EngineDemand;
 use crate::rollout::{OrderChange, RolloutLogEntry, RolloutRules, RolloutTally};
 use crate::template::KeyDigest;
-use crate::upstream::{LoadReport, VmList};
+use crate::upstream_list::{ListVersion, UpstreamList};
+use crate::vm_upstreams::{LoadReport, VmList};
 
 /// Something that happened.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// The process starts.
     Start,
-    /// Some time has passed; sent every [`crate::TICK`].
+    /// Some time has passed; sent every [`crate::TICK_INTERVAL`].
     Tick,
     /// A caller's request has arrived.
     RequestArrived(RequestId, Box<IncomingRequest>),
@@ -52,7 +52,7 @@
     Operators(OperatorValues),
     /// Operators have changed something at the platform.
     OperatorChanges(OperatorChanges),
-    /// A request on a route wants tokens set aside; [`Order::Reserved`] answers.
+    /// A request on a route wants tokens set aside; [`Command::AnswerReserve`] answers.
     Reserve(ReserveRequest),
     /// A request on a route that waits for tokens has gone.
     CancelReserve(ReserveRequest),
--- a/crates/badgerfield-core/src/control/dispatch.rs
+++ b/crates/badgerfield-core/src/handlers/dispatch.rs
@@ -11,7 +11,7 @@
 use crate::queue::QueuedRequest;
 use crate::refusal::{Cause, Refusal};
 use crate::runs::{Run, Stage};
-use crate::upstream::{VmUpstreamChoice, VmUpstreamCriteria};
+use crate::vm_upstreams::{VmUpstreamChoice, VmUpstreamCriteria};
 
 /// How often a request may be sent again after an upstream did not take it.
 const MAX_TRIES: u32 = 3;
--- a/crates/badgerfield-core/src/control/members.rs
+++ b/crates/badgerfield-core/src/handlers/members.rs
@@ -6,7 +6,6 @@
 use bytes::Bytes;
 
 use crate::amount::Time;
-use crate::calls::Purpose;
 use crate::event::{
     Command, LogEntry, Outbox, StoreCall, StoreKey, StoreResult, Versioned, is_due,
 };
@@ -15,6 +14,7 @@
 use crate::membership::{Membership, MembershipIntent};
 use crate::message::{Heartbeat, Message};
 use crate::node::Node;
+use crate::pending_calls::Purpose;
 use crate::view::{MAX_SMALL_VIEW_MEMBERS, Member, MemberState, View};
 use crate::view_update::ViewUpdate;
 
--- a/crates/badgerfield-core/src/control/poison.rs
+++ b/crates/badgerfield-core/src/handlers/poison.rs
@@ -9,13 +9,13 @@
 
 use crate::amount::Time;
 use crate::broadcast;
-use crate::calls::Purpose;
 use crate::event::{
     Command, LogEntry, Outbox, StoreCall, StoreKey, StoreResult, Versioned, is_due,
 };
 use crate::ids::Incarnation;
 use crate::message::{CrashUpdate, Message};
 use crate::node::Node;
+use crate::pending_calls::Purpose;
 use crate::poison::{Crash, Fingerprint};
 use crate::poison_record::{self, RecordCall};
 
--- a/crates/badgerfield-core/src/control/rights.rs
+++ b/crates/badgerfield-core/src/handlers/rights.rs
@@ -3,15 +3,15 @@
 use std::collections::BTreeMap;
 
 use crate::amount::Time;
-use crate::calls::Purpose;
-use crate::control::reservations;
 use crate::event::{Command, Outbox, StoreResult};
+use crate::handlers::reservations;
 use crate::holdings::ReserveOutcome;
 use crate::ids::{BudgetId, Incarnation, Period, ReservationId, RunId};
 use crate::ledger::{LedgerOp, LedgerReply, shard_of};
 use crate::ledger_writer;
 use crate::message::{Message, ParkItem, Transfer};
 use crate::node::Node;
+use crate::pending_calls::Purpose;
 use crate::runs::Stage;
 use crate::view::MAX_SMALL_VIEW_MEMBERS;
 
--- a/crates/badgerfield-core/src/control/rollouts.rs
+++ b/crates/badgerfield-core/src/handlers/rollouts.rs
@@ -11,15 +11,15 @@
 
 use crate::amount::Time;
 use crate::broadcast;
-use crate::calls::Purpose;
-use crate::control::evacuations::COMPARE;
-use crate::control::members::read;
 use crate::event::{
     Command, LogEntry, Outbox, StoreCall, StoreKey, StoreResult, Versioned, is_due,
 };
+use crate::handlers::evacuations::COMPARE;
+use crate::handlers::members::read;
 use crate::ids::{Incarnation, Service};
 use crate::message::{Message, RolloutUpdate};
 use crate::node::Node;
+use crate::pending_calls::Purpose;
 use crate::rollout::{
     Evidence, KnownRollout, OrderChange, RecorderCall, RolloutLogEntry, RolloutPhase,
     RolloutReason, RolloutRecord, RolloutTally, StepContext,
--- a/crates/badgerfield-core/src/control/upstream_news.rs
+++ b/crates/badgerfield-core/src/handlers/upstream_news.rs
@@ -13,8 +13,8 @@
 use crate::membership::NewerList;
 use crate::message::{Message, UpstreamUpdate};
 use crate::node::Node;
-use crate::replica_list::ListVersion;
-use crate::request_limit::LimitReport;
+use crate::rate_limit::LimitReport;
+use crate::upstream_list::ListVersion;
 use crate::view::MAX_SMALL_VIEW_MEMBERS;
 
 /// The least time between two fetches of what is missing of the list: about as long as an
--- a/crates/badgerfield-core/src/holdings/holding.rs
+++ b/crates/badgerfield-core/src/holdings/holding.rs
@@ -12,7 +12,7 @@
 use crate::ids::{BudgetId, Incarnation, Region, VmId};
 use crate::ledger::{BudgetTerms, HoldingPlan, LedgerOp, WitnessReport};
 use crate::message::TokenRequest;
-use crate::rate::RateMeter;
+use crate::rate_meter::RateMeter;
 use crate::refusal::Refusal;
 use crate::seal::{FleetClock, Orphan, Seal, SealClaim, falls_ms};
 
--- a/crates/badgerfield-core/src/holdings/lending.rs
+++ b/crates/badgerfield-core/src/holdings/lending.rs
@@ -10,7 +10,7 @@
 use crate::event::{Command, LogEntry, Outbox, is_due};
 use crate::ids::{BudgetId, Incarnation, Period};
 use crate::ledger::HoldingPlan;
-use crate::lending::Lenders;
+use crate::lenders::Lenders;
 use crate::message::{Message, NoTokensReason, TokenRequest};
 use crate::refusal::{Cause, Refusal};
 
--- a/crates/badgerfield-core/src/holdings/mod.rs
+++ b/crates/badgerfield-core/src/holdings/mod.rs
@@ -32,7 +32,7 @@
 use crate::event::{Outbox, is_due};
 use crate::ids::{BudgetId, Incarnation, Period, Region, RunId, TemplateVersion, VmId};
 use crate::ledger::{BudgetTerms, HoldingPlan};
-use crate::lending::Lenders;
+use crate::lenders::Lenders;
 use crate::node::Pacing;
 use crate::refusal::Refusal;
 use crate::seal::FleetClock;
--- a/crates/badgerfield-core/src/lending.rs
+++ b/crates/badgerfield-core/src/lenders.rs
@@ -2,7 +2,7 @@
 //!
 //! Where processes are many, a part of each budget at every one of them would be smaller than a
 //! request, and the ledger would name every process. So a region
-//! with more than [`SMALL_VIEW`] members leaves each budget to a few of them. All others
+//! with more than [`MAX_SMALL_VIEW_MEMBERS`] members leaves each budget to a few of them. All others
 //! borrow what one request needs, and give the rest back when it has ended.
 //!
 //! As many members again stand in for those that do not answer: they borrow as others do, and
--- a/crates/badgerfield-core/src/membership.rs
+++ b/crates/badgerfield-core/src/membership.rs
@@ -6,18 +6,18 @@
 use std::time::Duration;
 
 use crate::amount::Time;
+use crate::bootstrap;
 use crate::broadcast::{self, Leg};
-use crate::calls::PendingCalls;
 use crate::event::LogEntry;
-use crate::first_read;
 use crate::ids::{Epoch, Incarnation, VmId};
 use crate::joining::Joining;
-use crate::lag::DelayReport;
 use crate::message::Heartbeat;
-use crate::mix::DemandAverage;
+use crate::pending_calls::PendingCalls;
+use crate::queueing_delay::DelayReport;
 use crate::ranks::Ranks;
-use crate::replica_list::ListVersion;
+use crate::request_mix::DemandAverage;
 use crate::seal::FleetClock;
+use crate::upstream_list::ListVersion;
 use crate::view::{MAX_SMALL_VIEW_MEMBERS, Member, MemberState, View};
 use crate::view_update::ViewLog;
 
@@ -318,7 +318,7 @@
     }
 
     /// Takes in the VM list unless it is older than the last one.
-    pub(crate) fn learn(&mut self, list: &crate::upstream::VmList) {
+    pub(crate) fn learn(&mut self, list: &crate::vm_upstreams::VmList) {
         if list.version < self.list_version {
             return;
         }
@@ -371,14 +371,14 @@
     /// of yet; others of its region give it those otherwise.
     pub(crate) fn is_bootstrap_reader(&self, now: Time) -> bool {
         let stored = self.stored_known.then_some(&*self.stored);
-        first_read::can_read(now, stored, &self.me)
+        bootstrap::can_read(now, stored, &self.me)
     }
 
     /// Returns the member of this process's region that is asked next for what it knows
     /// nothing of yet: by turns one that knows it early, and another one each time.
     pub(crate) fn next_bootstrap_peer(&mut self) -> Option<Incarnation> {
         self.asks += 1;
-        let early = first_read::tree_parent(&self.view, &self.me).filter(|_| self.asks % 2 == 1);
+        let early = bootstrap::tree_parent(&self.view, &self.me).filter(|_| self.asks % 2 == 1);
         if early.is_some() {
             return early;
         }
--- a/crates/badgerfield-core/src/message.rs
+++ b/crates/badgerfield-core/src/message.rs
@@ -12,14 +12,14 @@
 use crate::ids::{
     Account, BudgetId, Epoch, Incarnation, Period, Region, RequestKey, TemplateVersion, UpstreamId,
 };
-use crate::lag::DelayReport;
 use crate::ledger::{LedgerOp, LedgerReply};
-use crate::mix::EngineDemand;
 use crate::poison::Crash;
-use crate::replica_list::{ListVersion, UpstreamList, UpstreamListChanges};
-use crate::request_limit::LimitReport;
+use crate::queueing_delay::DelayReport;
+use crate::rate_limit::LimitReport;
+use crate::request_mix::EngineDemand;
 use crate::rollout::{KnownRollout, RolloutTally};
 use crate::template::{TemplateDelta, TemplateSet};
+use crate::upstream_list::{ListVersion, UpstreamList, UpstreamListChanges};
 use crate::view::Member;
 use crate::view_update::ViewUpdate;
 
@@ -90,7 +90,7 @@
     LedgerReplies(Vec<(BudgetId, Period, LedgerReply)>),
     /// Asks another holder for tokens.
     TokenRequest(TokenRequest),
-    /// Answers an [`Ask`] that has nothing to give.
+    /// Answers an [`TokenRequest`] that has nothing to give.
     NoTokens {
         /// The budget.
         budget: BudgetId,
--- a/crates/badgerfield-core/src/node.rs
+++ b/crates/badgerfield-core/src/node.rs
@@ -4,7 +4,6 @@
 use std::time::Duration;
 
 use crate::amount::{Time, Tokens};
-use crate::board::SharedState;
 use crate::claims::Claims;
 use crate::evacuation::DomainChange;
 use crate::event::{Command, Event, Outbox};
@@ -18,9 +17,10 @@
 use crate::rollout::{RolloutBound, RolloutStatus};
 use crate::routing::RouteTable;
 use crate::runs::{RunKey, Runs};
+use crate::shared_state::SharedState;
 use crate::template::TemplateSet;
-use crate::upstream::UpstreamKind;
 use crate::view::{MAX_SMALL_VIEW_MEMBERS, Member, MemberState, View};
+use crate::vm_upstreams::UpstreamKind;
 use crate::warm_up::Senders;
 
 /// How often a driver sends [`Event::Tick`].
--- a/crates/badgerfield-core/src/overload.rs
+++ b/crates/badgerfield-core/src/overload.rs
@@ -4,7 +4,7 @@
 //! The load that this answers: a service is asked for about as much as it can do, by hundreds of
 //! VMs of which each sees a few requests a second, and one of its upstreams is slower than the
 //! others. No VM has enough requests under way to see that. So each learns how long answers
-//! take, tells others with the lags of engines ([`crate::lag`]), and weighs that time in the
+//! take, tells others with the lags of engines ([`crate::queueing_delay`]), and weighs that time in the
 //! choice. What upstreams turn away counts as a long answer.
 
 use std::time::Duration;
--- a/crates/badgerfield-core/src/poison/fingerprint.rs
+++ b/crates/badgerfield-core/src/poison/fingerprint.rs
@@ -7,7 +7,7 @@
 use sha2::{Digest, Sha256};
 
 use crate::ids::{Account, IdError};
-use crate::replicas::PromptPart;
+use crate::upstream_table::PromptPart;
 
 /// Stands for what a request asks, whoever passes it on and under whichever attempt id.
 ///
--- a/crates/badgerfield-core/src/poison/table.rs
+++ b/crates/badgerfield-core/src/poison/table.rs
@@ -214,7 +214,7 @@
         lives.max().unwrap_or(0)
     }
 
-    /// Takes in a crash that this process saw; returns what [`Poison::learn`] does.
+    /// Takes in a crash that this process saw; returns what [`PoisonTable::apply`] does.
     pub fn record_crash(&mut self, now: Time, crash: Crash) -> Vec<(Crash, bool)> {
         let (request, upstream, life) =
             (crash.request, crash.upstream.clone(), crash.prior_crashes);
--- a/crates/badgerfield-core/src/queue.rs
+++ b/crates/badgerfield-core/src/queue.rs
@@ -10,7 +10,7 @@
 
 use crate::amount::{Time, Tokens};
 use crate::ids::{Account, RunId};
-use crate::rate::RateMeter;
+use crate::rate_meter::RateMeter;
 
 /// The scale of the counters, so that priorities divide without much rounding.
 const SCALE: u64 = 1024;
--- a/crates/badgerfield-core/src/rollout/belief.rs
+++ b/crates/badgerfield-core/src/rollout/belief.rs
@@ -99,7 +99,7 @@
 
     /// Takes in all orders that stood at a revision: any other was withdrawn by then.
     ///
-    /// Returns what [`Beliefs::learn`] does.
+    /// Returns what [`KnownRollouts::apply`] does.
     pub fn apply_snapshot(&mut self, revision: u64, orders: Vec<OrderChange>) -> Vec<KnownRollout> {
         let is_missing = |service: &Service| orders.iter().all(|o| o.service != *service);
         let withdrawn: Vec<_> = self
--- a/crates/badgerfield-core/src/board.rs
+++ b/crates/badgerfield-core/src/shared_state.rs
@@ -20,7 +20,7 @@
 use crate::runs::Runs;
 use crate::template::TemplateSet;
 use crate::template_history::TemplateHistory;
-use crate::upstream::VmUpstreams;
+use crate::vm_upstreams::VmUpstreams;
 
 /// The tables, in the order in which they may be locked.
 #[derive(Debug)]
--- a/crates/badgerfield-core/src/replicas/choice.rs
+++ b/crates/badgerfield-core/src/upstream_table/choice.rs
@@ -9,9 +9,9 @@
 use super::{ChosenUpstream, PromptPart, UpstreamCriteria, UpstreamTable};
 use crate::amount::Time;
 use crate::ids::UpstreamId;
-use crate::lag;
 use crate::locality::{CrossingReason, Distance};
 use crate::overload;
+use crate::queueing_delay;
 
 /// Within what a chain of prompt parts has one upstream that all VMs prefer for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,7 +31,7 @@
         let pool = self.candidates(now, wanted);
         let mix = self.mixes.get(wanted.service).filter(|_| !wanted.parts.is_empty());
         let weights = Weights::of(mix, wanted);
-        let ordinary = lag::ordinary(pool.iter().map(|r| r.lag.millis(now)).collect());
+        let ordinary = queueing_delay::ordinary(pool.iter().map(|r| r.lag.millis(now)).collect());
         let own: Vec<_> = pool.iter().copied().filter(|r| weights.takes(r)).collect();
         let homes = homes_of(
             if own.is_empty() { &pool } else { &own },
--- a/crates/badgerfield-core/src/replicas/limits.rs
+++ b/crates/badgerfield-core/src/upstream_table/limits.rs
@@ -7,7 +7,7 @@
 use crate::amount::Time;
 use crate::event::is_due;
 use crate::ids::{Service, UpstreamId};
-use crate::request_limit::{LimitReport, MAX_NOTES, RateLimit, place};
+use crate::rate_limit::{LimitReport, MAX_NOTES, RateLimit, place};
 
 /// The least time between two messages about limits to each neighbour.
 const TELL_PACE: Duration = Duration::from_millis(200);
--- a/crates/badgerfield-core/src/replicas/listed.rs
+++ b/crates/badgerfield-core/src/upstream_table/listed.rs
@@ -10,7 +10,7 @@
 use super::{ListGap, UpstreamTable};
 use crate::amount::Time;
 use crate::ids::{Service, UpstreamId};
-use crate::replica_list::{ListVersion, UpstreamEntry, UpstreamList, UpstreamListChanges};
+use crate::upstream_list::{ListVersion, UpstreamEntry, UpstreamList, UpstreamListChanges};
 
 /// How long an upstream is remembered after its entry is gone.
 const FORGET: Duration = Duration::from_secs(30);
--- a/crates/badgerfield-core/src/replicas/mod.rs
+++ b/crates/badgerfield-core/src/upstream_table/mod.rs
@@ -6,7 +6,7 @@
 //! answer is expected soonest: prompt parts that the upstream has read before need not
 //! be read again, and work under way delays it. Upstreams of an evacuated failure domain get
 //! nothing; those that are cold get little ([`crate::warm_up`]), and those that name a limit no more
-//! than that ([`crate::request_limit`]).
+//! than that ([`crate::rate_limit`]).
 
 mod canary;
 mod choice;
@@ -27,9 +27,9 @@
 use crate::amount::Time;
 use crate::evacuation::DomainChange;
 use crate::ids::{Domain, Service, SoftwareVersion, UpstreamId};
-use crate::lag::{self, DelayReport};
 use crate::locality::{CrossingReason, Distance, DistanceCosts, Location};
-use crate::mix::{
+use crate::queueing_delay::{self, DelayReport};
+use crate::request_mix::{
     EngineDemand, EngineDivision, ObservedTiming, PromptGroup, PromptSize, READ_MS_PRIOR,
     RequestMix, float, service_number,
 };
@@ -352,8 +352,13 @@
     pub fn delay_reports(&self, now: Time, turn: usize) -> Vec<DelayReport> {
         let note = |r: &Replica| r.lag.note(now, r.number(), self.plain.contains(&r.info.service));
         let all: Vec<_> = self.table.values().filter_map(note).collect();
-        let start = if all.is_empty() { 0 } else { turn * lag::MAX_NOTES % all.len() };
-        all.iter().cycle().skip(start).take(all.len().min(lag::MAX_NOTES)).copied().collect()
+        let start = if all.is_empty() { 0 } else { turn * queueing_delay::MAX_NOTES % all.len() };
+        all.iter()
+            .cycle()
+            .skip(start)
+            .take(all.len().min(queueing_delay::MAX_NOTES))
+            .copied()
+            .collect()
     }
 
     /// Takes in what another process knows of lags.
--- a/crates/badgerfield-core/src/replicas/replica.rs
+++ b/crates/badgerfield-core/src/upstream_table/replica.rs
@@ -8,14 +8,14 @@
 use super::{AttemptOutcome, PromptPart, UpstreamCriteria};
 use crate::amount::Time;
 use crate::ids::Region;
-use crate::lag::Lag;
 use crate::locality::{Distance, Location};
-use crate::mix::{EngineDivision, PromptGroup, READ_MS_PRIOR, RequestMix, float};
-use crate::replica_list::{ListedUpstream, UpstreamEntry, digest_of};
-use crate::replicas::starts::Starts;
-use crate::replicas::statements::Statements;
-use crate::request_limit;
+use crate::queueing_delay::Lag;
+use crate::rate_limit;
+use crate::request_mix::{EngineDivision, PromptGroup, READ_MS_PRIOR, RequestMix, float};
 use crate::residency::RegionMap;
+use crate::upstream_list::{ListedUpstream, UpstreamEntry, digest_of};
+use crate::upstream_table::starts::Starts;
+use crate::upstream_table::statements::Statements;
 use crate::warm_up::{Bucket, HOLD_OFF, SenderShare};
 
 /// The expected delay by each request under way at an engine, in milliseconds.
@@ -273,7 +273,7 @@
     pub(super) fn change_senders(&mut self, now: Time, starts: &Starts) {
         let from = now.after(HOLD_OFF);
         let seed = self.seed;
-        self.said.limit.change_place(from, || request_limit::place(starts.senders(), seed));
+        self.said.limit.change_place(from, || rate_limit::place(starts.senders(), seed));
         let Some(cold) = &mut self.cold else {
             return;
         };
--- a/crates/badgerfield-core/src/replicas/statements.rs
+++ b/crates/badgerfield-core/src/upstream_table/statements.rs
@@ -5,7 +5,7 @@
 use super::UpstreamTable;
 use crate::amount::Time;
 use crate::ids::{Service, UpstreamId};
-use crate::request_limit::KnownLimit;
+use crate::rate_limit::KnownLimit;
 
 /// What one process of an upstream has said of itself; another one under its id has said nothing.
 #[derive(Debug, Default)]
--- a/crates/badgerfield-core/src/replicas/trial.rs
+++ b/crates/badgerfield-core/src/upstream_table/trial.rs
@@ -7,7 +7,7 @@
 use super::{UpstreamCriteria, UpstreamTable};
 use crate::amount::Time;
 use crate::ids::{Service, UpstreamId};
-use crate::mix::{READ_MS_PRIOR, RequestMix, float};
+use crate::request_mix::{READ_MS_PRIOR, RequestMix, float};
 use crate::rollout::tally::{AnswerSource, AnswerSpeed, Tally};
 use crate::rollout::{Allowance, RolloutRule, RolloutRules, RolloutTally};
 
--- a/crates/badgerfield-core/tests/canary.rs
+++ b/crates/badgerfield-core/tests/canary.rs
@@ -6,12 +6,14 @@
 use badgerfield_core::amount::{Percent, Time};
 use badgerfield_core::evacuation::DomainChange;
 use badgerfield_core::ids::{Service, SoftwareVersion, UpstreamId, VmId};
-use badgerfield_core::replica_list::{
-    ListedUpstream, UpstreamEntry, UpstreamList, UpstreamListChanges,
-};
-use badgerfield_core::replicas::{AttemptOutcome, PromptPart, UpstreamCriteria, UpstreamTable};
 use badgerfield_core::residency::EVERYWHERE;
 use badgerfield_core::rollout::{Allowance, RolloutRule, RolloutRules};
+use badgerfield_core::upstream_list::{
+    ListedUpstream, UpstreamEntry, UpstreamList, UpstreamListChanges,
+};
+use badgerfield_core::upstream_table::{
+    AttemptOutcome, PromptPart, UpstreamCriteria, UpstreamTable,
+};
 use badgerfield_core::warm_up::{Senders, WarmUp, WarmUpBound};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/badgerfield-core/tests/lag.rs
+++ b/crates/badgerfield-core/tests/lag.rs
@@ -4,9 +4,11 @@
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::{Service, UpstreamId};
-use badgerfield_core::replica_list::{ListedUpstream, UpstreamEntry, UpstreamList};
-use badgerfield_core::replicas::{AttemptOutcome, PromptPart, UpstreamCriteria, UpstreamTable};
 use badgerfield_core::residency::EVERYWHERE;
+use badgerfield_core::upstream_list::{ListedUpstream, UpstreamEntry, UpstreamList};
+use badgerfield_core::upstream_table::{
+    AttemptOutcome, PromptPart, UpstreamCriteria, UpstreamTable,
+};
 
 const ENGINES: u32 = 20;
 const VMS: usize = 60;
--- a/crates/badgerfield-core/tests/locality.rs
+++ b/crates/badgerfield-core/tests/locality.rs
@@ -7,11 +7,11 @@
 use badgerfield_core::evacuation::DomainChange;
 use badgerfield_core::ids::{Domain, Incarnation, Region, Service, UpstreamId};
 use badgerfield_core::locality::{CrossingReason, Distance, DistanceCosts, Location, nearest};
-use badgerfield_core::replica_list::{ListedUpstream, UpstreamEntry, UpstreamList};
-use badgerfield_core::replicas::{
+use badgerfield_core::residency::{EVERYWHERE, RegionMap};
+use badgerfield_core::upstream_list::{ListedUpstream, UpstreamEntry, UpstreamList};
+use badgerfield_core::upstream_table::{
     AttemptOutcome, ChosenUpstream, PromptPart, UpstreamCriteria, UpstreamTable,
 };
-use badgerfield_core::residency::{EVERYWHERE, RegionMap};
 use badgerfield_core::view::{Member, MemberState};
 
 fn domain(name: &str) -> Domain {
--- a/crates/badgerfield-core/tests/mix.rs
+++ b/crates/badgerfield-core/tests/mix.rs
@@ -4,7 +4,7 @@
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::Service;
-use badgerfield_core::mix::{
+use badgerfield_core::request_mix::{
     EngineDemand, EngineDivision, ObservedTiming, PromptGroup, PromptSize, RequestMix,
 };
 
--- a/crates/badgerfield-core/tests/overload.rs
+++ b/crates/badgerfield-core/tests/overload.rs
@@ -7,9 +7,9 @@
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::{Service, UpstreamId};
 use badgerfield_core::overload;
-use badgerfield_core::replica_list::{ListedUpstream, UpstreamEntry, UpstreamList};
-use badgerfield_core::replicas::{AttemptOutcome, UpstreamCriteria, UpstreamTable};
 use badgerfield_core::residency::EVERYWHERE;
+use badgerfield_core::upstream_list::{ListedUpstream, UpstreamEntry, UpstreamList};
+use badgerfield_core::upstream_table::{AttemptOutcome, UpstreamCriteria, UpstreamTable};
 
 const VMS: usize = 48;
 const SLOTS: usize = 6;
--- a/crates/badgerfield-core/tests/patience.rs
+++ b/crates/badgerfield-core/tests/patience.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use badgerfield_core::patience::AdaptiveTimeout;
+use badgerfield_core::adaptive_timeout::AdaptiveTimeout;
 
 const SET: Duration = Duration::from_millis(700);
 
--- a/crates/badgerfield-core/tests/poison.rs
+++ b/crates/badgerfield-core/tests/poison.rs
@@ -6,7 +6,7 @@
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::{Account, UpstreamId};
 use badgerfield_core::poison::{Crash, Fingerprint, PoisonStatus, PoisonTable};
-use badgerfield_core::replicas::PromptPart;
+use badgerfield_core::upstream_table::PromptPart;
 
 const NOW: Time = Time::from_millis(60_000);
 
--- a/crates/badgerfield-core/tests/replicas.rs
+++ b/crates/badgerfield-core/tests/replicas.rs
@@ -5,14 +5,14 @@
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::{Service, UpstreamId};
-use badgerfield_core::mix::PromptSize;
-use badgerfield_core::replica_list::{
+use badgerfield_core::request_mix::PromptSize;
+use badgerfield_core::residency::EVERYWHERE;
+use badgerfield_core::upstream_list::{
     ListVersion, ListedUpstream, UpstreamEntry, UpstreamList, UpstreamListChanges,
 };
-use badgerfield_core::replicas::{
+use badgerfield_core::upstream_table::{
     AttemptOutcome, ListGap, PromptPart, UpstreamCriteria, UpstreamTable,
 };
-use badgerfield_core::residency::EVERYWHERE;
 
 fn service(name: &str) -> Service {
     name.parse().expect("the name is valid")
--- a/crates/badgerfield-core/tests/request_limits.rs
+++ b/crates/badgerfield-core/tests/request_limits.rs
@@ -4,10 +4,10 @@
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::{Service, UpstreamId, VmId};
-use badgerfield_core::replica_list::{ListedUpstream, UpstreamEntry, UpstreamList};
-use badgerfield_core::replicas::{AttemptOutcome, UpstreamCriteria, UpstreamTable};
-use badgerfield_core::request_limit::{LimitReport, RateLimit};
+use badgerfield_core::rate_limit::{LimitReport, RateLimit};
 use badgerfield_core::residency::EVERYWHERE;
+use badgerfield_core::upstream_list::{ListedUpstream, UpstreamEntry, UpstreamList};
+use badgerfield_core::upstream_table::{AttemptOutcome, UpstreamCriteria, UpstreamTable};
 use badgerfield_core::warm_up::Senders;
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
--- a/crates/badgerfield-core/tests/residency.rs
+++ b/crates/badgerfield-core/tests/residency.rs
@@ -7,11 +7,13 @@
 use badgerfield_core::amount::{Percent, Time, Tokens};
 use badgerfield_core::evacuation::DomainChange;
 use badgerfield_core::ids::{Account, Domain, Region, Service, TemplateVersion, UpstreamId};
-use badgerfield_core::replica_list::{ListedUpstream, UpstreamEntry, UpstreamList};
-use badgerfield_core::replicas::{AttemptOutcome, PromptPart, UpstreamCriteria, UpstreamTable};
 use badgerfield_core::residency::{Admission, EVERYWHERE, RegionMap, Residency, ResidencyError};
 use badgerfield_core::routing::{RetryPolicy, Route, RouteTable, Routing, WeightedService};
 use badgerfield_core::template::{AccountTemplate, TemplateSet};
+use badgerfield_core::upstream_list::{ListedUpstream, UpstreamEntry, UpstreamList};
+use badgerfield_core::upstream_table::{
+    AttemptOutcome, PromptPart, UpstreamCriteria, UpstreamTable,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/badgerfield-core/tests/tally.rs
+++ b/crates/badgerfield-core/tests/tally.rs
@@ -4,10 +4,10 @@
 
 use badgerfield_core::amount::{Percent, Time};
 use badgerfield_core::ids::{Service, UpstreamId};
-use badgerfield_core::replica_list::{ListedUpstream, UpstreamEntry, UpstreamList};
-use badgerfield_core::replicas::{AttemptOutcome, UpstreamTable};
 use badgerfield_core::rollout::tally::{AnswerSource, AnswerSpeed, Tallies};
 use badgerfield_core::rollout::{Allowance, AnswerCounts, RolloutRule, RolloutTally};
+use badgerfield_core::upstream_list::{ListedUpstream, UpstreamEntry, UpstreamList};
+use badgerfield_core::upstream_table::{AttemptOutcome, UpstreamTable};
 
 fn service() -> Service {
     "pool".parse().expect("the name is valid")
--- a/crates/badgerfield-core/tests/warm_up.rs
+++ b/crates/badgerfield-core/tests/warm_up.rs
@@ -6,11 +6,11 @@
 use badgerfield_core::amount::Time;
 use badgerfield_core::evacuation::DomainChange;
 use badgerfield_core::ids::{Service, UpstreamId, VmId};
-use badgerfield_core::replica_list::{
+use badgerfield_core::residency::EVERYWHERE;
+use badgerfield_core::upstream_list::{
     ListedUpstream, UpstreamEntry, UpstreamList, UpstreamListChanges,
 };
-use badgerfield_core::replicas::{UpstreamCriteria, UpstreamTable};
-use badgerfield_core::residency::EVERYWHERE;
+use badgerfield_core::upstream_table::{UpstreamCriteria, UpstreamTable};
 use badgerfield_core::warm_up::{SenderShare, Senders, WarmUp, WarmUpBound};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -218,7 +218,7 @@
     for draw in 0..300 {
         let id = send(&mut table, at(10), draw).expect("others serve");
         assert!(!concerned.contains(&id), "{id} was sent to");
-        table.end_request(at(10), &id, badgerfield_core::replicas::AttemptOutcome::Answered);
+        table.end_request(at(10), &id, badgerfield_core::upstream_table::AttemptOutcome::Answered);
     }
     // One that starts there meanwhile gets nothing either.
     let written = vec![entry(7, 10, 0)];
--- a/crates/badgerfield-node/src/adapter.rs
+++ b/crates/badgerfield-node/src/adapter.rs
@@ -10,9 +10,9 @@
 
 use badgerfield_core::event::{OperatorChanges, StoreCall, StoreResult};
 use badgerfield_core::ids::{Account, Domain, Region, UpstreamId};
-use badgerfield_core::replica_list::{UpstreamList, UpstreamListChanges};
-use badgerfield_core::replicas::PromptPart;
-use badgerfield_core::request_limit::RateLimit;
+use badgerfield_core::rate_limit::RateLimit;
+use badgerfield_core::upstream_list::{UpstreamList, UpstreamListChanges};
+use badgerfield_core::upstream_table::PromptPart;
 use bytes::Bytes;
 use futures::future::BoxFuture;
 use hyper::{HeaderMap, StatusCode, Uri};
--- a/crates/badgerfield-node/src/chat.rs
+++ b/crates/badgerfield-node/src/chat.rs
@@ -9,7 +9,7 @@
 use badgerfield_core::amount::Tokens;
 use badgerfield_core::event::{Chat, Usage};
 use badgerfield_core::ids::{Adapter, Model};
-use badgerfield_core::upstream::prefix_digests;
+use badgerfield_core::vm_upstreams::prefix_digests;
 use serde_json::{Map, Value, json};
 use thiserror::Error;
 
--- a/crates/badgerfield-node/src/driver.rs
+++ b/crates/badgerfield-node/src/driver.rs
@@ -14,10 +14,10 @@
 use badgerfield_core::ids::{AttemptId, Incarnation, Period, RequestId, ReservationId};
 use badgerfield_core::locality::Location;
 use badgerfield_core::message::Envelope;
-use badgerfield_core::mix::{EngineDemand, EngineDivision};
 use badgerfield_core::refusal::Refusal;
-use badgerfield_core::upstream::VmList;
+use badgerfield_core::request_mix::{EngineDemand, EngineDivision};
 use badgerfield_core::view::{Member, MemberState};
+use badgerfield_core::vm_upstreams::VmList;
 use badgerfield_core::{Command, Config, Event, Node, TICK_INTERVAL};
 use http_body_util::Full;
 use hyper::{Request, Uri};
@@ -25,7 +25,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 use crate::adapter::{KeyValueStore, PlatformAdapter};
-use crate::callers::Outgoing;
+use crate::caller_api::Outgoing;
 use crate::clock::{Clock, StoodStill, SystemClocks, VmClocks};
 use crate::follow;
 use crate::gateway::state::Gateway;
@@ -37,7 +37,7 @@
 use crate::settings::Settings;
 use crate::store_calls::{self, CallKind};
 use crate::sync::lock;
-use crate::upstreams::Upstreams;
+use crate::upstream_client::Upstreams;
 
 /// The part of the grace of a stop, in hundredths, in which new requests are still taken:
 /// callers keep what the directory said for a while.
--- a/crates/badgerfield-node/src/follow.rs
+++ b/crates/badgerfield-node/src/follow.rs
@@ -6,7 +6,7 @@
 use badgerfield_core::amount::Time;
 use badgerfield_core::event::{StoreCall, StoreKey, StoreResult};
 use badgerfield_core::ids::TemplateVersion;
-use badgerfield_core::replica_list::UpstreamListChanges;
+use badgerfield_core::upstream_list::UpstreamListChanges;
 use badgerfield_core::{Event, TICK_INTERVAL};
 
 use crate::adapter::WatchResult;
--- a/crates/badgerfield-node/src/gateway/admit.rs
+++ b/crates/badgerfield-node/src/gateway/admit.rs
@@ -5,8 +5,8 @@
 
 use badgerfield_core::amount::{Time, Tokens};
 use badgerfield_core::ids::Account;
-use badgerfield_core::mix::PromptSize;
 use badgerfield_core::refusal::{Cause, Refusal};
+use badgerfield_core::request_mix::PromptSize;
 use badgerfield_core::residency::{Admission, Residency, ResidencyError};
 use badgerfield_core::routing::{Caller, Route, RouteTable};
 use badgerfield_core::template::KeyDigest;
--- a/crates/badgerfield-node/src/gateway/attempt.rs
+++ b/crates/badgerfield-node/src/gateway/attempt.rs
@@ -6,8 +6,8 @@
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::UpstreamId;
-use badgerfield_core::replicas::{AttemptOutcome, ChosenUpstream};
 use badgerfield_core::routing::Route;
+use badgerfield_core::upstream_table::{AttemptOutcome, ChosenUpstream};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
--- a/crates/badgerfield-node/src/gateway/directory.rs
+++ b/crates/badgerfield-node/src/gateway/directory.rs
@@ -15,7 +15,7 @@
 use serde_json::json;
 
 use crate::adapter::DirectoryRequest;
-use crate::callers::listen;
+use crate::caller_api::listen;
 use crate::driver::{Driver, StartError};
 use crate::gateway::connections::guard;
 use crate::gateway::state::Gateway;
--- a/crates/badgerfield-node/src/gateway/dispatch.rs
+++ b/crates/badgerfield-node/src/gateway/dispatch.rs
@@ -4,8 +4,8 @@
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::refusal::{Cause, Refusal};
-use badgerfield_core::replicas::{ChosenUpstream, UpstreamCriteria};
 use badgerfield_core::residency::Residency;
+use badgerfield_core::upstream_table::{ChosenUpstream, UpstreamCriteria};
 use hyper::StatusCode;
 
 use crate::adapter::UpstreamHeaders;
--- a/crates/badgerfield-node/src/gateway/flow.rs
+++ b/crates/badgerfield-node/src/gateway/flow.rs
@@ -17,10 +17,10 @@
 
 use badgerfield_core::amount::{Time, Tokens};
 use badgerfield_core::ids::{Service, SoftwareVersion, UpstreamId};
-use badgerfield_core::mix::ObservedTiming;
 use badgerfield_core::overload;
 use badgerfield_core::poison::Fingerprint;
 use badgerfield_core::refusal::{Cause, Refusal};
+use badgerfield_core::request_mix::ObservedTiming;
 use badgerfield_core::residency::Admission;
 use badgerfield_core::routing::{Caller, Route, ServiceSpec};
 use bytes::Bytes;
--- a/crates/badgerfield-node/src/gateway/listener.rs
+++ b/crates/badgerfield-node/src/gateway/listener.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::Semaphore;
 
-use crate::callers::listen;
+use crate::caller_api::listen;
 use crate::driver::{Driver, StartError};
 use crate::gateway::connections::guard;
 use crate::gateway::state::Gateway;
--- a/crates/badgerfield-node/src/gateway/record.rs
+++ b/crates/badgerfield-node/src/gateway/record.rs
@@ -6,12 +6,12 @@
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::{Incarnation, SoftwareVersion, TemplateVersion, UpstreamId};
 use badgerfield_core::locality::CrossingReason;
-use badgerfield_core::mix::PromptGroup;
 use badgerfield_core::poison::Fingerprint;
+use badgerfield_core::rate_limit::RateLimit;
 use badgerfield_core::refusal::Refusal;
-use badgerfield_core::replicas::{ChosenUpstream, LimitChange};
-use badgerfield_core::request_limit::RateLimit;
+use badgerfield_core::request_mix::PromptGroup;
 use badgerfield_core::residency::ResidencyError;
+use badgerfield_core::upstream_table::{ChosenUpstream, LimitChange};
 
 use crate::logs::REQUESTS;
 
--- a/crates/badgerfield-node/src/gateway/relay.rs
+++ b/crates/badgerfield-node/src/gateway/relay.rs
@@ -3,7 +3,7 @@
 
 use badgerfield_core::amount::{Time, Tokens};
 use badgerfield_core::event_stream::{EventScanner, MAX_EVENT_BYTES};
-use badgerfield_core::replicas::AttemptOutcome;
+use badgerfield_core::upstream_table::AttemptOutcome;
 use bytes::Bytes;
 use futures::stream;
 use http_body_util::{BodyExt, StreamBody};
--- a/crates/badgerfield-node/src/gateway/state.rs
+++ b/crates/badgerfield-node/src/gateway/state.rs
@@ -6,10 +6,10 @@
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::{TemplateVersion, UpstreamId};
-use badgerfield_core::replicas::UpstreamTable;
 use badgerfield_core::retry_budget::{RetryBudget, RetryLimits};
 use badgerfield_core::rollout::{RolloutRule, RolloutRules};
 use badgerfield_core::routing::RouteTable;
+use badgerfield_core::upstream_table::UpstreamTable;
 use tokio::sync::{Semaphore, watch};
 
 use crate::adapter::RouteAdapter;
--- a/crates/badgerfield-node/src/gateway/statements.rs
+++ b/crates/badgerfield-node/src/gateway/statements.rs
@@ -5,7 +5,7 @@
 
 use badgerfield_core::Event;
 use badgerfield_core::ids::{Incarnation, UpstreamId};
-use badgerfield_core::request_limit::{LimitReport, RateLimit};
+use badgerfield_core::rate_limit::{LimitReport, RateLimit};
 use hyper::{HeaderMap, StatusCode};
 
 use crate::adapter::UpstreamAnnouncement;
--- a/crates/badgerfield-node/src/lib.rs
+++ b/crates/badgerfield-node/src/lib.rs
@@ -5,26 +5,26 @@
 //! carries out the orders that come back. Requests on routes take a way of their own, told in [`gateway`]; what a platform
 //! calls things is translated by an [`adapter`].
 //!
-//! The orders go to [`peers`] (QUIC between the system's processes), [`kv`] (the platform's
-//! key-value service), [`upstreams`] (engines and plain services) and [`callers`]
-//! (HTTP). [`operators`] serves metrics and state. [`settings`] and [`templates`] read
+//! The orders go to [`peers`] (QUIC between the system's processes), [`etcd`] (the platform's
+//! key-value service), [`upstream_client`] (engines and plain services) and [`caller_api`]
+//! (HTTP). [`operator_api`] serves metrics and state. [`settings`] and [`templates`] read
 //! what people write; both list every fault with its place.
 
 pub mod adapter;
-pub mod callers;
+pub mod buffered_log;
+pub mod caller_api;
 mod chat;
 pub mod clock;
 pub mod driver;
+pub mod etcd;
 mod evacuations;
 mod follow;
 pub mod gateway;
 pub mod http;
-pub mod ini;
-pub mod kv;
-pub mod log_lines;
+pub mod ini_file;
 pub mod logs;
 pub mod metrics;
-pub mod operators;
+pub mod operator_api;
 mod peer_traffic;
 pub mod peers;
 mod rollouts;
@@ -33,5 +33,5 @@
 mod suspects;
 pub mod sync;
 pub mod templates;
+pub mod upstream_client;
 mod upstream_list;
-pub mod upstreams;
--- a/crates/badgerfield-node/src/logs.rs
+++ b/crates/badgerfield-node/src/logs.rs
@@ -5,7 +5,7 @@
 use log::{LevelFilter, Log, SetLoggerError};
 use thiserror::Error;
 
-use crate::log_lines::BufferedLog;
+use crate::buffered_log::BufferedLog;
 use crate::settings::LogSettings;
 
 /// Membership, templates and stops.
--- a/crates/badgerfield-node/src/metrics.rs
+++ b/crates/badgerfield-node/src/metrics.rs
@@ -8,8 +8,8 @@
 use badgerfield_core::ids::Service;
 use badgerfield_core::locality::{CrossingReason, Distance};
 use badgerfield_core::refusal::Refusal;
-use badgerfield_core::replicas::SentCounts;
 use badgerfield_core::rollout::{RolloutRule, RolloutTally};
+use badgerfield_core::upstream_table::SentCounts;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
@@ -18,7 +18,7 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-use crate::log_lines;
+use crate::buffered_log;
 use crate::peer_traffic::PeerTraffic;
 use crate::store_calls::StoreCalls;
 
@@ -336,7 +336,7 @@
         self.epoch.set(status.epoch.0);
         self.templates.set(status.template_version.0);
         self.conflicts.set(status.write_counts.0);
-        self.dropped_lines.set(log_lines::dropped_lines());
+        self.dropped_lines.set(buffered_log::dropped_lines());
         for entry in &status.budgets {
             let label = BudgetLabel { budget: entry.budget.to_string() };
             let figures = entry.balance;
--- a/crates/badgerfield-node/src/operators.rs
+++ b/crates/badgerfield-node/src/operator_api.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use badgerfield_core::Status;
-use badgerfield_core::replicas::SentCounts;
 use badgerfield_core::rollout::{RolloutRule, RolloutStatus};
+use badgerfield_core::upstream_table::SentCounts;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -13,7 +13,7 @@
 use hyper_util::rt::TokioIo;
 use serde_json::{Value, json};
 
-use crate::callers::listen;
+use crate::caller_api::listen;
 use crate::driver::{Driver, StartError};
 use crate::http::{self, Body};
 use crate::rollouts::allowance_word;
--- a/crates/badgerfield-node/src/settings.rs
+++ b/crates/badgerfield-node/src/settings.rs
@@ -17,7 +17,7 @@
 use hyper::Uri;
 use log::LevelFilter;
 
-use crate::ini::{IniError, IniFile};
+use crate::ini_file::{IniError, IniFile};
 use crate::peers::FleetSecret;
 
 /// The highest price of bytes, in milliseconds per 1,000: it outweighs every delay that a caller
--- a/crates/badgerfield-node/src/suspects.rs
+++ b/crates/badgerfield-node/src/suspects.rs
@@ -12,7 +12,7 @@
 use badgerfield_core::refusal::{Cause, Refusal};
 use tokio::net::TcpStream;
 
-use crate::callers::{Outgoing, Target};
+use crate::caller_api::{Outgoing, Target};
 use crate::driver::Driver;
 use crate::logs::REQUESTS;
 
--- a/crates/badgerfield-node/src/templates.rs
+++ b/crates/badgerfield-node/src/templates.rs
@@ -8,7 +8,7 @@
 use badgerfield_core::residency::Residency;
 use badgerfield_core::template::{AccountTemplate, BudgetTemplate, KeyDigest, TemplateSet};
 
-use crate::ini::{IniError, IniFile};
+use crate::ini_file::{IniError, IniFile};
 
 /// The output limit of a request that names none, unless the template says otherwise.
 const OUTPUT_LIMIT: Tokens = Tokens(1024);
--- a/crates/badgerfield-node/src/upstreams.rs
+++ b/crates/badgerfield-node/src/upstream_client.rs
@@ -14,7 +14,7 @@
 use badgerfield_core::event::{Chunk, Dispatch, UpstreamEvent, Usage};
 use badgerfield_core::ids::AttemptId;
 use badgerfield_core::message::Head;
-use badgerfield_core::upstream::LoadReport;
+use badgerfield_core::vm_upstreams::LoadReport;
 use bytes::{Buf, Bytes, BytesMut};
 use futures::future::join_all;
 use http_body_util::{BodyExt, Full};
@@ -23,7 +23,7 @@
 use serde_json::Value;
 use tokio::sync::oneshot;
 
-use crate::callers::{Outgoing, Target};
+use crate::caller_api::{Outgoing, Target};
 use crate::chat;
 use crate::driver::Driver;
 use crate::http::{self, HttpClient};
--- a/crates/badgerfield-node/src/upstream_list.rs
+++ b/crates/badgerfield-node/src/upstream_list.rs
@@ -4,8 +4,8 @@
 
 use badgerfield_core::ids::{Incarnation, UpstreamId};
 use badgerfield_core::message::{Message, UpstreamUpdate};
-use badgerfield_core::replica_list::{UpstreamList, UpstreamListChanges};
-use badgerfield_core::replicas::ListGap;
+use badgerfield_core::upstream_list::{UpstreamList, UpstreamListChanges};
+use badgerfield_core::upstream_table::ListGap;
 use badgerfield_core::{Command, Event};
 
 use crate::driver::{Driver, Source};
--- a/crates/badgerfield-node/tests/decoders.rs
+++ b/crates/badgerfield-node/tests/decoders.rs
@@ -5,7 +5,7 @@
 use badgerfield_core::ledger::LedgerShard;
 use badgerfield_core::template::TemplateSet;
 use badgerfield_core::view::View;
-use badgerfield_node::ini::IniFile;
+use badgerfield_node::ini_file::IniFile;
 use badgerfield_node::settings::Settings;
 use badgerfield_node::{peers, templates};
 use proptest::prelude::*;
--- a/crates/badgerfield-node/tests/log_lines.rs
+++ b/crates/badgerfield-node/tests/log_lines.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-use badgerfield_node::log_lines::{BufferedLog, MAX_PENDING_BYTES, dropped_lines};
+use badgerfield_node::buffered_log::{BufferedLog, MAX_PENDING_BYTES, dropped_lines};
 use badgerfield_node::logs::{NODE, REQUESTS};
 use log::{Log, Record};
 
--- a/crates/badgerfield-node/tests/settings.rs
+++ b/crates/badgerfield-node/tests/settings.rs
@@ -6,7 +6,7 @@
 use assert_matches::assert_matches;
 use badgerfield_core::rollout::RolloutBound;
 use badgerfield_core::warm_up::WarmUpBound;
-use badgerfield_node::ini::{IniError, IniFile};
+use badgerfield_node::ini_file::{IniError, IniFile};
 use badgerfield_node::settings::Settings;
 use badgerfield_node::templates;
 
--- a/crates/badgerfield-standin/src/capacity.rs
+++ b/crates/badgerfield-standin/src/capacity.rs
@@ -12,8 +12,8 @@
 use badgerfield_core::ledger::{BudgetTerms, LedgerOp, LedgerShard};
 use badgerfield_core::message::ClaimRequest;
 use badgerfield_core::residency::EVERYWHERE;
-use badgerfield_core::upstream::{VmList, VmUpstreamCriteria as RouteWish, VmUpstreams};
 use badgerfield_core::view::View;
+use badgerfield_core::vm_upstreams::{VmList, VmUpstreamCriteria as RouteWish, VmUpstreams};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/badgerfield-standin/src/engine.rs
+++ b/crates/badgerfield-standin/src/engine.rs
@@ -11,10 +11,10 @@
 use std::time::Duration;
 
 use anyhow::Result;
-use badgerfield_core::upstream::{PREFIX_STEP, prefix_digests};
+use badgerfield_core::vm_upstreams::{PREFIX_STEP, prefix_digests};
 use badgerfield_node::http::Body;
 use badgerfield_node::sync::lock;
-use badgerfield_node::upstreams::STREAM_HEADER;
+use badgerfield_node::upstream_client::STREAM_HEADER;
 use bytes::Bytes;
 use futures::{StreamExt, stream};
 use http_body_util::{BodyExt, StreamBody};
--- a/crates/badgerfield-standin/src/fleet/link.rs
+++ b/crates/badgerfield-standin/src/fleet/link.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use badgerfield_core::adaptive_timeout::AdaptiveTimeout;
 use badgerfield_core::amount::Time;
 use badgerfield_core::event::{StoreCall, StoreResult};
 use badgerfield_core::ids::Incarnation;
-use badgerfield_core::patience::AdaptiveTimeout;
 
 /// The region in which the key-value service stands.
 pub(super) const STORE_REGION: usize = 0;
--- a/crates/badgerfield-standin/src/fleet/shape.rs
+++ b/crates/badgerfield-standin/src/fleet/shape.rs
@@ -8,8 +8,8 @@
 use badgerfield_core::ids::{Incarnation, Period, Region, TemplateVersion};
 use badgerfield_core::residency::Residency;
 use badgerfield_core::template::{AccountTemplate, BudgetTemplate, KeyDigest};
-use badgerfield_core::upstream::VmEntry;
 use badgerfield_core::view::{Member, MemberState};
+use badgerfield_core::vm_upstreams::VmEntry;
 
 use super::upstreams::{self, Upstreams};
 
--- a/crates/badgerfield-standin/src/fleet/upstreams.rs
+++ b/crates/badgerfield-standin/src/fleet/upstreams.rs
@@ -8,7 +8,7 @@
 use badgerfield_core::event::{Chunk, Dispatch, Event, UpstreamEvent, Usage};
 use badgerfield_core::ids::{AttemptId, Incarnation, UpstreamId};
 use badgerfield_core::message::Head;
-use badgerfield_core::upstream::{EngineInfo, UpstreamKind, VmEntry, VmUpstreamInfo};
+use badgerfield_core::vm_upstreams::{EngineInfo, UpstreamKind, VmEntry, VmUpstreamInfo};
 use bytes::Bytes;
 use rand::RngExt;
 
@@ -260,7 +260,8 @@
 
 /// Returns the part of a stream at a place, which its name decides.
 pub(super) fn truth_part(name: &str, place: u64) -> u64 {
-    let digests = badgerfield_core::upstream::prefix_digests(&name.as_bytes().repeat(256)[..256]);
+    let digests =
+        badgerfield_core::vm_upstreams::prefix_digests(&name.as_bytes().repeat(256)[..256]);
     (digests[0] ^ place) >> 1
 }
 
--- a/crates/badgerfield-standin/src/route.rs
+++ b/crates/badgerfield-standin/src/route.rs
@@ -13,7 +13,7 @@
 use badgerfield_core::ids::{Region, UpstreamId};
 use badgerfield_core::residency::EVERYWHERE;
 use badgerfield_core::template::AccountTemplate;
-use badgerfield_core::upstream::{
+use badgerfield_core::vm_upstreams::{
     EngineInfo, LoadReport, UpstreamKind, VmEntry, VmList, VmUpstreamChoice, VmUpstreamCriteria,
     VmUpstreamInfo, VmUpstreams,
 };
@@ -474,7 +474,7 @@
         let Work::Chat(chat) = &job.work else {
             return None;
         };
-        let digest = badgerfield_core::upstream::prefix_digests(
+        let digest = badgerfield_core::vm_upstreams::prefix_digests(
             &chat.prefix_digests[0].to_be_bytes().repeat(32),
         )[0];
         let first = usize::try_from(digest % u64::try_from(ENGINES).ok()?).ok()?;
--- a/crates/badgerfield-standin/src/service.rs
+++ b/crates/badgerfield-standin/src/service.rs
@@ -10,7 +10,7 @@
 use hyper::{Method, StatusCode};
 use serde_json::json;
 
-use badgerfield_node::upstreams::STREAM_HEADER;
+use badgerfield_node::upstream_client::STREAM_HEADER;
 
 use crate::server::{Answer, Read, ok, serve, status};
 
--- a/crates/badgerfield-standin/tests/upstream_list.rs
+++ b/crates/badgerfield-standin/tests/upstream_list.rs
@@ -7,8 +7,8 @@
 use badgerfield_core::event::Command;
 use badgerfield_core::ids::Incarnation;
 use badgerfield_core::message::{Envelope, Heartbeat, Message, UpstreamUpdate};
-use badgerfield_core::mix::{EngineDemand, EngineDivision};
-use badgerfield_core::replica_list::{ListVersion, UpstreamListChanges};
+use badgerfield_core::request_mix::{EngineDemand, EngineDivision};
+use badgerfield_core::upstream_list::{ListVersion, UpstreamListChanges};
 use badgerfield_core::{Event, Node};
 use badgerfield_standin::fleet::{Fleet, Shape};
 
--- a/crates/badgerfield/src/check.rs
+++ b/crates/badgerfield/src/check.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use anyhow::{Result, bail};
-use badgerfield_node::ini::IniError;
+use badgerfield_node::ini_file::IniError;
 use badgerfield_node::settings::Settings;
 use badgerfield_node::templates;
 use clap::ArgMatches;
--- a/crates/badgerfield/src/main.rs
+++ b/crates/badgerfield/src/main.rs
@@ -11,7 +11,7 @@
 
 use std::process::ExitCode;
 
-use badgerfield_node::ini::IniError;
+use badgerfield_node::ini_file::IniError;
 
 /// The command did what it was asked.
 const DONE: u8 = 0;
--- a/crates/badgerfield/src/platform.rs
+++ b/crates/badgerfield/src/platform.rs
@@ -7,7 +7,7 @@
 use badgerfield_core::event::{StoreCall, StoreKey, StoreResult, Versioned};
 use badgerfield_core::template::TemplateSet;
 use badgerfield_node::adapter::KeyValueStore;
-use badgerfield_node::kv::EtcdStore;
+use badgerfield_node::etcd::EtcdStore;
 use badgerfield_node::settings::Settings;
 use clap::ArgMatches;
 
--- a/crates/badgerfield/src/run.rs
+++ b/crates/badgerfield/src/run.rs
@@ -8,11 +8,11 @@
 use anyhow::Result;
 use badgerfield_node::adapter::PlatformAdapter;
 use badgerfield_node::driver::Driver;
+use badgerfield_node::etcd::EtcdStore;
 use badgerfield_node::gateway::listener;
-use badgerfield_node::kv::EtcdStore;
 use badgerfield_node::settings::AdapterKind;
 use badgerfield_node::settings::Settings;
-use badgerfield_node::{callers, logs, operators};
+use badgerfield_node::{caller_api, logs, operator_api};
 use clap::ArgMatches;
 use tokio::runtime::{Builder, Runtime};
 use tokio::signal::unix::{SignalKind, signal};
@@ -35,8 +35,8 @@
     let mut hup = signal(SignalKind::hangup())?;
     let adapter = adapter(&settings)?;
     let driver = Driver::new(settings, adapter)?;
-    operators::serve(std::sync::Arc::clone(&driver)).await?;
-    callers::serve(std::sync::Arc::clone(&driver)).await?;
+    operator_api::serve(std::sync::Arc::clone(&driver)).await?;
+    caller_api::serve(std::sync::Arc::clone(&driver)).await?;
     listener::serve(&driver).await?;
     driver.start();
     loop {
--- a/crates/badgerfield/src/template.rs
+++ b/crates/badgerfield/src/template.rs
@@ -162,7 +162,7 @@
         let view = View::decode(found.value.as_deref())?;
         missing.clear();
         for member in &view.members {
-            let seen = badgerfield_node::callers::fetch_templates_version(member.caller).await;
+            let seen = badgerfield_node::caller_api::fetch_templates_version(member.caller).await;
             if seen.is_none_or(|seen| seen < version) {
                 missing.insert(member.vm.to_string());
             }
