--- a/crates/badgerfield-core/src/membership.rs
+++ b/crates/badgerfield-core/src/membership.rs
@@ -83,7 +83,7 @@
     ranks: Ranks,
     /// How the view has changed of late, for members that are behind.
     pub(crate) view_log: ViewLog,
-    /// The view as the platform had it at `revision`: what a write of the view builds on.
+    /// The view as the platform had it at `stored_revision`: what a write of the view builds on.
     pub(crate) stored: Arc<View>,
     pub(crate) stored_revision: u64,
     pub(crate) stored_known: bool,
