--- a/crates/badgerfield-core/src/handlers/claiming.rs
+++ b/crates/badgerfield-core/src/handlers/claiming.rs
@@ -202,7 +202,7 @@
             }
             ClaimDecision::Wait { hint } => self.hinted(id, hint),
             ClaimDecision::Uncertain => {
-                self.refuse(now, id, Refusal::may_have_run(Cause::KeyLost), out)
+                self.refuse(now, id, Refusal::may_have_run(Cause::KeyLost), out);
             }
         }
     }
--- a/crates/badgerfield-core/src/handlers/reservations.rs
+++ b/crates/badgerfield-core/src/handlers/reservations.rs
@@ -15,11 +15,11 @@
         let reserved = self.state.holdings().reserve(now, &ask.budget, waiter, out);
         match reserved {
             ReserveOutcome::Reserved(period) => {
-                out.push(Command::AnswerReserve(ask.id, Ok(period)))
+                out.push(Command::AnswerReserve(ask.id, Ok(period)));
             }
             ReserveOutcome::Waiting => {}
             ReserveOutcome::Refused(refusal) => {
-                out.push(Command::AnswerReserve(ask.id, Err(refusal)))
+                out.push(Command::AnswerReserve(ask.id, Err(refusal)));
             }
         }
     }
--- a/crates/badgerfield-core/src/node.rs
+++ b/crates/badgerfield-core/src/node.rs
@@ -343,7 +343,7 @@
             }
             Event::Tick => self.tick(now, out),
             Event::RequestArrived(request, arrival) => {
-                self.handle_request(now, request, *arrival, out)
+                self.handle_request(now, request, *arrival, out);
             }
             Event::CallerDisconnected(request) => self.handle_caller_disconnect(now, request, out),
             Event::Upstream(attempt, event) => self.handle_upstream_event(now, attempt, event, out),
@@ -441,7 +441,7 @@
             Message::LedgerRequest(ops) => self.handle_ledger_request(now, ops, out),
             Message::LedgerReplies(replies) => self.apply_ledger_replies(now, from, replies, out),
             Message::TokenRequest(ask) => {
-                self.state.holdings().handle_token_request(now, from, &ask, out)
+                self.state.holdings().handle_token_request(now, from, &ask, out);
             }
             Message::NoTokens { budget, need, reason: lack, .. } => {
                 self.state.holdings().handle_no_tokens(now, from, &budget, (need, lack), out);
@@ -455,7 +455,7 @@
                 self.handle_claim_reply(now, from, (key, serial, epoch), verdict, out);
             }
             Message::ClaimBackup { epoch, claim } => {
-                self.record_claim_backup(now, from, epoch, &claim, out)
+                self.record_claim_backup(now, from, epoch, &claim, out);
             }
             Message::ClaimBackupAck { key, serial, ended } => {
                 self.handle_claim_backup_ack(now, from, (key, RunId(serial), ended), out);
@@ -466,7 +466,7 @@
             Message::Release { key, serial } => self.state.claims().release(from, key, serial),
             Message::SettleRequest(ask) => self.handle_settle_request(now, from, &ask, out),
             Message::SettleReply { id, epoch, billed } => {
-                self.handle_settle_reply(now, id, epoch, billed, out)
+                self.handle_settle_reply(now, id, epoch, billed, out);
             }
             Message::Charges(notes) => self.take_over_charges(now, from, notes, out),
             Message::ChargesAck(ids) => self.handle_charges_ack(&ids),
@@ -491,10 +491,10 @@
             }
             Message::AnswerPart(part) => self.receive_answer_part(now, from, part, out),
             Message::AnswerPending { key, serial } => {
-                self.handle_answer_pending(now, from, key, serial)
+                self.handle_answer_pending(now, from, key, serial);
             }
             Message::UnknownRequest { key, serial } => {
-                self.handle_unknown_request(now, from, key, serial, out)
+                self.handle_unknown_request(now, from, key, serial, out);
             }
         }
     }
--- a/crates/badgerfield-core/src/rollout/tally.rs
+++ b/crates/badgerfield-core/src/rollout/tally.rs
@@ -156,7 +156,7 @@
         match came {
             None => self.count(seen, AnswerCounts { answers: 1, failed: 1, slow: 0 }),
             Some(AnswerSpeed::Normal) => {
-                self.count(seen, AnswerCounts { answers: 0, failed: 1, slow: 0 })
+                self.count(seen, AnswerCounts { answers: 0, failed: 1, slow: 0 });
             }
             Some(AnswerSpeed::Slow) => {}
         }
