--- a/crates/badgerfield-core/src/charges.rs
+++ b/crates/badgerfield-core/src/charges.rs
@@ -4,15 +4,15 @@
 use std::time::Duration;
 
 use crate::amount::Time;
-use crate::event::due;
-use crate::message::{ChargeId, ChargeNote, ClaimRecord, Progress, SettleAsk};
+use crate::event::is_due;
+use crate::message::{ChargeId, ClaimProgress, ClaimRecord, PendingCharge, SettleRequest};
 
 /// How often an arbiter is asked again whether a charge may be billed.
 const RESEND: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
 struct Entry {
-    note: ChargeNote,
+    note: PendingCharge,
     since: Time,
     sent: Option<Time>,
 }
@@ -37,17 +37,17 @@
     }
 
     /// Tells whether a charge waits.
-    pub(crate) fn has(&self, id: ChargeId) -> bool {
+    pub(crate) fn contains(&self, id: ChargeId) -> bool {
         self.open.contains_key(&id)
     }
 
     /// Adds an own charge.
-    pub(crate) fn add(&mut self, now: Time, note: ChargeNote) {
+    pub(crate) fn add(&mut self, now: Time, note: PendingCharge) {
         self.open.insert(note.id, Entry { note, since: now, sent: None });
     }
 
     /// Takes over charges of a process that stops.
-    pub(crate) fn take_over(&mut self, now: Time, notes: Vec<ChargeNote>) {
+    pub(crate) fn take_over(&mut self, now: Time, notes: Vec<PendingCharge>) {
         for note in notes {
             if self.taken.insert(note.id, now).is_none() {
                 self.add(now, note);
@@ -56,16 +56,16 @@
     }
 
     /// Returns what the arbiters are to be asked.
-    pub(crate) fn asks(&mut self, now: Time) -> Vec<SettleAsk> {
+    pub(crate) fn due_requests(&mut self, now: Time) -> Vec<SettleRequest> {
         let mut asks = Vec::new();
         for entry in self.open.values_mut() {
-            if !due(now, entry.sent, RESEND) {
+            if !is_due(now, entry.sent, RESEND) {
                 continue;
             }
             entry.sent = Some(now);
             let note = &entry.note;
             let (id, key, home, cost) = (note.id, note.key, note.home.clone(), note.cost);
-            asks.push(SettleAsk { key, home, id, cost });
+            asks.push(SettleRequest { key, home, id, cost });
         }
         asks
     }
@@ -77,27 +77,27 @@
     }
 
     /// Returns what is to be remembered about a charge that is billed.
-    pub(crate) fn record(&self, id: ChargeId) -> Option<ClaimRecord> {
+    pub(crate) fn claim_record(&self, id: ChargeId) -> Option<ClaimRecord> {
         let note = &self.open.get(&id)?.note;
         Some(ClaimRecord {
             key: note.key,
             home: note.home.clone(),
             owner: id.owner,
             serial: id.serial,
-            turn: 0,
-            once: false,
-            progress: Progress::Ended(note.cost),
+            owner_changes: 0,
+            at_most_once: false,
+            progress: ClaimProgress::Ended(note.cost),
         })
     }
 
     /// Ends a charge.
-    pub(crate) fn end(&mut self, id: ChargeId) -> Option<ChargeNote> {
+    pub(crate) fn remove(&mut self, id: ChargeId) -> Option<PendingCharge> {
         self.open.remove(&id).map(|entry| entry.note)
     }
 
     /// Returns all charges, to hand them over; nothing if that was done just now.
-    pub(crate) fn hand_over(&mut self, now: Time) -> Vec<ChargeNote> {
-        if !due(now, self.handed, RESEND) {
+    pub(crate) fn due_handover(&mut self, now: Time) -> Vec<PendingCharge> {
+        if !is_due(now, self.handed, RESEND) {
             return Vec::new();
         }
         self.handed = Some(now);
--- a/crates/badgerfield-core/src/claims/mod.rs
+++ b/crates/badgerfield-core/src/claims/mod.rs
@@ -15,7 +15,9 @@
 use crate::confirmations::Confirmations;
 use crate::event::Outbox;
 use crate::ids::{Epoch, Incarnation, Region, RequestKey, UpstreamId};
-use crate::message::{ChargeId, ClaimAsk, ClaimRecord, Message, Progress, SettleAsk, Verdict};
+use crate::message::{
+    ChargeId, ClaimDecision, ClaimProgress, ClaimRecord, ClaimRequest, Message, SettleRequest,
+};
 use crate::view::View;
 use handover::Moving;
 
@@ -41,7 +43,7 @@
         /// The arbiter's epoch.
         epoch: Epoch,
         /// What to tell it.
-        verdict: Verdict,
+        verdict: ClaimDecision,
     },
     /// The charge is the owner's to bill.
     Billed {
@@ -89,7 +91,7 @@
 
     /// Returns the newest epoch whose hand-overs are all here.
     #[must_use]
-    pub fn complete(&self) -> Epoch {
+    pub fn complete_epoch(&self) -> Epoch {
         self.complete
     }
 
@@ -116,11 +118,11 @@
         &mut self,
         now: Time,
         from: Incarnation,
-        ask: &ClaimAsk,
+        ask: &ClaimRequest,
         out: &mut Outbox,
-    ) -> Option<Verdict> {
+    ) -> Option<ClaimDecision> {
         if ask.epoch != self.view.epoch || !self.answers_for(ask.key, ask.home.as_ref()) {
-            return Some(Verdict::Wait { hint: self.hint(ask.key) });
+            return Some(ClaimDecision::Wait { hint: self.hint(ask.key) });
         }
         if let Some(verdict) = self.settled_verdict(now, from, ask) {
             return Some(verdict);
@@ -134,7 +136,7 @@
             return Some(granted(&claim));
         };
         let epoch = self.view.epoch;
-        out.send(keeper, Message::Copy { epoch, claim });
+        out.send(keeper, Message::ClaimBackup { epoch, claim });
         None
     }
 
@@ -145,49 +147,54 @@
     }
 
     /// Records the wish where it may be granted, and returns any other verdict.
-    fn settled_verdict(&mut self, now: Time, from: Incarnation, ask: &ClaimAsk) -> Option<Verdict> {
+    fn settled_verdict(
+        &mut self,
+        now: Time,
+        from: Incarnation,
+        ask: &ClaimRequest,
+    ) -> Option<ClaimDecision> {
         let Some(entry) = self.entries.get_mut(&ask.key) else {
-            if ask.once && self.is_doubtful(now, ask.key, ask.home.as_ref()) {
-                return Some(Verdict::Doubtful);
+            if ask.at_most_once && self.is_doubtful(now, ask.key, ask.home.as_ref()) {
+                return Some(ClaimDecision::Uncertain);
             }
-            self.record(now, from, ask, 0, Progress::Held);
+            self.record(now, from, ask, 0, ClaimProgress::Held);
             return None;
         };
         let record = &entry.record;
         if record.owner == from && record.serial == ask.serial {
             return None;
         }
-        let ended = matches!(record.progress, Progress::Ended(_));
-        let replaces = ask.over == Some((record.owner, record.serial));
+        let ended = matches!(record.progress, ClaimProgress::Ended(_));
+        let replaces = ask.replaces == Some((record.owner, record.serial));
         if replaces && !ended {
             let progress = record.progress.clone();
-            let (turn, once) = (record.turn + 1, record.once);
+            let (turn, once) = (record.owner_changes + 1, record.at_most_once);
             // An unrepeatable request that may have run elsewhere can only be resumed.
-            if once && progress == Progress::Held {
-                return Some(Verdict::Doubtful);
+            if once && progress == ClaimProgress::Held {
+                return Some(ClaimDecision::Uncertain);
             }
             self.record(now, from, ask, turn, progress);
             return None;
         }
         let upstream = upstream(&record.progress);
-        Some(Verdict::Owned { owner: record.owner, serial: record.serial, upstream, ended })
+        Some(ClaimDecision::Owned { owner: record.owner, serial: record.serial, upstream, ended })
     }
 
     fn record(
         &mut self,
         now: Time,
         from: Incarnation,
-        ask: &ClaimAsk,
+        ask: &ClaimRequest,
         turn: u32,
-        progress: Progress,
+        progress: ClaimProgress,
     ) {
         let record = ClaimRecord {
             key: ask.key,
             home: ask.home.clone(),
             owner: from,
             serial: ask.serial,
-            turn,
-            once: ask.once,
+            owner_changes: turn,
+            at_most_once: ask.at_most_once,
             progress,
         };
         // An asker in the home region remembers the claim itself.
@@ -215,7 +222,7 @@
     }
 
     fn is_doubtful(&self, now: Time, key: RequestKey, home: Option<&Region>) -> bool {
-        let Some(epoch) = self.view.doubts(key, home) else {
+        let Some(epoch) = self.view.uncertain_since(key, home) else {
             return false;
         };
         let seen = self.doubted.get(&epoch).copied().unwrap_or(now);
@@ -235,7 +242,7 @@
     /// Remembers a claim of which this process is the asker, or the second keeper.
     ///
     /// Refuses what an arbiter of another epoch decided.
-    pub fn keep(&mut self, now: Time, epoch: Epoch, record: &ClaimRecord) -> bool {
+    pub fn record_claim(&mut self, now: Time, epoch: Epoch, record: &ClaimRecord) -> bool {
         if epoch != self.view.epoch {
             return false;
         }
@@ -271,7 +278,7 @@
     }
 
     /// Notes that the owner is about to send the request to an upstream.
-    pub fn dispatching(
+    pub fn record_dispatch(
         &mut self,
         now: Time,
         from: Incarnation,
@@ -282,10 +289,10 @@
         let Some(entry) = self.owned(from, key, serial) else {
             return;
         };
-        if matches!(entry.record.progress, Progress::Ended(_)) {
+        if matches!(entry.record.progress, ClaimProgress::Ended(_)) {
             return;
         }
-        entry.record.progress = Progress::Dispatched(to);
+        entry.record.progress = ClaimProgress::Dispatched(to);
         entry.changed = now;
     }
 
@@ -295,9 +302,9 @@
             return;
         };
         let may = match entry.record.progress {
-            Progress::Held => true,
-            Progress::Dispatched(_) => !entry.record.once,
-            Progress::Ended(_) => false,
+            ClaimProgress::Held => true,
+            ClaimProgress::Dispatched(_) => !entry.record.at_most_once,
+            ClaimProgress::Ended(_) => false,
         };
         if may {
             self.entries.remove(&key);
@@ -308,9 +315,9 @@
     ///
     /// A word of an arbiter of another epoch does not count: a new arbiter may not know.
     pub fn agreed(&mut self, now: Time, epoch: Epoch, record: &ClaimRecord) -> bool {
-        let turn = self.entries.get(&record.key).map_or(0, |e| e.record.turn);
-        let record = ClaimRecord { turn, ..record.clone() };
-        self.keep(now, epoch, &record)
+        let turn = self.entries.get(&record.key).map_or(0, |e| e.record.owner_changes);
+        let record = ClaimRecord { owner_changes: turn, ..record.clone() };
+        self.record_claim(now, epoch, &record)
     }
 
     /// Ends a claim; tells whether the charge is the owner's to bill, once that is sure.
@@ -318,7 +325,7 @@
         &mut self,
         now: Time,
         from: Incarnation,
-        ask: &SettleAsk,
+        ask: &SettleRequest,
         out: &mut Outbox,
     ) -> Option<bool> {
         let home = ask.home.as_ref();
@@ -331,9 +338,9 @@
             home: ask.home.clone(),
             owner: ask.id.owner,
             serial: ask.id.serial,
-            turn: self.entries.get(&ask.key).map_or(0, |e| e.record.turn),
-            once: false,
-            progress: Progress::Ended(ask.cost),
+            owner_changes: self.entries.get(&ask.key).map_or(0, |e| e.record.owner_changes),
+            at_most_once: false,
+            progress: ClaimProgress::Ended(ask.cost),
         };
         let near = (keeper.is_none() && from != self.me).then_some(from);
         let copied = keeper.is_none();
@@ -355,9 +362,9 @@
             }
             // Whoever ends first bills: an owner that has not ended may still be refused.
             Some(entry) => {
-                let once = entry.record.once;
+                let once = entry.record.at_most_once;
                 *entry = fresh;
-                entry.record.once = once;
+                entry.record.at_most_once = once;
             }
         }
         let entry = self.entries.get_mut(&ask.key)?;
@@ -367,7 +374,7 @@
         }
         if let Some(keeper) = keeper {
             let (epoch, claim) = (self.view.epoch, entry.record.clone());
-            out.send(keeper, Message::Copy { epoch, claim });
+            out.send(keeper, Message::ClaimBackup { epoch, claim });
         }
         None
     }
@@ -386,7 +393,7 @@
     /// Takes in a record that another member remembers too, unless a later one is here.
     fn merge(&mut self, now: Time, from: Incarnation, record: &ClaimRecord) {
         let keeper = (from != self.me).then_some(from);
-        let rank = |r: &ClaimRecord| (r.turn, r.progress.clone());
+        let rank = |r: &ClaimRecord| (r.owner_changes, r.progress.clone());
         if let Some(entry) = self.entries.get_mut(&record.key)
             && rank(&entry.record) >= rank(record)
         {
@@ -405,15 +412,18 @@
     }
 }
 
-fn upstream(progress: &Progress) -> Option<UpstreamId> {
+fn upstream(progress: &ClaimProgress) -> Option<UpstreamId> {
     match progress {
-        Progress::Dispatched(upstream) => Some(upstream.clone()),
-        Progress::Held | Progress::Ended(_) => None,
+        ClaimProgress::Dispatched(upstream) => Some(upstream.clone()),
+        ClaimProgress::Held | ClaimProgress::Ended(_) => None,
     }
 }
 
-fn granted(record: &ClaimRecord) -> Verdict {
-    Verdict::Granted { earlier: upstream(&record.progress), turn: record.turn }
+fn granted(record: &ClaimRecord) -> ClaimDecision {
+    ClaimDecision::Granted {
+        previous_upstream: upstream(&record.progress),
+        owner_changes: record.owner_changes,
+    }
 }
 
 /// Returns the arbiter and the second keeper of a key.
--- a/crates/badgerfield-core/src/evacuation.rs
+++ b/crates/badgerfield-core/src/evacuation.rs
@@ -37,7 +37,7 @@
 impl Evacuations {
     /// Takes in changes, in any order; returns those after which a domain is evacuated that was
     /// not, or the other way round.
-    pub fn learn(&mut self, changes: impl IntoIterator<Item = DomainChange>) -> Vec<DomainChange> {
+    pub fn apply(&mut self, changes: impl IntoIterator<Item = DomainChange>) -> Vec<DomainChange> {
         let mut turned = Vec::new();
         for change in changes {
             let known = self.changes.get(&change.domain);
@@ -56,8 +56,12 @@
 
     /// Takes in all domains that were evacuated at a revision: any other was taken back by then.
     ///
-    /// Returns what [`Evacuations::learn`] does.
-    pub fn learn_all(&mut self, revision: u64, evacuated: Vec<DomainChange>) -> Vec<DomainChange> {
+    /// Returns what [`Evacuations::apply`] does.
+    pub fn apply_snapshot(
+        &mut self,
+        revision: u64,
+        evacuated: Vec<DomainChange>,
+    ) -> Vec<DomainChange> {
         let is_missing = |domain: &Domain| evacuated.iter().all(|change| change.domain != *domain);
         let back = |known: &DomainChange| DomainChange {
             domain: known.domain.clone(),
@@ -70,7 +74,7 @@
             .filter(|known| known.evacuated && is_missing(&known.domain))
             .map(back)
             .collect();
-        self.learn(evacuated.into_iter().chain(taken_back))
+        self.apply(evacuated.into_iter().chain(taken_back))
     }
 
     /// Returns every change that is known, for processes that may know less.
--- a/crates/badgerfield-core/src/control/admission.rs
+++ b/crates/badgerfield-core/src/handlers/admission.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use crate::amount::{Time, Tokens};
-use crate::event::{Answer, Arrival, Outbox, Work};
+use crate::event::{Answer, IncomingRequest, Outbox, Work};
 use crate::ids::{Account, BudgetId, Period, RequestId, RequestKey};
 use crate::node::Node;
 use crate::refusal::{Cause, Outcome, Refusal};
-use crate::runs::{Claimed, Keyed, Listener, Run, Stage};
-use crate::template::{AccountTemplate, KeyDigest, MAX_OUTPUT, TemplateSet, account_name};
+use crate::runs::{Claimed, Listener, Run, RunKey, Stage};
+use crate::template::{AccountTemplate, KeyDigest, MAX_OUTPUT_TOKENS, TemplateSet, account_name};
 
 /// What marks a key that names the region that decides about it, as `@region:key`.
 const HOME_MARK: char = '@';
@@ -26,17 +26,17 @@
 impl Node {
     /// Returns the account that a secret draws for, if there is one.
     #[must_use]
-    pub fn account_of(&self, secret: &KeyDigest) -> Option<Account> {
-        let (budget, _) = find_budget(&self.board.templates(), secret)?;
+    pub fn find_account(&self, secret: &KeyDigest) -> Option<Account> {
+        let (budget, _) = find_budget(&self.state.templates(), secret)?;
         account_name(&budget).parse().ok()
     }
 
     /// Takes in a caller's request.
-    pub(crate) fn arrived(
+    pub(crate) fn handle_request(
         &self,
         now: Time,
         request: RequestId,
-        arrival: Arrival,
+        arrival: IncomingRequest,
         out: &mut Outbox,
     ) {
         let keyed = arrival.key.is_some();
@@ -52,11 +52,16 @@
         }
     }
 
-    fn admit(&self, now: Time, request: RequestId, arrival: Arrival) -> Result<Run, Refusal> {
+    fn admit(
+        &self,
+        now: Time,
+        request: RequestId,
+        arrival: IncomingRequest,
+    ) -> Result<Run, Refusal> {
         self.check_open(now)?;
         let admitted = self.look_up(&arrival)?;
         let keyed = arrival.key.as_deref().map(|key| keyed(key, &admitted));
-        let once = arrival.once || forbids_repeats(&admitted.template, &arrival.work);
+        let once = arrival.at_most_once || forbids_repeats(&admitted.template, &arrival.work);
         if once && keyed.is_none() {
             return Err(Refusal::not_run(Cause::KeyMissing));
         }
@@ -69,7 +74,7 @@
             return Err(Refusal::not_run(Cause::NoRegionAllowed));
         }
         let wait = arrival
-            .patience
+            .max_wait
             .unwrap_or(admitted.template.queue_wait)
             .min(admitted.template.queue_wait);
         let claimed = if keyed.is_some() { Claimed::Open } else { Claimed::Unneeded };
@@ -101,25 +106,26 @@
     }
 
     fn check_open(&self, now: Time) -> Result<(), Refusal> {
-        let members = self.board.members();
-        let closed =
-            members.stopping.is_some_and(|since| now.since(since) >= self.config.directory_ttl);
+        let members = self.state.membership();
+        let closed = members
+            .stopping_since
+            .is_some_and(|since| now.since(since) >= self.config.directory_ttl);
         if closed || members.removed {
-            return Err(Refusal::not_run(Cause::Stopping).after(ELSEWHERE));
+            return Err(Refusal::not_run(Cause::Stopping).with_retry_after(ELSEWHERE));
         }
         if !members.is_member() {
-            return Err(Refusal::not_run(Cause::NotReady).after(ELSEWHERE));
+            return Err(Refusal::not_run(Cause::NotReady).with_retry_after(ELSEWHERE));
         }
         Ok(())
     }
 
-    fn look_up(&self, arrival: &Arrival) -> Result<Admitted, Refusal> {
-        let templates = self.board.templates();
+    fn look_up(&self, arrival: &IncomingRequest) -> Result<Admitted, Refusal> {
+        let templates = self.state.templates();
         if templates.version.0 == 0 {
-            return Err(Refusal::not_run(Cause::NotReady).after(ELSEWHERE));
+            return Err(Refusal::not_run(Cause::NotReady).with_retry_after(ELSEWHERE));
         }
         let unknown = Refusal::not_run(Cause::UnknownCaller);
-        let found = find_budget(&templates, &arrival.secret).ok_or(unknown)?;
+        let found = find_budget(&templates, &arrival.secret_digest).ok_or(unknown)?;
         let template = templates.account_of(&found.0).ok_or(unknown)?.clone();
         let account = account_name(&found.0).parse().map_err(|_| unknown)?;
         Ok(Admitted { account, budget: found.0, period: found.1, template })
@@ -128,7 +134,7 @@
     /// Lets a request listen to a run with the same key, or starts a run for it.
     fn join_or_start(&self, now: Time, request: RequestId, run: Run, out: &mut Outbox) {
         let (id, fresh) = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let same = run.keyed.as_ref().and_then(|k| runs.with_key(k.key));
             match same {
                 Some(id) => {
@@ -152,11 +158,11 @@
     Some((found.0.clone(), found.1.period))
 }
 
-fn keyed(key: &str, admitted: &Admitted) -> Keyed {
+fn keyed(key: &str, admitted: &Admitted) -> RunKey {
     let named = key.strip_prefix(HOME_MARK).and_then(|rest| rest.split_once(':'));
     let home = named.and_then(|(region, _)| region.parse().ok());
     let home = home.or_else(|| admitted.template.home.clone());
-    Keyed { key: RequestKey::new(&admitted.budget, key), home }
+    RunKey { key: RequestKey::new(&admitted.budget, key), home }
 }
 
 fn forbids_repeats(template: &AccountTemplate, work: &Work) -> bool {
@@ -183,10 +189,10 @@
         return Ok((template.call_cost, Tokens::ZERO));
     };
     let bad = Refusal::not_run(Cause::BadOutput);
-    let output = chat.output.unwrap_or(template.output_limit);
-    if output.is_zero() || output > MAX_OUTPUT {
+    let output = chat.output_limit.unwrap_or(template.output_limit);
+    if output.is_zero() || output > MAX_OUTPUT_TOKENS {
         return Err(bad);
     }
-    let bound = chat.prompt.plus(output).ok_or(bad)?;
+    let bound = chat.prompt_tokens.checked_add(output).ok_or(bad)?;
     Ok((bound, output))
 }
--- a/crates/badgerfield-core/src/control/answer.rs
+++ b/crates/badgerfield-core/src/handlers/answer.rs
@@ -1,16 +1,16 @@
 //! Answers: passes what upstreams say to callers and followers, whole and in order.
 
 use crate::amount::{Time, Tokens};
-use crate::event::{Answer, Chunk, Order, Outbox, UpstreamEvent, Usage, Work};
+use crate::event::{Answer, Chunk, Command, Outbox, UpstreamEvent, Usage, Work};
 use crate::ids::{AttemptId, RequestId, RunId, UpstreamId};
-use crate::message::{AnswerPart, Content, Head, Message};
+use crate::message::{AnswerPart, Head, Message, PartContent};
 use crate::node::Node;
 use crate::refusal::{Cause, Outcome, Refusal};
 use crate::runs::{Claimed, Run, Stage};
 
 impl Node {
     /// Takes in what an upstream said about an attempt.
-    pub(crate) fn upstream(
+    pub(crate) fn handle_upstream_event(
         &self,
         now: Time,
         attempt: AttemptId,
@@ -29,14 +29,14 @@
             }
             UpstreamEvent::NotSent => {
                 if let Some((id, upstream)) = self.over(now, attempt) {
-                    self.board.upstreams().failed(now, &upstream);
+                    self.state.upstreams().record_failure(now, &upstream);
                     self.not_taken(now, id, out);
                 }
             }
             UpstreamEvent::Busy(rest) => {
                 if let Some((id, upstream)) = self.over(now, attempt) {
-                    self.board.upstreams().failed(now, &upstream);
-                    self.board.upstreams().rest(now, &upstream, rest.unwrap_or_default());
+                    self.state.upstreams().record_failure(now, &upstream);
+                    self.state.upstreams().back_off(now, &upstream, rest.unwrap_or_default());
                     self.not_taken(now, id, out);
                 }
             }
@@ -47,7 +47,7 @@
             }
             UpstreamEvent::Broken => {
                 if let Some((id, upstream)) = self.over(now, attempt) {
-                    self.board.upstreams().failed(now, &upstream);
+                    self.state.upstreams().record_failure(now, &upstream);
                     self.resume_broken(now, id, &upstream, out);
                 }
             }
@@ -55,9 +55,9 @@
     }
 
     /// Takes in that a caller has hung up.
-    pub(crate) fn hung_up(&self, now: Time, request: RequestId, out: &mut Outbox) {
+    pub(crate) fn handle_caller_disconnect(&self, now: Time, request: RequestId, out: &mut Outbox) {
         let (id, attempt) = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some((id, listening)) = runs.hang_up(request) else {
                 return;
             };
@@ -74,14 +74,14 @@
             }
         };
         match attempt {
-            Some(attempt) => out.push(Order::Cancel(attempt)),
+            Some(attempt) => out.push(Command::Cancel(attempt)),
             None => self.refuse(now, id, Refusal::not_run(Cause::BrokenOff), out),
         }
     }
 
     /// Sends every listener and follower what it has not got.
     pub(crate) fn deliver(&self, id: RunId, out: &mut Outbox) {
-        let mut runs = self.board.runs();
+        let mut runs = self.state.runs();
         let Some(run) = runs.get_mut(id) else {
             return;
         };
@@ -98,7 +98,7 @@
             for (place, content) in run.parts.iter().enumerate().skip(*next) {
                 let offset = u64::try_from(place).unwrap_or(u64::MAX);
                 let (key, serial, content) = (keyed.key, id.0, content.clone());
-                out.send(*to, Message::Part(AnswerPart { key, serial, offset, content }));
+                out.send(*to, Message::AnswerPart(AnswerPart { key, serial, offset, content }));
             }
             *next = run.parts.len();
         }
@@ -106,7 +106,7 @@
 
     /// Ends a run without an answer: every listener gets the refusal at once.
     pub(crate) fn refuse(&self, now: Time, id: RunId, refusal: Refusal, out: &mut Outbox) {
-        let Some(run) = self.board.runs().remove(id) else {
+        let Some(run) = self.state.runs().remove(id) else {
             return;
         };
         let refusal = truthful(&run, refusal);
@@ -119,20 +119,20 @@
             let (key, serial) = (keyed.key, id.0);
             for (to, next) in &run.followers {
                 if *next == 0 {
-                    out.send(*to, Message::NotHere { key, serial });
+                    out.send(*to, Message::UnknownRequest { key, serial });
                     continue;
                 }
                 let offset = u64::try_from(run.parts.len()).unwrap_or(u64::MAX);
-                let content = Content::Broken;
-                out.send(*to, Message::Part(AnswerPart { key, serial, offset, content }));
+                let content = PartContent::Broken;
+                out.send(*to, Message::AnswerPart(AnswerPart { key, serial, offset, content }));
             }
             if !matches!(run.claimed, Claimed::Open) {
                 self.release(keyed, id, out);
             }
         }
-        self.board.queue().remove(&run.account, id);
-        let mut holdings = self.board.holdings();
-        holdings.withdraw(&run.budget, id);
+        self.state.queue().remove(&run.account, id);
+        let mut holdings = self.state.holdings();
+        holdings.cancel_request(&run.budget, id);
         if !run.reserved.is_zero() {
             holdings.settle(now, &run.budget, run.period, run.reserved, Tokens::ZERO);
         }
@@ -144,22 +144,22 @@
     /// Nothing is billed: the caller has no whole answer.
     pub(crate) fn give_up(&self, now: Time, id: RunId, out: &mut Outbox) {
         {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
             let reserved = std::mem::take(&mut run.reserved);
-            let mut holdings = self.board.holdings();
+            let mut holdings = self.state.holdings();
             holdings.settle(now, &run.budget, run.period, reserved, reserved);
-            holdings.charge(&run.budget, run.period, reserved, false);
+            holdings.record_charge(&run.budget, run.period, reserved, false);
         }
-        self.refuse(now, id, Refusal::unknown(Cause::BrokenOff), out);
+        self.refuse(now, id, Refusal::may_have_run(Cause::BrokenOff), out);
     }
 
     /// Goes on without a stream that the upstream does not have.
     pub(crate) fn no_stream(&self, now: Time, id: RunId, out: &mut Outbox) {
         let anew = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
@@ -171,9 +171,9 @@
             return;
         }
         let once =
-            self.board.runs().get_mut(id).is_some_and(|run| run.once && run.parts.is_empty());
+            self.state.runs().get_mut(id).is_some_and(|run| run.once && run.parts.is_empty());
         if once {
-            self.refuse(now, id, Refusal::unknown(Cause::KeyLost), out);
+            self.refuse(now, id, Refusal::may_have_run(Cause::KeyLost), out);
             return;
         }
         self.give_up(now, id, out);
@@ -181,7 +181,7 @@
 
     fn not_taken(&self, now: Time, id: RunId, out: &mut Outbox) {
         let (begun, resumed) = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
@@ -200,14 +200,14 @@
 
     fn head(&self, now: Time, attempt: AttemptId, head: Head, out: &mut Outbox) {
         let id = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some((id, run)) = runs.of_attempt(attempt) else {
                 return;
             };
             if run.has_head() {
                 return;
             }
-            run.push(Content::Head(head));
+            run.push(PartContent::Head(head));
             id
         };
         let _ = now;
@@ -216,7 +216,7 @@
 
     fn chunk(&self, now: Time, attempt: AttemptId, chunk: Chunk, out: &mut Outbox) {
         let (id, first, served) = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some((id, run)) = runs.of_attempt(attempt) else {
                 return;
             };
@@ -232,8 +232,8 @@
             }
             let before = run.usage.unwrap_or_default().output;
             run.usage = chunk.usage.or(run.usage);
-            let served = run.usage.unwrap_or_default().output.saturating_minus(before);
-            run.push(Content::Data(chunk.data));
+            let served = run.usage.unwrap_or_default().output.saturating_sub(before);
+            run.push(PartContent::Data(chunk.data));
             let Stage::Running { upstream, at, started, .. } = &mut run.stage else {
                 return;
             };
@@ -242,16 +242,16 @@
             (id, first, (run.account.clone(), run.priority, served))
         };
         if let Some((upstream, took, work)) = first {
-            self.board.upstreams().first(&upstream, &work, took);
+            self.state.upstreams().record_first_token(&upstream, &work, took);
         }
         let (account, priority, tokens) = served;
-        self.board.queue().serve(&account, priority, tokens);
+        self.state.queue().count_tokens(&account, priority, tokens);
         self.deliver(id, out);
     }
 
     /// Tells whether all parts of an answer that has ended are here.
     fn is_whole(&self, attempt: AttemptId, parts: u64) -> bool {
-        let mut runs = self.board.runs();
+        let mut runs = self.state.runs();
         runs.of_attempt(attempt).is_none_or(|(_, run)| run.next_chunk() >= parts)
     }
 
@@ -273,7 +273,7 @@
             return;
         };
         let cost = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
@@ -283,7 +283,7 @@
                 Work::Chat(_) => usage.map_or(run.bound, Usage::cost),
                 Work::Call(_) => run.bound,
             };
-            run.push(Content::End(cost));
+            run.push(PartContent::End(cost));
             runs.end(now, id);
             cost
         };
@@ -294,7 +294,7 @@
     /// Ends an attempt; returns its run and upstream if it was the run's present one.
     fn over(&self, now: Time, attempt: AttemptId) -> Option<(RunId, UpstreamId)> {
         let (id, upstream, account, work, started) = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let (id, run) = runs.of_attempt(attempt)?;
             let Stage::Running { upstream, started, .. } = &run.stage else {
                 return None;
@@ -306,12 +306,12 @@
     }
 }
 
-fn answer(part: &Content) -> Answer {
+fn answer(part: &PartContent) -> Answer {
     match part {
-        Content::Head(head) => Answer::Head(head.clone()),
-        Content::Data(data) => Answer::Data(data.clone()),
-        Content::End(cost) => Answer::End(*cost),
-        Content::Broken => Answer::Broken(Refusal::unknown(Cause::BrokenOff)),
+        PartContent::Head(head) => Answer::Head(head.clone()),
+        PartContent::Data(data) => Answer::Data(data.clone()),
+        PartContent::End(cost) => Answer::End(*cost),
+        PartContent::Broken => Answer::Broken(Refusal::may_have_run(Cause::BrokenOff)),
     }
 }
 
--- a/crates/badgerfield-core/src/control/dispatch.rs
+++ b/crates/badgerfield-core/src/handlers/dispatch.rs
@@ -4,14 +4,14 @@
 use std::time::Duration;
 
 use crate::amount::{Time, Tokens};
-use crate::event::{Dispatch, Order, Outbox, Work};
+use crate::event::{Command, Dispatch, Outbox, Work};
 use crate::ids::{Account, AttemptId, RunId, UpstreamId};
 use crate::message::Message;
 use crate::node::Node;
-use crate::queue::Waiting;
+use crate::queue::QueuedRequest;
 use crate::refusal::{Cause, Refusal};
 use crate::runs::{Run, Stage};
-use crate::upstream::{Choice, Wish};
+use crate::vm_upstreams::{VmUpstreamChoice, VmUpstreamCriteria};
 
 /// How often a request may be sent again after an upstream did not take it.
 const MAX_TRIES: u32 = 3;
@@ -26,83 +26,90 @@
     /// Puts a run into the queue, or refuses it if it would wait too long.
     pub(crate) fn enqueue(&self, now: Time, id: RunId, out: &mut Outbox) {
         let (account, until) = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
             run.stage = Stage::Queued;
             (run.account.clone(), run.until)
         };
-        self.board.queue().push(&account, Waiting { run: id, until });
-        self.pump(now, out);
-        let wait = self.board.queue().wait(now, &account, id);
+        self.state.queue().push(&account, QueuedRequest { run: id, deadline: until });
+        self.dispatch_queued(now, out);
+        let wait = self.state.queue().wait(now, &account, id);
         let patience = until.since(now);
         if let Some(wait) = wait.filter(|wait| *wait > patience) {
             let after = wait.saturating_sub(patience).clamp(BACK.0, BACK.1);
-            self.refuse(now, id, Refusal::not_run(Cause::Overloaded).after(after), out);
+            self.refuse(now, id, Refusal::not_run(Cause::Overloaded).with_retry_after(after), out);
         }
     }
 
     /// Refuses what has waited too long.
-    pub(crate) fn queue_tick(&self, now: Time, out: &mut Outbox) {
-        let expired = self.board.queue().expired(now);
+    pub(crate) fn tick_queue(&self, now: Time, out: &mut Outbox) {
+        let expired = self.state.queue().expired(now);
         for id in expired {
-            self.refuse(now, id, Refusal::not_run(Cause::Overloaded).after(BACK.0), out);
+            self.refuse(now, id, Refusal::not_run(Cause::Overloaded).with_retry_after(BACK.0), out);
         }
     }
 
     /// Sends as many waiting requests as upstreams take, in fair order.
-    pub(crate) fn pump(&self, now: Time, out: &mut Outbox) {
+    pub(crate) fn dispatch_queued(&self, now: Time, out: &mut Outbox) {
         let mut blocked = BTreeSet::new();
         loop {
-            let heads = self.board.queue().heads();
+            let heads = self.state.queue().heads();
             let head = heads.into_iter().find(|(account, _)| !blocked.contains(account));
             let Some((account, waiting)) = head else {
                 return;
             };
             match self.choose(now, waiting.run) {
-                Some(Choice::Take(upstream)) => {
+                Some(VmUpstreamChoice::Selected(upstream)) => {
                     // Other threads look at the same head: whoever takes it out sends it.
-                    if self.board.queue().remove(&account, waiting.run) {
+                    if self.state.queue().remove(&account, waiting.run) {
                         self.send_new(now, waiting.run, &upstream, out);
                     }
                 }
-                Some(Choice::Full(_)) => {
+                Some(VmUpstreamChoice::Full(_)) => {
                     blocked.insert(account);
                 }
-                Some(Choice::None) => {
-                    if self.board.queue().remove(&account, waiting.run) {
-                        let refusal = Refusal::not_run(Cause::NoUpstream).after(NO_UPSTREAM);
+                Some(VmUpstreamChoice::Unavailable) => {
+                    if self.state.queue().remove(&account, waiting.run) {
+                        let refusal =
+                            Refusal::not_run(Cause::NoUpstream).with_retry_after(NO_UPSTREAM);
                         self.refuse(now, waiting.run, refusal, out);
                     }
                 }
                 None => {
-                    self.board.queue().remove(&account, waiting.run);
+                    self.state.queue().remove(&account, waiting.run);
                 }
             }
         }
     }
 
-    fn choose(&self, now: Time, id: RunId) -> Option<Choice> {
+    fn choose(&self, now: Time, id: RunId) -> Option<VmUpstreamChoice> {
         let (work, account, residency) = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let run = runs.get_mut(id)?;
             (run.arrival.work.clone(), run.account.clone(), run.residency.clone())
         };
-        let template = self.board.templates().accounts.get(&account)?.clone();
+        let template = self.state.templates().accounts.get(&account)?.clone();
         let seed = self.config.seed ^ id.0;
         let region = &self.config.member.region;
-        let wish = Wish { work: &work, template: &template, residency: &residency, region, seed };
-        Some(self.board.upstreams().choose(now, &wish))
+        let wish = VmUpstreamCriteria {
+            work: &work,
+            template: &template,
+            residency: &residency,
+            region,
+            seed,
+        };
+        Some(self.state.upstreams().choose(now, &wish))
     }
 
     fn send_new(&self, now: Time, id: RunId, upstream: &UpstreamId, out: &mut Outbox) {
         let keyed = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             runs.get_mut(id).and_then(|run| run.keyed.clone())
         };
         if let Some(keyed) = keyed {
-            self.board.claims().dispatching(now, self.id(), keyed.key, id.0, upstream.clone());
+            self.state.claims().record_dispatch(now, self.id(), keyed.key, id.0, upstream.clone());
             for to in self.places(&keyed).into_iter().flatten().filter(|to| *to != self.id()) {
                 let (key, serial, upstream) = (keyed.key, id.0, upstream.clone());
                 out.send(to, Message::Dispatching { key, serial, upstream });
@@ -114,7 +121,7 @@
     /// Resumes the stream that an earlier owner of the key has started.
     pub(crate) fn resume_earlier(&self, now: Time, id: RunId, out: &mut Outbox) {
         let (earlier, next) = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
@@ -137,7 +144,7 @@
         out: &mut Outbox,
     ) {
         let next = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
@@ -156,7 +163,7 @@
     /// Puts a run back that an upstream did not take.
     pub(crate) fn try_again(&self, now: Time, id: RunId, out: &mut Outbox) {
         let (account, tries, until) = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
@@ -165,28 +172,33 @@
             (run.account.clone(), run.tries, run.until)
         };
         if tries > MAX_TRIES || now >= until {
-            self.refuse(now, id, Refusal::not_run(Cause::NoUpstream).after(NO_UPSTREAM), out);
+            self.refuse(
+                now,
+                id,
+                Refusal::not_run(Cause::NoUpstream).with_retry_after(NO_UPSTREAM),
+                out,
+            );
             return;
         }
-        self.board.queue().push(&account, Waiting { run: id, until });
+        self.state.queue().push(&account, QueuedRequest { run: id, deadline: until });
     }
 
     /// Tells whether an upstream is known and lies where a run may be served, by the templates
     /// that it was let in with and by those in force.
     fn may_get(&self, id: RunId, upstream: &UpstreamId) -> bool {
         let found = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             runs.get_mut(id).map(|run| (run.account.clone(), run.residency.clone()))
         };
         let Some((account, residency)) = found else {
             return false;
         };
         let newest = {
-            let templates = self.board.templates();
+            let templates = self.state.templates();
             templates.accounts.get(&account).map(|template| template.regions.clone())
         };
-        let bound = residency.and(&newest.unwrap_or_default());
-        let upstreams = self.board.upstreams();
+        let bound = residency.intersect(&newest.unwrap_or_default());
+        let upstreams = self.state.upstreams();
         upstreams.get(upstream).is_some_and(|known| bound.allows(Some(&known.info.region)))
     }
 
@@ -197,14 +209,14 @@
     pub(crate) fn sweep_runs(&self, now: Time) {
         let region = &self.config.member.region;
         let excluded: BTreeSet<_> = {
-            let templates = self.board.templates();
+            let templates = self.state.templates();
             let accounts = templates.accounts.iter();
             accounts
                 .filter(|(_, template)| !template.regions.allows(Some(region)))
                 .map(|(account, _)| account.clone())
                 .collect()
         };
-        self.board.runs().sweep(now, |run| {
+        self.state.runs().sweep(now, |run| {
             run.residency.allows(Some(region)) && !excluded.contains(&run.account)
         });
     }
@@ -218,7 +230,7 @@
         out: &mut Outbox,
     ) {
         let (attempt, dispatch, work, account, priority) = {
-            let mut runs = self.board.runs();
+            let mut runs = self.state.runs();
             let attempt = runs.attempt(id);
             let Some(run) = runs.get_mut(id) else {
                 return;
@@ -229,14 +241,14 @@
             (attempt, dispatch, run.arrival.work.clone(), run.account.clone(), run.priority)
         };
         {
-            let mut queue = self.board.queue();
-            queue.start(&account);
+            let mut queue = self.state.queue();
+            queue.start_request(&account);
             if resume.is_none() {
-                queue.serve(&account, priority, input_cost(&work));
+                queue.count_tokens(&account, priority, input_cost(&work));
             }
         }
-        self.board.upstreams().dispatched(now, upstream, &work);
-        out.push(Order::Dispatch(attempt, dispatch));
+        self.state.upstreams().record_dispatch(now, upstream, &work);
+        out.push(Command::Dispatch(attempt, dispatch));
     }
 
     fn dispatch_of(
@@ -249,7 +261,15 @@
         let (request, output, priority) =
             (run.listeners.first().map(|l| l.request), run.output, run.priority);
         let stream = self.stream_name(id, run);
-        Dispatch { run: id, request, upstream: upstream.clone(), stream, output, priority, resume }
+        Dispatch {
+            run: id,
+            request,
+            upstream: upstream.clone(),
+            stream,
+            output_limit: output,
+            priority,
+            resume_from: resume,
+        }
     }
 
     /// Returns the name of a run's stream at its upstream, the same for all owners of a key.
@@ -269,15 +289,15 @@
         about: (&Account, &Work, bool),
     ) {
         let (account, work, started) = about;
-        self.board.runs().drop_attempt(attempt);
-        self.board.queue().finish(now, account);
-        self.board.upstreams().ended(upstream, work, started);
+        self.state.runs().drop_attempt(attempt);
+        self.state.queue().finish_request(now, account);
+        self.state.upstreams().record_end(upstream, work, started);
     }
 }
 
 fn input_cost(work: &Work) -> Tokens {
     match work {
-        Work::Chat(chat) => chat.prompt,
+        Work::Chat(chat) => chat.prompt_tokens,
         Work::Call(_) => Tokens(1),
     }
 }
--- a/crates/badgerfield-core/src/control/evacuations.rs
+++ b/crates/badgerfield-core/src/handlers/evacuations.rs
@@ -9,9 +9,9 @@
 use crate::amount::Time;
 use crate::broadcast;
 use crate::evacuation::DomainChange;
-use crate::event::{OperatorChanges, OperatorValues, Order, Outbox, due};
+use crate::event::{Command, OperatorChanges, OperatorValues, Outbox, is_due};
 use crate::ids::Incarnation;
-use crate::message::{EvacuationNews, Message};
+use crate::message::{EvacuationUpdate, Message};
 use crate::node::Node;
 
 /// The least time between two comparisons with one member: shorter than signs of life are
@@ -20,10 +20,10 @@
 
 impl Node {
     /// Takes in all that operators have at the platform.
-    pub(crate) fn read_operators(&self, now: Time, found: OperatorValues, out: &mut Outbox) {
+    pub(crate) fn apply_operator_values(&self, now: Time, found: OperatorValues, out: &mut Outbox) {
         let OperatorValues { revision, templates, evacuated, rollouts } = found;
         self.read_orders(now, revision, rollouts, out);
-        let turned = self.board.evacuations().learn_all(revision, evacuated);
+        let turned = self.state.evacuations().apply_snapshot(revision, evacuated);
         self.tell_evacuations(now, &turned, out);
         out.evacuated(None, turned);
         if let Some(bytes) = templates {
@@ -32,10 +32,15 @@
     }
 
     /// Takes in what operators changed at the platform.
-    pub(crate) fn operators_changed(&self, now: Time, found: OperatorChanges, out: &mut Outbox) {
+    pub(crate) fn apply_operator_changes(
+        &self,
+        now: Time,
+        found: OperatorChanges,
+        out: &mut Outbox,
+    ) {
         let OperatorChanges { templates, domains, rollouts, .. } = found;
         self.orders_changed(now, rollouts, out);
-        let turned = self.board.evacuations().learn(domains);
+        let turned = self.state.evacuations().apply(domains);
         self.tell_evacuations(now, &turned, out);
         out.evacuated(None, turned);
         if let Some(bytes) = templates {
@@ -44,20 +49,20 @@
     }
 
     /// Takes in what another process tells, and passes it on to its part of the ring.
-    pub(crate) fn evacuation_news(
+    pub(crate) fn receive_evacuation_update(
         &self,
         now: Time,
         from: Incarnation,
-        news: EvacuationNews,
+        news: EvacuationUpdate,
         out: &mut Outbox,
     ) {
         if news.reach > 0 {
-            for (to, reach) in self.board.members().legs(now, news.reach) {
-                let news = EvacuationNews { reach, ..news.clone() };
+            for (to, reach) in self.state.membership().broadcast_targets(now, news.reach) {
+                let news = EvacuationUpdate { reach, ..news.clone() };
                 out.send(to, Message::Evacuations(news));
             }
         }
-        let turned = self.board.evacuations().learn(news.changes);
+        let turned = self.state.evacuations().apply(news.changes);
         out.evacuated(Some(from), turned);
     }
 
@@ -71,34 +76,35 @@
         out: &mut Outbox,
     ) {
         let changes = {
-            let mut members = self.board.members();
-            let known = self.board.evacuations();
-            if known.digest() == theirs || !due(now, members.compared.get(&from).copied(), COMPARE)
+            let mut members = self.state.membership();
+            let known = self.state.evacuations();
+            if known.digest() == theirs
+                || !is_due(now, members.evacuations_compared.get(&from).copied(), COMPARE)
             {
                 return;
             }
-            members.compared.insert(from, now);
+            members.evacuations_compared.insert(from, now);
             known.changes()
         };
         out.send(from, Message::CompareEvacuations(changes));
     }
 
     /// Takes in what a neighbour knows, and answers if more is known here.
-    pub(crate) fn evacuations_compared(
+    pub(crate) fn reconcile_evacuations(
         &self,
         from: Incarnation,
         theirs: &[DomainChange],
         out: &mut Outbox,
     ) {
         let (turned, more) = {
-            let mut known = self.board.evacuations();
-            let turned = known.learn(theirs.iter().cloned());
+            let mut known = self.state.evacuations();
+            let turned = known.apply(theirs.iter().cloned());
             let changes = known.changes();
             (turned, (changes != theirs).then_some(changes))
         };
         out.evacuated(Some(from), turned);
         if let Some(changes) = more {
-            out.send(from, Message::Evacuations(EvacuationNews { changes, reach: 0 }));
+            out.send(from, Message::Evacuations(EvacuationUpdate { changes, reach: 0 }));
         }
     }
 
@@ -107,9 +113,9 @@
         if turned.is_empty() {
             return;
         }
-        let members = self.board.members();
-        for (to, reach) in members.legs(now, broadcast::full_reach(&members.view)) {
-            let news = EvacuationNews { changes: turned.to_vec(), reach };
+        let members = self.state.membership();
+        for (to, reach) in members.broadcast_targets(now, broadcast::full_reach(&members.view)) {
+            let news = EvacuationUpdate { changes: turned.to_vec(), reach };
             out.send(to, Message::Evacuations(news));
         }
     }
@@ -118,7 +124,7 @@
 impl Outbox {
     fn evacuated(&mut self, from: Option<Incarnation>, changes: Vec<DomainChange>) {
         if !changes.is_empty() {
-            self.push(Order::Evacuated(from, changes));
+            self.push(Command::ApplyEvacuations(from, changes));
         }
     }
 }
--- /dev/null
+++ b/crates/badgerfield-core/src/handlers/members.rs
@@ -0,0 +1,462 @@
+//! Membership: joins, leaves, removes the lost, and passes views and versions on.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use bytes::Bytes;
+
+use crate::amount::Time;
+use crate::event::{
+    Command, LogEntry, Outbox, StoreCall, StoreKey, StoreResult, Versioned, is_due,
+};
+use crate::ids::{Epoch, Incarnation, StoreCallId, TemplateVersion};
+use crate::joining::JoinStep;
+use crate::membership::{Membership, MembershipIntent};
+use crate::message::{Heartbeat, Message};
+use crate::node::Node;
+use crate::pending_calls::Purpose;
+use crate::view::{MAX_SMALL_VIEW_MEMBERS, Member, MemberState, View};
+use crate::view_update::ViewUpdate;
+
+/// How often the platform's values are read.
+const READ: Duration = Duration::from_secs(1);
+/// The least time between two writes of the view by one process.
+const WRITE: Duration = Duration::from_millis(200);
+/// The least time between two fetches from one member.
+const FETCH: Duration = Duration::from_millis(200);
+
+impl Node {
+    /// Returns the members that callers may be sent to.
+    #[must_use]
+    pub fn available_members(&self, now: Time) -> Vec<Member> {
+        self.state.membership().available_members(now)
+    }
+
+    /// Sends signs of life when they are due.
+    pub(crate) fn tick_heartbeat(&self, now: Time, out: &mut Outbox) {
+        let is_due = {
+            let members = self.state.membership();
+            members.confirmations_pending.is_some()
+                || is_due(now, members.heartbeat_at, self.config.pacing.heartbeat_interval)
+        };
+        if is_due {
+            self.spread(now, out);
+        }
+    }
+
+    /// Sends a sign of life to all neighbours, with the versions in force.
+    pub(crate) fn spread(&self, now: Time, out: &mut Outbox) {
+        let version = self.state.templates().version;
+        let confirmed = self.state.claims().confirmation_status();
+        let evacuations = self.state.evacuations().digest();
+        let rollouts = self.state.rollouts().digest();
+        let blocked = self.state.poison().digest(now);
+        let (neighbours, beat) = {
+            let mut members = self.state.membership();
+            members.heartbeat_at = Some(now);
+            members.confirmations_pending = None;
+            let beat = Heartbeat {
+                epoch: members.view.epoch,
+                confirmations: confirmed,
+                version,
+                serving: members.serving && members.stopping_since.is_none(),
+                upstream_list: members.upstream_list,
+                evacuations_digest: evacuations,
+                rollouts_digest: rollouts,
+                blocked_digest: blocked,
+                wall_ms: members.wall_ms(now),
+                needs: members.needs.average(now),
+                delay_reports: members.delay_reports.clone(),
+            };
+            (members.neighbours(), beat)
+        };
+        for to in neighbours {
+            out.send(to, Message::Heartbeat(beat.clone()));
+        }
+    }
+
+    /// Tells whether this process follows the platform's values itself; `heard` is how long
+    /// ago it has heard of the list of upstreams.
+    #[must_use]
+    pub fn watches_platform(&self, now: Time, heard: Option<Duration>) -> bool {
+        self.state.membership().watches_platform(now, heard)
+    }
+
+    /// Tells whether this process reads whole values from the platform that it knows nothing
+    /// of yet; others of its region give it those otherwise.
+    #[must_use]
+    pub fn is_bootstrap_reader(&self, now: Time) -> bool {
+        self.state.membership().is_bootstrap_reader(now)
+    }
+
+    /// Tells whether this process is among the few that try the platform often while it does
+    /// not answer; they tell the others when it is back.
+    #[must_use]
+    pub fn probes_platform(&self) -> bool {
+        self.state.membership().probes_platform()
+    }
+
+    /// Takes in a sign of life; asks for what the sender has newer.
+    pub(crate) fn handle_heartbeat(
+        &self,
+        now: Time,
+        from: Incarnation,
+        beat: &Heartbeat,
+        out: &mut Outbox,
+    ) {
+        self.compare_lists(now, from, beat.upstream_list, out);
+        self.compare_evacuations(now, from, beat.evacuations_digest, out);
+        self.compare_rollouts(now, from, beat.rollouts_digest, out);
+        self.compare_crashes(now, from, beat.blocked_digest, out);
+        self.hear_confirmed(now, beat);
+        if !beat.delay_reports.is_empty() {
+            out.push(Command::ApplyDelayReports(beat.delay_reports.clone()));
+        }
+        let version = self.state.templates().version;
+        let (epoch, is_near) = {
+            let mut members = self.state.membership();
+            members.record_contact(now, from, Some(beat));
+            let is_behind = beat.epoch < members.view.epoch;
+            // One that was removed hears of it from those it still talks to. Who is behind,
+            // and not a neighbour, may hear only from members that it does not know yet, and
+            // so cannot ask.
+            let cannot_ask = !members.view.has(from) || !members.neighbours().contains(&from);
+            if is_behind
+                && cannot_ask
+                && is_due(now, members.views_pushed.get(&from).copied(), FETCH)
+            {
+                // Some that were removed beat on for a while; nobody else forgets them here.
+                members.views_pushed.retain(|_, at| now.since(*at) < FETCH);
+                members.views_pushed.insert(from, now);
+                out.send(
+                    from,
+                    Message::View(members.view_log.update_since(&members.view, beat.epoch)),
+                );
+                return;
+            }
+            let newer = beat.epoch > members.view.epoch || beat.version > version;
+            if !newer || !is_due(now, members.fetch_sent_at, FETCH) {
+                return;
+            }
+            members.fetch_sent_at = Some(now);
+            let is_near = members.view.member(from).is_some_and(|m| m.region == members.me.region);
+            (members.view.epoch, is_near)
+        };
+        let whole = version == TemplateVersion(0);
+        // Whole templates are asked of members of the region only.
+        let version = if whole && !is_near { beat.version } else { version };
+        out.send(from, Message::Fetch { epoch, version, whole });
+    }
+
+    /// Sends a member what it lacks.
+    pub(crate) fn handle_fetch(
+        &self,
+        from: Incarnation,
+        epoch: Epoch,
+        version: TemplateVersion,
+        whole: bool,
+        out: &mut Outbox,
+    ) {
+        {
+            let members = self.state.membership();
+            if members.view.epoch > epoch {
+                out.send(from, Message::View(members.view_log.update_since(&members.view, epoch)));
+            }
+        }
+        let table = self.state.templates();
+        if table.version <= version {
+            return;
+        }
+        let delta = self.state.template_history().delta(&table, version).filter(|_| !whole);
+        let message = match delta {
+            Some(delta) => Message::TemplateDelta(Box::new(delta)),
+            None => Message::Templates(Box::new(table.clone())),
+        };
+        out.send(from, message);
+    }
+
+    /// Takes in what a neighbour knows of hand-overs. Whoever remembers claims, or is one of
+    /// few, passes news on at its next tick, since callers wait for it; others with their next
+    /// sign of life.
+    fn hear_confirmed(&self, now: Time, beat: &Heartbeat) {
+        let (is_news, has_claims) = {
+            let mut claims = self.state.claims();
+            (claims.merge_confirmations(beat.epoch, &beat.confirmations), !claims.is_empty())
+        };
+        let mut members = self.state.membership();
+        if is_news && (has_claims || members.view.members.len() <= MAX_SMALL_VIEW_MEMBERS) {
+            members.confirmations_pending = Some(now);
+        }
+    }
+
+    /// Puts a newer view in force that a peer sent, or asks for the whole of it if what was
+    /// sent does not fit the one that is known.
+    pub(crate) fn update_view(
+        &self,
+        now: Time,
+        from: Incarnation,
+        update: &ViewUpdate,
+        out: &mut Outbox,
+    ) {
+        let next = {
+            let mut members = self.state.membership();
+            let old = Arc::clone(&members.view);
+            if update.epoch <= old.epoch {
+                return;
+            }
+            // The answer has come: the next one may be asked for.
+            members.fetch_sent_at = None;
+            update.apply(&old)
+        };
+        if let Some(view) = next {
+            self.adopt_view(now, &Arc::new(view), out);
+            return;
+        }
+        let version = self.state.templates().version;
+        let whole = version == TemplateVersion(0);
+        out.send(from, Message::Fetch { epoch: Epoch(0), version, whole });
+    }
+
+    /// Puts a newer view in force in every table that depends on it.
+    pub(crate) fn adopt_view(&self, now: Time, view: &Arc<View>, out: &mut Outbox) {
+        let (gone, removed) = {
+            let mut members = self.state.membership();
+            let was = members.removed;
+            let Some(gone) = members.adopt(now, view) else {
+                return;
+            };
+            (gone, members.removed && !was)
+        };
+        self.state.claims().apply_view(now, view, out);
+        self.state.ledger_writer().mark_removed(gone);
+        self.state.holdings().apply_view(now, view, out);
+        out.push(Command::Log(LogEntry::View(view.epoch)));
+        if removed {
+            out.push(Command::Log(LogEntry::Removed));
+            self.stop(now, out);
+        }
+        self.spread(now, out);
+    }
+
+    /// Reads the platform's values, and writes the view, when that is due.
+    pub(crate) fn read_platform(&self, now: Time, out: &mut Outbox) {
+        let complete = self.state.claims().complete_epoch();
+        let version = self.state.templates().version;
+        let mut members = self.state.membership();
+        let reads_view = members.is_reader(now)
+            || !members.stored_known
+            || members.must_read_to_complete(complete);
+        if is_due(now, members.view_read_at, members.view_read_interval(READ)) && reads_view {
+            members.view_read_at = Some(now);
+            read(&mut members, now, StoreKey::View, out);
+        }
+        let reads_templates = if version == TemplateVersion(0) {
+            members.is_bootstrap_reader(now)
+        } else {
+            reads_view
+        };
+        if is_due(now, members.templates_read_at, READ) && reads_templates {
+            members.templates_read_at = Some(now);
+            read(&mut members, now, StoreKey::Templates, out);
+        }
+        drop(members);
+        self.write_view(now, out);
+    }
+
+    /// Asks a member of the region for the templates and the list of upstreams, while none are
+    /// known here; it need not have joined for that.
+    pub(crate) fn request_bootstrap(&self, now: Time, out: &mut Outbox) {
+        let (has_templates, has_routes) = {
+            let templates = self.state.templates();
+            (templates.version > TemplateVersion(0), !templates.routing.routes.is_empty())
+        };
+        let mut members = self.state.membership();
+        // Without routes there is no list of their upstreams.
+        let has_list = members.upstream_list.revision > 0 || !has_routes;
+        if (has_templates && has_list) || !is_due(now, members.bootstrap_at, FETCH) {
+            return;
+        }
+        members.bootstrap_at = Some(now);
+        let Some(to) = members.next_bootstrap_peer() else {
+            return;
+        };
+        if !has_templates {
+            let epoch = members.view.epoch;
+            out.send(to, Message::Fetch { epoch, version: TemplateVersion(0), whole: true });
+        }
+        if !has_list {
+            out.send(to, Message::FetchUpstreams { since: 0 });
+        }
+    }
+
+    /// Writes a process that asks for it into the view, with others that ask.
+    pub(crate) fn handle_join_request(
+        &self,
+        now: Time,
+        from: Incarnation,
+        guest: Member,
+        out: &mut Outbox,
+    ) {
+        if guest.incarnation != from {
+            return;
+        }
+        self.state.membership().joining.add_joiner(now, guest);
+        self.write_view(now, out);
+    }
+
+    fn write_view(&self, now: Time, out: &mut Outbox) {
+        let complete = self.state.claims().complete_epoch();
+        let mut members = self.state.membership();
+        if !members.stored_known
+            || members.store_calls.is_open(&StoreKey::View)
+            || !is_due(now, members.view_written_at, WRITE)
+        {
+            return;
+        }
+        // A write builds on what the platform has, which says more than peers do.
+        let stored = Arc::clone(&members.stored);
+        let handed_over = complete == stored.epoch && complete > Epoch(0);
+        let me = members.me.clone();
+        let present = members.view.member(me.incarnation).map(|m| m.standing);
+        let next = match (&members.intent, present) {
+            (MembershipIntent::Join, None) if !members.removed => {
+                match members.joining.next_step(now, &stored) {
+                    JoinStep::Write => Some(stored.with_member(me, handed_over)),
+                    JoinStep::RequestFrom(host) => {
+                        out.send(host, Message::Join(me));
+                        return;
+                    }
+                    JoinStep::Wait => return,
+                }
+            }
+            (MembershipIntent::Leave, Some(MemberState::Active)) => {
+                Some(stored.with_leaving(me.incarnation, handed_over))
+            }
+            (MembershipIntent::Quit, Some(_)) => {
+                Some(stored.without_members(&[me.incarnation], handed_over))
+            }
+            (MembershipIntent::Join | MembershipIntent::Leave | MembershipIntent::Quit, _) => None,
+        };
+        let next = next.or_else(|| {
+            let guests = members.joining.joiners(now, &stored);
+            let may = members.is_member() && !guests.is_empty();
+            may.then(|| stored.with_members(guests, handed_over))
+        });
+        let next = next.or_else(|| {
+            let gone = members.members_to_remove(now);
+            let may = members.is_member() && !gone.is_empty();
+            for id in gone.iter().filter(|_| may) {
+                out.push(Command::Log(members.removal_entry(now, *id)));
+            }
+            may.then(|| stored.without_members(&gone, handed_over))
+        });
+        let next = next.or_else(|| {
+            let open = handed_over && stored.complete < stored.epoch;
+            (open && members.is_completion_writer()).then(|| stored.completed())
+        });
+        let Some(next) = next else {
+            return;
+        };
+        members.view_written_at = Some(now);
+        let value = Bytes::from(next.encode());
+        let expect = members.stored_revision;
+        let ticket = members.store_calls.begin(Purpose::Write(next));
+        out.push(Command::CallStore(
+            ticket,
+            StoreCall::CompareAndSwap { key: StoreKey::View, expected_revision: expect, value },
+        ));
+    }
+
+    /// Takes in an answer of the key-value service.
+    pub(crate) fn handle_store_result(
+        &self,
+        now: Time,
+        ticket: StoreCallId,
+        result: StoreResult,
+        out: &mut Outbox,
+    ) {
+        let Some(purpose) = self.state.membership().store_calls.end(ticket) else {
+            return;
+        };
+        match (purpose, result) {
+            (Purpose::Rollout(service, written), result) => {
+                self.record_answered(now, &service, written, result, out);
+            }
+            (Purpose::PoisonRead, result) => self.poison_answered(now, false, result, out),
+            (Purpose::PoisonWrite, result) => self.poison_answered(now, true, result, out),
+            (Purpose::Draw(shard), result) => self.ledger_answered(now, shard, result, out),
+            (Purpose::Read(StoreKey::Templates), StoreResult::Value(found)) => {
+                self.apply_stored_templates(now, &found, out);
+            }
+            (Purpose::Read(StoreKey::Templates), StoreResult::Operators(found)) => {
+                self.apply_operator_values(now, found, out);
+            }
+            (Purpose::Read(StoreKey::View), StoreResult::Value(found)) => {
+                self.read_view(now, &found, out);
+            }
+            (Purpose::Write(view), StoreResult::Written(revision)) => {
+                let view = Arc::new(view);
+                {
+                    let mut members = self.state.membership();
+                    members.stored_revision = revision;
+                    members.stored = Arc::clone(&view);
+                }
+                self.adopt_view(now, &view, out);
+            }
+            (Purpose::Write(_), StoreResult::Conflict(found)) => {
+                self.read_view(now, &found, out);
+                let mut members = self.state.membership();
+                members.view_written_at = None;
+                members.joining.record_conflict();
+                drop(members);
+                self.write_view(now, out);
+            }
+            // Whether the write took effect is seen at the next read.
+            (Purpose::Write(_), _) => {
+                let mut members = self.state.membership();
+                members.stored_known = false;
+                members.view_read_at = None;
+            }
+            (Purpose::Read(_), _) => {}
+        }
+    }
+
+    fn read_view(&self, now: Time, found: &Versioned, out: &mut Outbox) {
+        let view = match View::decode(found.value.as_deref()) {
+            Ok(view) => Arc::new(view),
+            Err(error) => {
+                out.push(Command::Log(LogEntry::BadValue(StoreKey::View, error.to_string())));
+                return;
+            }
+        };
+        let asked = {
+            let mut members = self.state.membership();
+            // A stale read names an older revision; writing on it would only conflict.
+            if found.revision < members.stored_revision {
+                return;
+            }
+            members.stored_revision = found.revision;
+            members.stored = Arc::clone(&view);
+            members.stored_known = true;
+            members.joining.record_view(&view);
+            members.view_requested_at
+        };
+        self.adopt_view(now, &view, out);
+        // Only now: a judge that took the older view for one of this time would not wait for a
+        // member that has just joined.
+        let mut members = self.state.membership();
+        members.view_known_at = members.view_known_at.max(asked);
+    }
+}
+
+/// Reads a value of the platform, unless that is under way.
+pub(super) fn read(members: &mut Membership, now: Time, name: StoreKey, out: &mut Outbox) {
+    if members.store_calls.is_open(&name) {
+        return;
+    }
+    if name == StoreKey::View {
+        members.view_requested_at = Some(now);
+    }
+    let ticket = members.store_calls.begin(Purpose::Read(name.clone()));
+    out.push(Command::CallStore(ticket, StoreCall::Get(name)));
+}
--- a/crates/badgerfield-core/src/control/poison.rs
+++ b/crates/badgerfield-core/src/handlers/poison.rs
@@ -9,11 +9,13 @@
 
 use crate::amount::Time;
 use crate::broadcast;
-use crate::calls::Purpose;
-use crate::event::{KvCall, KvName, KvResult, Note, Order, Outbox, Versioned, due};
+use crate::event::{
+    Command, LogEntry, Outbox, StoreCall, StoreKey, StoreResult, Versioned, is_due,
+};
 use crate::ids::Incarnation;
-use crate::message::{CrashNews, Message};
+use crate::message::{CrashUpdate, Message};
 use crate::node::Node;
+use crate::pending_calls::Purpose;
 use crate::poison::{Crash, Fingerprint};
 use crate::poison_record::{self, RecordCall};
 
@@ -23,44 +25,44 @@
 
 impl Node {
     /// Takes in that an upstream ended while a request of this process was there.
-    pub(crate) fn crashed(&self, now: Time, crash: Crash, out: &mut Outbox) {
+    pub(crate) fn record_crash(&self, now: Time, crash: Crash, out: &mut Outbox) {
         let request = crash.request;
-        let news = self.board.poison().saw(now, crash);
+        let news = self.state.poison().record_crash(now, crash);
         let blocks = news.iter().any(|(_, blocks)| *blocks);
         let mut told: Vec<_> = news.iter().map(|(crash, _)| crash.clone()).collect();
         if blocks {
             // With what came before, for members that have missed it.
-            told = self.board.poison().crashes_of(now, request);
+            told = self.state.poison().crashes_of(now, request);
         }
-        self.board.poison_record().tell(told);
+        self.state.poison_record().enqueue(told);
         // At once if a caller may come back with it elsewhere.
         self.tell_crashes(now, blocks, out);
         if blocks {
-            self.board.poison_record().note_more();
+            self.state.poison_record().mark_dirty();
         }
         out.crash_news(None, news);
         self.call_poison_record(now, out);
     }
 
     /// Takes in that a request was served whole which was there when an upstream ended.
-    pub(crate) fn suspect_served(&self, now: Time, request: Fingerprint, out: &mut Outbox) {
-        let cleared = self.board.poison().served(now, request);
-        self.board.poison_record().tell(cleared.iter().cloned());
+    pub(crate) fn record_suspect_served(&self, now: Time, request: Fingerprint, out: &mut Outbox) {
+        let cleared = self.state.poison().record_served(now, request);
+        self.state.poison_record().enqueue(cleared.iter().cloned());
         self.tell_crashes(now, false, out);
         out.crash_news(None, cleared.into_iter().map(|crash| (crash, false)).collect());
     }
 
     /// Takes in what another process tells, and passes it on to its part of the ring.
-    pub(crate) fn crash_news(
+    pub(crate) fn receive_crash_update(
         &self,
         now: Time,
         from: Incarnation,
-        news: CrashNews,
+        news: CrashUpdate,
         out: &mut Outbox,
     ) {
         if news.reach > 0 {
-            for (to, reach) in self.board.members().legs(now, news.reach) {
-                out.send(to, Message::Crashes(CrashNews { reach, ..news.clone() }));
+            for (to, reach) in self.state.membership().broadcast_targets(now, news.reach) {
+                out.send(to, Message::Crashes(CrashUpdate { reach, ..news.clone() }));
             }
         }
         self.learn_crashes(now, Some(from), news.crashes, out);
@@ -76,21 +78,21 @@
         out: &mut Outbox,
     ) {
         let crashes = {
-            let mut members = self.board.members();
-            let known = self.board.poison();
+            let mut members = self.state.membership();
+            let known = self.state.poison();
             if known.digest(now) == theirs
-                || !due(now, members.crashes_compared.get(&from).copied(), COMPARE)
+                || !is_due(now, members.crashes_compared.get(&from).copied(), COMPARE)
             {
                 return;
             }
             members.crashes_compared.insert(from, now);
-            known.blocked(now)
+            known.blocked_crashes(now)
         };
         out.send(from, Message::CompareCrashes(crashes));
     }
 
     /// Takes in what a neighbour knows, and answers if more is known here.
-    pub(crate) fn crashes_compared(
+    pub(crate) fn reconcile_crashes(
         &self,
         now: Time,
         from: Incarnation,
@@ -98,9 +100,9 @@
         out: &mut Outbox,
     ) {
         self.learn_crashes(now, Some(from), theirs.to_vec(), out);
-        let crashes = self.board.poison().beyond(now, theirs);
+        let crashes = self.state.poison().missing_from(now, theirs);
         if !crashes.is_empty() {
-            out.send(from, Message::Crashes(CrashNews { crashes, reach: 0 }));
+            out.send(from, Message::Crashes(CrashUpdate { crashes, reach: 0 }));
         }
     }
 
@@ -109,36 +111,36 @@
         &self,
         now: Time,
         write: bool,
-        result: KvResult,
+        result: StoreResult,
         out: &mut Outbox,
     ) {
         match result {
-            KvResult::Written(revision) => self.board.poison_record().found(revision),
-            KvResult::Value(found) => self.poison_found(now, &found, out),
-            KvResult::Conflict(found) => {
+            StoreResult::Written(revision) => self.state.poison_record().set_revision(revision),
+            StoreResult::Value(found) => self.poison_found(now, &found, out),
+            StoreResult::Conflict(found) => {
                 // What was to be written is known here still.
-                self.board.poison_record().note_more();
+                self.state.poison_record().mark_dirty();
                 self.poison_found(now, &found, out);
             }
-            _ => self.board.poison_record().failed(write),
+            _ => self.state.poison_record().record_failure(write),
         }
         self.call_poison_record(now, out);
     }
 
     /// Does what is due.
-    pub(crate) fn poison_tick(&self, now: Time, out: &mut Outbox) {
-        self.board.poison().sweep(now);
+    pub(crate) fn tick_poison(&self, now: Time, out: &mut Outbox) {
+        self.state.poison().sweep(now);
         self.tell_crashes(now, false, out);
         self.call_poison_record(now, out);
     }
 
     fn poison_found(&self, now: Time, found: &Versioned, out: &mut Outbox) {
-        self.board.poison_record().found(found.revision);
+        self.state.poison_record().set_revision(found.revision);
         match poison_record::decode(found.value.as_deref()) {
             Ok(crashes) => self.learn_crashes(now, None, crashes, out),
             // What nobody can read is replaced by the next record.
             Err(error) => {
-                out.push(Order::Note(Note::BadValue(KvName::Poison, error.to_string())));
+                out.push(Command::Log(LogEntry::BadValue(StoreKey::Poison, error.to_string())));
             }
         }
     }
@@ -151,14 +153,15 @@
         out: &mut Outbox,
     ) {
         let (news, records) = {
-            let mut poison = self.board.poison();
-            let news = poison.learn(now, crashes);
+            let mut poison = self.state.poison();
+            let news = poison.apply(now, crashes);
             // Two crashes may be seen at one moment by two processes: either writes it down.
-            let records = news.iter().any(|(c, blocks)| *blocks && poison.is_witness(c.request));
+            let records =
+                news.iter().any(|(c, blocks)| *blocks && poison.has_seen_crash(c.request));
             (news, records)
         };
         if records {
-            self.board.poison_record().note_more();
+            self.state.poison_record().mark_dirty();
             self.call_poison_record(now, out);
         }
         out.crash_news(from, news);
@@ -166,33 +169,40 @@
 
     /// Tells all members what waits to be told.
     fn tell_crashes(&self, now: Time, is_urgent: bool, out: &mut Outbox) {
-        let members = self.board.members();
-        let crashes = self.board.poison_record().take_news(now, is_urgent);
+        let members = self.state.membership();
+        let crashes = self.state.poison_record().take_update(now, is_urgent);
         if crashes.is_empty() {
             return;
         }
-        for (to, reach) in members.legs(now, broadcast::full_reach(&members.view)) {
-            let news = CrashNews { crashes: crashes.clone(), reach };
+        for (to, reach) in members.broadcast_targets(now, broadcast::full_reach(&members.view)) {
+            let news = CrashUpdate { crashes: crashes.clone(), reach };
             out.send(to, Message::Crashes(news));
         }
     }
 
     /// Makes the call about the record that is due.
     fn call_poison_record(&self, now: Time, out: &mut Outbox) {
-        let mut members = self.board.members();
-        let blocked = self.board.poison().blocked(now);
-        let Some(call) = self.board.poison_record().next_call(now) else {
+        let mut members = self.state.membership();
+        let blocked = self.state.poison().blocked_crashes(now);
+        let Some(call) = self.state.poison_record().next_call(now) else {
             return;
         };
         let (purpose, call) = match call {
-            RecordCall::Read => (Purpose::PoisonRead, KvCall::Get(KvName::Poison)),
+            RecordCall::Read => (Purpose::PoisonRead, StoreCall::Get(StoreKey::Poison)),
             RecordCall::Write(expect) => {
                 let value = poison_record::encode(blocked);
-                (Purpose::PoisonWrite, KvCall::Swap { name: KvName::Poison, expect, value })
+                (
+                    Purpose::PoisonWrite,
+                    StoreCall::CompareAndSwap {
+                        key: StoreKey::Poison,
+                        expected_revision: expect,
+                        value,
+                    },
+                )
             }
         };
-        let ticket = members.calls.begin(purpose);
-        out.push(Order::KeyValue(ticket, call));
+        let ticket = members.store_calls.begin(purpose);
+        out.push(Command::CallStore(ticket, call));
     }
 }
 
@@ -204,10 +214,10 @@
         // What others saw is in their logs: a line here for each request at each crash would be
         // one for every VM of the fleet.
         for (crash, blocks) in news.into_iter().filter(|(_, blocks)| from.is_none() || *blocks) {
-            self.push(Order::Note(Note::Crash { crash, blocks, from }));
+            self.push(Command::Log(LogEntry::Crash { crash, blocks, from }));
         }
         if !blocked.is_empty() {
-            self.push(Order::Block(blocked));
+            self.push(Command::BlockRequests(blocked));
         }
     }
 }
--- a/crates/badgerfield-core/src/control/rollouts.rs
+++ b/crates/badgerfield-core/src/handlers/rollouts.rs
@@ -11,16 +11,18 @@
 
 use crate::amount::Time;
 use crate::broadcast;
-use crate::calls::Purpose;
-use crate::control::evacuations::COMPARE;
-use crate::control::members::read;
-use crate::event::{KvCall, KvName, KvResult, Note, Order, Outbox, Versioned, due};
+use crate::event::{
+    Command, LogEntry, Outbox, StoreCall, StoreKey, StoreResult, Versioned, is_due,
+};
+use crate::handlers::evacuations::COMPARE;
+use crate::handlers::members::read;
 use crate::ids::{Incarnation, Service};
-use crate::message::{Message, RolloutNews};
+use crate::message::{Message, RolloutUpdate};
 use crate::node::Node;
+use crate::pending_calls::Purpose;
 use crate::rollout::{
-    Call, Evidence, Known, OrderChange, Phase, Reason, RolloutNote, RolloutRecord, RolloutTally,
-    Situation,
+    Evidence, KnownRollout, OrderChange, RecorderCall, RolloutLogEntry, RolloutPhase,
+    RolloutReason, RolloutRecord, RolloutTally, StepContext,
 };
 use crate::seal::FleetClock;
 use crate::view::View;
@@ -46,25 +48,25 @@
         orders: Vec<OrderChange>,
         out: &mut Outbox,
     ) {
-        let turned = self.board.rollouts().learn_all(now, revision, orders);
+        let turned = self.state.rollouts().apply_snapshot(now, revision, orders);
         self.tell_rollouts(now, &turned, out);
         self.put_rules(now, turned, out);
     }
 
     /// Takes in orders that were given or withdrawn.
     pub(crate) fn orders_changed(&self, now: Time, orders: Vec<OrderChange>, out: &mut Outbox) {
-        let news = orders.into_iter().map(|change| Known { change, stage: None }).collect();
+        let news = orders.into_iter().map(|change| KnownRollout { change, stage: None }).collect();
         self.learn_rollouts(now, news, out);
     }
 
     /// Takes in what another process tells, and passes it on to its part of the ring.
-    pub(crate) fn rollout_news(&self, now: Time, news: RolloutNews, out: &mut Outbox) {
+    pub(crate) fn receive_rollout_update(&self, now: Time, news: RolloutUpdate, out: &mut Outbox) {
         if news.reach > 0 {
-            for (to, reach) in self.board.members().legs(now, news.reach) {
-                out.send(to, Message::Rollouts(RolloutNews { reach, ..news.clone() }));
+            for (to, reach) in self.state.membership().broadcast_targets(now, news.reach) {
+                out.send(to, Message::Rollouts(RolloutUpdate { reach, ..news.clone() }));
             }
         }
-        let turned = self.board.rollouts().learn(now, news.known);
+        let turned = self.state.rollouts().apply(now, news.known);
         self.put_rules(now, turned, out);
     }
 
@@ -78,13 +80,13 @@
         out: &mut Outbox,
     ) {
         let known = {
-            let mut members = self.board.members();
-            let mut table = self.board.rollouts();
+            let mut members = self.state.membership();
+            let mut table = self.state.rollouts();
             if table.digest() == theirs {
-                table.agreed(members.is_active() && members.view.has(from));
+                table.record_agreement(members.is_active() && members.view.has(from));
                 return;
             }
-            if !due(now, members.rollouts_compared.get(&from).copied(), COMPARE) {
+            if !is_due(now, members.rollouts_compared.get(&from).copied(), COMPARE) {
                 return;
             }
             members.rollouts_compared.insert(from, now);
@@ -94,49 +96,54 @@
     }
 
     /// Takes in what a neighbour knows, and answers if more is known here.
-    pub(crate) fn rollouts_compared(
+    pub(crate) fn reconcile_rollouts(
         &self,
         now: Time,
         from: Incarnation,
-        theirs: &[Known],
+        theirs: &[KnownRollout],
         out: &mut Outbox,
     ) {
         let (turned, known) = {
-            let members = self.board.members();
-            let mut table = self.board.rollouts();
-            let turned = table.learn(now, theirs.to_vec());
+            let members = self.state.membership();
+            let mut table = self.state.rollouts();
+            let turned = table.apply(now, theirs.to_vec());
             let known = table.all();
             if known == theirs {
-                table.agreed(members.is_active() && members.view.has(from));
+                table.record_agreement(members.is_active() && members.view.has(from));
             }
             (turned, known)
         };
         self.put_rules(now, turned, out);
         if known != theirs {
-            out.send(from, Message::Rollouts(RolloutNews { known, reach: 0 }));
+            out.send(from, Message::Rollouts(RolloutUpdate { known, reach: 0 }));
         }
     }
 
     /// Takes in how requests of this process went, and tells the judges what is due.
-    pub(crate) fn count_rollouts(&self, now: Time, tallies: Vec<RolloutTally>, out: &mut Outbox) {
+    pub(crate) fn record_rollout_tallies(
+        &self,
+        now: Time,
+        tallies: Vec<RolloutTally>,
+        out: &mut Outbox,
+    ) {
         if tallies.is_empty() {
             return;
         }
-        self.board.rollouts().count(tallies);
+        self.state.rollouts().record_tallies(tallies);
         self.report_rollouts(now, &self.bench(now), out);
     }
 
     /// Does what is due about roll-outs.
-    pub(crate) fn rollout_tick(&self, now: Time, out: &mut Outbox) {
-        let is_active = self.board.members().is_active();
+    pub(crate) fn tick_rollouts(&self, now: Time, out: &mut Outbox) {
+        let is_active = self.state.membership().is_active();
         {
-            let mut table = self.board.rollouts();
+            let mut table = self.state.rollouts();
             table.tick(now, is_active);
             if table.is_empty() {
                 return;
             }
         }
-        let open = self.board.rollouts().open();
+        let open = self.state.rollouts().unfinished();
         if !open.is_empty() {
             let bench = self.bench(now);
             self.report_rollouts(now, &bench, out);
@@ -153,27 +160,27 @@
         now: Time,
         service: &Service,
         written: Option<RolloutRecord>,
-        result: KvResult,
+        result: StoreResult,
         out: &mut Outbox,
     ) {
         let missed = |outcome| {
-            let note = RolloutNote::Missed { service: service.clone(), outcome };
-            Order::Note(Note::Rollout(Box::new(note)))
+            let note = RolloutLogEntry::CallFailed { service: service.clone(), outcome };
+            Command::Log(LogEntry::Rollout(Box::new(note)))
         };
         match (result, written) {
-            (KvResult::Written(revision), Some(record)) => {
+            (StoreResult::Written(revision), Some(record)) => {
                 self.record_found(now, service, revision, Some(record), out);
             }
-            (KvResult::Conflict(found), _) => {
+            (StoreResult::Conflict(found), _) => {
                 out.push(missed("another value stands there"));
                 self.record_read(now, service, &found, out);
             }
-            (KvResult::Value(found), _) => self.record_read(now, service, &found, out),
+            (StoreResult::Value(found), _) => self.record_read(now, service, &found, out),
             (result, _) => {
-                let refused = matches!(result, KvResult::Refused);
+                let refused = matches!(result, StoreResult::Refused);
                 out.push(missed(if refused { "refused" } else { "no answer" }));
-                if let Some(recorder) = self.board.rollouts().recorder(service) {
-                    recorder.lost();
+                if let Some(recorder) = self.state.rollouts().recorder_mut(service) {
+                    recorder.invalidate();
                 }
             }
         }
@@ -184,8 +191,8 @@
             Ok(record) => record,
             // What nobody can read holds nothing up: the next record replaces it.
             Err(error) => {
-                let name = KvName::Rollout(service.clone());
-                out.push(Order::Note(Note::BadValue(name, error.to_string())));
+                let name = StoreKey::Rollout(service.clone());
+                out.push(Command::Log(LogEntry::BadValue(name, error.to_string())));
                 None
             }
         };
@@ -201,15 +208,15 @@
         out: &mut Outbox,
     ) {
         let news = {
-            let mut table = self.board.rollouts();
+            let mut table = self.state.rollouts();
             let Some(known) = table.known(service).cloned() else {
                 return;
             };
-            let Some(recorder) = table.recorder(service) else {
+            let Some(recorder) = table.recorder_mut(service) else {
                 return;
             };
-            let stage = recorder.found(revision, record, &known);
-            stage.map(|stage| Known { stage: Some(stage), ..known })
+            let stage = recorder.apply_record(revision, record, &known);
+            stage.map(|stage| KnownRollout { stage: Some(stage), ..known })
         };
         self.learn_rollouts(now, news.into_iter().collect(), out);
     }
@@ -219,7 +226,7 @@
         &self,
         now: Time,
         bench: &Bench,
-        known: &Known,
+        known: &KnownRollout,
         heard: Time,
         out: &mut Outbox,
     ) {
@@ -228,16 +235,16 @@
         let place = judges.iter().position(|id| *id == bench.me);
         let longest = self.longest(service);
         let members: Vec<_> = bench.view.members.iter().map(|m| m.incarnation).collect();
-        let mut table = self.board.rollouts();
-        let Some(recorder) = table.recorder(service) else {
+        let mut table = self.state.rollouts();
+        let Some(recorder) = table.recorder_mut(service) else {
             return;
         };
         let Some(rank) = place.and_then(|place| u32::try_from(place).ok()) else {
-            recorder.leave();
+            recorder.stop_judging();
             return;
         };
         recorder.judge.tick(now);
-        let is_tried = matches!(known.phase(), Some(Phase::Canary | Phase::Moving));
+        let is_tried = matches!(known.phase(), Some(RolloutPhase::Canary | RolloutPhase::Moving));
         let verdict = if is_tried { recorder.judge.verdict() } else { None };
         if let Some(reason) = verdict {
             let evidence = recorder.judge.evidence().clone();
@@ -247,17 +254,17 @@
             return;
         }
         let clock = bench.clock;
-        let at = Situation {
+        let at = StepContext {
             now,
             known,
-            heard,
+            received: heard,
             clock,
-            longest,
+            max_duration: longest,
             members: &members,
-            view_asked: bench.view_asked,
+            view_requested: bench.view_asked,
             rank,
         };
-        let call = recorder.step(&at);
+        let call = recorder.next_call(&at);
         let evidence = recorder.judge.evidence().clone();
         drop(table);
         if let Some(call) = call {
@@ -269,15 +276,15 @@
     fn target_rejected(
         &self,
         now: Time,
-        known: &Known,
-        reason: Reason,
+        known: &KnownRollout,
+        reason: RolloutReason,
         evidence: Evidence,
-        turned: Vec<Known>,
+        turned: Vec<KnownRollout>,
         out: &mut Outbox,
     ) {
         let (service, revision) = (known.change.service.clone(), known.change.revision);
-        let note = RolloutNote::Rejected { service, revision, reason, evidence };
-        out.push(Order::Note(Note::Rollout(Box::new(note))));
+        let note = RolloutLogEntry::Rejected { service, revision, reason, evidence };
+        out.push(Command::Log(LogEntry::Rollout(Box::new(note))));
         self.tell_rollouts(now, &turned, out);
         self.put_rules(now, turned, out);
     }
@@ -287,41 +294,44 @@
         &self,
         now: Time,
         service: &Service,
-        call: Call,
+        call: RecorderCall,
         evidence: Evidence,
         out: &mut Outbox,
     ) {
-        let name = KvName::Rollout(service.clone());
+        let name = StoreKey::Rollout(service.clone());
         let (written, call) = match call {
-            Call::Read => (None, KvCall::Get(name)),
-            Call::ReadView => {
-                read(&mut self.board.members(), now, KvName::View, out);
+            RecorderCall::Read => (None, StoreCall::Get(name)),
+            RecorderCall::ReadView => {
+                read(&mut self.state.membership(), now, StoreKey::View, out);
                 return;
             }
-            Call::Write(expect, record) => {
+            RecorderCall::Write(expect, record) => {
                 let value = Bytes::from(record.encode());
-                let note = RolloutNote::Writes {
+                let note = RolloutLogEntry::WritingRecord {
                     service: service.clone(),
                     record: record.clone(),
                     evidence,
                 };
-                out.push(Order::Note(Note::Rollout(Box::new(note))));
-                (Some(record), KvCall::Swap { name, expect, value })
+                out.push(Command::Log(LogEntry::Rollout(Box::new(note))));
+                (
+                    Some(record),
+                    StoreCall::CompareAndSwap { key: name, expected_revision: expect, value },
+                )
             }
         };
         let purpose = Purpose::Rollout(service.clone(), written);
-        let ticket = self.board.members().calls.begin(purpose);
-        out.push(Order::KeyValue(ticket, call));
+        let ticket = self.state.membership().store_calls.begin(purpose);
+        out.push(Command::CallStore(ticket, call));
     }
 
     /// Tells the judges how requests of this process went, where that is due.
     fn report_rollouts(&self, now: Time, bench: &Bench, out: &mut Outbox) {
         let members = u32::try_from(bench.view.members.len()).unwrap_or(u32::MAX);
-        let mut table = self.board.rollouts();
-        for (judges, report) in table.reports(now, members, |service| bench.judges(service)) {
+        let mut table = self.state.rollouts();
+        for (judges, report) in table.due_reports(now, members, |service| bench.judges(service)) {
             for judge in judges {
                 if judge == bench.me {
-                    table.hear(judge, report.clone());
+                    table.apply_report(judge, report.clone());
                 } else {
                     out.send(judge, Message::RolloutReport(report.clone()));
                 }
@@ -330,50 +340,50 @@
     }
 
     /// Takes in news, tells all members what was news here, and puts the rules in force.
-    fn learn_rollouts(&self, now: Time, news: Vec<Known>, out: &mut Outbox) {
+    fn learn_rollouts(&self, now: Time, news: Vec<KnownRollout>, out: &mut Outbox) {
         if news.is_empty() {
             return;
         }
-        let turned = self.board.rollouts().learn(now, news);
+        let turned = self.state.rollouts().apply(now, news);
         self.tell_rollouts(now, &turned, out);
         self.put_rules(now, turned, out);
     }
 
     /// Tells all members what was news here.
-    fn tell_rollouts(&self, now: Time, turned: &[Known], out: &mut Outbox) {
+    fn tell_rollouts(&self, now: Time, turned: &[KnownRollout], out: &mut Outbox) {
         if turned.is_empty() {
             return;
         }
-        let members = self.board.members();
-        for (to, reach) in members.legs(now, broadcast::full_reach(&members.view)) {
-            let news = RolloutNews { known: turned.to_vec(), reach };
+        let members = self.state.membership();
+        for (to, reach) in members.broadcast_targets(now, broadcast::full_reach(&members.view)) {
+            let news = RolloutUpdate { known: turned.to_vec(), reach };
             out.send(to, Message::Rollouts(news));
         }
     }
 
     /// Logs what was news, and puts the rules in force that follow from it.
-    fn put_rules(&self, now: Time, turned: Vec<Known>, out: &mut Outbox) {
+    fn put_rules(&self, now: Time, turned: Vec<KnownRollout>, out: &mut Outbox) {
         for known in turned {
-            out.push(Order::Note(Note::Rollout(Box::new(RolloutNote::Learned(known)))));
+            out.push(Command::Log(LogEntry::Rollout(Box::new(RolloutLogEntry::Updated(known)))));
         }
         let bound = &self.config.pacing.rollout;
-        if let Some(rules) = self.board.rollouts().changed_rules(now, bound) {
-            out.push(Order::RolloutRules(rules));
+        if let Some(rules) = self.state.rollouts().changed_rules(now, bound) {
+            out.push(Command::ApplyRolloutRules(rules));
         }
     }
 
     /// Returns how long a request of a service may run: the longest timeout of its routes.
     fn longest(&self, service: &Service) -> Duration {
-        let set = self.board.templates();
+        let set = self.state.templates();
         let routes = set.routing.routes.iter();
         let of = routes.filter(|route| route.split.iter().any(|split| split.service == *service));
         of.map(|route| route.timeout).max().unwrap_or_default()
     }
 
     fn bench(&self, now: Time) -> Bench {
-        let members = self.board.members();
-        let (view, clock) = (Arc::clone(&members.view), members.clock(now));
-        Bench { view, me: members.id(), clock, view_asked: members.view_known }
+        let members = self.state.membership();
+        let (view, clock) = (Arc::clone(&members.view), members.fleet_clock(now));
+        Bench { view, me: members.id(), clock, view_asked: members.view_known_at }
     }
 }
 
--- a/crates/badgerfield-core/src/control/settings.rs
+++ b/crates/badgerfield-core/src/handlers/settings.rs
@@ -1,16 +1,16 @@
 //! Templates: reads them from the platform and from peers, and never steps back.
 
 use crate::amount::Time;
-use crate::event::{Note, Order, Outbox, Versioned};
+use crate::event::{Command, LogEntry, Outbox, Versioned};
 use crate::ids::{BudgetId, Incarnation};
-use crate::ledger::Terms;
+use crate::ledger::BudgetTerms;
 use crate::message::Message;
 use crate::node::Node;
 use crate::template::{TemplateDelta, TemplateSet};
 
 impl Node {
     /// Takes in the platform's value of the templates.
-    pub(crate) fn read_templates(&self, now: Time, found: &Versioned, out: &mut Outbox) {
+    pub(crate) fn apply_stored_templates(&self, now: Time, found: &Versioned, out: &mut Outbox) {
         if let Some(bytes) = &found.value {
             self.decode_templates(now, bytes, out);
         }
@@ -19,15 +19,15 @@
     /// Takes in templates as operators wrote them.
     pub(crate) fn decode_templates(&self, now: Time, bytes: &[u8], out: &mut Outbox) {
         match TemplateSet::decode(bytes) {
-            Ok(set) => self.learn_templates(now, set, out),
-            Err(error) => out.push(Order::Note(Note::BadTemplates(error.to_string()))),
+            Ok(set) => self.apply_templates(now, set, out),
+            Err(error) => out.push(Command::Log(LogEntry::BadTemplates(error.to_string()))),
         }
     }
 
     /// Puts a newer set in force.
-    pub(crate) fn learn_templates(&self, now: Time, set: TemplateSet, out: &mut Outbox) {
+    pub(crate) fn apply_templates(&self, now: Time, set: TemplateSet, out: &mut Outbox) {
         {
-            let mut table = self.board.templates();
+            let mut table = self.state.templates();
             if set.version <= table.version || !set.faults().is_empty() {
                 return;
             }
@@ -37,7 +37,7 @@
     }
 
     /// Puts a difference in force, or asks for the whole set if it does not fit.
-    pub(crate) fn learn_delta(
+    pub(crate) fn apply_template_delta(
         &self,
         now: Time,
         from: Incarnation,
@@ -45,11 +45,11 @@
         out: &mut Outbox,
     ) {
         let (newer, whole, fits, version) = {
-            let mut table = self.board.templates();
+            let mut table = self.state.templates();
             let newer = delta.version > table.version;
             // One that starts elsewhere has been overtaken; the next one may fit.
             let whole = delta.base == table.version;
-            let fits = table.advance(delta);
+            let fits = table.apply_delta(delta);
             (newer, whole, fits, table.version)
         };
         if fits {
@@ -57,7 +57,7 @@
             return;
         }
         if newer {
-            let epoch = self.board.members().view.epoch;
+            let epoch = self.state.membership().view.epoch;
             out.send(from, Message::Fetch { epoch, version, whole });
         }
     }
@@ -65,31 +65,31 @@
     /// Returns the terms of a budget with its owner's wish to spread it.
     pub(crate) fn learn_terms(&self, now: Time, budget: &BudgetId) {
         let terms = {
-            let table = self.board.templates();
+            let table = self.state.templates();
             let Some((template, account)) = table.budgets.get(budget).zip(table.account_of(budget))
             else {
                 return;
             };
             let version = template.changed;
             let (period, limit) = (template.period, template.limit);
-            (Terms { version, period, limit }, account.spread)
+            (BudgetTerms { version, period, limit }, account.spread)
         };
-        self.board.holdings().learn(now, budget, terms.0, terms.1);
+        self.state.holdings().update_terms(now, budget, terms.0, terms.1);
     }
 
     fn templates_changed(&self, now: Time, out: &mut Outbox) {
         let version = {
-            let table = self.board.templates();
-            self.board.template_history().note(&table);
+            let table = self.state.templates();
+            self.state.template_history().record(&table);
             table.version
         };
-        out.push(Order::Note(Note::Templates(version)));
-        let held: Vec<_> = self.board.holdings().budgets().cloned().collect();
+        out.push(Command::Log(LogEntry::Templates(version)));
+        let held: Vec<_> = self.state.holdings().budgets().cloned().collect();
         for budget in held {
-            let before = self.board.holdings().period(&budget);
+            let before = self.state.holdings().period(&budget);
             self.learn_terms(now, &budget);
-            if self.board.holdings().period(&budget) != before {
-                out.push(Order::Note(Note::Renewed(budget)));
+            if self.state.holdings().period(&budget) != before {
+                out.push(Command::Log(LogEntry::BudgetRenewed(budget)));
             }
         }
         self.spread(now, out);
--- a/crates/badgerfield-core/src/control/upstream_news.rs
+++ b/crates/badgerfield-core/src/handlers/upstream_news.rs
@@ -8,14 +8,14 @@
 
 use crate::amount::Time;
 use crate::broadcast;
-use crate::event::{Order, Outbox, due};
+use crate::event::{Command, Outbox, is_due};
 use crate::ids::Incarnation;
-use crate::membership::Behind;
-use crate::message::{Message, UpstreamNews};
+use crate::membership::NewerList;
+use crate::message::{Message, UpstreamUpdate};
 use crate::node::Node;
-use crate::replica_list::ListMark;
-use crate::request_limit::LimitNote;
-use crate::view::SMALL_VIEW;
+use crate::rate_limit::LimitReport;
+use crate::upstream_list::ListVersion;
+use crate::view::MAX_SMALL_VIEW_MEMBERS;
 
 /// The least time between two fetches of what is missing of the list: about as long as an
 /// answer takes on a busy VM.
@@ -35,69 +35,74 @@
 impl Node {
     /// Returns the last revision of the list up to which all were told every change.
     #[must_use]
-    pub fn list_told(&self) -> u64 {
-        self.board.members().told
+    pub fn announced_revision(&self) -> u64 {
+        self.state.membership().announced_revision
     }
 
     /// Tells others what was read from the platform.
-    pub(crate) fn tell_changes(&self, now: Time, found: &UpstreamNews, out: &mut Outbox) {
-        let UpstreamNews { changes, mark, .. } = found;
+    pub(crate) fn announce_upstream_changes(
+        &self,
+        now: Time,
+        found: &UpstreamUpdate,
+        out: &mut Outbox,
+    ) {
+        let UpstreamUpdate { changes, version: mark, .. } = found;
         let is_news = !changes.written.is_empty() || !changes.gone.is_empty();
-        let mut members = self.board.members();
-        let news = |reach| UpstreamNews { reach, ..found.clone() };
-        if members.view.members.len() <= SMALL_VIEW {
+        let mut members = self.state.membership();
+        let news = |reach| UpstreamUpdate { reach, ..found.clone() };
+        if members.view.members.len() <= MAX_SMALL_VIEW_MEMBERS {
             if !is_news {
                 return;
             }
-            members.told = members.told.max(mark.revision);
+            members.announced_revision = members.announced_revision.max(mark.revision);
             for to in members.neighbours() {
                 out.send(to, Message::UpstreamChanges(news(0)));
             }
             return;
         }
-        if !is_news && !due(now, members.confirmed_at, CONFIRM) {
+        if !is_news && !is_due(now, members.list_confirmed_at, CONFIRM) {
             return;
         }
-        members.confirmed_at = Some(now);
-        members.told = members.told.max(mark.revision);
-        for (to, reach) in members.legs(now, broadcast::full_reach(&members.view)) {
+        members.list_confirmed_at = Some(now);
+        members.announced_revision = members.announced_revision.max(mark.revision);
+        for (to, reach) in members.broadcast_targets(now, broadcast::full_reach(&members.view)) {
             out.send(to, Message::UpstreamChanges(news(reach)));
         }
     }
 
     /// Tells the neighbours of the limits that upstreams name.
-    pub(crate) fn tell_limits(&self, notes: &[LimitNote], out: &mut Outbox) {
+    pub(crate) fn send_limits(&self, notes: &[LimitReport], out: &mut Outbox) {
         if notes.is_empty() {
             return;
         }
-        let neighbours = self.board.members().neighbours();
+        let neighbours = self.state.membership().neighbours();
         for to in neighbours {
-            out.send(to, Message::Limits(notes.to_vec()));
+            out.send(to, Message::LimitReports(notes.to_vec()));
         }
     }
 
     /// Takes in what another process tells, and passes it on to its part of the ring.
-    pub(crate) fn upstream_news(
+    pub(crate) fn receive_upstream_update(
         &self,
         now: Time,
         from: Incarnation,
-        news: UpstreamNews,
+        news: UpstreamUpdate,
         out: &mut Outbox,
     ) {
         let legs = {
-            let mut members = self.board.members();
-            members.confirmed_at = Some(now);
+            let mut members = self.state.membership();
+            members.list_confirmed_at = Some(now);
             // In a small view each passes on what it has heard, and so tells it itself.
-            if members.view.members.len() > SMALL_VIEW {
-                members.told = members.told.max(news.mark.revision);
+            if members.view.members.len() > MAX_SMALL_VIEW_MEMBERS {
+                members.announced_revision = members.announced_revision.max(news.version.revision);
             }
-            if news.reach == 0 { Vec::new() } else { members.legs(now, news.reach) }
+            if news.reach == 0 { Vec::new() } else { members.broadcast_targets(now, news.reach) }
         };
         for (to, reach) in legs {
-            let news = UpstreamNews { reach, ..news.clone() };
+            let news = UpstreamUpdate { reach, ..news.clone() };
             out.send(to, Message::UpstreamChanges(news));
         }
-        out.push(Order::LearnChanges(from, news));
+        out.push(Command::ApplyUpstreamChanges(from, news));
     }
 
     /// Compares what a neighbour knows of the list of upstreams with what is known here.
@@ -105,21 +110,21 @@
         &self,
         now: Time,
         from: Incarnation,
-        theirs: ListMark,
+        theirs: ListVersion,
         out: &mut Outbox,
     ) {
         {
-            let mut members = self.board.members();
-            if theirs.revision <= members.list.revision {
+            let mut members = self.state.membership();
+            if theirs.revision <= members.upstream_list.revision {
                 return;
             }
-            if theirs.digest == members.list.digest {
-                members.list.revision = theirs.revision;
-                out.push(Order::ConfirmUpstreams(theirs.revision));
+            if theirs.digest == members.upstream_list.digest {
+                members.upstream_list.revision = theirs.revision;
+                out.push(Command::ConfirmUpstreamList(theirs.revision));
                 return;
             }
         }
-        self.upstreams_missed(now, from, theirs.revision, out);
+        self.fetch_missing_upstreams(now, from, theirs.revision, out);
     }
 
     /// Takes in that a process knows the list up to a revision, which is beyond what is known
@@ -127,7 +132,7 @@
     ///
     /// Of a list of 3,000 upstreams one change takes some hundred bytes, and the whole 330 KB,
     /// which at 300 VMs was most of what they sent each other.
-    pub(crate) fn upstreams_missed(
+    pub(crate) fn fetch_missing_upstreams(
         &self,
         now: Time,
         from: Incarnation,
@@ -135,20 +140,20 @@
         out: &mut Outbox,
     ) {
         let since = {
-            let mut members = self.board.members();
-            let known = members.list.revision;
+            let mut members = self.state.membership();
+            let known = members.upstream_list.revision;
             // No whole list is under way to one that has none, so it asks at once.
             if known > 0 {
-                let noticed = members.behind.filter(|behind| behind.revision > known);
+                let noticed = members.newer_list.filter(|behind| behind.revision > known);
                 let Some(behind) = noticed else {
-                    members.behind = Some(Behind { revision, at: now });
+                    members.newer_list = Some(NewerList { revision, noticed_at: now });
                     return;
                 };
-                if !due(now, Some(behind.at), UNDER_WAY) {
+                if !is_due(now, Some(behind.noticed_at), UNDER_WAY) {
                     return;
                 }
             }
-            members.behind = None;
+            members.newer_list = None;
             known
         };
         self.ask_upstreams(now, from, since, out);
@@ -156,17 +161,17 @@
 
     /// Takes in that a process knows no more than this one, and its list differs all the same:
     /// asks it for the whole.
-    pub(crate) fn upstreams_differ(&self, now: Time, from: Incarnation, out: &mut Outbox) {
+    pub(crate) fn fetch_all_upstreams(&self, now: Time, from: Incarnation, out: &mut Outbox) {
         self.ask_upstreams(now, from, 0, out);
     }
 
     fn ask_upstreams(&self, now: Time, from: Incarnation, since: u64, out: &mut Outbox) {
-        let mut members = self.board.members();
-        let pace = if since == 0 && members.list.revision > 0 { WHOLE } else { FETCH };
-        if !due(now, members.list_fetched, pace) {
+        let mut members = self.state.membership();
+        let pace = if since == 0 && members.upstream_list.revision > 0 { WHOLE } else { FETCH };
+        if !is_due(now, members.list_requested_at, pace) {
             return;
         }
-        members.list_fetched = Some(now);
+        members.list_requested_at = Some(now);
         out.send(from, Message::FetchUpstreams { since });
     }
 }
--- a/crates/badgerfield-core/src/holdings/lending.rs
+++ b/crates/badgerfield-core/src/holdings/lending.rs
@@ -7,11 +7,11 @@
 use super::waiting::{Queued, Waiter, Wanter};
 use super::{COME_BACK, Holdings};
 use crate::amount::{Time, Tokens};
-use crate::event::{Note, Order, Outbox, due};
+use crate::event::{Command, LogEntry, Outbox, is_due};
 use crate::ids::{BudgetId, Incarnation, Period};
-use crate::ledger::Plan;
-use crate::lending::Lenders;
-use crate::message::{Ask, Lack, Message};
+use crate::ledger::HoldingPlan;
+use crate::lenders::Lenders;
+use crate::message::{Message, NoTokensReason, TokenRequest};
 use crate::refusal::{Cause, Refusal};
 
 /// How long a borrower's ask may wait at its lender.
@@ -51,7 +51,7 @@
         if changed {
             let held = self.table.values().filter(|holding| !holding.borrows()).count();
             let borrowed = self.table.len() - held;
-            out.push(Order::Note(Note::Lending { epoch: self.view.epoch, held, borrowed }));
+            out.push(Command::Log(LogEntry::Lending { epoch: self.view.epoch, held, borrowed }));
         }
     }
 
@@ -60,7 +60,7 @@
         let Some(holding) = self.table.get_mut(budget) else {
             return;
         };
-        let keep = holding.at_hand(now, self.pacing.policy.at_hand);
+        let keep = holding.at_hand(now, self.pacing.policy.prefetch_span);
         let has_enough = holding.free >= keep.part(1, 2).max(Tokens(1));
         if has_enough || self.leaving.closes() || holding.search.is_some() || !holding.borrows() {
             return;
@@ -68,15 +68,15 @@
         let Some(to) = next_lender(holding, &self.view, &self.mute, now, &[]) else {
             return;
         };
-        let ahead = holding.ask_ahead(now, self.pacing.policy.at_hand);
+        let ahead = holding.ask_ahead(now, self.pacing.policy.prefetch_span);
         if ahead.is_zero() {
             return;
         }
         let need = holding.largest;
-        let ahead = ahead.saturating_minus(need);
+        let ahead = ahead.saturating_sub(need);
         holding.coming.ask(now, to, need, ahead);
         let (budget, period) = (budget.clone(), holding.terms.period);
-        out.send(to, Message::Ask(Ask { budget, period, need, ahead }));
+        out.send(to, Message::TokenRequest(TokenRequest { budget, period, need, extra: ahead }));
     }
 
     /// Tells what this process has of the budgets that it borrows and that are busy here.
@@ -84,11 +84,11 @@
         let under_way = self.transfers.all_under_way();
         for (budget, holding) in self.table.iter().filter(|(_, holding)| holding.borrows()) {
             let moving = under_way.get(budget).copied().unwrap_or_default();
-            let keep = holding.at_hand(now, self.pacing.policy.at_hand);
+            let keep = holding.at_hand(now, self.pacing.policy.prefetch_span);
             if keep.is_zero() && moving.is_zero() {
                 continue;
             }
-            out.push(Order::Note(Note::AtHand {
+            out.push(Command::Log(LogEntry::Prefetched {
                 budget: budget.clone(),
                 free: holding.free,
                 reserved: holding.reserved,
@@ -100,12 +100,18 @@
     }
 
     /// Lends to a borrower, now or when the ledger has answered.
-    pub(super) fn lend(&mut self, now: Time, from: Incarnation, ask: &Ask, out: &mut Outbox) {
+    pub(super) fn lend(
+        &mut self,
+        now: Time,
+        from: Incarnation,
+        ask: &TokenRequest,
+        out: &mut Outbox,
+    ) {
         let Some(holding) = self.table.get_mut(&ask.budget) else {
             return;
         };
         let need = ask.need;
-        let lends_ahead = matches!(holding.plan, Plan::Share(_));
+        let lends_ahead = matches!(holding.plan, HoldingPlan::Share(_));
         holding.largest = holding.largest.max(need);
         if holding.ready() < need {
             holding.unseal_due(now);
@@ -113,9 +119,9 @@
         let waiter = Waiter { wanter: Wanter::Borrower(from), need, until: now.after(WAIT) };
         if holding.lend(now, need) {
             let spare = holding.spare().part(1, AHEAD_PART);
-            let ahead = if lends_ahead { ask.ahead.min(spare) } else { Tokens::ZERO };
+            let ahead = if lends_ahead { ask.extra.min(spare) } else { Tokens::ZERO };
             holding.lend(now, ahead);
-            let waiter = Waiter { need: need.saturating_plus(ahead), ..waiter };
+            let waiter = Waiter { need: need.saturating_add(ahead), ..waiter };
             self.decide(&ask.budget, vec![waiter], None);
         } else {
             match holding.queue(now, waiter) {
@@ -140,9 +146,9 @@
                 continue;
             };
             let spent = refusal.cause == Cause::BudgetSpent;
-            let after = refusal.after.unwrap_or(COME_BACK);
-            let lack = if spent { Lack::Spent } else { Lack::Reserved(after) };
-            out.send(to, Message::Nothing { budget, period, need: amount, lack });
+            let after = refusal.retry_after.unwrap_or(COME_BACK);
+            let lack = if spent { NoTokensReason::Spent } else { NoTokensReason::Reserved(after) };
+            out.send(to, Message::NoTokens { budget, period, need: amount, reason: lack });
         }
     }
 
@@ -169,7 +175,7 @@
         &self,
         from: Incarnation,
         budget: &BudgetId,
-        lack: Lack,
+        lack: NoTokensReason,
     ) -> bool {
         let Some(holding) = self.table.get(budget) else {
             return false;
@@ -177,7 +183,7 @@
         let Some(Search::Lender { asked, .. }) = &holding.search else {
             return false;
         };
-        holding.borrows() && asked.contains(&from) && lack != Lack::NoHolder
+        holding.borrows() && asked.contains(&from) && lack != NoTokensReason::NotHolder
     }
 
     /// Refuses requests as the lender did: it has looked for tokens everywhere.
@@ -188,12 +194,16 @@
         now: Time,
         budget: &BudgetId,
         need: Tokens,
-        lack: Lack,
+        lack: NoTokensReason,
     ) {
         let refusal = match lack {
-            Lack::Spent => Refusal::not_run(Cause::BudgetSpent),
-            Lack::Reserved(after) => Refusal::not_run(Cause::BudgetHeld).after(after),
-            Lack::NoHolder => Refusal::not_run(Cause::BudgetHeld).after(COME_BACK),
+            NoTokensReason::Spent => Refusal::not_run(Cause::BudgetSpent),
+            NoTokensReason::Reserved(after) => {
+                Refusal::not_run(Cause::BudgetHeld).with_retry_after(after)
+            }
+            NoTokensReason::NotHolder => {
+                Refusal::not_run(Cause::BudgetHeld).with_retry_after(COME_BACK)
+            }
         };
         self.refuse_waiters(now, budget, need, refusal);
     }
@@ -204,7 +214,7 @@
     /// that is on its way, or it would pile up there as long as answers are slow.
     pub(super) fn ask_ahead(&mut self, now: Time, span: Duration) -> Tokens {
         let keep = self.at_hand(now, span);
-        if keep.is_zero() || self.coming.has_ahead(now) || !due(now, self.asked, ASK_AHEAD) {
+        if keep.is_zero() || self.coming.has_ahead(now) || !is_due(now, self.asked, ASK_AHEAD) {
             return Tokens::ZERO;
         }
         self.asked = Some(now);
@@ -221,17 +231,20 @@
         least: usize,
         out: &mut Outbox,
     ) {
-        let covered = self.ready().saturating_plus(self.coming.sum(now));
+        let covered = self.ready().saturating_add(self.coming.sum(now));
         let mut wanted = Tokens::ZERO;
         for (n, waiter) in self.waiters.iter().enumerate() {
-            wanted = wanted.saturating_plus(waiter.need);
+            wanted = wanted.saturating_add(waiter.need);
             if wanted <= covered && n >= least {
                 continue;
             }
             let (need, ahead) = (waiter.need, Tokens::ZERO);
             self.coming.ask(now, to, need, ahead);
             let (budget, period) = (budget.clone(), self.terms.period);
-            out.send(to, Message::Ask(Ask { budget, period, need, ahead }));
+            out.send(
+                to,
+                Message::TokenRequest(TokenRequest { budget, period, need, extra: ahead }),
+            );
         }
     }
 
--- a/crates/badgerfield-core/src/holdings/parking.rs
+++ b/crates/badgerfield-core/src/holdings/parking.rs
@@ -7,11 +7,11 @@
 use super::search::next_lender;
 use super::{Holdings, Leaving};
 use crate::amount::{Time, Tokens};
-use crate::event::{Outbox, due};
+use crate::event::{Outbox, is_due};
 use crate::ids::{BudgetId, Incarnation};
-use crate::ledger::Plan;
+use crate::ledger::HoldingPlan;
 use crate::message::{Message, ParkItem};
-use crate::view::Standing;
+use crate::view::MemberState;
 
 /// How often a parked amount is sent again.
 const PARK_RESEND: Duration = Duration::from_millis(100);
@@ -25,7 +25,7 @@
 impl Holdings {
     /// Decides whether the ledger is to be told something.
     pub(super) fn plan_op(&mut self, now: Time, budget: &BudgetId) {
-        let report = self.pacing.report;
+        let report = self.pacing.report_interval;
         let Some(holding) = self.table.get_mut(budget) else {
             return;
         };
@@ -48,7 +48,7 @@
         if self.leaving == Leaving::Retiring {
             holding.life = Life::Retiring;
             let keep = holding.working(now).min(holding.spare());
-            let rest = holding.returnable().saturating_minus(keep);
+            let rest = holding.returnable().saturating_sub(keep);
             if holding.seq > 0 && !rest.is_zero() && self.maker.is_sure(now) {
                 holding.make_op(now, budget, &self.maker, rest, false);
             }
@@ -60,7 +60,7 @@
             let ready = holding.reserved.is_zero()
                 && holding.waiters.is_empty()
                 && holding.parked_amount().is_zero();
-            let all = holding.free.saturating_plus(shut);
+            let all = holding.free.saturating_add(shut);
             if ready && holding.seq + all.0 > 0 {
                 if holding.seq == 0 {
                     // The first change registers the holder and gives nothing back.
@@ -83,7 +83,7 @@
         }
         let idle = holding.is_idle(now);
         if holding.seq > 0 && (idle || holding.recall) && holding.parked_amount().is_zero() {
-            let back = holding.spare().saturating_plus(holding.sealed);
+            let back = holding.spare().saturating_add(holding.sealed);
             let news = holding.reported != (holding.billed, holding.wasted);
             holding.recall = false;
             if !back.is_zero() || news {
@@ -91,7 +91,7 @@
             }
             return;
         }
-        if !due(now, holding.drawn_at, report) || idle {
+        if !is_due(now, holding.drawn_at, report) || idle {
             return;
         }
         let surplus = holding.surplus(now).min(holding.returnable());
@@ -110,7 +110,7 @@
 
     /// Gives back to the ledger what this process held before it began to borrow.
     fn plan_return(&mut self, now: Time, budget: &BudgetId) {
-        let report = self.pacing.report;
+        let report = self.pacing.report_interval;
         let Some(holding) = self.table.get_mut(budget) else {
             return;
         };
@@ -119,12 +119,12 @@
             && holding.waiters.is_empty()
             && holding.parked_amount().is_zero();
         if self.leaving.closes() && holding.seq > 0 && is_done {
-            let all = holding.free.saturating_plus(shut);
+            let all = holding.free.saturating_add(shut);
             holding.life = Life::Retiring;
             holding.make_op(now, budget, &self.maker, all, true);
             return;
         }
-        if !due(now, holding.drawn_at, report) {
+        if !is_due(now, holding.drawn_at, report) {
             return;
         }
         // What went to lenders is held there; the ledger hands out less while it takes it to
@@ -138,7 +138,7 @@
 
     /// Decides how much is to be parked, and with whom.
     pub(super) fn plan_park(&mut self, now: Time, budget: &BudgetId) {
-        let report = self.pacing.report;
+        let report = self.pacing.report_interval;
         let Some(holding) = self.table.get_mut(budget) else {
             return;
         };
@@ -151,12 +151,12 @@
         let bank = holding.parked.bank;
         let stays = bank
             .and_then(|id| self.view.member(id))
-            .is_some_and(|m| m.standing == Standing::Active);
+            .is_some_and(|m| m.standing == MemberState::Active);
         let working = holding.working(now);
         let wanted = holding.wanted();
         let total = holding.parked.total;
         let idle = holding.is_idle(now);
-        let low = !matches!(holding.plan, Plan::Share(_));
+        let low = !matches!(holding.plan, HoldingPlan::Share(_));
         let empty = self.leaving.closes()
             || idle
             || low
@@ -170,22 +170,22 @@
         let is_left = leaves && has_witness && stays && !self.maker.is_sure(now);
         // What is to be given back is unparked only when it can go at once: should this
         // process die on the way, nobody else can spend it.
-        let ready = holding.op.is_none() && due(now, holding.drawn_at, report);
+        let ready = holding.op.is_none() && is_due(now, holding.drawn_at, report);
         let surplus = if ready { holding.surplus(now) } else { Tokens::ZERO };
-        let keep = wanted.saturating_plus(working);
+        let keep = wanted.saturating_add(working);
         let half = working.part(1, 2);
         let target = if is_left {
             let serves = if self.leaving.closes() { Tokens::ZERO } else { working };
-            holding.unspent().saturating_minus(wanted).saturating_minus(serves)
+            holding.unspent().saturating_sub(wanted).saturating_sub(serves)
         } else if empty || leaves {
             Tokens::ZERO
         } else if !surplus.is_zero() {
             // What is to be given back is made free, and stays so.
-            total.saturating_minus(surplus.saturating_minus(holding.returnable()))
-        } else if holding.ready() < holding.free.min(wanted.saturating_plus(half)) {
-            total.saturating_minus(keep.saturating_minus(holding.ready()))
-        } else if holding.room() > keep.saturating_plus(half) {
-            total.saturating_plus(holding.room().saturating_minus(keep))
+            total.saturating_sub(surplus.saturating_sub(holding.returnable()))
+        } else if holding.ready() < holding.free.min(wanted.saturating_add(half)) {
+            total.saturating_sub(keep.saturating_sub(holding.ready()))
+        } else if holding.room() > keep.saturating_add(half) {
+            total.saturating_add(holding.room().saturating_sub(keep))
         } else {
             total
         };
@@ -194,7 +194,7 @@
         let target = target.min(holding.unspent());
         if target == total {
             if total.is_zero() && !stays && has_witness {
-                let me = self.view.bank_of(self.me);
+                let me = self.view.witness_of(self.me);
                 holding.parked.bank = me.map(|m| m.incarnation);
             }
             return;
@@ -217,7 +217,7 @@
             let Some(bank) = holding.parked.bank else {
                 continue;
             };
-            if !due(now, *at, PARK_RESEND) {
+            if !is_due(now, *at, PARK_RESEND) {
                 continue;
             }
             *at = Some(now);
@@ -238,7 +238,7 @@
             return;
         }
         for (to, ask) in std::mem::take(&mut holding.owed) {
-            self.asked(now, to, &ask, out);
+            self.handle_token_request(now, to, &ask, out);
         }
     }
 
@@ -248,13 +248,13 @@
             return;
         };
         let borrows = holding.borrows();
-        let span = self.pacing.policy.at_hand;
+        let span = self.pacing.policy.prefetch_span;
         let keep = if borrows && !self.leaving.closes() {
             holding.at_hand(now, span)
         } else {
             Tokens::ZERO
         };
-        let spare = holding.free.saturating_minus(keep.part(AT_HAND_MOST, 1));
+        let spare = holding.free.saturating_sub(keep.part(AT_HAND_MOST, 1));
         let lender = next_lender(holding, &self.view, &self.mute, now, &[]);
         let Some(to) = lender.filter(|to| *to != self.me) else {
             return;
@@ -263,7 +263,7 @@
         let may = !waits && (borrows || !self.leaving.closes());
         // Two that take each other for the collector must not pass tokens to and fro.
         let pace = if borrows { RETURN } else { PASS };
-        if !may || spare.is_zero() || !due(now, holding.passed, pace) {
+        if !may || spare.is_zero() || !is_due(now, holding.passed, pace) {
             return;
         }
         // What cannot leave this VM is of more use here, where the account's requests come.
--- a/crates/badgerfield-core/src/holdings/search.rs
+++ b/crates/badgerfield-core/src/holdings/search.rs
@@ -6,12 +6,12 @@
 use super::holding::{Holding, Search};
 use super::lending::BorrowerAnswer;
 use super::waiting::{Waiter, Wanter};
-use super::{COME_BACK, Decision, Holdings};
+use super::{COME_BACK, Holdings, ReserveDecision};
 use crate::amount::{Time, Tokens};
-use crate::event::{Note, Order, Outbox};
+use crate::event::{Command, LogEntry, Outbox};
 use crate::ids::{BudgetId, Incarnation};
-use crate::ledger::Plan;
-use crate::message::{Ask, Message};
+use crate::ledger::HoldingPlan;
+use crate::message::{Message, TokenRequest};
 use crate::refusal::{Cause, Refusal};
 use crate::view::View;
 
@@ -76,7 +76,7 @@
         };
         for waiter in waiters {
             match waiter.wanter {
-                Wanter::Run(run) => self.decisions.push(Decision { run, period, refusal }),
+                Wanter::Run(run) => self.decisions.push(ReserveDecision { run, period, refusal }),
                 Wanter::Borrower(to) => {
                     let (budget, amount) = (budget.clone(), waiter.need);
                     self.answers.push(BorrowerAnswer { to, budget, period, amount, refusal });
@@ -149,13 +149,16 @@
                 holding.search.get_or_insert(Search::Lender { since: now, asked: vec![to] });
                 let (budget, period) = (budget.clone(), holding.terms.period);
                 let need = holding.waiters.back().map_or(Tokens::ZERO, |w| w.need);
-                let coming = holding.ready().saturating_plus(holding.coming.sum(now));
+                let coming = holding.ready().saturating_add(holding.coming.sum(now));
                 if holding.borrows() && holding.wanted() <= coming {
                     return;
                 }
-                let ahead = holding.ask_ahead(now, self.pacing.policy.at_hand);
+                let ahead = holding.ask_ahead(now, self.pacing.policy.prefetch_span);
                 holding.coming.ask(now, to, need, ahead);
-                out.send(to, Message::Ask(Ask { budget, period, need, ahead }));
+                out.send(
+                    to,
+                    Message::TokenRequest(TokenRequest { budget, period, need, extra: ahead }),
+                );
             }
             (None, None) if !holding.may_draw() => self.refuse_silent(now, budget),
             (None, None) => {
@@ -219,7 +222,7 @@
     /// Refuses those who wait: no lender answers, nor any that stands in for them, and a
     /// process that is neither does not draw from the ledger.
     fn refuse_silent(&mut self, now: Time, budget: &BudgetId) {
-        let refusal = Refusal::not_run(Cause::BudgetHeld).after(COME_BACK);
+        let refusal = Refusal::not_run(Cause::BudgetHeld).with_retry_after(COME_BACK);
         self.refuse_waiters(now, budget, Tokens::ZERO, refusal);
     }
 
@@ -289,16 +292,19 @@
         let ranked = self.view.ranked(budget.as_str().as_bytes(), None);
         open.extend(ranked.iter().take(MAX_ASKED).map(|m| m.incarnation));
         open.retain(|id| *id != self.me && self.view.has(*id));
-        let lack = holding.wanted().saturating_minus(holding.ready());
+        let lack = holding.wanted().saturating_sub(holding.ready());
         // A holder that cannot give all that is wanted may still serve one of those who wait. Where a
         // few hold for all, each holds enough for many, and what they lack is asked for at once.
         let least = holding.waiters.iter().map(|w| w.need).min().unwrap_or_default();
-        let least = least.saturating_minus(holding.ready());
+        let least = least.saturating_sub(holding.ready());
         let need = if self.lenders.is_empty() { least } else { lack };
-        let ahead = lack.saturating_minus(need);
+        let ahead = lack.saturating_sub(need);
         for to in &open {
             let (budget, period) = (budget.clone(), holding.terms.period);
-            out.send(*to, Message::Ask(Ask { budget, period, need, ahead }));
+            out.send(
+                *to,
+                Message::TokenRequest(TokenRequest { budget, period, need, extra: ahead }),
+            );
         }
         let alone = open.is_empty();
         holding.search = Some(Search::Peers { since: now, open, reach: Tokens::ZERO });
@@ -350,7 +356,7 @@
         if all_answered && !awaits && holding.op.is_none() {
             // Small requests may be served by what comes back though large ones cannot.
             let reach = holding.within_reach(now).max(reach);
-            let least = reach.saturating_plus(Tokens(1));
+            let least = reach.saturating_add(Tokens(1));
             let needs = holding.waiters.iter().map(|w| w.need).filter(|need| *need >= least);
             holding.spent = needs.min().map(|need| (now, need)).or(holding.spent);
             let refusal = Refusal::not_run(Cause::BudgetSpent);
@@ -369,7 +375,7 @@
         // Whoever is refused waits behind all that are not: it is told when its turn may come.
         let opens = holding.opens_in(now, holding.wanted());
         let after = opens.map_or(after, |opens| opens.clamp(SOON, after));
-        let refusal = Refusal::not_run(Cause::BudgetHeld).after(after);
+        let refusal = Refusal::not_run(Cause::BudgetHeld).with_retry_after(after);
         self.refuse_waiters(now, budget, Tokens::ZERO, refusal);
     }
 
@@ -387,7 +393,7 @@
         if holding.waiters.is_empty() {
             holding.search = None;
         }
-        let refusal = Refusal::not_run(Cause::BudgetHeld).after(COME_BACK);
+        let refusal = Refusal::not_run(Cause::BudgetHeld).with_retry_after(COME_BACK);
         self.decide(budget, late, Some(refusal));
         let Some(holding) = self.table.get_mut(budget) else {
             return;
@@ -404,7 +410,7 @@
                     holding.coming.give_up(lender);
                     self.mute.insert(lender, now);
                     let budget = budget.clone();
-                    out.push(Order::Note(Note::LenderSilent { budget, lender }));
+                    out.push(Command::Log(LogEntry::LenderSilent { budget, lender }));
                 }
                 self.skip_lender(now, budget, out);
             }
@@ -439,7 +445,7 @@
         return holding.lenders.iter().copied().find(fits);
     }
     match holding.plan {
-        Plan::Defer(id) if view.has(id) => Some(id),
-        Plan::Defer(_) | Plan::Share(_) | Plan::Collect(_) => None,
+        HoldingPlan::Defer(id) if view.has(id) => Some(id),
+        HoldingPlan::Defer(_) | HoldingPlan::Share(_) | HoldingPlan::Collect(_) => None,
     }
 }
--- a/crates/badgerfield-core/src/ledger_writer.rs
+++ b/crates/badgerfield-core/src/ledger_writer.rs
@@ -9,8 +9,8 @@
 
 use bytes::Bytes;
 
-use crate::amount::{Rate, Time};
-use crate::event::{KvCall, KvName, KvResult, Versioned, due};
+use crate::amount::{Time, TokenRate};
+use crate::event::{StoreCall, StoreKey, StoreResult, Versioned, is_due};
 use crate::ids::{BudgetId, Incarnation, Period};
 use crate::ledger::{LedgerOp, LedgerReply, LedgerShard};
 
@@ -30,7 +30,7 @@
 
 /// What became of a change, and for whom it is.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Result {
+pub struct OpResult {
     /// The holder.
     pub holder: Incarnation,
     /// The budget.
@@ -48,7 +48,7 @@
     Reading,
     Writing {
         next: LedgerShard,
-        replies: Vec<Result>,
+        replies: Vec<OpResult>,
     },
 }
 
@@ -85,7 +85,7 @@
 
     /// Returns how many writes met another value, and how many there were.
     #[must_use]
-    pub fn conflicts(&self) -> (u64, u64) {
+    pub fn write_counts(&self) -> (u64, u64) {
         (self.conflicts, self.writes)
     }
 
@@ -96,21 +96,21 @@
     }
 
     /// Remembers holders that were removed, to drop them with the next write.
-    pub fn forget(&mut self, gone: impl IntoIterator<Item = Incarnation>) {
+    pub fn mark_removed(&mut self, gone: impl IntoIterator<Item = Incarnation>) {
         self.gone.extend(gone);
         let excess = self.gone.len().saturating_sub(MAX_GONE);
         self.gone.drain(..excess);
     }
 
     /// Adds a change; returns a reply at once while the platform is being left alone.
-    pub fn add(&mut self, now: Time, shard: u32, op: LedgerOp) -> Option<Result> {
+    pub fn add(&mut self, now: Time, shard: u32, op: LedgerOp) -> Option<OpResult> {
         if self.gone.contains(&op.holder) {
-            let reply = LedgerReply::Unknown { seq: op.seq };
+            let reply = LedgerReply::UnknownHolder { seq: op.seq };
             let (budget, period) = (op.budget, op.terms.period);
-            return Some(Result { holder: op.holder, budget, period, reply });
+            return Some(OpResult { holder: op.holder, budget, period, reply });
         }
         let state = self.shards.entry(shard).or_default();
-        if !due(now, state.failed, PAUSE) {
+        if !is_due(now, state.failed, PAUSE) {
             return Some(down(&op));
         }
         let waiting = state.queue.entry((op.holder, op.budget.clone()));
@@ -123,7 +123,7 @@
     }
 
     /// Returns the calls that are due.
-    pub fn calls(&mut self, now: Time) -> Vec<(u32, KvCall)> {
+    pub fn next_calls(&mut self, now: Time) -> Vec<(u32, StoreCall)> {
         let mut calls = Vec::new();
         let gone: Vec<_> = self.gone.iter().copied().collect();
         for (id, shard) in &mut self.shards {
@@ -135,30 +135,30 @@
     }
 
     /// Takes in the platform's answer; returns what became of changes.
-    pub fn answered(&mut self, now: Time, id: u32, result: KvResult) -> Vec<Result> {
+    pub fn handle_result(&mut self, now: Time, id: u32, result: StoreResult) -> Vec<OpResult> {
         let Some(shard) = self.shards.get_mut(&id) else {
             return Vec::new();
         };
         match (std::mem::take(&mut shard.phase), result) {
-            (Phase::Reading, KvResult::Value(found)) => shard.learn(now, &found),
-            (Phase::Writing { next, replies }, KvResult::Written(revision)) => {
+            (Phase::Reading, StoreResult::Value(found)) => shard.learn(now, &found),
+            (Phase::Writing { next, replies }, StoreResult::Written(revision)) => {
                 self.writes += 1;
                 shard.cached = Some((next, revision));
                 shard.written = Some(now);
                 shard.settle(replies)
             }
-            (Phase::Writing { .. }, KvResult::Conflict(found)) => {
+            (Phase::Writing { .. }, StoreResult::Conflict(found)) => {
                 self.conflicts += 1;
                 self.writes += 1;
                 shard.learn(now, &found)
             }
             // The write may have taken effect; a read tells, and is made at once.
-            (Phase::Writing { .. }, KvResult::Unknown) => {
+            (Phase::Writing { .. }, StoreResult::Unknown) => {
                 shard.cached = None;
                 shard.written = None;
                 Vec::new()
             }
-            (_, KvResult::Refused | KvResult::Unknown) => shard.give_up(now),
+            (_, StoreResult::Refused | StoreResult::Unknown) => shard.give_up(now),
             (phase, _) => {
                 shard.phase = phase;
                 Vec::new()
@@ -174,7 +174,7 @@
         id: u32,
         gone: &[Incarnation],
         (stretch, slow): (u32, Duration),
-    ) -> Option<KvCall> {
+    ) -> Option<StoreCall> {
         if !matches!(self.phase, Phase::Idle) || self.queue.is_empty() {
             return None;
         }
@@ -184,24 +184,26 @@
             (true, true) => STARVED_PACE,
             (false, _) => slow,
         };
-        if !due(now, self.written, pace.saturating_mul(stretch)) || !due(now, self.failed, PAUSE) {
+        if !is_due(now, self.written, pace.saturating_mul(stretch))
+            || !is_due(now, self.failed, PAUSE)
+        {
             return None;
         }
-        let name = KvName::Ledger(id);
+        let name = StoreKey::Ledger(id);
         let Some((value, revision)) = &self.cached else {
             self.phase = Phase::Reading;
-            return Some(KvCall::Get(name));
+            return Some(StoreCall::Get(name));
         };
         let mut next = value.clone();
-        next.forget(gone);
+        next.remove_holders(gone);
         let replies = apply(&mut next, &self.queue);
         let value = Bytes::from(next.encode());
         let expect = *revision;
         self.phase = Phase::Writing { next, replies };
-        Some(KvCall::Swap { name, expect, value })
+        Some(StoreCall::CompareAndSwap { key: name, expected_revision: expect, value })
     }
 
-    fn learn(&mut self, now: Time, found: &Versioned) -> Vec<Result> {
+    fn learn(&mut self, now: Time, found: &Versioned) -> Vec<OpResult> {
         self.written = None;
         if let Ok(value) = LedgerShard::decode(found.value.as_deref()) {
             self.cached = Some((value, found.revision));
@@ -212,7 +214,7 @@
         }
     }
 
-    fn settle(&mut self, replies: Vec<Result>) -> Vec<Result> {
+    fn settle(&mut self, replies: Vec<OpResult>) -> Vec<OpResult> {
         self.starved = !replies.iter().any(|r| handed_out(&r.reply));
         for reply in &replies {
             let id = (reply.holder, reply.budget.clone());
@@ -224,7 +226,7 @@
         replies
     }
 
-    fn give_up(&mut self, now: Time) -> Vec<Result> {
+    fn give_up(&mut self, now: Time) -> Vec<OpResult> {
         self.failed = Some(now);
         let queue = std::mem::take(&mut self.queue);
         queue.values().map(down).collect()
@@ -234,11 +236,11 @@
 fn apply(
     shard: &mut LedgerShard,
     queue: &BTreeMap<(Incarnation, BudgetId), LedgerOp>,
-) -> Vec<Result> {
+) -> Vec<OpResult> {
     let mut replies = Vec::new();
     for op in queue.values() {
         let reply = shard.apply(op);
-        replies.push(Result {
+        replies.push(OpResult {
             holder: op.holder,
             budget: op.budget.clone(),
             period: op.terms.period,
@@ -254,8 +256,8 @@
 /// pace, and so does what it unseals, since it leaves enough open; what a process gives back
 /// that stops or borrows does not wait.
 fn is_urgent(op: &LedgerOp) -> bool {
-    let keeps_on = op.seal.is_some() && op.rate > Rate(0);
-    let gives = !op.back.is_zero() && !keeps_on;
+    let keeps_on = op.seal.is_some() && op.rate > TokenRate(0);
+    let gives = !op.returned.is_zero() && !keeps_on;
     op.close || gives || !op.need.is_zero()
 }
 
@@ -266,12 +268,12 @@
 /// Tells whether a reply is the answer to a change, and not to one before it.
 fn answers(op: &LedgerOp, reply: &LedgerReply) -> bool {
     match reply {
-        LedgerReply::Applied { seq, .. } | LedgerReply::Unknown { seq } => op.seq <= *seq,
-        LedgerReply::Ended { .. } | LedgerReply::Down => true,
+        LedgerReply::Applied { seq, .. } | LedgerReply::UnknownHolder { seq } => op.seq <= *seq,
+        LedgerReply::Ended { .. } | LedgerReply::StoreUnavailable => true,
     }
 }
 
-fn down(op: &LedgerOp) -> Result {
+fn down(op: &LedgerOp) -> OpResult {
     let (budget, period) = (op.budget.clone(), op.terms.period);
-    Result { holder: op.holder, budget, period, reply: LedgerReply::Down }
+    OpResult { holder: op.holder, budget, period, reply: LedgerReply::StoreUnavailable }
 }
--- a/crates/badgerfield-core/src/message.rs
+++ b/crates/badgerfield-core/src/message.rs
@@ -7,19 +7,19 @@
 use serde::{Deserialize, Serialize};
 
 use crate::amount::Tokens;
-use crate::confirmations::Confirmed;
+use crate::confirmations::ConfirmationReport;
 use crate::evacuation::DomainChange;
 use crate::ids::{
-    Account, BudgetId, Epoch, Incarnation, Period, Region, RequestKey, UpstreamId, Version,
+    Account, BudgetId, Epoch, Incarnation, Period, Region, RequestKey, TemplateVersion, UpstreamId,
 };
-use crate::lag::LagNote;
 use crate::ledger::{LedgerOp, LedgerReply};
-use crate::mix::Needs;
 use crate::poison::Crash;
-use crate::replica_list::{ListMark, ReplicaChanges, ReplicaList};
-use crate::request_limit::LimitNote;
-use crate::rollout::{Known, RolloutTally};
+use crate::queueing_delay::DelayReport;
+use crate::rate_limit::LimitReport;
+use crate::request_mix::EngineDemand;
+use crate::rollout::{KnownRollout, RolloutTally};
 use crate::template::{TemplateDelta, TemplateSet};
+use crate::upstream_list::{ListVersion, UpstreamList, UpstreamListChanges};
 use crate::view::Member;
 use crate::view_update::ViewUpdate;
 
@@ -31,7 +31,7 @@
     /// Who sent it.
     pub from: Incarnation,
     /// Where the sender takes messages: the receiver may not know it as a member yet.
-    pub address: SocketAddr,
+    pub sender_address: SocketAddr,
     /// For whom it is.
     pub to: Incarnation,
     /// What it says.
@@ -50,18 +50,18 @@
         /// The epoch that the sender has.
         epoch: Epoch,
         /// The version of the templates that the sender has.
-        version: Version,
+        version: TemplateVersion,
         /// Whether the sender wants the whole set.
         whole: bool,
     },
     /// A newer view, as a difference where the sender knows one.
     View(ViewUpdate),
     /// Newer templates, as a difference.
-    Delta(Box<TemplateDelta>),
+    TemplateDelta(Box<TemplateDelta>),
     /// Newer templates, whole.
     Templates(Box<TemplateSet>),
     /// Changes of the list of upstreams, passed on to all.
-    UpstreamChanges(UpstreamNews),
+    UpstreamChanges(UpstreamUpdate),
     /// Asks for the list of upstreams.
     FetchUpstreams {
         /// The revision of the list up to which the sender knows every change; 0 for none, which
@@ -69,29 +69,29 @@
         since: u64,
     },
     /// The whole list of upstreams.
-    Upstreams(ReplicaList),
+    Upstreams(UpstreamList),
     /// Failure domains were evacuated or taken back; passed on to all.
-    Evacuations(EvacuationNews),
+    Evacuations(EvacuationUpdate),
     /// All that the sender knows of evacuated domains; asks for what the receiver knows beyond.
     CompareEvacuations(Vec<DomainChange>),
     /// Roll-outs were ordered, or have come further; passed on to all.
-    Rollouts(RolloutNews),
+    Rollouts(RolloutUpdate),
     /// All that the sender knows of roll-outs; asks for what the receiver knows beyond.
-    CompareRollouts(Vec<Known>),
+    CompareRollouts(Vec<KnownRollout>),
     /// Upstreams ended under requests, or such requests were served since; passed on to all.
-    Crashes(CrashNews),
+    Crashes(CrashUpdate),
     /// All that the sender knows of blocked requests; asks for what the receiver knows beyond.
     CompareCrashes(Vec<Crash>),
     /// How the requests of the sender went at a service of which the receiver is a judge.
     RolloutReport(RolloutReport),
     /// Asks for changes in the ledger.
-    Draw(Vec<LedgerOp>),
+    LedgerRequest(Vec<LedgerOp>),
     /// What became of changes in the ledger.
-    Drawn(Vec<(BudgetId, Period, LedgerReply)>),
+    LedgerReplies(Vec<(BudgetId, Period, LedgerReply)>),
     /// Asks another holder for tokens.
-    Ask(Ask),
-    /// Answers an [`Ask`] that has nothing to give.
-    Nothing {
+    TokenRequest(TokenRequest),
+    /// Answers an [`TokenRequest`] that has nothing to give.
+    NoTokens {
         /// The budget.
         budget: BudgetId,
         /// The period.
@@ -100,23 +100,23 @@
         /// be.
         need: Tokens,
         /// Why there is nothing.
-        lack: Lack,
+        reason: NoTokensReason,
     },
     /// Hands tokens over; resent until acknowledged.
     Transfer(Transfer),
     /// Acknowledges a transfer.
-    Transferred {
+    TransferAck {
         /// The transfer's sequence number.
         seq: u64,
     },
     /// Sets parked amounts; resent until acknowledged.
     Park(Vec<ParkItem>),
     /// Acknowledges parked amounts.
-    Parked(Vec<ParkItem>),
+    ParkAck(Vec<ParkItem>),
     /// Asks the arbiter for the right to run a key.
-    Claim(ClaimAsk),
+    ClaimRequest(ClaimRequest),
     /// The arbiter's answer.
-    Claimed {
+    ClaimReply {
         /// The key.
         key: RequestKey,
         /// The serial number of the ask.
@@ -124,17 +124,17 @@
         /// The arbiter's epoch.
         epoch: Epoch,
         /// What it decided.
-        verdict: Verdict,
+        decision: ClaimDecision,
     },
     /// Keeps a second copy of a claim.
-    Copy {
+    ClaimBackup {
         /// The arbiter's epoch.
         epoch: Epoch,
         /// The claim.
         claim: ClaimRecord,
     },
     /// Acknowledges a copy.
-    Copied {
+    ClaimBackupAck {
         /// The key.
         key: RequestKey,
         /// The owner's serial number.
@@ -159,9 +159,9 @@
         serial: u64,
     },
     /// The owner's request has ended; asks whether the owner may bill it.
-    Settle(SettleAsk),
+    SettleRequest(SettleRequest),
     /// Tells whether the owner may bill the request.
-    Settled {
+    SettleReply {
         /// The charge.
         id: ChargeId,
         /// The arbiter's epoch.
@@ -170,20 +170,20 @@
         billed: bool,
     },
     /// Charges that the sender cannot settle before it ends.
-    Charges(Vec<ChargeNote>),
+    Charges(Vec<PendingCharge>),
     /// Acknowledges charges that were taken over.
-    ChargesTaken(Vec<ChargeId>),
+    ChargesAck(Vec<ChargeId>),
     /// Claims that the receiver now decides about or keeps.
     Handover(HandoverPart),
     /// Acknowledges a part of a hand-over.
-    HandedOver {
+    HandoverAck {
         /// The view's number.
         epoch: Epoch,
         /// The part's number.
         part: u32,
     },
     /// Asks the owner of a key for the answer from an offset on.
-    Attach {
+    AnswerRequest {
         /// The key.
         key: RequestKey,
         /// The region that decides about the key.
@@ -194,23 +194,23 @@
         offset: u64,
     },
     /// A part of an answer.
-    Part(AnswerPart),
+    AnswerPart(AnswerPart),
     /// The owner is still at it and has nothing new.
-    Pending {
+    AnswerPending {
         /// The key.
         key: RequestKey,
         /// The owner's serial number.
         serial: u64,
     },
     /// The owner has no such request and will not run it.
-    NotHere {
+    UnknownRequest {
         /// The key.
         key: RequestKey,
         /// The serial number that was asked for.
         serial: u64,
     },
     /// The limits that upstreams name, or have ceased to name, as far as the sender knows.
-    Limits(Vec<LimitNote>),
+    LimitReports(Vec<LimitReport>),
 }
 
 impl Message {
@@ -220,55 +220,57 @@
         match self {
             Self::Heartbeat(_) => "heartbeat",
             Self::Fetch { .. } | Self::Join(_) | Self::View(_) => "view",
-            Self::Delta(_) | Self::Templates(_) => "templates",
-            Self::Draw(_) | Self::Drawn(_) => "draw",
+            Self::TemplateDelta(_) | Self::Templates(_) => "templates",
+            Self::LedgerRequest(_) | Self::LedgerReplies(_) => "draw",
             Self::UpstreamChanges(_) | Self::FetchUpstreams { .. } | Self::Upstreams(_) => {
                 "upstreams"
             }
             Self::Evacuations(_) | Self::CompareEvacuations(_) => "evacuations",
             Self::Rollouts(_) | Self::CompareRollouts(_) | Self::RolloutReport(_) => "rollouts",
             Self::Crashes(_) | Self::CompareCrashes(_) => "crashes",
-            Self::Limits(_) => "limits",
-            Self::Ask(_) | Self::Nothing { .. } => "ask",
-            Self::Transfer(_) | Self::Transferred { .. } => "transfer",
-            Self::Park(_) | Self::Parked(_) => "park",
-            Self::Claim(_) | Self::Claimed { .. } => "claim",
-            Self::Copy { .. } | Self::Copied { .. } => "copy",
+            Self::LimitReports(_) => "limits",
+            Self::TokenRequest(_) | Self::NoTokens { .. } => "ask",
+            Self::Transfer(_) | Self::TransferAck { .. } => "transfer",
+            Self::Park(_) | Self::ParkAck(_) => "park",
+            Self::ClaimRequest(_) | Self::ClaimReply { .. } => "claim",
+            Self::ClaimBackup { .. } | Self::ClaimBackupAck { .. } => "copy",
             Self::Dispatching { .. } | Self::Release { .. } => "progress",
-            Self::Settle(_) | Self::Settled { .. } | Self::Charges(_) | Self::ChargesTaken(_) => {
-                "settle"
-            }
-            Self::Handover(_) | Self::HandedOver { .. } => "handover",
-            Self::Attach { .. } | Self::Part(_) | Self::Pending { .. } | Self::NotHere { .. } => {
-                "answer"
-            }
+            Self::SettleRequest(_)
+            | Self::SettleReply { .. }
+            | Self::Charges(_)
+            | Self::ChargesAck(_) => "settle",
+            Self::Handover(_) | Self::HandoverAck { .. } => "handover",
+            Self::AnswerRequest { .. }
+            | Self::AnswerPart(_)
+            | Self::AnswerPending { .. }
+            | Self::UnknownRequest { .. } => "answer",
         }
     }
 
     /// Tells whether the message may as well be lost, since a newer one follows soon.
     #[must_use]
     pub fn is_repeated(&self) -> bool {
-        matches!(self, Self::Heartbeat(_) | Self::Limits(_))
+        matches!(self, Self::Heartbeat(_) | Self::LimitReports(_))
     }
 }
 
 /// News of the list of upstreams on its way to all members.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UpstreamNews {
+pub struct UpstreamUpdate {
     /// What changed; it may be nothing but the revision.
-    pub changes: ReplicaChanges,
+    pub changes: UpstreamListChanges,
     /// Whoever knows every change up to this revision knows, with these, every change up to
     /// that of the mark.
     pub since: u64,
     /// The list to which this leads, at whoever read it from the platform.
-    pub mark: ListMark,
+    pub version: ListVersion,
     /// To how many members before it in the ring the receiver passes this on.
     pub reach: u32,
 }
 
 /// News of evacuated failure domains on its way to all members.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EvacuationNews {
+pub struct EvacuationUpdate {
     /// What operators did.
     pub changes: Vec<DomainChange>,
     /// To how many members before it in the ring the receiver passes this on.
@@ -277,16 +279,16 @@
 
 /// News of roll-outs on its way to all members.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RolloutNews {
+pub struct RolloutUpdate {
     /// What is known of the services that the news is about.
-    pub known: Vec<Known>,
+    pub known: Vec<KnownRollout>,
     /// To how many members before it in the ring the receiver passes this on.
     pub reach: u32,
 }
 
 /// News of upstreams that ended under requests, on its way to all members.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrashNews {
+pub struct CrashUpdate {
     /// What happened.
     pub crashes: Vec<Crash>,
     /// To how many members before it in the ring the receiver passes this on.
@@ -299,7 +301,7 @@
     /// Its counts.
     pub tally: RolloutTally,
     /// For how long it has known the order, and counted.
-    pub age: Duration,
+    pub order_age: Duration,
 }
 
 /// The regular sign of life.
@@ -308,30 +310,30 @@
     /// The epoch that the sender has.
     pub epoch: Epoch,
     /// What the sender knows of the hand-overs of its epoch.
-    pub confirmed: Confirmed,
+    pub confirmations: ConfirmationReport,
     /// The version of the templates in force at the sender.
-    pub version: Version,
+    pub version: TemplateVersion,
     /// Whether the sender serves callers.
     pub serving: bool,
     /// How much the sender knows of the list of upstreams.
-    pub list: ListMark,
+    pub upstream_list: ListVersion,
     /// Stands for all that the sender knows of evacuated failure domains.
-    pub evacuations: u64,
+    pub evacuations_digest: u64,
     /// Stands for all that the sender knows of roll-outs.
-    pub rollouts: u64,
+    pub rollouts_digest: u64,
     /// Stands for all that the sender knows of blocked requests.
-    pub blocked: u64,
+    pub blocked_digest: u64,
     /// The time of day at the sender, in milliseconds since 1970, if it has told it.
-    pub wall: Option<u64>,
+    pub wall_ms: Option<u64>,
     /// What the sender takes requests to need of engines, its own and others'.
-    pub needs: Vec<Needs>,
+    pub needs: Vec<EngineDemand>,
     /// The upstreams at which requests wait, as far as the sender knows.
-    pub lags: Vec<LagNote>,
+    pub delay_reports: Vec<DelayReport>,
 }
 
 /// A holder's wish for tokens of another holder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct TokenRequest {
     /// The budget.
     pub budget: BudgetId,
     /// The period.
@@ -340,14 +342,14 @@
     pub need: Tokens,
     /// What is wanted beside that: for others who wait, or by a borrower for the requests of its
     /// next moments.
-    pub ahead: Tokens,
+    pub extra: Tokens,
 }
 
 /// Why a process has no tokens to give.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Lack {
+pub enum NoTokensReason {
     /// It does not hold the budget, or does not know its period.
-    NoHolder,
+    NotHolder,
     /// Something may come back from running requests, or from the ledger, after a while.
     Reserved(Duration),
     /// Nothing is left.
@@ -360,7 +362,7 @@
     /// The giver's sequence number towards this receiver.
     pub seq: u64,
     /// Every number up to this one is acknowledged.
-    pub floor: u64,
+    pub acked_seq: u64,
     /// The budget.
     pub budget: BudgetId,
     /// The period.
@@ -386,7 +388,7 @@
 
 /// A wish to run a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClaimAsk {
+pub struct ClaimRequest {
     /// The key.
     pub key: RequestKey,
     /// The region that decides about the key, where one does.
@@ -396,20 +398,20 @@
     /// The asker's epoch.
     pub epoch: Epoch,
     /// Whether the request may run at most once.
-    pub once: bool,
+    pub at_most_once: bool,
     /// The owner that the asker replaces, because it could not be reached.
-    pub over: Option<(Incarnation, u64)>,
+    pub replaces: Option<(Incarnation, u64)>,
 }
 
 /// What the arbiter decided.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum ClaimDecision {
     /// The asker may run the request.
     Granted {
         /// The upstream on which an earlier owner ran it.
-        earlier: Option<UpstreamId>,
+        previous_upstream: Option<UpstreamId>,
         /// How often the key has changed its owner.
-        turn: u32,
+        owner_changes: u32,
     },
     /// Another process owns the key.
     Owned {
@@ -428,12 +430,12 @@
         hint: Option<UpstreamId>,
     },
     /// The key's memory may be lost, so an unrepeatable request is not run.
-    Doubtful,
+    Uncertain,
 }
 
 /// A wish to bill a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SettleAsk {
+pub struct SettleRequest {
     /// The key.
     pub key: RequestKey,
     /// The region that decides about the key.
@@ -455,7 +457,7 @@
 
 /// What an ended request costs, until its arbiter says who bills it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ChargeNote {
+pub struct PendingCharge {
     /// The name.
     pub id: ChargeId,
     /// The account.
@@ -476,7 +478,7 @@
 
 /// How far a claim has come.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Progress {
+pub enum ClaimProgress {
     /// The owner may run the request.
     Held,
     /// The owner was about to send it to this upstream.
@@ -497,18 +499,18 @@
     /// The owner's serial number.
     pub serial: u64,
     /// How often the key changed its owner.
-    pub turn: u32,
+    pub owner_changes: u32,
     /// Whether the request may run at most once.
-    pub once: bool,
+    pub at_most_once: bool,
     /// How far it has come.
-    pub progress: Progress,
+    pub progress: ClaimProgress,
 }
 
 impl ClaimRecord {
     /// Tells whether the request has ended.
     #[must_use]
     pub fn has_ended(&self) -> bool {
-        matches!(self.progress, Progress::Ended(_))
+        matches!(self.progress, ClaimProgress::Ended(_))
     }
 }
 
@@ -522,12 +524,12 @@
     /// The part's place in the answer.
     pub offset: u64,
     /// What the part is.
-    pub content: Content,
+    pub content: PartContent,
 }
 
 /// What a part of an answer is.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Content {
+pub enum PartContent {
     /// The head of the answer.
     Head(Head),
     /// Data, passed on as they are.
@@ -544,7 +546,7 @@
     /// The HTTP status.
     pub status: u16,
     /// The content type.
-    pub media: String,
+    pub content_type: String,
 }
 
 /// One part of the claims that a member hands over; the next follows its acknowledgement.
@@ -553,7 +555,7 @@
     /// The view's number.
     pub epoch: Epoch,
     /// The part's number, from 0 on.
-    pub part: u32,
+    pub index: u32,
     /// The claims.
     pub claims: Vec<ClaimRecord>,
 }
--- a/crates/badgerfield-core/src/calls.rs
+++ b/crates/badgerfield-core/src/pending_calls.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 
-use crate::event::KvName;
-use crate::ids::{Service, Ticket};
+use crate::event::StoreKey;
+use crate::ids::{Service, StoreCallId};
 use crate::rollout::RolloutRecord;
 use crate::view::View;
 
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Purpose {
     /// Reads a value that others wrote.
-    Read(KvName),
+    Read(StoreKey),
     /// Writes the view.
     Write(View),
     /// Reads or writes a shard of the ledger.
@@ -26,31 +26,31 @@
 
 /// The calls under way.
 #[derive(Debug, Default)]
-pub(crate) struct Calls {
+pub(crate) struct PendingCalls {
     /// How many were made.
     made: u64,
-    open: HashMap<Ticket, Purpose>,
+    open: HashMap<StoreCallId, Purpose>,
 }
 
-impl Calls {
+impl PendingCalls {
     /// Notes a call and names it; no two calls of a process have the same name.
-    pub(crate) fn begin(&mut self, purpose: Purpose) -> Ticket {
+    pub(crate) fn begin(&mut self, purpose: Purpose) -> StoreCallId {
         self.made += 1;
-        let ticket = Ticket(self.made);
+        let ticket = StoreCallId(self.made);
         self.open.insert(ticket, purpose);
         ticket
     }
 
     /// Returns what a call was for, once.
-    pub(crate) fn end(&mut self, ticket: Ticket) -> Option<Purpose> {
+    pub(crate) fn end(&mut self, ticket: StoreCallId) -> Option<Purpose> {
         self.open.remove(&ticket)
     }
 
     /// Tells whether a call about a value of this kind is under way.
-    pub(crate) fn is_open(&self, name: &KvName) -> bool {
+    pub(crate) fn is_open(&self, name: &StoreKey) -> bool {
         self.open.values().any(|purpose| match purpose {
             Purpose::Read(n) => n == name,
-            Purpose::Write(_) => *name == KvName::View,
+            Purpose::Write(_) => *name == StoreKey::View,
             Purpose::Draw(_)
             | Purpose::Rollout(..)
             | Purpose::PoisonRead
--- a/crates/badgerfield-core/src/poison/table.rs
+++ b/crates/badgerfield-core/src/poison/table.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::Fingerprint;
-use super::crash::{Crash, Evidence, UNSURE_PER_CRASH, digest_of, says};
+use super::crash::{Crash, CrashEvidence, UNSURE_PER_CRASH, digest_of, says};
 use crate::amount::Time;
 use crate::ids::UpstreamId;
 
@@ -28,7 +28,7 @@
 
 /// What is held against a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Standing {
+pub enum PoisonStatus {
     /// Nothing.
     Clear,
     /// An upstream ended while it was there.
@@ -44,7 +44,7 @@
         /// How long ago the last one did.
         age: Duration,
         /// How much longer it is blocked.
-        left: Duration,
+        remaining: Duration,
     },
 }
 
@@ -53,7 +53,7 @@
 struct Known {
     upstream: UpstreamId,
     life: u32,
-    evidence: Evidence,
+    evidence: CrashEvidence,
     point: u64,
     cleared: bool,
     /// Until when it is held against the request. A crash may be older than this process.
@@ -124,9 +124,9 @@
         }
         self.crashes.push(Known {
             upstream: crash.upstream.clone(),
-            life: crash.life,
+            life: crash.prior_crashes,
             evidence: crash.evidence,
-            point: crash.point,
+            point: crash.events_sent,
             cleared: crash.cleared,
             until,
             here: false,
@@ -158,9 +158,9 @@
             request,
             account: self.account,
             upstream: known.upstream.clone(),
-            life: known.life,
+            prior_crashes: known.life,
             evidence: known.evidence,
-            point: known.point,
+            events_sent: known.point,
             cleared: known.cleared,
             age: known.age(now),
         })
@@ -169,11 +169,11 @@
 
 /// What a process knows of requests under which upstreams have ended.
 #[derive(Debug, Default)]
-pub struct Poison {
+pub struct PoisonTable {
     records: BTreeMap<Fingerprint, Record>,
 }
 
-impl Poison {
+impl PoisonTable {
     /// Tells whether nothing is held against any request.
     #[must_use]
     pub fn is_empty(&self) -> bool {
@@ -188,25 +188,25 @@
 
     /// Returns what is held against a request.
     #[must_use]
-    pub fn standing(&self, now: Time, request: Fingerprint) -> Standing {
+    pub fn status(&self, now: Time, request: Fingerprint) -> PoisonStatus {
         let Some(record) = self.records.get(&request) else {
-            return Standing::Clear;
+            return PoisonStatus::Clear;
         };
         let open: Vec<_> = record.open(now).collect();
         let Some(age) = open.iter().map(|known| known.age(now)).min() else {
-            return Standing::Clear;
+            return PoisonStatus::Clear;
         };
         if !record.is_blocked(now) {
             let early = open.iter().any(|known| known.point <= NEAR);
-            return Standing::Suspect { early };
+            return PoisonStatus::Suspect { early };
         }
         let upstreams = open.iter().map(|known| known.upstream.clone()).collect();
-        Standing::Blocked { upstreams, age, left: record.blocked_for(now) }
+        PoisonStatus::Blocked { upstreams, age, remaining: record.blocked_for(now) }
     }
 
     /// Returns how often an upstream is known to have ended under a request.
     #[must_use]
-    pub fn ends_of(&self, request: Fingerprint, upstream: &UpstreamId) -> u32 {
+    pub fn crash_count(&self, request: Fingerprint, upstream: &UpstreamId) -> u32 {
         let known = self.records.get(&request).into_iter().flat_map(|record| &record.crashes);
         let lives = known
             .filter(|known| known.upstream == *upstream)
@@ -214,10 +214,11 @@
         lives.max().unwrap_or(0)
     }
 
-    /// Takes in a crash that this process saw; returns what [`Poison::learn`] does.
-    pub fn saw(&mut self, now: Time, crash: Crash) -> Vec<(Crash, bool)> {
-        let (request, upstream, life) = (crash.request, crash.upstream.clone(), crash.life);
-        let news = self.learn(now, vec![crash]);
+    /// Takes in a crash that this process saw; returns what [`PoisonTable::apply`] does.
+    pub fn record_crash(&mut self, now: Time, crash: Crash) -> Vec<(Crash, bool)> {
+        let (request, upstream, life) =
+            (crash.request, crash.upstream.clone(), crash.prior_crashes);
+        let news = self.apply(now, vec![crash]);
         let record = self.records.get_mut(&request).into_iter();
         for known in
             record.flat_map(|r| &mut r.crashes).filter(|k| k.process() == (&upstream, life))
@@ -229,13 +230,13 @@
 
     /// Tells whether this process saw any of the crashes of a request.
     #[must_use]
-    pub fn is_witness(&self, request: Fingerprint) -> bool {
+    pub fn has_seen_crash(&self, request: Fingerprint) -> bool {
         self.records.get(&request).is_some_and(|r| r.crashes.iter().any(|known| known.here))
     }
 
     /// Takes in crashes, in any order; returns those that were news, each with whether its
     /// request is blocked by it.
-    pub fn learn(&mut self, now: Time, crashes: Vec<Crash>) -> Vec<(Crash, bool)> {
+    pub fn apply(&mut self, now: Time, crashes: Vec<Crash>) -> Vec<(Crash, bool)> {
         let mut news = Vec::new();
         for crash in crashes {
             if crash.age >= crash.evidence.keep() {
@@ -263,13 +264,13 @@
     }
 
     /// Takes in that a request was served whole; returns the crashes that are cleared by that.
-    pub fn served(&mut self, now: Time, request: Fingerprint) -> Vec<Crash> {
+    pub fn record_served(&mut self, now: Time, request: Fingerprint) -> Vec<Crash> {
         let all = self.crashes_of(now, request).into_iter();
         let cleared = all
             .filter(|crash| !crash.cleared)
             .map(|crash| Crash { cleared: true, ..crash })
             .collect();
-        self.learn(now, cleared).into_iter().map(|(crash, _)| crash).collect()
+        self.apply(now, cleared).into_iter().map(|(crash, _)| crash).collect()
     }
 
     /// Forgets what is too old to be held against anybody.
@@ -283,12 +284,12 @@
     /// Returns a number that stands for all blocked requests; 0 if there are none.
     #[must_use]
     pub fn digest(&self, now: Time) -> u64 {
-        self.blocked(now).iter().fold(0, |sum, crash| sum ^ digest_of(crash))
+        self.blocked_crashes(now).iter().fold(0, |sum, crash| sum ^ digest_of(crash))
     }
 
     /// Returns all crashes of blocked requests, for processes that may know less.
     #[must_use]
-    pub fn blocked(&self, now: Time) -> Vec<Crash> {
+    pub fn blocked_crashes(&self, now: Time) -> Vec<Crash> {
         let is_told =
             |record: &Record| record.is_blocked(now) && record.until().since(now) > LAST_WORD;
         let told = self.records.iter().filter(|(_, record)| is_told(record));
@@ -298,12 +299,12 @@
     /// Returns what is known of blocked requests and of those that another process spoke of; nothing
     /// if that is no more than it said.
     #[must_use]
-    pub fn beyond(&self, now: Time, theirs: &[Crash]) -> Vec<Crash> {
+    pub fn missing_from(&self, now: Time, theirs: &[Crash]) -> Vec<Crash> {
         let spoken = theirs.iter().filter_map(|crash| {
             self.records.get(&crash.request).map(|record| (crash.request, record))
         });
         let spoken = spoken.flat_map(|(request, record)| record.told(now, request));
-        let all = self.blocked(now).into_iter().chain(spoken);
+        let all = self.blocked_crashes(now).into_iter().chain(spoken);
         let is_news = |crash: &Crash| !theirs.iter().any(|known| says(known, crash));
         let mut more: Vec<_> = all.filter(is_news).collect();
         more.sort_by(|a, b| (a.request, a.process()).cmp(&(b.request, b.process())));
--- a/crates/badgerfield-core/src/poison_record.rs
+++ b/crates/badgerfield-core/src/poison_record.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 use crate::amount::Time;
-use crate::event::due;
+use crate::event::is_due;
 use crate::poison::Crash;
 
 /// The least time between two reads of the record by one process: a store that is away is
@@ -54,7 +54,7 @@
 
 impl PoisonRecord {
     /// Notes that a request is blocked which the record may not name.
-    pub(crate) fn note_more(&mut self) {
+    pub(crate) fn mark_dirty(&mut self) {
         self.has_more = true;
     }
 
@@ -69,7 +69,7 @@
             RecordCall::Read => (&mut self.read_at, READ),
             RecordCall::Write(_) => (&mut self.wrote_at, WRITE),
         };
-        if self.is_open || !due(now, *last, pace) {
+        if self.is_open || !is_due(now, *last, pace) {
             return None;
         }
         *last = Some(now);
@@ -81,20 +81,20 @@
     }
 
     /// Takes in that the record was read or written, and stands at a revision.
-    pub(crate) fn found(&mut self, revision: u64) {
+    pub(crate) fn set_revision(&mut self, revision: u64) {
         self.is_open = false;
         self.revision = Some(revision);
     }
 
     /// Takes in that a call failed: the record may be another one now.
-    pub(crate) fn failed(&mut self, was_write: bool) {
+    pub(crate) fn record_failure(&mut self, was_write: bool) {
         self.is_open = false;
         self.has_more |= was_write;
         self.revision = None;
     }
 
     /// Adds news that are to be told to all.
-    pub(crate) fn tell(&mut self, crashes: impl IntoIterator<Item = Crash>) {
+    pub(crate) fn enqueue(&mut self, crashes: impl IntoIterator<Item = Crash>) {
         self.waiting.extend(crashes);
         // What came last may block a request; of many at one crash the first are dropped.
         let excess = self.waiting.len().saturating_sub(MAX_TOLD);
@@ -102,8 +102,8 @@
     }
 
     /// Takes the news that are to be told now; at once if one of them is urgent.
-    pub(crate) fn take_news(&mut self, now: Time, is_urgent: bool) -> Vec<Crash> {
-        if self.waiting.is_empty() || !(is_urgent || due(now, self.told_at, GATHER)) {
+    pub(crate) fn take_update(&mut self, now: Time, is_urgent: bool) -> Vec<Crash> {
+        if self.waiting.is_empty() || !(is_urgent || is_due(now, self.told_at, GATHER)) {
             return Vec::new();
         }
         self.told_at = Some(now);
--- a/crates/badgerfield-core/src/replicas/limits.rs
+++ b/crates/badgerfield-core/src/upstream_table/limits.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use super::Replicas;
+use super::UpstreamTable;
 use super::replica::Replica;
 use crate::amount::Time;
-use crate::event::due;
+use crate::event::is_due;
 use crate::ids::{Service, UpstreamId};
-use crate::request_limit::{LimitNote, MAX_NOTES, RequestLimit, place};
+use crate::rate_limit::{LimitReport, MAX_NOTES, RateLimit, place};
 
 /// The least time between two messages about limits to each neighbour.
 const TELL_PACE: Duration = Duration::from_millis(200);
@@ -18,18 +18,18 @@
     /// The upstream that names it.
     pub upstream: UpstreamId,
     /// The limit; nothing if it names none.
-    pub limit: Option<RequestLimit>,
+    pub limit: Option<RateLimit>,
     /// The one before.
-    pub before: Option<RequestLimit>,
+    pub before: Option<RateLimit>,
 }
 
-impl Replicas {
+impl UpstreamTable {
     /// Takes in which limit an upstream names in an answer, if any; returns what has changed.
-    pub fn hear_limit(
+    pub fn record_limit(
         &mut self,
         now: Time,
         id: &UpstreamId,
-        limit: Option<RequestLimit>,
+        limit: Option<RateLimit>,
     ) -> Option<LimitChange> {
         let senders = self.starts.senders();
         let replica = self.table.get_mut(id)?;
@@ -40,7 +40,7 @@
     }
 
     /// Takes in what another process tells of limits; returns what has changed.
-    pub fn learn_limits(&mut self, now: Time, notes: &[LimitNote]) -> Vec<LimitChange> {
+    pub fn apply_limit_reports(&mut self, now: Time, notes: &[LimitReport]) -> Vec<LimitChange> {
         let senders = self.starts.senders();
         let mut changes = Vec::new();
         for replica in self.table.values_mut() {
@@ -59,8 +59,8 @@
 
     /// Returns what other processes should be told of limits now, another few at each turn where
     /// there are many.
-    pub fn limit_notes(&mut self, now: Time) -> Vec<LimitNote> {
-        if !due(now, self.limits_told, TELL_PACE) {
+    pub fn limit_reports(&mut self, now: Time) -> Vec<LimitReport> {
+        if !is_due(now, self.limits_told, TELL_PACE) {
             return Vec::new();
         }
         let note = |r: &Replica| r.said.limit.note(now, r.number(), r.process);
@@ -75,7 +75,7 @@
     }
 
     /// Notes that there is a request for a service, whose upstreams may have limits.
-    pub fn want(&mut self, now: Time, service: &Service) {
+    pub fn record_request(&mut self, now: Time, service: &Service) {
         if !self.has_limits {
             return;
         }
@@ -85,7 +85,7 @@
     }
 
     /// Tells whether a request that was given an upstream at a time may still be sent there.
-    pub fn admits_begun(&mut self, now: Time, id: &UpstreamId, begun: Time) -> bool {
+    pub fn can_still_send(&mut self, now: Time, id: &UpstreamId, begun: Time) -> bool {
         let replica = self.table.get_mut(id);
         replica.is_none_or(|replica| {
             replica.said.rests_until <= now && replica.said.limit.admits_begun(now, begun)
@@ -94,13 +94,13 @@
 
     /// Returns how many upstreams have a limit.
     #[must_use]
-    pub fn limited(&self) -> usize {
+    pub fn limited_count(&self) -> usize {
         let listed = self.table.values().filter(|r| r.vanished.is_none());
         listed.filter(|r| r.said.limit.limit().is_some()).count()
     }
 }
 
-fn change_of(replica: &Replica, before: Option<RequestLimit>) -> Option<LimitChange> {
+fn change_of(replica: &Replica, before: Option<RateLimit>) -> Option<LimitChange> {
     let limit = replica.said.limit.limit();
     let upstream = || replica.info.id.clone();
     (before != limit).then(|| LimitChange { upstream: upstream(), limit, before })
--- a/crates/badgerfield-core/src/replicas/replica.rs
+++ b/crates/badgerfield-core/src/upstream_table/replica.rs
@@ -5,18 +5,18 @@
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use super::{Health, PromptPart, Wanted};
+use super::{AttemptOutcome, PromptPart, UpstreamCriteria};
 use crate::amount::Time;
 use crate::ids::Region;
-use crate::lag::Lag;
-use crate::locality::{Distance, Place};
-use crate::mix::{Division, Group, Mix, READ_MS_PRIOR, float};
-use crate::replica_list::{ReplicaEntry, ReplicaInfo, digest_of};
-use crate::replicas::starts::Starts;
-use crate::replicas::statements::Statements;
-use crate::request_limit;
+use crate::locality::{Distance, Location};
+use crate::queueing_delay::Lag;
+use crate::rate_limit;
+use crate::request_mix::{EngineDivision, PromptGroup, READ_MS_PRIOR, RequestMix, float};
 use crate::residency::RegionMap;
-use crate::warm_up::{Bucket, HOLD_OFF, Share};
+use crate::upstream_list::{ListedUpstream, UpstreamEntry, digest_of};
+use crate::upstream_table::starts::Starts;
+use crate::upstream_table::statements::Statements;
+use crate::warm_up::{Bucket, HOLD_OFF, SenderShare};
 
 /// The expected delay by each request under way at an engine, in milliseconds.
 const RUNNING_MS: f64 = 1.5;
@@ -52,7 +52,7 @@
 /// One upstream, with what this VM saw of it.
 #[derive(Debug)]
 pub(super) struct Replica {
-    pub(super) info: ReplicaInfo,
+    pub(super) info: ListedUpstream,
     /// The revision of the list at which it was written or went last.
     pub(super) revision: u64,
     /// The revision up to which all that it says was known. Upstreams write their entries anew
@@ -111,21 +111,21 @@
     /// The time to read a prompt token, in milliseconds.
     read_ms: f64,
     /// How the engines are divided, and the group of the request.
-    pub(super) division: Option<(Division, Group)>,
+    pub(super) division: Option<(EngineDivision, PromptGroup)>,
     /// What it costs to send the request among those of the other group, in milliseconds:
     /// as much as a long prompt takes to read, since one of the two waits for that.
     apart_ms: f64,
 }
 
 impl Weights {
-    pub(super) fn of(mix: Option<&Mix>, wanted: &Wanted<'_>) -> Self {
+    pub(super) fn of(mix: Option<&RequestMix>, wanted: &UpstreamCriteria<'_>) -> Self {
         let prompt = float(wanted.parts.iter().map(|part| part.tokens).sum());
-        let read_ms = mix.map_or(READ_MS_PRIOR, Mix::read_ms);
-        let division = mix.and_then(Mix::division).map(|division| {
+        let read_ms = mix.map_or(READ_MS_PRIOR, RequestMix::ms_per_token);
+        let division = mix.and_then(RequestMix::division).map(|division| {
             let usual = mix.and_then(|mix| mix.prompt(wanted.route)).unwrap_or(prompt);
             (division, division.group(usual))
         });
-        let apart_ms = division.map_or(0.0, |(division, _)| division.long_from * read_ms);
+        let apart_ms = division.map_or(0.0, |(division, _)| division.long_threshold * read_ms);
         Self { read_ms, division, apart_ms }
     }
 
@@ -140,7 +140,7 @@
 }
 
 impl Replica {
-    pub(super) fn new(info: ReplicaInfo, revision: u64) -> Self {
+    pub(super) fn new(info: ListedUpstream, revision: u64) -> Self {
         let seed = xxh3_64_with_seed(info.id.as_str().as_bytes(), 0);
         let (digest, process) = (digest_of(&info), process_of(&info));
         Self {
@@ -171,8 +171,9 @@
 
     /// Tells whether an entry speaks of another process than the one that is known here, under the
     /// same id.
-    pub(super) fn is_another(&self, info: &ReplicaInfo) -> bool {
-        let is_later = self.info.born.zip(info.born).is_some_and(|(known, told)| known != told);
+    pub(super) fn is_another(&self, info: &ListedUpstream) -> bool {
+        let is_later =
+            self.info.started_at.zip(info.started_at).is_some_and(|(known, told)| known != told);
         is_later || self.info.address != info.address
     }
 
@@ -190,8 +191,8 @@
     }
 
     /// Returns what the platform's list says of it, for other processes.
-    pub(super) fn entry(&self, now: Time) -> ReplicaEntry {
-        ReplicaEntry {
+    pub(super) fn entry(&self, now: Time) -> UpstreamEntry {
+        UpstreamEntry {
             revision: self.revision,
             info: self.info.clone(),
             warm_in: self.warm_in(now),
@@ -199,7 +200,7 @@
     }
 
     /// Takes in where it and this process stand.
-    pub(super) fn locate(&mut self, own: &Place, regions: &RegionMap) {
+    pub(super) fn locate(&mut self, own: &Location, regions: &RegionMap) {
         self.region = regions.region(&self.info.domain).cloned();
         self.distance = own.distance(&self.info.domain, regions);
     }
@@ -211,7 +212,7 @@
     }
 
     /// Takes in what an entry says of it.
-    pub(super) fn describe(&mut self, info: ReplicaInfo) {
+    pub(super) fn describe(&mut self, info: ListedUpstream) {
         self.digest = digest_of(&info);
         self.process = process_of(&info);
         self.info = info;
@@ -272,7 +273,7 @@
     pub(super) fn change_senders(&mut self, now: Time, starts: &Starts) {
         let from = now.after(HOLD_OFF);
         let seed = self.seed;
-        self.said.limit.change_place(from, || request_limit::place(starts.senders(), seed));
+        self.said.limit.change_place(from, || rate_limit::place(starts.senders(), seed));
         let Some(cold) = &mut self.cold else {
             return;
         };
@@ -282,7 +283,7 @@
 
     /// Tells whether a request may be sent there as far as its start allows; `share` is what
     /// each sender may send while it is cold.
-    pub(super) fn bears_more(&self, now: Time, share: Option<Share>) -> bool {
+    pub(super) fn bears_more(&self, now: Time, share: Option<SenderShare>) -> bool {
         let Some(cold) = self.cold.filter(|cold| cold.until > now) else {
             return true;
         };
@@ -291,7 +292,7 @@
     }
 
     /// Notes that a request goes there.
-    pub(super) fn begin(&mut self, now: Time, share: Option<Share>, parts: &[PromptPart]) {
+    pub(super) fn begin(&mut self, now: Time, share: Option<SenderShare>, parts: &[PromptPart]) {
         self.running += 1;
         self.said.limit.take(now);
         let bucket = self.cold.as_mut().and_then(|cold| cold.bucket.as_mut());
@@ -310,11 +311,12 @@
     pub(super) fn cost(
         &self,
         now: Time,
-        wanted: &Wanted<'_>,
+        wanted: &UpstreamCriteria<'_>,
         weights: &Weights,
         is_home: bool,
     ) -> f64 {
-        let jitter = f64::from(u32::try_from((self.seed ^ wanted.draw) % 1000).unwrap_or(0)) / 1e3;
+        let jitter =
+            f64::from(u32::try_from((self.seed ^ wanted.random) % 1000).unwrap_or(0)) / 1e3;
         let (failed, full) = self.shares(now);
         let failing = (failed + full) * FAILING_MS;
         let running = f64::from(self.running);
@@ -349,18 +351,18 @@
         (self.failing * left(FAILING_HALF), self.full * left(FULL_HALF))
     }
 
-    pub(super) fn note(&mut self, now: Time, health: Health) {
+    pub(super) fn note(&mut self, now: Time, health: AttemptOutcome) {
         let (failed, full) = match health {
-            Health::Good => (0.0, 0.0),
-            Health::Failed => (1.0, 0.0),
-            Health::Full => (0.0, FULL_OUTCOME),
-            Health::Unknown => return,
+            AttemptOutcome::Answered => (0.0, 0.0),
+            AttemptOutcome::Failed => (1.0, 0.0),
+            AttemptOutcome::Full => (0.0, FULL_OUTCOME),
+            AttemptOutcome::Unknown => return,
         };
         let known = self.shares(now);
         self.failing = known.0 + (failed - known.0) * OUTCOME_WEIGHT;
         self.full = known.1 + (full - known.1) * OUTCOME_WEIGHT;
         self.noted = now;
-        if health == Health::Good {
+        if health == AttemptOutcome::Answered {
             self.failures = 0;
             return;
         }
@@ -373,8 +375,8 @@
 }
 
 /// Returns the number that stands for the process that an entry names.
-fn process_of(info: &ReplicaInfo) -> u32 {
-    let text = format!("{} {}", info.address, info.born.unwrap_or_default());
+fn process_of(info: &ListedUpstream) -> u32 {
+    let text = format!("{} {}", info.address, info.started_at.unwrap_or_default());
     let [a, b, c, d, ..] = xxh3_64(text.as_bytes()).to_be_bytes();
     u32::from_be_bytes([a, b, c, d])
 }
