--- a/crates/badgerfield-core/src/upstream.rs
+++ b/crates/badgerfield-core/src/vm_upstreams.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use crate::amount::{Rate, Time, Tokens};
+use crate::amount::{Time, TokenRate, Tokens};
 use crate::event::{Chat, Work};
 use crate::ids::{Adapter, Hardware, Model, Region, Service, UpstreamId, VmId};
 use crate::residency::Residency;
@@ -39,7 +39,7 @@
 /// What an upstream is.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum UpstreamKind {
     /// A model engine.
     Engine(EngineInfo),
     /// A plain service.
@@ -55,14 +55,14 @@
     #[serde(default)]
     pub adapters: BTreeSet<Adapter>,
     /// The prompt tokens that it reads in a second.
-    pub prefill: Rate,
+    pub prefill: TokenRate,
     /// The output tokens that one stream gets in a second.
-    pub decode: Rate,
+    pub decode: TokenRate,
 }
 
 /// One upstream as the VM list shows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UpstreamInfo {
+pub struct VmUpstreamInfo {
     /// The name.
     pub id: UpstreamId,
     /// The address.
@@ -74,7 +74,7 @@
     /// How many requests it runs at once.
     pub slots: u32,
     /// What it is.
-    pub kind: Kind,
+    pub kind: UpstreamKind,
 }
 
 /// One line of the VM list.
@@ -87,7 +87,7 @@
     pub leaving: bool,
     /// The upstream on it, if it is not one of the system's own VMs.
     #[serde(default)]
-    pub upstream: Option<UpstreamInfo>,
+    pub upstream: Option<VmUpstreamInfo>,
 }
 
 /// The VM list.
@@ -117,7 +117,7 @@
 #[derive(Debug, Clone)]
 pub struct Upstream {
     /// What the VM list says.
-    pub info: UpstreamInfo,
+    pub info: VmUpstreamInfo,
     /// Whether any sign says that it is leaving.
     pub leaving: bool,
     report: LoadReport,
@@ -134,7 +134,7 @@
 }
 
 impl Upstream {
-    fn new(info: UpstreamInfo, leaving: bool) -> Self {
+    fn new(info: VmUpstreamInfo, leaving: bool) -> Self {
         Self {
             info,
             leaving,
@@ -163,7 +163,7 @@
 
     /// Returns the share of the prompt that the cache may hold, in tokens.
     fn cached(&self, now: Time, chat: &Chat, anchor: Option<&Anchor>) -> f64 {
-        for (i, prefix) in chat.prefixes.iter().enumerate().rev() {
+        for (i, prefix) in chat.prefix_digests.iter().enumerate().rev() {
             let Some(at) = self.prefixes.get(prefix) else {
                 continue;
             };
@@ -179,14 +179,14 @@
     fn estimate(&self, now: Time, work: &Work, anchor: Option<&Anchor>) -> f64 {
         let slots = f64::from(self.info.slots.max(1));
         let excess = (f64::from(self.running()) + 1.0 - slots).max(0.0);
-        let Kind::Engine(engine) = &self.info.kind else {
+        let UpstreamKind::Engine(engine) = &self.info.kind else {
             return (1.0 + f64::from(self.running())) / slots * self.slowness;
         };
         let Work::Chat(chat) = work else {
             return f64::MAX;
         };
         let prefill = real(engine.prefill.0.max(1));
-        let fresh = (real(chat.prompt.0) - self.cached(now, chat, anchor)).max(0.0);
+        let fresh = (real(chat.prompt_tokens.0) - self.cached(now, chat, anchor)).max(0.0);
         let ahead = real(self.report.prefill.0.max(self.reading.0));
         let reading = (fresh + ahead) / prefill;
         // A stream ends, and frees its slot, after a few hundred tokens.
@@ -205,7 +205,7 @@
 
 /// What a request may run on.
 #[derive(Debug, Clone, Copy)]
-pub struct Wish<'a> {
+pub struct VmUpstreamCriteria<'a> {
     /// What is asked for.
     pub work: &'a Work,
     /// What the template allows.
@@ -220,27 +220,27 @@
 
 /// What came of looking for an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Choice {
+pub enum VmUpstreamChoice {
     /// This one.
-    Take(UpstreamId),
+    Selected(UpstreamId),
     /// All are full; one is free in about this time.
     Full(Duration),
     /// None serves this.
-    None,
+    Unavailable,
 }
 
 /// All upstreams that the process knows.
 #[derive(Debug, Default)]
-pub struct Upstreams {
+pub struct VmUpstreams {
     table: BTreeMap<UpstreamId, Upstream>,
     /// Prefixes that were seen of late, on whatever upstream.
     seen: HashMap<u64, Time>,
     version: u64,
 }
 
-impl Upstreams {
+impl VmUpstreams {
     /// Takes in a VM list unless it is older than the last one.
-    pub fn learn(&mut self, list: &VmList) -> bool {
+    pub fn apply_list(&mut self, list: &VmList) -> bool {
         if list.version < self.version {
             return false;
         }
@@ -282,7 +282,7 @@
     }
 
     /// Takes in a report of load.
-    pub fn report(&mut self, now: Time, id: &UpstreamId, report: LoadReport) {
+    pub fn apply_report(&mut self, now: Time, id: &UpstreamId, report: LoadReport) {
         let Some(upstream) = self.table.get_mut(id) else {
             return;
         };
@@ -294,7 +294,7 @@
 
     /// Picks the upstream with the shortest estimated time to the first token.
     #[must_use]
-    pub fn choose(&self, now: Time, wish: &Wish<'_>) -> Choice {
+    pub fn choose(&self, now: Time, wish: &VmUpstreamCriteria<'_>) -> VmUpstreamChoice {
         let anchor = self.anchor(wish);
         let mut best: Option<(f64, &UpstreamId)> = None;
         let mut full = None;
@@ -315,19 +315,19 @@
             }
         }
         if let Some((_, id)) = best {
-            return Choice::Take(id.clone());
+            return VmUpstreamChoice::Selected(id.clone());
         }
-        full.map_or(Choice::None, |cost| Choice::Full(span(cost)))
+        full.map_or(VmUpstreamChoice::Unavailable, |cost| VmUpstreamChoice::Full(span(cost)))
     }
 
     /// Finds the longest prefix that was seen before, and the upstreams that rank first
     /// for it; every VM finds the same ones.
-    fn anchor(&self, wish: &Wish<'_>) -> Option<Anchor> {
+    fn anchor(&self, wish: &VmUpstreamCriteria<'_>) -> Option<Anchor> {
         let Work::Chat(chat) = wish.work else {
             return None;
         };
-        let depth = chat.prefixes.iter().rposition(|p| self.seen.contains_key(p))?;
-        let subject = chat.prefixes.get(depth)?;
+        let depth = chat.prefix_digests.iter().rposition(|p| self.seen.contains_key(p))?;
+        let subject = chat.prefix_digests.get(depth)?;
         let fits = self.table.iter().filter(|(_, upstream)| serves(upstream, wish));
         let mut ranked: Vec<_> = fits.map(|(id, _)| id).collect();
         ranked.sort_by_cached_key(|id| xxh3_64_with_seed(id.as_str().as_bytes(), *subject));
@@ -337,14 +337,14 @@
 
     /// Remembers prefixes, and forgets old ones when there are too many.
     fn remember(&mut self, now: Time, chat: &Chat) {
-        forget_old(&mut self.seen, chat.prefixes.len());
-        for prefix in &chat.prefixes {
+        forget_old(&mut self.seen, chat.prefix_digests.len());
+        for prefix in &chat.prefix_digests {
             self.seen.insert(*prefix, now);
         }
     }
 
     /// Notes a dispatch.
-    pub fn dispatched(&mut self, now: Time, id: &UpstreamId, work: &Work) {
+    pub fn record_dispatch(&mut self, now: Time, id: &UpstreamId, work: &Work) {
         let Some(upstream) = self.table.get_mut(id) else {
             return;
         };
@@ -353,32 +353,32 @@
         let Work::Chat(chat) = work else {
             return;
         };
-        upstream.reading = upstream.reading.saturating_plus(chat.prompt);
-        forget_old(&mut upstream.prefixes, chat.prefixes.len());
-        for prefix in &chat.prefixes {
+        upstream.reading = upstream.reading.saturating_add(chat.prompt_tokens);
+        forget_old(&mut upstream.prefixes, chat.prefix_digests.len());
+        for prefix in &chat.prefix_digests {
             upstream.prefixes.insert(*prefix, now);
         }
         self.remember(now, chat);
     }
 
     /// Notes the first token of a dispatch that took a span.
-    pub fn first(&mut self, id: &UpstreamId, work: &Work, took: Duration) {
+    pub fn record_first_token(&mut self, id: &UpstreamId, work: &Work, took: Duration) {
         let Some(upstream) = self.table.get_mut(id) else {
             return;
         };
         upstream.failures = 0;
         upstream.closed = None;
-        let (Work::Chat(chat), Kind::Engine(engine)) = (work, &upstream.info.kind) else {
+        let (Work::Chat(chat), UpstreamKind::Engine(engine)) = (work, &upstream.info.kind) else {
             return;
         };
-        upstream.reading = upstream.reading.saturating_minus(chat.prompt);
-        let expected = real(chat.prompt.0) / real(engine.prefill.0.max(1)) + 0.02;
+        upstream.reading = upstream.reading.saturating_sub(chat.prompt_tokens);
+        let expected = real(chat.prompt_tokens.0) / real(engine.prefill.0.max(1)) + 0.02;
         let ratio = (took.as_secs_f64() / expected).clamp(0.5, 20.0);
         upstream.slowness = upstream.slowness * (1.0 - SMOOTHING) + ratio * SMOOTHING;
     }
 
     /// Notes the end of a dispatch.
-    pub fn ended(&mut self, id: &UpstreamId, work: &Work, started: bool) {
+    pub fn record_end(&mut self, id: &UpstreamId, work: &Work, started: bool) {
         let Some(upstream) = self.table.get_mut(id) else {
             return;
         };
@@ -387,20 +387,20 @@
         if let Work::Chat(chat) = work
             && !started
         {
-            upstream.reading = upstream.reading.saturating_minus(chat.prompt);
+            upstream.reading = upstream.reading.saturating_sub(chat.prompt_tokens);
         }
     }
 
     /// Takes in that an upstream wants nothing from this process for a span. A rest that it asked
     /// for before is not cut short.
-    pub fn rest(&mut self, now: Time, id: &UpstreamId, span: Duration) {
+    pub fn back_off(&mut self, now: Time, id: &UpstreamId, span: Duration) {
         if let Some(upstream) = self.table.get_mut(id) {
             upstream.rests_until = upstream.rests_until.max(now.after(span));
         }
     }
 
     /// Notes a failure: the upstream gets nothing for a while that doubles each time.
-    pub fn failed(&mut self, now: Time, id: &UpstreamId) {
+    pub fn record_failure(&mut self, now: Time, id: &UpstreamId) {
         let Some(upstream) = self.table.get_mut(id) else {
             return;
         };
@@ -425,12 +425,12 @@
 /// Returns how many tokens the prefixes up to a place cover.
 fn covered(place: usize, chat: &Chat) -> f64 {
     let tokens = u64::try_from((place + 1) * PREFIX_STEP).unwrap_or(u64::MAX);
-    real(tokens.min(chat.prompt.0))
+    real(tokens.min(chat.prompt_tokens.0))
 }
 
 /// Digests the prefixes of a prompt, one every [`PREFIX_STEP`] bytes.
 #[must_use]
-pub fn prefixes(prompt: &[u8]) -> Vec<u64> {
+pub fn prefix_digests(prompt: &[u8]) -> Vec<u64> {
     let mut digests = Vec::new();
     let mut last = 0_u64;
     for step in prompt.chunks_exact(PREFIX_STEP) {
@@ -442,7 +442,7 @@
     digests
 }
 
-fn serves(upstream: &Upstream, wish: &Wish<'_>) -> bool {
+fn serves(upstream: &Upstream, wish: &VmUpstreamCriteria<'_>) -> bool {
     let hardware = &wish.template.hardware;
     if !hardware.is_empty() && !hardware.contains(&upstream.info.hardware) {
         return false;
@@ -452,12 +452,14 @@
         return false;
     }
     match (&upstream.info.kind, wish.work) {
-        (Kind::Engine(engine), Work::Chat(chat)) => {
+        (UpstreamKind::Engine(engine), Work::Chat(chat)) => {
             let loaded = |a: &Adapter| engine.adapters.contains(a);
             engine.model == chat.model && chat.adapter.as_ref().is_none_or(loaded)
         }
-        (Kind::Service(service), Work::Call(call)) => service == &call.service,
-        (Kind::Engine(_), Work::Call(_)) | (Kind::Service(_), Work::Chat(_)) => false,
+        (UpstreamKind::Service(service), Work::Call(call)) => service == &call.service,
+        (UpstreamKind::Engine(_), Work::Call(_)) | (UpstreamKind::Service(_), Work::Chat(_)) => {
+            false
+        }
     }
 }
 
--- a/crates/badgerfield-node/src/driver.rs
+++ b/crates/badgerfield-node/src/driver.rs
@@ -10,34 +10,34 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use badgerfield_core::amount::Time;
-use badgerfield_core::event::{Answer, Bill, Dispatch, Note};
+use badgerfield_core::event::{Answer, Bill, Dispatch, LogEntry};
 use badgerfield_core::ids::{AttemptId, Incarnation, Period, RequestId, ReservationId};
-use badgerfield_core::locality::Place;
+use badgerfield_core::locality::Location;
 use badgerfield_core::message::Envelope;
-use badgerfield_core::mix::{Division, Needs};
 use badgerfield_core::refusal::Refusal;
-use badgerfield_core::upstream::VmList;
-use badgerfield_core::view::{Member, Standing};
-use badgerfield_core::{Config, Event, Node, Order, TICK};
+use badgerfield_core::request_mix::{EngineDemand, EngineDivision};
+use badgerfield_core::view::{Member, MemberState};
+use badgerfield_core::vm_upstreams::VmList;
+use badgerfield_core::{Command, Config, Event, Node, TICK_INTERVAL};
 use http_body_util::Full;
 use hyper::{Request, Uri};
 use thiserror::Error;
 use tokio::sync::{mpsc, oneshot, watch};
 
-use crate::adapter::{Adapter, KeyValue};
-use crate::callers::Outgoing;
+use crate::adapter::{KeyValueStore, PlatformAdapter};
+use crate::caller_api::Outgoing;
 use crate::clock::{Clock, StoodStill, SystemClocks, VmClocks};
 use crate::follow;
 use crate::gateway::state::Gateway;
 use crate::http;
 use crate::logs::{BILLS, NODE, PLATFORM, REQUESTS};
 use crate::metrics::{GatewayCounts, Metrics};
-use crate::peers::{PeerError, Peers};
+use crate::peers::{PeerError, PeerTransport};
 use crate::rollouts::TELL_EVERY;
 use crate::settings::Settings;
 use crate::store_calls::{self, CallKind};
 use crate::sync::lock;
-use crate::upstreams::Upstreams;
+use crate::upstream_client::Upstreams;
 
 /// The part of the grace of a stop, in hundredths, in which new requests are still taken:
 /// callers keep what the directory said for a while.
@@ -88,13 +88,13 @@
     pub(crate) settings: Settings,
     pub(crate) metrics: Metrics,
     pub(crate) clock: Arc<Clock>,
-    pub(crate) store: Arc<dyn KeyValue>,
+    pub(crate) store: Arc<dyn KeyValueStore>,
     gateway: Option<Arc<Gateway>>,
     reservations: Mutex<HashMap<ReservationId, ReservationAnswer>>,
     next_reservation: AtomicU64,
     /// When the order to stop came.
     stopped: watch::Sender<Option<Time>>,
-    peers: Arc<Peers>,
+    peers: Arc<PeerTransport>,
     upstreams: Upstreams,
     requests: Mutex<HashMap<RequestId, OpenRequest>>,
     next_request: AtomicU64,
@@ -107,7 +107,7 @@
     /// # Errors
     ///
     /// Fails if peers cannot be talked to, or the system gives no random bits.
-    pub fn new(settings: Settings, adapter: Adapter) -> Result<Arc<Self>, StartError> {
+    pub fn new(settings: Settings, adapter: PlatformAdapter) -> Result<Arc<Self>, StartError> {
         Self::with_clocks(settings, adapter, Box::new(SystemClocks))
     }
 
@@ -118,33 +118,34 @@
     /// Fails if peers cannot be talked to, or the system gives no random bits.
     pub fn with_clocks(
         settings: Settings,
-        adapter: Adapter,
+        adapter: PlatformAdapter,
         clocks: Box<dyn VmClocks>,
     ) -> Result<Arc<Self>, StartError> {
         let incarnation = Incarnation(getrandom::u64()?);
         let seed = getrandom::u64()?;
-        let peers = Peers::listen(settings.peers, &settings.secret, &settings.accepted)?;
+        let peers =
+            PeerTransport::listen(settings.peer_address, &settings.secret, &settings.accepted)?;
         let member = Member {
             vm: settings.vm.clone(),
             incarnation,
             region: settings.region.clone(),
             domain: settings.domain.clone(),
-            peer: settings.advertised,
-            caller: settings.gateway.map_or(settings.callers, |gateway| gateway.requests),
-            standing: Standing::Active,
+            peer: settings.advertised_address,
+            caller: settings.gateway.map_or(settings.callers, |gateway| gateway.request_address),
+            standing: MemberState::Active,
         };
         let limits = settings.limits;
         let node = Node::new(Config {
             member,
-            shards: limits.shards,
-            remember: limits.remember,
-            replay: limits.replay,
-            max_replay: limits.replay_bytes,
+            ledger_shards: limits.shards,
+            key_retention: limits.remember,
+            answer_retention: limits.replay,
+            max_answer_bytes: limits.replay_bytes,
             directory_ttl: limits.directory,
             pacing: settings.pacing,
             seed,
         });
-        let Adapter { store, routes } = adapter;
+        let PlatformAdapter { store, route_adapter: routes } = adapter;
         let clock = Arc::new(Clock::new(clocks));
         let gateway = routes
             .map(|routes| Arc::new(Gateway::new(routes, settings.retries, Arc::clone(&clock))));
@@ -152,10 +153,10 @@
             let senders = settings.pacing.policy.warm_up_senders;
             gateway.replicas().set_warm_up_bound(settings.warm_up, senders);
             let (domain, region) = (settings.domain.clone(), settings.region.clone());
-            let place = Place { domain: Some(domain), region: Some(region) };
+            let place = Location { domain: Some(domain), region: Some(region) };
             let mut replicas = gateway.replicas();
             replicas.set_regions(settings.regions.clone());
-            replicas.set_locality(place, settings.locality);
+            replicas.set_location(place, settings.locality);
         }
         let upstreams = Upstreams::new(limits.silence);
         Ok(Arc::new(Self {
@@ -262,12 +263,12 @@
     }
 
     /// Waits until the process may end.
-    pub async fn ended(&self) {
+    pub async fn wait_for_exit(&self) {
         let mut exit = self.exit.subscribe();
         // The sender lives as long as the driver.
         let _ = exit.wait_for(|ended| *ended).await;
         while self.gateway.as_ref().is_some_and(|gateway| gateway.open_count() > 0) {
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(TICK_INTERVAL).await;
         }
         self.peers.close().await;
     }
@@ -291,32 +292,37 @@
     /// Closes a request whose caller has its answer or is gone.
     pub(crate) fn close(self: &Arc<Self>, id: RequestId) {
         lock(&self.requests).remove(&id);
-        self.feed(Event::HungUp(id));
+        self.feed(Event::CallerDisconnected(id));
     }
 
-    pub(crate) fn carry_out(self: &Arc<Self>, order: Order) {
+    pub(crate) fn carry_out(self: &Arc<Self>, order: Command) {
         match order {
-            Order::Send(to, message) => {
+            Command::Send(to, message) => {
                 let Some(address) = self.node.peer_address(to) else {
                     return;
                 };
                 let from = self.node.id();
                 self.metrics.messages.count(&message);
-                let envelope = Envelope { from, address: self.settings.advertised, to, message };
+                let envelope = Envelope {
+                    from,
+                    sender_address: self.settings.advertised_address,
+                    to,
+                    message,
+                };
                 self.peers.send(address, envelope);
             }
-            Order::KeyValue(ticket, call) => {
+            Command::CallStore(ticket, call) => {
                 let driver = Arc::clone(self);
                 self.metrics.calls.count(CallKind::of(&call));
                 tokio::spawn(async move {
                     let result = driver.store.call(&call).await;
                     driver.metrics.count_kv(&result);
-                    driver.feed(Event::KeyValue(ticket, result));
+                    driver.feed(Event::StoreReply(ticket, result));
                 });
             }
-            Order::Dispatch(attempt, dispatch) => self.dispatch(attempt, dispatch),
-            Order::Cancel(attempt) => self.upstreams.cancel(attempt),
-            Order::Answer(id, place, answer) => {
+            Command::Dispatch(attempt, dispatch) => self.dispatch(attempt, dispatch),
+            Command::Cancel(attempt) => self.upstreams.cancel(attempt),
+            Command::Answer(id, place, answer) => {
                 if let Answer::Refused(refusal) | Answer::Broken(refusal) = &answer {
                     self.metrics.count_refusal(refusal);
                     log_refusal(id, refusal);
@@ -326,36 +332,36 @@
                     let _ = request.answers.send((place, answer));
                 }
             }
-            Order::Reserved(id, result) => {
+            Command::AnswerReserve(id, result) => {
                 let answer = lock(&self.reservations).remove(&id);
                 // A request that has gone meanwhile settles what it was given.
                 let _ = answer.map(|answer| answer.send(result));
             }
-            Order::LearnChanges(from, news) => self.hear_changes(from, news),
-            Order::LearnUpstreams(list) => self.learn_list(list, Source::Peer),
-            Order::ConfirmUpstreams(revision) => {
+            Command::ApplyUpstreamChanges(from, news) => self.hear_changes(from, news),
+            Command::ApplyUpstreamList(list) => self.learn_list(list, Source::Peer),
+            Command::ConfirmUpstreamList(revision) => {
                 if let Some(gateway) = &self.gateway {
-                    gateway.replicas().confirm(self.now(), revision);
+                    gateway.replicas().confirm_revision(self.now(), revision);
                 }
             }
-            Order::DivideEngines(needs) => self.divide_engines(&needs),
-            Order::LearnLags(notes) => {
+            Command::DivideEngines(needs) => self.divide_engines(&needs),
+            Command::ApplyDelayReports(notes) => {
                 if let Some(gateway) = &self.gateway {
-                    gateway.replicas().learn_lags(self.now(), &notes);
+                    gateway.replicas().apply_delay_reports(self.now(), &notes);
                 }
             }
-            Order::LearnLimits(from, notes) => self.learn_limits(from, &notes),
-            Order::Evacuated(from, changes) => self.evacuate(from, &changes),
-            Order::RolloutRules(rules) => self.divide_versions(rules),
-            Order::TellUpstreams(to, since) => self.tell_upstreams(to, since),
-            Order::Block(requests) => {
+            Command::ApplyLimitReports(from, notes) => self.learn_limits(from, &notes),
+            Command::ApplyEvacuations(from, changes) => self.evacuate(from, &changes),
+            Command::ApplyRolloutRules(rules) => self.divide_versions(rules),
+            Command::SendUpstreamList(to, since) => self.tell_upstreams(to, since),
+            Command::BlockRequests(requests) => {
                 if let Some(gateway) = &self.gateway {
                     gateway.note_blocked(requests.len());
                 }
             }
-            Order::Bill(bill) => self.record(&bill),
-            Order::Note(note) => self.note(&note),
-            Order::Exit => {
+            Command::Bill(bill) => self.record(&bill),
+            Command::Log(note) => self.note(&note),
+            Command::Exit => {
                 log::info!(target: NODE, "everything is handed over");
                 self.exit.send_replace(true);
             }
@@ -363,12 +369,12 @@
     }
 
     /// Divides the engines between long and short prompts.
-    fn divide_engines(&self, needs: &[Needs]) {
+    fn divide_engines(&self, needs: &[EngineDemand]) {
         let Some(gateway) = &self.gateway else {
             return;
         };
-        let news = gateway.replicas().divide(needs);
-        for (service, Division { long_from, short_share }) in news {
+        let news = gateway.replicas().divide_engines(needs);
+        for (service, EngineDivision { long_threshold: long_from, short_share }) in news {
             log::info!(
                 target: NODE,
                 "engines divided service={service} short_share={short_share:.2} \
@@ -395,15 +401,15 @@
         self.metrics.count_bill(bill);
     }
 
-    fn note(&self, note: &Note) {
+    fn note(&self, note: &LogEntry) {
         match note {
-            Note::View(epoch) => {
+            LogEntry::View(epoch) => {
                 log::info!(target: NODE, "view {epoch} in force");
                 let view = self.node.view();
                 self.peers.keep(|id| view.has(id));
                 self.learn_senders();
             }
-            Note::Templates(version) => {
+            LogEntry::Templates(version) => {
                 if let Some(gateway) = &self.gateway {
                     let (version, table) = self.node.route_table();
                     gateway.put_in_force(version, table);
@@ -411,20 +417,20 @@
                 }
                 log::info!(target: NODE, "templates {version} in force");
             }
-            Note::BadTemplates(error) => {
+            LogEntry::BadTemplates(error) => {
                 self.metrics.bad_templates.inc();
                 log::error!(target: NODE, "templates not used, the last good ones stay: {error}");
             }
-            Note::BadValue(name, error) => {
+            LogEntry::BadValue(name, error) => {
                 log::error!(target: PLATFORM, "cannot use {name:?}: {error}");
             }
-            Note::Removes { member, vm, silence, epoch } => log::warn!(
+            LogEntry::RemovesMember { member, vm, silence, epoch } => log::warn!(
                 target: NODE,
                 "removes member={member} vm={vm} silent_ms={} view={epoch}",
                 silence.as_millis()
             ),
-            Note::Removed => log::error!(target: NODE, "removed from the view; ends when idle"),
-            Note::Drawn {
+            LogEntry::Removed => log::error!(target: NODE, "removed from the view; ends when idle"),
+            LogEntry::LedgerApplied {
                 budget,
                 limit,
                 granted,
@@ -444,23 +450,23 @@
                  took_ms={} plan={plan} rate={rate}",
                 took.as_millis()
             ),
-            Note::AtHand { budget, free, reserved, moving, waiting, rate } => log::info!(
+            LogEntry::Prefetched { budget, free, reserved, moving, waiting, rate } => log::info!(
                 target: NODE,
                 "at hand budget={budget} free={free} reserved={reserved} moving={moving} \
                  waiting={waiting} rate={rate}"
             ),
-            Note::Lending { epoch, held, borrowed } => {
+            LogEntry::Lending { epoch, held, borrowed } => {
                 log::info!(target: NODE, "lending view={epoch} held={held} borrowed={borrowed}");
             }
-            Note::Untouched { budget, holder, amount, epoch } => log::warn!(
+            LogEntry::ParkedReturned { budget, holder, amount, epoch } => log::warn!(
                 target: NODE,
                 "untouched budget={budget} holder={holder} amount={amount} view={epoch}: \
                  given back for a removed holder"
             ),
-            Note::LenderSilent { budget, lender } => {
+            LogEntry::LenderSilent { budget, lender } => {
                 log::warn!(target: NODE, "lender silent budget={budget} lender={lender}");
             }
-            Note::Crash { crash, blocks, from } => {
+            LogEntry::Crash { crash, blocks, from } => {
                 let from = from.map_or_else(|| "-".to_owned(), |id| id.to_string());
                 log::warn!(
                     target: REQUESTS,
@@ -468,20 +474,20 @@
                      age_ms={} blocks={blocks} from={from}",
                     crash.request,
                     crash.upstream,
-                    crash.life,
+                    crash.prior_crashes,
                     crash.evidence.as_str(),
-                    crash.point,
+                    crash.events_sent,
                     crash.cleared,
                     crash.age.as_millis()
                 );
             }
-            Note::Rollout(note) => log::info!(target: NODE, "{note}"),
-            Note::Renewed(budget) => log::info!(target: NODE, "budget {budget} renewed"),
+            LogEntry::Rollout(note) => log::info!(target: NODE, "{note}"),
+            LogEntry::BudgetRenewed(budget) => log::info!(target: NODE, "budget {budget} renewed"),
         }
     }
 
     async fn tick(self: Arc<Self>) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         let mut logged = self.now();
         let mut told = self.now();
         let mut count: u32 = 0;
@@ -498,7 +504,7 @@
                 count = 0;
             }
             if count.is_multiple_of(CLOCK_TICKS) {
-                self.feed(Event::Clock(wall_clock()));
+                self.feed(Event::WallClock(wall_clock()));
             }
             count = count.wrapping_add(1);
             let now = self.now();
@@ -547,13 +553,14 @@
 
 async fn read_vms(client: &http::HttpClient, uri: &Uri, timeout: Duration) -> Option<VmList> {
     let request = Request::get(uri.clone()).body(Full::default()).ok()?;
-    let value = http::call(client, request, timeout).await.ok()?;
+    let value = http::call_json(client, request, timeout).await.ok()?;
     serde_json::from_value(value).ok()
 }
 
 /// Records that a request on the product's own interface ends without its answer.
 fn log_refusal(id: RequestId, refusal: &Refusal) {
     let (cause, outcome) = (refusal.cause.code(), refusal.outcome.as_str());
-    let after = refusal.after.map_or_else(|| "-".to_owned(), |span| span.as_millis().to_string());
+    let after =
+        refusal.retry_after.map_or_else(|| "-".to_owned(), |span| span.as_millis().to_string());
     log::info!(target: REQUESTS, "refused request={} outcome={cause} run={outcome} come_back_ms={after}", id.0);
 }
--- a/crates/badgerfield-node/src/gateway/admit.rs
+++ b/crates/badgerfield-node/src/gateway/admit.rs
@@ -5,9 +5,9 @@
 
 use badgerfield_core::amount::{Time, Tokens};
 use badgerfield_core::ids::Account;
-use badgerfield_core::mix::Size;
 use badgerfield_core::refusal::{Cause, Refusal};
-use badgerfield_core::residency::{Admission, Residency, ResidencyFault};
+use badgerfield_core::request_mix::PromptSize;
+use badgerfield_core::residency::{Admission, Residency, ResidencyError};
 use badgerfield_core::routing::{Caller, Route, RouteTable};
 use badgerfield_core::template::KeyDigest;
 use bytes::Bytes;
@@ -15,7 +15,7 @@
 use hyper::body::Incoming;
 use hyper::{HeaderMap, Request, header};
 
-use crate::adapter::RequestTerms;
+use crate::adapter::RequestHeaders;
 use crate::driver::Driver;
 use crate::gateway::attempt::{Original, strip};
 use crate::gateway::flow::{COME_BACK, Exchange, Sending};
@@ -41,7 +41,7 @@
     let in_force = gateway.in_force();
     let not_run = |cause| (None, Refusal::not_run(cause));
     if in_force.version.0 == 0 {
-        return Err((None, Refusal::not_run(Cause::NotReady).after(COME_BACK)));
+        return Err((None, Refusal::not_run(Cause::NotReady).with_retry_after(COME_BACK)));
     }
     let (mut head, body) = request.into_parts();
     let terms = gateway.adapter.dialect.read(&head.headers);
@@ -52,7 +52,7 @@
     let id = terms.id.clone();
     let not_run = |cause| (Some(id.clone()), Refusal::not_run(cause));
     if driver.refuses_new() {
-        return Err((Some(id), Refusal::not_run(Cause::Stopping).after(ELSEWHERE)));
+        return Err((Some(id), Refusal::not_run(Cause::Stopping).with_retry_after(ELSEWHERE)));
     }
     let table = &in_force.table;
     let host = host_of(&head.headers, &head.uri);
@@ -74,19 +74,20 @@
     let fingerprint = suspicion::check(&driver, account_id, route, &terms, &original)
         .map_err(|refusal| (Some(id.clone()), refusal))?;
 
-    let service = route.service(rand::random()).ok_or_else(|| not_run(Cause::NoUpstream))?.clone();
+    let service =
+        route.choose_service(rand::random()).ok_or_else(|| not_run(Cause::NoUpstream))?.clone();
     let spec = table.service(&service).cloned().ok_or_else(|| not_run(Cause::NoUpstream))?;
     let objective = if route.objective.is_zero() { patience } else { route.objective };
-    let wait = objective * driver.settings.pacing.policy.budget_wait / 100;
+    let wait = objective * driver.settings.pacing.policy.budget_wait_percent / 100;
     let until = ends.min(arrived.after(wait));
     let reservation = reserve(&driver, &terms, caller.as_ref(), until).await;
     let reservation = reservation.map_err(|refusal| (Some(id.clone()), refusal))?;
     driver.gateway_counts().admitted.inc();
     let now = driver.now();
     gateway.retries().count_request(now, &service);
-    let divides = driver.settings.pacing.policy.divide;
+    let divides = driver.settings.pacing.policy.divide_engines;
     if let Some(size) = size_of(&terms).filter(|_| divides) {
-        gateway.replicas().arrived(now, &service, &route.name, size);
+        gateway.replicas().record_arrival(now, &service, &route.name, size);
     }
     Ok(Exchange {
         route: Arc::clone(route),
@@ -117,10 +118,10 @@
 }
 
 /// Returns what a request asks of an engine; nothing if it is not for one.
-fn size_of(terms: &RequestTerms) -> Option<Size> {
+fn size_of(terms: &RequestHeaders) -> Option<PromptSize> {
     let own = terms.parts.last()?.tokens;
     let prompt = terms.parts.iter().map(|part| part.tokens).sum();
-    Some(Size { prompt, own })
+    Some(PromptSize { total_tokens: prompt, unshared_tokens: own })
 }
 
 /// Returns the regions in which a request may be served, or why there are none.
@@ -139,8 +140,10 @@
     checked.map_err(|fault| {
         record::outside(id, &route.name, &fault, in_force.version);
         match fault {
-            ResidencyFault::NoRegion => Refusal::not_run(Cause::NoRegionAllowed),
-            ResidencyFault::Unknown(_) => Refusal::not_run(Cause::RegionUnknown).after(COME_BACK),
+            ResidencyError::NoRegion => Refusal::not_run(Cause::NoRegionAllowed),
+            ResidencyError::Unknown(_) => {
+                Refusal::not_run(Cause::RegionUnknown).with_retry_after(COME_BACK)
+            }
         }
     })?;
     Ok(residency)
@@ -156,13 +159,13 @@
 fn caller_of(
     table: &RouteTable,
     route: &Route,
-    terms: &RequestTerms,
+    terms: &RequestHeaders,
 ) -> Result<Option<Caller>, Cause> {
     if route.anonymous {
         return Ok(None);
     }
     let key = terms.key.as_ref().ok_or(Cause::UnknownCaller)?;
-    let caller = table.caller(&KeyDigest::of(key)).ok_or(Cause::UnknownCaller)?;
+    let caller = table.caller(&KeyDigest::from_secret(key)).ok_or(Cause::UnknownCaller)?;
     Ok(Some(caller.clone()))
 }
 
@@ -184,7 +187,7 @@
 /// Sets aside the most that a request can cost, if its account pays in advance.
 async fn reserve(
     driver: &Arc<Driver>,
-    terms: &RequestTerms,
+    terms: &RequestHeaders,
     caller: Option<&Caller>,
     until: Time,
 ) -> Result<Option<Reservation>, Refusal> {
--- a/crates/badgerfield-node/src/gateway/attempt.rs
+++ b/crates/badgerfield-node/src/gateway/attempt.rs
@@ -6,8 +6,8 @@
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::UpstreamId;
-use badgerfield_core::replicas::{Chosen, Health};
 use badgerfield_core::routing::Route;
+use badgerfield_core::upstream_table::{AttemptOutcome, ChosenUpstream};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -15,7 +15,7 @@
 use hyper::http::{request, response};
 use hyper::{HeaderMap, Request, StatusCode, header};
 
-use crate::adapter::{CallTerms, Verdict};
+use crate::adapter::{ResponseKind, UpstreamHeaders};
 use crate::driver::Driver;
 use crate::gateway::connections::{Connection, SendError, named_keep};
 use crate::gateway::state::Gateway;
@@ -104,7 +104,7 @@
     process: u32,
     /// When the request was handed to it.
     sent: Time,
-    health: Health,
+    health: AttemptOutcome,
     connection: Option<Connection>,
     keep: Option<Duration>,
     closes: bool,
@@ -128,7 +128,7 @@
     pub(crate) fn new(
         driver: &Arc<Driver>,
         gateway: &Arc<Gateway>,
-        chosen: &Chosen,
+        chosen: &ChosenUpstream,
         unread: Option<u64>,
         route: &Arc<Route>,
     ) -> Self {
@@ -140,7 +140,7 @@
             address: chosen.address,
             process: chosen.process,
             sent: now,
-            health: Health::Unknown,
+            health: AttemptOutcome::Unknown,
             connection: None,
             keep: None,
             closes: false,
@@ -161,12 +161,12 @@
 
     /// Notes that the answer does not come, or broke off.
     pub(crate) fn note_failed(&mut self) {
-        self.note(Health::Failed);
+        self.note(AttemptOutcome::Failed);
         self.tell_trial(Trial::note_failed);
     }
 
     /// Notes that nothing of the request was run, so that it tells nothing of a version.
-    pub(crate) fn note_unrun(&mut self, health: Health) {
+    pub(crate) fn note_unrun(&mut self, health: AttemptOutcome) {
         self.wait = None;
         self.trial = None;
         self.note(health);
@@ -186,7 +186,12 @@
     fn tell_wait(&self, wait: Wait) {
         let now = self.driver.now();
         if !self.gateway.clock.stood_still_since(wait.since) {
-            self.gateway.replicas().waited(now, &self.id, now.since(wait.since), wait.unread);
+            self.gateway.replicas().record_first_event_wait(
+                now,
+                &self.id,
+                now.since(wait.since),
+                wait.unread,
+            );
         }
     }
 
@@ -198,26 +203,26 @@
         if !replicas.is_usable(now, &self.id) {
             return Err(Unsent::NotSent);
         }
-        if !replicas.admits_begun(now, &self.id, self.sent) {
+        if !replicas.can_still_send(now, &self.id, self.sent) {
             return Err(Unsent::NotAdmitted);
         }
         Ok(())
     }
 
     /// Notes how the upstream is doing.
-    pub(crate) fn note(&mut self, health: Health) {
+    pub(crate) fn note(&mut self, health: AttemptOutcome) {
         self.health = health;
     }
 
     /// Ends the work well: the whole answer has come, and the connection may be kept.
     pub(crate) fn finish(mut self) {
-        self.health = Health::Good;
+        self.health = AttemptOutcome::Answered;
         self.note_first_event();
         let Some(connection) = self.connection.take() else {
             return;
         };
         // A connection to a process that has ended must not serve for the one that has its id now.
-        let is_current = self.gateway.replicas().is_process(&self.id, self.process);
+        let is_current = self.gateway.replicas().is_current_process(&self.id, self.process);
         if is_current && !self.closes {
             self.gateway.connections.keep(self.id.clone(), connection, self.keep);
         }
@@ -232,11 +237,11 @@
         }
         self.tell_trial(Trial::note_end);
         // What a process that stood still takes for silence may be its own.
-        let is_unsure =
-            self.health == Health::Failed && self.gateway.clock.stood_still_since(self.sent);
-        let health = if is_unsure { Health::Unknown } else { self.health };
+        let is_unsure = self.health == AttemptOutcome::Failed
+            && self.gateway.clock.stood_still_since(self.sent);
+        let health = if is_unsure { AttemptOutcome::Unknown } else { self.health };
         let now = self.driver.now();
-        self.gateway.replicas().end(now, &self.id, health);
+        self.gateway.replicas().end_request(now, &self.id, health);
     }
 }
 
@@ -245,7 +250,7 @@
 pub(crate) async fn attempt(
     mut hold: UpstreamHold,
     original: &Original,
-    terms: &CallTerms<'_>,
+    terms: &UpstreamHeaders<'_>,
     given_up: impl Future<Output = ()>,
     blocked: impl Future<Output = ()>,
 ) -> AttemptEnd {
@@ -258,18 +263,18 @@
             return AttemptEnd::Broken(SILENT);
         }
         () = blocked => {
-            hold.note_unrun(Health::Unknown);
+            hold.note_unrun(AttemptOutcome::Unknown);
             return AttemptEnd::Broken(BLOCKED);
         }
     };
     let (mut response, connection) = match sent {
         Ok(found) => found,
         Err(Unsent::NotSent) => {
-            hold.note_unrun(Health::Failed);
+            hold.note_unrun(AttemptOutcome::Failed);
             return AttemptEnd::NotSent("unreachable");
         }
         Err(Unsent::NotAdmitted) => {
-            hold.note_unrun(Health::Unknown);
+            hold.note_unrun(AttemptOutcome::Unknown);
             return AttemptEnd::NotSent("not_admitted");
         }
         Err(Unsent::Broken) => {
@@ -281,21 +286,21 @@
     let head = (response.status(), response.headers());
     let dialect = &gateway.adapter.dialect;
     let verdict = dialect.verdict(&original.id, head.0, head.1);
-    if verdict != Verdict::Foreign {
+    if verdict != ResponseKind::Foreign {
         let asked = (&hold.id, hold.process);
         hold.driver.hear_upstream(&gateway, &original.id, asked, head);
     }
     match verdict {
-        Verdict::NotRun => {
-            hold.note_unrun(Health::Full);
+        ResponseKind::NotRun => {
+            hold.note_unrun(AttemptOutcome::Full);
             return AttemptEnd::NotRun(response.status());
         }
-        Verdict::Foreign => {
+        ResponseKind::Foreign => {
             hold.wait = None;
             hold.note_failed();
             return AttemptEnd::Broken("foreign");
         }
-        Verdict::Answer => {}
+        ResponseKind::Answer => {}
     }
     hold.keep = named_keep(response.headers());
     hold.closes = closes(response.headers());
@@ -338,12 +343,16 @@
     }
 }
 
-fn call_of(gateway: &Gateway, original: &Original, terms: &CallTerms<'_>) -> Request<Full<Bytes>> {
+fn call_of(
+    gateway: &Gateway,
+    original: &Original,
+    terms: &UpstreamHeaders<'_>,
+) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(original.body.clone()));
     *request.method_mut() = original.head.method.clone();
     *request.uri_mut() = original.head.uri.clone();
     *request.headers_mut() = original.head.headers.clone();
-    gateway.adapter.dialect.write(request.headers_mut(), terms);
+    gateway.adapter.dialect.write_headers(request.headers_mut(), terms);
     request
 }
 
--- a/crates/badgerfield-node/src/gateway/directory.rs
+++ b/crates/badgerfield-node/src/gateway/directory.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use badgerfield_core::locality::{Place, nearest};
+use badgerfield_core::locality::{Location, nearest};
 use badgerfield_core::view::Member;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
@@ -14,8 +14,8 @@
 use hyper_util::rt::TokioIo;
 use serde_json::json;
 
-use crate::adapter::DirectoryAsk;
-use crate::callers::listen;
+use crate::adapter::DirectoryRequest;
+use crate::caller_api::listen;
 use crate::driver::{Driver, StartError};
 use crate::gateway::connections::guard;
 use crate::gateway::state::Gateway;
@@ -72,7 +72,10 @@
 
 fn answer(driver: &Driver, gateway: &Gateway, request: &Request<Incoming>) -> Response<Body> {
     if request.method() != Method::GET {
-        return http::json(StatusCode::METHOD_NOT_ALLOWED, &json!({ "error": "expected GET" }));
+        return http::json_response(
+            StatusCode::METHOD_NOT_ALLOWED,
+            &json!({ "error": "expected GET" }),
+        );
     }
     if request.uri().path() == "/readyz" {
         let mut response = Response::new(http::full(""));
@@ -81,14 +84,17 @@
         }
         return response;
     }
-    let Some(ask) = gateway.adapter.dialect.directory_ask(request.uri()) else {
-        return http::json(StatusCode::NOT_FOUND, &json!({ "error": "expected a question" }));
+    let Some(ask) = gateway.adapter.dialect.parse_directory_request(request.uri()) else {
+        return http::json_response(
+            StatusCode::NOT_FOUND,
+            &json!({ "error": "expected a question" }),
+        );
     };
-    let members = driver.node.usable(driver.now());
+    let members = driver.node.available_members(driver.now());
     let addresses = choose(&members, &place_of(gateway, ask));
     if addresses.is_empty() {
         let error = json!({ "error": "no VM is ready; come back later" });
-        return http::json(StatusCode::SERVICE_UNAVAILABLE, &error);
+        return http::json_response(StatusCode::SERVICE_UNAVAILABLE, &error);
     }
     let text = gateway.adapter.dialect.directory_answer(&addresses, KEEP);
     let mut response = Response::new(http::full(text));
@@ -98,15 +104,15 @@
 }
 
 /// Returns where a caller stands: a question that names no region may name a known domain.
-fn place_of(gateway: &Gateway, ask: DirectoryAsk) -> Place {
-    let DirectoryAsk { domain, region } = ask;
+fn place_of(gateway: &Gateway, ask: DirectoryRequest) -> Location {
+    let DirectoryRequest { domain, region } = ask;
     let of_domain = || gateway.replicas().regions().region(domain.as_ref()?).cloned();
     let region = region.or_else(of_domain);
-    Place { domain, region }
+    Location { domain, region }
 }
 
 /// Returns the addresses of the VMs that a caller is sent to.
-fn choose(members: &[Member], caller: &Place) -> Vec<SocketAddr> {
+fn choose(members: &[Member], caller: &Location) -> Vec<SocketAddr> {
     let near = nearest(members, caller).into_iter();
     near.map(|member| member.caller).take(MAX_ADDRESSES).collect()
 }
--- a/crates/badgerfield-node/src/gateway/dispatch.rs
+++ b/crates/badgerfield-node/src/gateway/dispatch.rs
@@ -4,11 +4,11 @@
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::refusal::{Cause, Refusal};
-use badgerfield_core::replicas::{Chosen, Wanted};
 use badgerfield_core::residency::Residency;
+use badgerfield_core::upstream_table::{ChosenUpstream, UpstreamCriteria};
 use hyper::StatusCode;
 
-use crate::adapter::CallTerms;
+use crate::adapter::UpstreamHeaders;
 use crate::gateway::attempt::{Answered, AttemptEnd, BROKEN, UpstreamHold, attempt};
 use crate::gateway::flow::{Exchange, Sending};
 use crate::gateway::record;
@@ -47,19 +47,19 @@
                 Err(cause) => return Err(self.give_up(cause)),
             };
             if self.attempts > 0 {
-                self.gateway.retries().take(now, &self.service, vms);
+                self.gateway.retries().try_take(now, &self.service, vms);
             }
             self.tried.push(chosen.id.clone());
-            let terms = CallTerms {
+            let terms = UpstreamHeaders {
                 upstream: &chosen.id,
                 remaining: left,
                 account: self.caller.as_ref().map(|caller| &caller.account),
                 rank: self.rank(),
                 last_event: last,
-                fetch: None,
+                fetch_from: None,
             };
             self.sent = Sending { at: now, life: self.life_of(&chosen.id) };
-            self.unread = chosen.unread.saturating_add(self.own_tokens());
+            self.unread = chosen.uncached_tokens.saturating_add(self.own_tokens());
             self.timing.note_sent(self.took());
             // Only engines read prompts; what waits elsewhere is counted as under way.
             let reading = self.spec.engine.as_ref().map(|_| self.unread);
@@ -87,7 +87,7 @@
                 }
                 AttemptEnd::NotSent(why) => {
                     unreachable += 1;
-                    self.gateway.replicas().refund(&chosen.id, &self.route.name);
+                    self.gateway.replicas().undo_sent(&chosen.id, &self.route.name);
                     why
                 }
                 AttemptEnd::NotRun(status) => {
@@ -122,7 +122,7 @@
             return Err(Cause::TriesSpent);
         }
         let is_repeat = self.attempts > 0;
-        if is_repeat && self.gateway.retries().left(now, &self.service, vms) < 1.0 {
+        if is_repeat && self.gateway.retries().remaining(now, &self.service, vms) < 1.0 {
             return Err(Cause::TriesSpent);
         }
         Ok(())
@@ -132,7 +132,7 @@
     /// and by the newest.
     fn residency(&self) -> Residency {
         let newest = self.gateway.in_force();
-        self.admission.residency_now(newest.version, || {
+        self.admission.current_residency(newest.version, || {
             // The caller's head may have lost its host: what concerns one connection is dropped.
             let path = self.original.head.uri.path();
             let account = self.caller.as_ref().map(|caller| &caller.account);
@@ -140,11 +140,11 @@
         })
     }
 
-    fn choose(&self, now: Time, vms: usize, resumes: bool) -> Result<Chosen, Cause> {
+    fn choose(&self, now: Time, vms: usize, resumes: bool) -> Result<ChosenUpstream, Cause> {
         let residency = self.residency();
         // What is chosen is begun under the same lock: what a cold upstream may get is counted.
         let mut replicas = self.gateway.replicas();
-        replicas.want(now, &self.service);
+        replicas.record_request(now, &self.service);
         if let Err(fault) = residency.check(replicas.regions()) {
             drop(replicas);
             record::outside(&self.original.id, &self.route.name, &fault, self.admission.version);
@@ -153,11 +153,11 @@
         let alike = self.check_standing()?;
         let wanted = self.wanted(&residency, alike, vms, resumes);
         let chosen = replicas.choose(now, &wanted).ok_or(Cause::NoUpstream)?;
-        let list = replicas.age();
-        replicas.begin(now, &chosen.id, &self.terms.parts);
-        replicas.charge(now, &wanted, &chosen.id);
+        let list = replicas.last_update();
+        replicas.start_request(now, &chosen.id, &self.terms.parts);
+        replicas.record_sent(now, &wanted, &chosen.id);
         drop(replicas);
-        self.driver.gateway_counts().count_sent(chosen.near, chosen.crossing);
+        self.driver.gateway_counts().count_sent(chosen.distance, chosen.crossing);
         record::chosen(&self.original.id, self.attempts + 1, &chosen, list, now);
         Ok(chosen)
     }
@@ -169,20 +169,20 @@
         alike: Option<u64>,
         vms: usize,
         resumes: bool,
-    ) -> Wanted<'a> {
+    ) -> UpstreamCriteria<'a> {
         let vms = u64::try_from(vms).unwrap_or(u64::MAX).saturating_add(1);
         let connections = u64::from(self.spec.connections) * CONNECTION_PERCENT / 100 / vms;
-        Wanted {
-            alike,
+        UpstreamCriteria {
+            rendezvous_key: alike,
             service: &self.service,
             route: &self.route.name,
             parts: &self.terms.parts,
             bytes: self.bytes_across(),
             residency,
             tried: &self.tried,
-            resumes: self.version.as_ref().filter(|_| resumes),
-            connections: u32::try_from(connections).unwrap_or(u32::MAX).max(2),
-            draw: rand::random(),
+            resumed_version: self.version.as_ref().filter(|_| resumes),
+            max_connections: u32::try_from(connections).unwrap_or(u32::MAX).max(2),
+            random: rand::random(),
         }
     }
 
@@ -215,7 +215,7 @@
     /// Tells whether another upstream can be tried now, after so many tries.
     pub(crate) fn has_another(&self, tries: u32, resumes: bool) -> bool {
         let (now, vms) = (self.now(), self.driver.node.member_count());
-        let is_left = self.gateway.retries().left(now, &self.service, vms) >= 1.0;
+        let is_left = self.gateway.retries().remaining(now, &self.service, vms) >= 1.0;
         if !is_left || tries >= self.route.attempts {
             return false;
         }
@@ -234,7 +234,7 @@
         let now = self.now();
         self.route.repeat.is_idempotent()
             && self.has_tries()
-            && self.gateway.retries().left(now, &self.service, vms) >= 1.0
+            && self.gateway.retries().remaining(now, &self.service, vms) >= 1.0
     }
 
     /// Returns how many bytes are expected to cross between this VM and an upstream: the
--- a/crates/badgerfield-node/src/gateway/flow.rs
+++ b/crates/badgerfield-node/src/gateway/flow.rs
@@ -17,10 +17,10 @@
 
 use badgerfield_core::amount::{Time, Tokens};
 use badgerfield_core::ids::{Service, SoftwareVersion, UpstreamId};
-use badgerfield_core::mix::Observed;
 use badgerfield_core::overload;
 use badgerfield_core::poison::Fingerprint;
 use badgerfield_core::refusal::{Cause, Refusal};
+use badgerfield_core::request_mix::ObservedTiming;
 use badgerfield_core::residency::Admission;
 use badgerfield_core::routing::{Caller, Route, ServiceSpec};
 use bytes::Bytes;
@@ -31,7 +31,7 @@
 use hyper::{Request, Response, StatusCode, header};
 use thiserror::Error;
 
-use crate::adapter::RequestTerms;
+use crate::adapter::RequestHeaders;
 use crate::driver::Driver;
 use crate::gateway::admit::admit;
 use crate::gateway::attempt::{Answered, BROKEN, CUT, Original};
@@ -71,7 +71,7 @@
     pub(crate) driver: Arc<Driver>,
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) original: Original,
-    pub(crate) terms: RequestTerms,
+    pub(crate) terms: RequestHeaders,
     pub(crate) route: Arc<Route>,
     pub(crate) spec: ServiceSpec,
     pub(crate) reservation: Option<Reservation>,
@@ -173,7 +173,7 @@
                     exchange.took(),
                 );
                 if !exchange.route.repeat.is_idempotent() {
-                    return exchange.refuse(&Refusal::unknown(Cause::BrokenOff));
+                    return exchange.refuse(&Refusal::may_have_run(Cause::BrokenOff));
                 }
             }
         }
@@ -248,7 +248,7 @@
         if self.may_have_run {
             self.count_unseen();
             let cause = if cause == Cause::OutOfTime { cause } else { Cause::BrokenOff };
-            return Refusal::unknown(cause);
+            return Refusal::may_have_run(cause);
         }
         let cause = if cause == Cause::OutOfTime { Cause::Overloaded } else { cause };
         let after = match cause {
@@ -256,8 +256,8 @@
             Cause::EndsUpstreams => self.blocked_for(),
             _ => None,
         };
-        let after = after.unwrap_or_else(|| overload::come_back(rand::random()));
-        Refusal::not_run(cause).after(after)
+        let after = after.unwrap_or_else(|| overload::retry_delay(rand::random()));
+        Refusal::not_run(cause).with_retry_after(after)
     }
 
     /// Returns when the first upstream that is cold, rests or has a limit takes a request again, if
@@ -266,9 +266,12 @@
         let now = self.now();
         let (warm_in, admits_in) = {
             let replicas = self.gateway.replicas();
-            (replicas.warm_in(now, &self.service), replicas.admits_in(now, &self.service))
+            (
+                replicas.time_until_warm(now, &self.service),
+                replicas.time_until_admitted(now, &self.service),
+            )
         };
-        let spread = overload::come_back(rand::random());
+        let spread = overload::retry_delay(rand::random());
         let admits_in = admits_in.map(|span| span.saturating_add(spread));
         warm_in.into_iter().chain(admits_in).min()
     }
@@ -333,12 +336,12 @@
         if self.attempts != 1 {
             return;
         }
-        let seen = Observed {
-            unread: self.unread,
-            first: first.saturating_sub(sent),
-            stream: last.saturating_sub(first),
+        let seen = ObservedTiming {
+            uncached_tokens: self.unread,
+            time_to_first: first.saturating_sub(sent),
+            stream_time: last.saturating_sub(first),
         };
-        self.gateway.replicas().observed(&self.service, &self.route.name, &seen);
+        self.gateway.replicas().record_timing(&self.service, &self.route.name, &seen);
     }
 
     /// Notes that events came from an upstream.
--- a/crates/badgerfield-node/src/gateway/record.rs
+++ b/crates/badgerfield-node/src/gateway/record.rs
@@ -4,25 +4,25 @@
 use std::time::Duration;
 
 use badgerfield_core::amount::Time;
-use badgerfield_core::ids::{Incarnation, SoftwareVersion, UpstreamId, Version};
-use badgerfield_core::locality::Crossing;
-use badgerfield_core::mix::Group;
+use badgerfield_core::ids::{Incarnation, SoftwareVersion, TemplateVersion, UpstreamId};
+use badgerfield_core::locality::CrossingReason;
 use badgerfield_core::poison::Fingerprint;
+use badgerfield_core::rate_limit::RateLimit;
 use badgerfield_core::refusal::Refusal;
-use badgerfield_core::replicas::{Chosen, LimitChange};
-use badgerfield_core::request_limit::RequestLimit;
-use badgerfield_core::residency::ResidencyFault;
+use badgerfield_core::request_mix::PromptGroup;
+use badgerfield_core::residency::ResidencyError;
+use badgerfield_core::upstream_table::{ChosenUpstream, LimitChange};
 
 use crate::logs::REQUESTS;
 
 /// Records that a request was let in.
-pub(crate) fn admitted(id: &str, route: &str, account: Option<&str>, version: Version) {
+pub(crate) fn admitted(id: &str, route: &str, account: Option<&str>, version: TemplateVersion) {
     let account = account.unwrap_or("-");
     log::info!(target: REQUESTS, "admitted id={id} route={route} account={account} templates={version}");
 }
 
 /// Records that a request may be served in no known region.
-pub(crate) fn outside(id: &str, route: &str, fault: &ResidencyFault, version: Version) {
+pub(crate) fn outside(id: &str, route: &str, fault: &ResidencyError, version: TemplateVersion) {
     log::warn!(target: REQUESTS, "outside id={id} route={route} templates={version} fault={fault:?}");
 }
 
@@ -43,24 +43,24 @@
 pub(crate) fn chosen(
     id: &str,
     attempt: u32,
-    chosen: &Chosen,
+    chosen: &ChosenUpstream,
     list: (u64, Option<Time>),
     now: Time,
 ) {
-    let (upstream, cost, weighed) = (&chosen.id, chosen.cost, chosen.weighed);
+    let (upstream, cost, weighed) = (&chosen.id, chosen.cost, chosen.candidates);
     let (revision, age) = (list.0, list.1.map_or(0, |at| now.since(at).as_millis()));
     let group = match chosen.group {
-        Some((Group::Short, true)) => "short",
-        Some((Group::Long, true)) => "long",
-        Some((Group::Short, false)) => "short_astray",
-        Some((Group::Long, false)) => "long_astray",
+        Some((PromptGroup::Short, true)) => "short",
+        Some((PromptGroup::Long, true)) => "long",
+        Some((PromptGroup::Short, false)) => "short_astray",
+        Some((PromptGroup::Long, false)) => "long_astray",
         None => "-",
     };
-    let (unread, lag) = (chosen.unread, chosen.lag);
+    let (unread, lag) = (chosen.uncached_tokens, chosen.queueing_delay);
     let version = chosen.version.as_ref().map_or("-", SoftwareVersion::as_str);
-    let near = chosen.near.as_str();
-    let why = chosen.crossing.map_or("-", Crossing::as_str);
-    let (second, second_cost) = match &chosen.second {
+    let near = chosen.distance.as_str();
+    let why = chosen.crossing.map_or("-", CrossingReason::as_str);
+    let (second, second_cost) = match &chosen.runner_up {
         Some((id, cost)) => (id.as_str(), *cost),
         None => ("-", 0.0),
     };
@@ -156,7 +156,7 @@
 }
 
 /// Writes a limit in requests a second.
-fn named(limit: Option<RequestLimit>) -> String {
+fn named(limit: Option<RateLimit>) -> String {
     limit.map_or_else(|| "-".to_owned(), |limit| limit.to_string())
 }
 
--- a/crates/badgerfield-node/src/gateway/state.rs
+++ b/crates/badgerfield-node/src/gateway/state.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use badgerfield_core::amount::Time;
-use badgerfield_core::ids::{UpstreamId, Version};
-use badgerfield_core::replicas::Replicas;
-use badgerfield_core::retry_budget::{RetryBound, RetryBudget};
-use badgerfield_core::rollout::{RolloutRule, RuleSet};
+use badgerfield_core::ids::{TemplateVersion, UpstreamId};
+use badgerfield_core::retry_budget::{RetryBudget, RetryLimits};
+use badgerfield_core::rollout::{RolloutRule, RolloutRules};
 use badgerfield_core::routing::RouteTable;
+use badgerfield_core::upstream_table::UpstreamTable;
 use tokio::sync::{Semaphore, watch};
 
 use crate::adapter::RouteAdapter;
@@ -24,7 +24,7 @@
 /// The routes in force, with the version that they came with.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct InForce {
-    pub(crate) version: Version,
+    pub(crate) version: TemplateVersion,
     pub(crate) table: Arc<RouteTable>,
 }
 
@@ -37,7 +37,7 @@
     pub(crate) connections: Arc<Connections>,
     pub(crate) clock: Arc<Clock>,
     routes: Mutex<InForce>,
-    replicas: Mutex<Replicas>,
+    replicas: Mutex<UpstreamTable>,
     retries: Mutex<RetryBudget>,
     open: AtomicUsize,
     stopping: AtomicBool,
@@ -54,7 +54,7 @@
 }
 
 impl Gateway {
-    pub(crate) fn new(adapter: RouteAdapter, bound: RetryBound, clock: Arc<Clock>) -> Self {
+    pub(crate) fn new(adapter: RouteAdapter, bound: RetryLimits, clock: Arc<Clock>) -> Self {
         Self {
             adapter,
             connections: Arc::new(Connections::new(Arc::clone(&clock))),
@@ -78,7 +78,7 @@
     }
 
     /// Puts newer routes in force; never steps back.
-    pub(crate) fn put_in_force(&self, version: Version, table: RouteTable) {
+    pub(crate) fn put_in_force(&self, version: TemplateVersion, table: RouteTable) {
         let mut routes = lock(&self.routes);
         if version > routes.version {
             *routes = InForce { version, table: Arc::new(table) };
@@ -86,7 +86,7 @@
     }
 
     /// Locks the table of upstreams.
-    pub(crate) fn replicas(&self) -> MutexGuard<'_, Replicas> {
+    pub(crate) fn replicas(&self) -> MutexGuard<'_, UpstreamTable> {
         lock(&self.replicas)
     }
 
@@ -139,10 +139,10 @@
 
     /// Divides requests between versions by these rules, and by no others; returns those that
     /// are new or differ.
-    pub(crate) fn set_rollouts(&self, rules: RuleSet) -> Vec<RolloutRule> {
+    pub(crate) fn set_rollouts(&self, rules: RolloutRules) -> Vec<RolloutRule> {
         let mut replicas = self.replicas();
-        let news = replicas.put_rules(rules);
-        self.rolls_out.store(!replicas.rollouts().is_empty(), Ordering::Relaxed);
+        let news = replicas.apply_rule_set(rules);
+        self.rolls_out.store(!replicas.rollout_rules().is_empty(), Ordering::Relaxed);
         news
     }
 
--- a/crates/badgerfield-node/src/gateway/statements.rs
+++ b/crates/badgerfield-node/src/gateway/statements.rs
@@ -5,10 +5,10 @@
 
 use badgerfield_core::Event;
 use badgerfield_core::ids::{Incarnation, UpstreamId};
-use badgerfield_core::request_limit::{LimitNote, RequestLimit};
+use badgerfield_core::rate_limit::{LimitReport, RateLimit};
 use hyper::{HeaderMap, StatusCode};
 
-use crate::adapter::UpstreamStatement;
+use crate::adapter::UpstreamAnnouncement;
 use crate::driver::Driver;
 use crate::gateway::record;
 use crate::gateway::state::Gateway;
@@ -22,22 +22,23 @@
         (upstream, process): (&UpstreamId, u32),
         (status, head): (StatusCode, &HeaderMap),
     ) {
-        let Some(statement) = gateway.adapter.dialect.statement(upstream, status, head) else {
+        let Some(statement) = gateway.adapter.dialect.parse_announcement(upstream, status, head)
+        else {
             return;
         };
         // The answer of a process that has ended says nothing of the one that has its id now.
-        if !gateway.replicas().is_process(upstream, process) {
+        if !gateway.replicas().is_current_process(upstream, process) {
             return;
         }
         if statement.is_unreadable() {
             self.note_unreadable(gateway, upstream);
         }
-        let UpstreamStatement { limit, leaving, rest } = statement;
+        let UpstreamAnnouncement { limit, leaving, back_off: rest } = statement;
         if leaving {
             self.hear_leaving(gateway, id, upstream);
         }
         if let Some(rest) = rest.value() {
-            gateway.replicas().hear_rest(self.now(), upstream, rest);
+            gateway.replicas().record_back_off(self.now(), upstream, rest);
             record::asks_rest(id, upstream, rest);
         }
         self.hear_limit(gateway, id, upstream, limit.value());
@@ -46,7 +47,7 @@
     fn hear_leaving(&self, gateway: &Gateway, id: &str, upstream: &UpstreamId) {
         let (is_news, (revision, learned)) = {
             let mut replicas = gateway.replicas();
-            (replicas.hear_leaving(upstream), replicas.age())
+            (replicas.record_leaving(upstream), replicas.last_update())
         };
         if !is_news {
             return;
@@ -61,23 +62,23 @@
         gateway: &Gateway,
         id: &str,
         upstream: &UpstreamId,
-        limit: Option<RequestLimit>,
+        limit: Option<RateLimit>,
     ) {
-        let change = gateway.replicas().hear_limit(self.now(), upstream, limit);
+        let change = gateway.replicas().record_limit(self.now(), upstream, limit);
         let Some(change) = change else {
             return;
         };
         record::limit_named(id, &change);
-        let notes = gateway.replicas().limit_notes(self.now());
-        self.feed(Event::Limits(notes));
+        let notes = gateway.replicas().limit_reports(self.now());
+        self.feed(Event::LimitReports(notes));
     }
 
     /// Takes in what another process knows of the limits that upstreams name.
-    pub(crate) fn learn_limits(&self, from: Incarnation, notes: &[LimitNote]) {
+    pub(crate) fn learn_limits(&self, from: Incarnation, notes: &[LimitReport]) {
         let Some(gateway) = self.gateway() else {
             return;
         };
-        let changes = gateway.replicas().learn_limits(self.now(), notes);
+        let changes = gateway.replicas().apply_limit_reports(self.now(), notes);
         for change in &changes {
             record::limit_learned(from, change);
         }
@@ -85,7 +86,7 @@
 
     fn note_unreadable(&self, gateway: &Gateway, upstream: &UpstreamId) {
         self.gateway_counts().unreadable.inc();
-        if gateway.replicas().note_unreadable(upstream) {
+        if gateway.replicas().record_unreadable(upstream) {
             record::unreadable_statement(upstream);
         }
     }
--- a/crates/badgerfield-node/src/gateway/suspicion.rs
+++ b/crates/badgerfield-node/src/gateway/suspicion.rs
@@ -8,12 +8,12 @@
 use badgerfield_core::Event;
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::{Account, UpstreamId};
-use badgerfield_core::poison::{Crash, Fingerprint, Standing};
+use badgerfield_core::poison::{Crash, Fingerprint, PoisonStatus};
 use badgerfield_core::refusal::{Cause, Refusal};
 use badgerfield_core::routing::Route;
 use tokio::runtime::Handle;
 
-use crate::adapter::RequestTerms;
+use crate::adapter::RequestHeaders;
 use crate::driver::Driver;
 use crate::gateway::attempt::Original;
 use crate::gateway::connections::{LISTENS, Listening, WATCH};
@@ -24,7 +24,7 @@
 pub(super) fn fingerprint(
     account: Option<&Account>,
     route: &Route,
-    terms: &RequestTerms,
+    terms: &RequestHeaders,
     original: &Original,
 ) -> Fingerprint {
     let head = &original.head;
@@ -39,19 +39,19 @@
     driver: &Driver,
     account: Option<&Account>,
     route: &Route,
-    terms: &RequestTerms,
+    terms: &RequestHeaders,
     original: &Original,
 ) -> Result<OnceLock<Fingerprint>, Refusal> {
     if !driver.node.has_suspects() {
         return Ok(OnceLock::new());
     }
     let request = fingerprint(account, route, terms, original);
-    let standing = driver.node.request_standing(driver.now(), request);
-    let Standing::Blocked { upstreams, age, left } = standing else {
+    let standing = driver.node.request_status(driver.now(), request);
+    let PoisonStatus::Blocked { upstreams, age, remaining: left } = standing else {
         return Ok(OnceLock::from(request));
     };
     record::blocked(&original.id, request, &upstreams, age);
-    Err(Refusal::not_run(Cause::EndsUpstreams).after(left))
+    Err(Refusal::not_run(Cause::EndsUpstreams).with_retry_after(left))
 }
 
 impl Exchange {
@@ -63,11 +63,11 @@
         *self.fingerprint.get_or_init(make)
     }
 
-    fn standing(&self) -> Standing {
+    fn standing(&self) -> PoisonStatus {
         if !self.driver.node.has_suspects() {
-            return Standing::Clear;
+            return PoisonStatus::Clear;
         }
-        self.driver.node.request_standing(self.now(), self.fingerprint())
+        self.driver.node.request_status(self.now(), self.fingerprint())
     }
 
     /// Returns how often an upstream is known to have ended under the request.
@@ -75,7 +75,7 @@
         if !self.driver.node.has_suspects() {
             return 0;
         }
-        self.driver.node.ends_under(self.fingerprint(), upstream)
+        self.driver.node.crash_count(self.fingerprint(), upstream)
     }
 
     /// Returns the number by which all VMs choose alike for the request, if an upstream has
@@ -86,14 +86,14 @@
     /// Fails if the request is blocked.
     pub(super) fn check_standing(&self) -> Result<Option<u64>, Cause> {
         match self.standing() {
-            Standing::Clear => Ok(None),
-            Standing::Suspect { early } => {
+            PoisonStatus::Clear => Ok(None),
+            PoisonStatus::Suspect { early } => {
                 let request = self.fingerprint();
                 record::suspect(&self.original.id, request, self.attempts + 1, early);
                 // A stream in full flow goes where its parts are and work is least.
-                Ok(early.then(|| request.number()))
+                Ok(early.then(|| request.rendezvous_key()))
             }
-            Standing::Blocked { upstreams, age, .. } => {
+            PoisonStatus::Blocked { upstreams, age, .. } => {
                 record::blocked(&self.original.id, self.fingerprint(), &upstreams, age);
                 Err(Cause::EndsUpstreams)
             }
@@ -103,15 +103,15 @@
     /// Returns how much longer the request is blocked, if it is.
     pub(super) fn blocked_for(&self) -> Option<Duration> {
         match self.standing() {
-            Standing::Blocked { left, .. } => Some(left),
-            Standing::Clear | Standing::Suspect { .. } => None,
+            PoisonStatus::Blocked { remaining: left, .. } => Some(left),
+            PoisonStatus::Clear | PoisonStatus::Suspect { .. } => None,
         }
     }
 
     /// Waits until the request is blocked, if that comes to pass.
     pub(super) async fn until_blocked(&self) {
         let mut line = self.gateway.blocked();
-        while !matches!(self.standing(), Standing::Blocked { .. }) {
+        while !matches!(self.standing(), PoisonStatus::Blocked { .. }) {
             if line.changed().await.is_err() {
                 // The gateway is gone, and with it whoever could block anything.
                 std::future::pending::<()>().await;
@@ -144,8 +144,8 @@
         }
         let account = self.caller.as_ref().map(|caller| &caller.account);
         let crash = || {
-            Crash::seen(self.fingerprint(), account, upstream, last.unwrap_or(0))
-                .in_life(self.sent.life)
+            Crash::new(self.fingerprint(), account, upstream, last.unwrap_or(0))
+                .with_prior_crashes(self.sent.life)
         };
         let connections = &self.gateway.connections;
         let asked = self.now();
@@ -153,7 +153,7 @@
         record::broke(id, upstream, listening.as_str(), self.now().since(asked));
         match listening {
             Listening::Refused => {
-                self.driver.feed(Event::Crashed(crash()));
+                self.driver.feed(Event::UpstreamCrashed(crash()));
                 true
             }
             Listening::Open(connection) => {
@@ -167,7 +167,7 @@
                         .ends_after_all(&crash.upstream, address, connection, span)
                         .await;
                     if ends && !driver.clock.stood_still_since(asked) {
-                        driver.feed(Event::Crashed(crash));
+                        driver.feed(Event::UpstreamCrashed(crash));
                     }
                     drop(place);
                 });
@@ -175,7 +175,7 @@
             }
             // What takes its host with it refuses no connection.
             Listening::Unknown => {
-                self.driver.feed(Event::Crashed(crash().unsure()));
+                self.driver.feed(Event::UpstreamCrashed(crash().unconfirmed()));
                 false
             }
         }
@@ -190,14 +190,15 @@
             return;
         };
         let account = self.caller.as_ref().map(|caller| &caller.account);
-        let crash = Crash::seen(self.fingerprint(), account, upstream, 0).in_life(self.sent.life);
+        let crash =
+            Crash::new(self.fingerprint(), account, upstream, 0).with_prior_crashes(self.sent.life);
         let (driver, connections) =
             (Arc::clone(&self.driver), Arc::clone(&self.gateway.connections));
         let since = self.now();
         runtime.spawn(async move {
             let ends = connections.ends_soon(&crash.upstream, address).await;
             if ends && !driver.clock.stood_still_since(since) {
-                driver.feed(Event::Crashed(crash));
+                driver.feed(Event::UpstreamCrashed(crash));
             }
             drop(place);
         });
@@ -205,7 +206,7 @@
 
     /// Notes that the request was served whole: no crash that it was at was its doing.
     pub(super) fn note_whole(&self) {
-        if self.standing() != Standing::Clear {
+        if self.standing() != PoisonStatus::Clear {
             self.driver.feed(Event::SuspectServed(self.fingerprint()));
         }
     }
--- a/crates/badgerfield-node/src/metrics.rs
+++ b/crates/badgerfield-node/src/metrics.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use badgerfield_core::Status;
-use badgerfield_core::event::{Bill, KvResult};
+use badgerfield_core::event::{Bill, StoreResult};
 use badgerfield_core::ids::Service;
-use badgerfield_core::locality::{Crossing, Distance};
+use badgerfield_core::locality::{CrossingReason, Distance};
 use badgerfield_core::refusal::Refusal;
-use badgerfield_core::replicas::Given;
 use badgerfield_core::rollout::{RolloutRule, RolloutTally};
+use badgerfield_core::upstream_table::SentCounts;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
@@ -18,7 +18,7 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-use crate::log_lines;
+use crate::buffered_log;
 use crate::peer_traffic::PeerTraffic;
 use crate::store_calls::StoreCalls;
 
@@ -95,7 +95,7 @@
     }
 
     /// Notes what the table of upstreams knows, and forgets what it knew before.
-    pub(crate) fn note(&self, rules: &[(RolloutRule, Given)], tallies: &[RolloutTally]) {
+    pub(crate) fn note(&self, rules: &[(RolloutRule, SentCounts)], tallies: &[RolloutTally]) {
         for family in [&self.answers, &self.failed, &self.slow, &self.sent] {
             family.clear();
         }
@@ -105,7 +105,7 @@
             let others = label(&rule.service, OTHERS);
             self.sent.get_or_create(&others).set(given.all.saturating_sub(given.target));
             for tally in tallies.iter().filter(|tally| tally.service == rule.service) {
-                let (at_target, at_others) = tally.sums();
+                let (at_target, at_others) = tally.totals();
                 for (label, counts) in [(&target, at_target), (&others, at_others)] {
                     self.answers.get_or_create(label).set(counts.answers.into());
                     self.failed.get_or_create(label).set(counts.failed.into());
@@ -166,8 +166,8 @@
     }
 
     /// Counts a try of a request at an upstream.
-    pub(crate) fn count_sent(&self, near: Distance, crossing: Option<Crossing>) {
-        let crossed = crossing.map_or("-", Crossing::as_str);
+    pub(crate) fn count_sent(&self, near: Distance, crossing: Option<CrossingReason>) {
+        let crossed = crossing.map_or("-", CrossingReason::as_str);
         self.sent.get_or_create(&SentLabel { near: near.as_str(), crossed }).inc();
     }
 
@@ -293,13 +293,13 @@
         );
     }
 
-    pub(crate) fn count_kv(&self, result: &KvResult) {
+    pub(crate) fn count_kv(&self, result: &StoreResult) {
         let result = match result {
-            KvResult::Value(_) | KvResult::Operators(_) => "value",
-            KvResult::Written(_) => "written",
-            KvResult::Conflict(_) => "conflict",
-            KvResult::Refused => "refused",
-            KvResult::Unknown => "unknown",
+            StoreResult::Value(_) | StoreResult::Operators(_) => "value",
+            StoreResult::Written(_) => "written",
+            StoreResult::Conflict(_) => "conflict",
+            StoreResult::Refused => "refused",
+            StoreResult::Unknown => "unknown",
         };
         self.kv_results.get_or_create(&KvLabel { result }).inc();
     }
@@ -329,17 +329,17 @@
         let count = |n: usize| u64::try_from(n).unwrap_or(u64::MAX);
         self.running.set(count(status.running));
         self.queued.set(count(status.queued));
-        self.claims.set(count(status.claims));
-        self.unsettled.set(count(status.unsettled));
+        self.claims.set(count(status.remembered_keys));
+        self.unsettled.set(count(status.unsettled_charges));
         self.members.set(count(status.members));
-        self.excess.set(status.excess.0);
+        self.excess.set(status.excess_tokens.0);
         self.epoch.set(status.epoch.0);
-        self.templates.set(status.version.0);
-        self.conflicts.set(status.conflicts.0);
-        self.dropped_lines.set(log_lines::dropped());
+        self.templates.set(status.template_version.0);
+        self.conflicts.set(status.write_counts.0);
+        self.dropped_lines.set(buffered_log::dropped_lines());
         for entry in &status.budgets {
             let label = BudgetLabel { budget: entry.budget.to_string() };
-            let figures = entry.figures;
+            let figures = entry.balance;
             self.free.get_or_create(&label).set(figures.free.0);
             self.reserved.get_or_create(&label).set(figures.reserved.0);
             self.parked.get_or_create(&label).set(figures.parked.0);
--- a/crates/badgerfield-node/src/operators.rs
+++ b/crates/badgerfield-node/src/operator_api.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use badgerfield_core::Status;
-use badgerfield_core::replicas::Given;
 use badgerfield_core::rollout::{RolloutRule, RolloutStatus};
+use badgerfield_core::upstream_table::SentCounts;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -13,7 +13,7 @@
 use hyper_util::rt::TokioIo;
 use serde_json::{Value, json};
 
-use crate::callers::listen;
+use crate::caller_api::listen;
 use crate::driver::{Driver, StartError};
 use crate::http::{self, Body};
 use crate::rollouts::allowance_word;
@@ -46,7 +46,10 @@
 
 fn answer(driver: &Driver, request: &Request<Incoming>) -> Response<Body> {
     if request.method() != Method::GET {
-        return http::json(StatusCode::METHOD_NOT_ALLOWED, &json!({ "error": "expected GET" }));
+        return http::json_response(
+            StatusCode::METHOD_NOT_ALLOWED,
+            &json!({ "error": "expected GET" }),
+        );
     }
     match request.uri().path() {
         "/healthz" => Response::new(http::full("alive\n")),
@@ -55,16 +58,20 @@
             if let Some(gateway) = driver.gateway() {
                 let replicas = gateway.replicas();
                 let now = driver.now();
-                driver.metrics.note_spared(replicas.spared(now), replicas.limited());
-                let (rules, tallies) = (replicas.rollouts(), replicas.rollout_tallies(now));
+                driver
+                    .metrics
+                    .note_spared(replicas.restricted_counts(now), replicas.limited_count());
+                let (rules, tallies) = (replicas.rollout_rules(), replicas.rollout_tallies(now));
                 driver.metrics.rollouts.note(&rules, &tallies);
             }
             Response::new(http::full(driver.metrics.render(&driver.node.status())))
         }
-        "/v1/status" => http::json(StatusCode::OK, &status_json(driver, &driver.node.status())),
+        "/v1/status" => {
+            http::json_response(StatusCode::OK, &status_json(driver, &driver.node.status()))
+        }
         _ => {
             let error = json!({ "error": "expected /healthz, /readyz, /metrics or /v1/status" });
-            http::json(StatusCode::NOT_FOUND, &error)
+            http::json_response(StatusCode::NOT_FOUND, &error)
         }
     }
 }
@@ -85,14 +92,14 @@
         .map(|b| {
             json!({
                 "budget": b.budget,
-                "free": b.figures.free,
-                "reserved": b.figures.reserved,
-                "parked": b.figures.parked,
-                "sealed": b.figures.sealed,
-                "moving": b.figures.moving,
-                "banked": b.figures.banked,
-                "billed": b.figures.billed,
-                "wasted": b.figures.wasted,
+                "free": b.balance.free,
+                "reserved": b.balance.reserved,
+                "parked": b.balance.parked,
+                "sealed": b.balance.sealed,
+                "moving": b.balance.in_transit,
+                "banked": b.balance.witnessed,
+                "billed": b.balance.billed,
+                "wasted": b.balance.wasted,
             })
         })
         .collect();
@@ -103,18 +110,18 @@
         "region": driver.settings.region,
         "incarnation": status.incarnation.to_string(),
         "epoch": status.epoch,
-        "complete": status.complete,
-        "templates": status.version,
+        "complete": status.complete_epoch,
+        "templates": status.template_version,
         "active": status.active,
         "stopping": status.stopping,
         "members": status.members,
         "running": status.running,
         "queued": status.queued,
-        "keys": status.claims,
-        "charges_open": status.unsettled,
-        "excess": status.excess,
-        "ledger_writes": status.conflicts.1,
-        "ledger_conflicts": status.conflicts.0,
+        "keys": status.remembered_keys,
+        "charges_open": status.unsettled_charges,
+        "excess": status.excess_tokens,
+        "ledger_writes": status.write_counts.1,
+        "ledger_conflicts": status.write_counts.0,
         "evacuated": evacuated,
         "rollouts": rollouts_json(driver),
         "orders": orders_json(driver),
@@ -129,9 +136,9 @@
     };
     let (rules, tallies) = {
         let replicas = gateway.replicas();
-        (replicas.rollouts(), replicas.rollout_tallies(driver.now()))
+        (replicas.rollout_rules(), replicas.rollout_tallies(driver.now()))
     };
-    let line = |(rule, given): &(RolloutRule, Given)| {
+    let line = |(rule, given): &(RolloutRule, SentCounts)| {
         json!({
             "service": rule.service,
             "target": rule.target,
@@ -156,5 +163,5 @@
             "heard_as_judge": { "target": target, "others": others },
         })
     };
-    driver.node.rollouts(driver.now()).into_iter().map(line).collect()
+    driver.node.rollout_statuses(driver.now()).into_iter().map(line).collect()
 }
--- a/crates/badgerfield-node/src/settings.rs
+++ b/crates/badgerfield-node/src/settings.rs
@@ -8,17 +8,17 @@
 use badgerfield_core::Pacing;
 use badgerfield_core::amount::Percent;
 use badgerfield_core::ids::{Domain, Region, VmId};
-use badgerfield_core::locality::Locality;
+use badgerfield_core::locality::DistanceCosts;
 use badgerfield_core::policy::Policy;
 use badgerfield_core::residency::RegionMap;
-use badgerfield_core::retry_budget::RetryBound;
+use badgerfield_core::retry_budget::RetryLimits;
 use badgerfield_core::rollout::RolloutBound;
 use badgerfield_core::warm_up::WarmUpBound;
 use hyper::Uri;
 use log::LevelFilter;
 
-use crate::ini::{File, FileError};
-use crate::peers::Secret;
+use crate::ini_file::{IniError, IniFile};
+use crate::peers::FleetSecret;
 
 /// The highest price of bytes, in milliseconds per 1,000: it outweighs every delay that a caller
 /// waits for.
@@ -41,13 +41,13 @@
     /// Which failure domain lies in which region, its own included.
     pub regions: RegionMap,
     /// What distance costs.
-    pub locality: Locality,
+    pub locality: DistanceCosts,
     /// Where callers connect.
     pub callers: SocketAddr,
     /// Where the system's other processes connect.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// The address that they are told, where it is another: behind a relay, for instance.
-    pub advertised: SocketAddr,
+    pub advertised_address: SocketAddr,
     /// Where operators connect.
     pub operators: SocketAddr,
     /// Where requests on routes are taken, if they are.
@@ -55,15 +55,15 @@
     /// The platform.
     pub platform: Platform,
     /// The secret that the system's processes share, for now.
-    pub secret: Secret,
+    pub secret: FleetSecret,
     /// Earlier and coming secrets that are accepted too.
-    pub accepted: Vec<Secret>,
+    pub accepted: Vec<FleetSecret>,
     /// Limits.
     pub limits: Limits,
     /// How far ahead and how often regular work is done.
     pub pacing: Pacing,
     /// What may be sent twice.
-    pub retries: RetryBound,
+    pub retries: RetryLimits,
     /// What upstreams get that are cold; nothing where the platform bounds that not.
     pub warm_up: Option<WarmUpBound>,
     /// What is logged.
@@ -74,7 +74,7 @@
 #[derive(Debug, Clone)]
 pub struct Platform {
     /// The key-value service.
-    pub kv: Uri,
+    pub store_uri: Uri,
     /// What the names of all values begin with.
     pub prefix: String,
     /// How long a call may take.
@@ -93,9 +93,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct GatewaySettings {
     /// Where callers send requests.
-    pub requests: SocketAddr,
+    pub request_address: SocketAddr,
     /// Where callers ask which VMs to use, if this VM answers that.
-    pub directory: Option<SocketAddr>,
+    pub directory_address: Option<SocketAddr>,
     /// Where the platform asks whether this VM is ready.
     pub ready: SocketAddr,
     /// How long after the order to stop the process is ended at the latest.
@@ -168,8 +168,8 @@
     /// # Errors
     ///
     /// Returns every fault of the file.
-    pub fn open(path: &Path) -> Result<Self, FileError> {
-        Self::read(File::open(path)?)
+    pub fn load(path: &Path) -> Result<Self, IniError> {
+        Self::from_ini(IniFile::open(path)?)
     }
 
     /// Reads and checks a file that is open.
@@ -177,7 +177,7 @@
     /// # Errors
     ///
     /// Returns every fault of the file.
-    pub fn read(mut file: File) -> Result<Self, FileError> {
+    pub fn from_ini(mut file: IniFile) -> Result<Self, IniError> {
         let vm = file.value("vm", "name");
         let region = file.value("vm", "region");
         let domain = file.value("vm", "domain");
@@ -207,8 +207,8 @@
                 regions,
                 locality,
                 callers: callers?,
-                peers: peers?,
-                advertised: advertised?,
+                peer_address: peers?,
+                advertised_address: advertised?,
                 operators: operators?,
                 gateway,
                 platform: platform?,
@@ -224,12 +224,12 @@
         let settings = read();
         file.finish(|section| SECTIONS.contains(&section))?;
         // A value that is missing has left a fault.
-        settings.ok_or(FileError::Faulty(Vec::new()))
+        settings.ok_or(IniError::Faulty(Vec::new()))
     }
 }
 
 impl Platform {
-    fn read(file: &mut File) -> Option<Self> {
+    fn read(file: &mut IniFile) -> Option<Self> {
         let kv = url(file, "kv");
         let adapter = file.value_or("platform", "adapter", AdapterKind::Etcd);
         let listed = adapter == AdapterKind::Etcd;
@@ -243,12 +243,12 @@
             file.span_or("platform", "vm_poll", millis(2000), (millis(200), millis(60_000)));
         let replicas_poll =
             file.span_or("platform", "replicas_poll", millis(800), (millis(50), millis(60_000)));
-        Some(Self { kv: kv?, adapter, prefix, timeout, vm_list, replicas_poll, vm_poll })
+        Some(Self { store_uri: kv?, adapter, prefix, timeout, vm_list, replicas_poll, vm_poll })
     }
 }
 
 impl GatewaySettings {
-    fn read(file: &mut File) -> Option<Self> {
+    fn read(file: &mut IniFile) -> Option<Self> {
         if !file.sections().iter().any(|name| name == "gateway") {
             return None;
         }
@@ -262,12 +262,18 @@
         let secs = Duration::from_secs;
         let grace = file.span_or("gateway", "grace", secs(8), (secs(1), secs(600)));
         let connections = file.value_or("gateway", "connections", 2000);
-        Some(Self { requests: requests?, directory, ready: ready?, grace, connections })
+        Some(Self {
+            request_address: requests?,
+            directory_address: directory,
+            ready: ready?,
+            grace,
+            connections,
+        })
     }
 }
 
 /// Reads which failure domain lies in which region; a domain lies in one region only.
-fn read_regions(file: &mut File, own: Option<&Domain>, region: Option<&Region>) -> RegionMap {
+fn read_regions(file: &mut IniFile, own: Option<&Domain>, region: Option<&Region>) -> RegionMap {
     let mut domains: BTreeMap<Domain, Region> = BTreeMap::new();
     if let Some((own, region)) = own.zip(region) {
         domains.insert(own.clone(), region.clone());
@@ -288,10 +294,10 @@
     RegionMap::new(domains)
 }
 
-fn read_locality(file: &mut File) -> Locality {
-    let other = Locality::default();
+fn read_locality(file: &mut IniFile) -> DistanceCosts {
+    let other = DistanceCosts::default();
     let (least, most) = (Duration::ZERO, Duration::from_secs(10));
-    Locality {
+    DistanceCosts {
         domain_trip: file.span_or("locality", "domain_trip", other.domain_trip, (least, most)),
         region_trip: file.span_or("locality", "region_trip", other.region_trip, (least, most)),
         domain_price: read_price(file, "domain_price", other.domain_price),
@@ -300,7 +306,7 @@
 }
 
 /// Reads a price of bytes, in milliseconds per 1,000 of them.
-fn read_price(file: &mut File, key: &str, other: f64) -> f64 {
+fn read_price(file: &mut IniFile, key: &str, other: f64) -> f64 {
     let price = file.value_or("locality", key, other);
     if (0.0..=MAX_PRICE).contains(&price) {
         return price;
@@ -310,37 +316,37 @@
     other
 }
 
-fn read_pacing(file: &mut File) -> Pacing {
+fn read_pacing(file: &mut IniFile) -> Pacing {
     let other = Pacing::default();
     let (least, most) = (Duration::from_millis(50), Duration::from_secs(86_400));
     Pacing {
-        ahead: file.span_or("pacing", "ahead", other.ahead, (least, most)),
-        report: file.span_or("pacing", "report", other.report, (least, most)),
-        beat: file.span_or("pacing", "beat", other.beat, (least, most)),
-        hand_on: file.span_or("pacing", "hand_on", other.hand_on, (least, most)),
-        notice: file.span_or("pacing", "notice", other.notice, (least, most)),
-        seals: file.value_or("pacing", "seals", other.seals),
+        hold_ahead: file.span_or("pacing", "ahead", other.hold_ahead, (least, most)),
+        report_interval: file.span_or("pacing", "report", other.report_interval, (least, most)),
+        heartbeat_interval: file.span_or("pacing", "beat", other.heartbeat_interval, (least, most)),
+        return_timeout: file.span_or("pacing", "hand_on", other.return_timeout, (least, most)),
+        leave_notice: file.span_or("pacing", "notice", other.leave_notice, (least, most)),
+        seal_holdings: file.value_or("pacing", "seals", other.seal_holdings),
         rollout: read_rollout(file),
         policy: read_policy(file),
     }
 }
 
-fn read_policy(file: &mut File) -> Policy {
+fn read_policy(file: &mut IniFile) -> Policy {
     let other = Policy::default();
     let (least, most) = (Duration::ZERO, Duration::from_secs(60));
     Policy {
-        divide: file.value_or("policy", "divide", other.divide),
+        divide_engines: file.value_or("policy", "divide", other.divide_engines),
         top_up: file.value_or("policy", "top_up", other.top_up),
-        at_hand: file.span_or("policy", "at_hand", other.at_hand, (least, most)),
-        budget_wait: file.value_or("policy", "budget_wait", other.budget_wait),
+        prefetch_span: file.span_or("policy", "at_hand", other.prefetch_span, (least, most)),
+        budget_wait_percent: file.value_or("policy", "budget_wait", other.budget_wait_percent),
         warm_up_senders: file.value_or("policy", "warm_up_senders", other.warm_up_senders),
     }
 }
 
-fn read_retries(file: &mut File) -> RetryBound {
-    let other = RetryBound::default();
+fn read_retries(file: &mut IniFile) -> RetryLimits {
+    let other = RetryLimits::default();
     let (least, most) = (Duration::from_millis(100), Duration::from_secs(3600));
-    RetryBound {
+    RetryLimits {
         ratio: file.value_or("retries", "ratio", other.ratio),
         allowance: file.value_or("retries", "allowance", other.allowance),
         window: file.span_or("retries", "window", other.window, (least, most)),
@@ -349,7 +355,7 @@
 
 /// Reads the bound on cold upstreams; values that are empty, as a template leaves them where
 /// the platform has none, count as absent. Of a bound with one value the other allows nothing.
-fn read_warm_up(file: &mut File) -> Option<WarmUpBound> {
+fn read_warm_up(file: &mut IniFile) -> Option<WarmUpBound> {
     let mut read = |key| {
         let text = file.optional_text("warm_up", key).unwrap_or_default();
         if text.is_empty() {
@@ -366,14 +372,14 @@
         return None;
     }
     let (overshoot, allowance) = (overshoot.unwrap_or(1.0), allowance.unwrap_or(0.0));
-    Some(WarmUpBound { overshoot, allowance })
+    Some(WarmUpBound { overshoot, extra_requests: allowance })
 }
 
 /// Reads the bound on versions that are rolled out; values that are empty, or a unit alone, as a
 /// template leaves them where the platform has none, count as absent.
-fn read_rollout(file: &mut File) -> RolloutBound {
+fn read_rollout(file: &mut IniFile) -> RolloutBound {
     let other = RolloutBound::default();
-    let is_blank = |file: &mut File, key| {
+    let is_blank = |file: &mut IniFile, key| {
         let text = file.optional_text("rollout", key).unwrap_or_default();
         text.is_empty() || text == "ms"
     };
@@ -382,9 +388,9 @@
         file.fault("rollout", Some("share"), "expected a part from 0 to 1".to_owned());
     }
     let allowance = if is_blank(file, "allowance") {
-        other.allowance
+        other.extra_requests
     } else {
-        file.value_or("rollout", "allowance", other.allowance)
+        file.value_or("rollout", "allowance", other.extra_requests)
     };
     let (least, most) = (Duration::from_millis(100), Duration::from_secs(3600));
     let rollback = if is_blank(file, "rollback") {
@@ -392,11 +398,15 @@
     } else {
         file.span_or("rollout", "rollback", other.rollback, (least, most))
     };
-    RolloutBound { share: share.map_or(other.share, Percent::within), allowance, rollback }
+    RolloutBound {
+        share: share.map_or(other.share, Percent::from_fraction),
+        extra_requests: allowance,
+        rollback,
+    }
 }
 
 impl Limits {
-    fn read(file: &mut File) -> Self {
+    fn read(file: &mut IniFile) -> Self {
         let secs = Duration::from_secs;
         Self {
             body: number(file, "body", 1_000_000, (1_000, 64_000_000)),
@@ -412,7 +422,7 @@
 }
 
 impl LogSettings {
-    fn read(file: &mut File) -> Self {
+    fn read(file: &mut IniFile) -> Self {
         let level = file.value_or("log", "level", LevelFilter::Info);
         let json = match file.optional_text("log", "format").as_deref() {
             None | Some("text") => false,
@@ -439,7 +449,7 @@
     }
 }
 
-fn url(file: &mut File, key: &str) -> Option<Uri> {
+fn url(file: &mut IniFile, key: &str) -> Option<Uri> {
     let uri: Uri = file.value("platform", key)?;
     if uri.scheme_str() != Some("http") || uri.authority().is_none() {
         let what = format!("expected an address such as http://10.0.0.1:2379, found {uri}");
@@ -449,7 +459,7 @@
     Some(uri)
 }
 
-fn number(file: &mut File, key: &str, other: usize, bounds: (usize, usize)) -> usize {
+fn number(file: &mut IniFile, key: &str, other: usize, bounds: (usize, usize)) -> usize {
     let Some(text) = file.optional_text("limits", key) else {
         return other;
     };
--- a/crates/badgerfield-standin/src/capacity.rs
+++ b/crates/badgerfield-standin/src/capacity.rs
@@ -5,15 +5,15 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use badgerfield_core::amount::{Percent, Rate, Time, Tokens};
+use badgerfield_core::amount::{Percent, Time, TokenRate, Tokens};
 use badgerfield_core::claims::Claims;
 use badgerfield_core::event::{Chat, Outbox, Work};
-use badgerfield_core::ids::{BudgetId, Incarnation, Period, RequestKey, Version};
-use badgerfield_core::ledger::{LedgerOp, LedgerShard, Terms};
-use badgerfield_core::message::ClaimAsk;
+use badgerfield_core::ids::{BudgetId, Incarnation, Period, RequestKey, TemplateVersion};
+use badgerfield_core::ledger::{BudgetTerms, LedgerOp, LedgerShard};
+use badgerfield_core::message::ClaimRequest;
 use badgerfield_core::residency::EVERYWHERE;
-use badgerfield_core::upstream::{Upstreams, VmList, Wish as RouteWish};
 use badgerfield_core::view::View;
+use badgerfield_core::vm_upstreams::{VmList, VmUpstreamCriteria as RouteWish, VmUpstreams};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -212,15 +212,22 @@
         let me = Incarnation(1);
         let mut claims = Claims::new(me, Duration::from_secs(900));
         let mut out = Outbox::default();
-        let view = View::default().with(member(0, 0, 0, me), true);
-        claims.adopt(Time::default(), &Arc::new(view.clone()), &mut out);
+        let view = View::default().with_member(member(0, 0, 0, me), true);
+        claims.apply_view(Time::default(), &Arc::new(view.clone()), &mut out);
         let before = resident();
         let work = Instant::now();
         for n in 0..count {
             let key =
                 RequestKey(u128::from(n) << 64 | u128::from(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
             let epoch = claims.epoch();
-            let ask = ClaimAsk { key, home: None, serial: n, epoch, once: false, over: None };
+            let ask = ClaimRequest {
+                key,
+                home: None,
+                serial: n,
+                epoch,
+                at_most_once: false,
+                replaces: None,
+            };
             claims.decide(Time::default(), me, &ask, &mut out);
         }
         let spent = work.elapsed();
@@ -274,23 +281,27 @@
         .unwrap_or_else(|_| unreachable!("the name is valid"));
     LedgerOp {
         budget,
-        terms: Terms { version: Version(1), period: Period(1), limit: Tokens(1_000_000_000) },
+        terms: BudgetTerms {
+            version: TemplateVersion(1),
+            period: Period(1),
+            limit: Tokens(1_000_000_000),
+        },
         holder: Incarnation(holder.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
         seq,
         need: Tokens(400),
-        back: Tokens::ZERO,
+        returned: Tokens::ZERO,
         held: Tokens(123_456),
-        rate: Rate(2000),
-        unit: Tokens(400),
+        rate: TokenRate(2000),
+        request_size: Tokens(400),
         region: region_name(0),
-        ahead: std::time::Duration::from_secs(7200),
+        horizon: std::time::Duration::from_secs(7200),
         spread: Percent::new(80).unwrap_or_else(|_| unreachable!("a share")),
         billed: Tokens(1_234_567),
         wasted: Tokens::ZERO,
         close: false,
         seal: None,
         witness: None,
-        untouched: Vec::new(),
+        witness_reports: Vec::new(),
     }
 }
 
@@ -299,14 +310,14 @@
     println!("routing: time of one choice by replicas that serve the model");
     println!("  {:>9} {:>12}", "replicas", "us a choice");
     for count in [20_usize, 100, 400, 1700] {
-        let mut table = Upstreams::default();
-        table.learn(&VmList { version: 1, vms: engines(count) });
+        let mut table = VmUpstreams::default();
+        table.apply_list(&VmList { version: 1, vms: engines(count) });
         let work = Work::Chat(Chat {
             model: "m".parse().unwrap_or_else(|_| unreachable!("the name is valid")),
             adapter: None,
-            prompt: Tokens(2000),
-            output: None,
-            prefixes: (0..8).collect(),
+            prompt_tokens: Tokens(2000),
+            output_limit: None,
+            prefix_digests: (0..8).collect(),
         });
         let template = account();
         let region = region_name(0);
@@ -334,7 +345,7 @@
         for n in 0..count {
             let id =
                 Incarnation(u64::try_from(n + 1).unwrap_or(0).wrapping_mul(0x9e37_79b9_7f4a_7c15));
-            view = view.with(member(n, 0, n, id), true);
+            view = view.with_member(member(n, 0, n, id), true);
         }
         let bytes = view.completed().encode().len();
         let start = Instant::now();
--- a/crates/badgerfield-standin/src/fleet/link.rs
+++ b/crates/badgerfield-standin/src/fleet/link.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use badgerfield_core::adaptive_timeout::AdaptiveTimeout;
 use badgerfield_core::amount::Time;
-use badgerfield_core::event::{KvCall, KvResult};
+use badgerfield_core::event::{StoreCall, StoreResult};
 use badgerfield_core::ids::Incarnation;
-use badgerfield_core::patience::Patience;
 
 /// The region in which the key-value service stands.
 pub(super) const STORE_REGION: usize = 0;
@@ -30,7 +30,7 @@
     /// When what was sent has left, each way.
     free: BTreeMap<(usize, usize), Time>,
     /// How long each process waits for answers of the store.
-    patience: BTreeMap<Incarnation, Patience>,
+    patience: BTreeMap<Incarnation, AdaptiveTimeout>,
 }
 
 impl Link {
@@ -41,8 +41,8 @@
     }
 
     /// Returns how long a process waits for an answer of the store.
-    pub(super) fn patience(&mut self, of: Incarnation) -> &mut Patience {
-        self.patience.entry(of).or_insert_with(|| Patience::new(TIMEOUT))
+    pub(super) fn patience(&mut self, of: Incarnation) -> &mut AdaptiveTimeout {
+        self.patience.entry(of).or_insert_with(|| AdaptiveTimeout::new(TIMEOUT))
     }
 
     /// Returns when bytes that are sent now arrive; nothing if they were still waiting
@@ -71,20 +71,20 @@
 }
 
 /// Returns how long a call is, in bytes.
-pub(super) fn call_size(call: &KvCall) -> usize {
+pub(super) fn call_size(call: &StoreCall) -> usize {
     match call {
-        KvCall::Get(_) => HEAD,
-        KvCall::Swap { value, .. } => encoded(value.len()),
+        StoreCall::Get(_) => HEAD,
+        StoreCall::CompareAndSwap { value, .. } => encoded(value.len()),
     }
 }
 
 /// Returns how long an answer is, in bytes.
-pub(super) fn answer_size(result: &KvResult) -> usize {
+pub(super) fn answer_size(result: &StoreResult) -> usize {
     match result {
-        KvResult::Value(found) | KvResult::Conflict(found) => {
+        StoreResult::Value(found) | StoreResult::Conflict(found) => {
             encoded(found.value.as_ref().map_or(0, bytes::Bytes::len))
         }
-        KvResult::Operators(found) => {
+        StoreResult::Operators(found) => {
             encoded(found.templates.as_ref().map_or(0, bytes::Bytes::len))
         }
         _ => HEAD,
--- a/crates/badgerfield-standin/src/fleet/mod.rs
+++ b/crates/badgerfield-standin/src/fleet/mod.rs
@@ -22,11 +22,11 @@
 use std::time::Duration;
 
 use badgerfield_core::amount::{Percent, Time, Tokens};
-use badgerfield_core::ids::{Account, BudgetId, Domain, Incarnation, RequestId, Version};
+use badgerfield_core::ids::{Account, BudgetId, Domain, Incarnation, RequestId, TemplateVersion};
 use badgerfield_core::refusal::Refusal;
 use badgerfield_core::template::TemplateSet;
-use badgerfield_core::upstream::{VmEntry, VmList};
 use badgerfield_core::view::Member;
+use badgerfield_core::vm_upstreams::{VmEntry, VmList};
 use badgerfield_core::{Event, Node};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -89,7 +89,7 @@
     started: Time,
     frozen: bool,
     backlog: Vec<Event>,
-    version: Version,
+    version: TemplateVersion,
     /// The failure domains that its process believes to be evacuated.
     evacuated: BTreeSet<Domain>,
     gateway: rollouts::Gateway,
@@ -101,7 +101,12 @@
     Event(Incarnation, Event),
     Tick(Incarnation),
     Step(usize),
-    KvApply(Incarnation, badgerfield_core::ids::Ticket, badgerfield_core::event::KvCall, Time),
+    KvApply(
+        Incarnation,
+        badgerfield_core::ids::StoreCallId,
+        badgerfield_core::event::StoreCall,
+        Time,
+    ),
     List,
 }
 
@@ -230,7 +235,7 @@
     pub fn directory_of(&self, vm: usize) -> Vec<usize> {
         let asked = &self.vms[vm];
         let local = Time(self.now.since(asked.started));
-        let members = asked.node.as_ref().map(|n| n.usable(local)).unwrap_or_default();
+        let members = asked.node.as_ref().map(|n| n.available_members(local)).unwrap_or_default();
         members.iter().filter_map(|m| self.owners.get(&m.incarnation).copied()).collect()
     }
 
@@ -245,7 +250,7 @@
     pub fn left(&self, budget: usize) -> u64 {
         let id = Self::budget(budget);
         let shard = badgerfield_core::ledger::shard_of(&id, self.shape.shards);
-        self.platform.ledger(shard).budgets.get(&id).map_or(0, |entry| entry.left().0)
+        self.platform.ledger(shard).budgets.get(&id).map_or(0, |entry| entry.remaining().0)
     }
 
     /// Returns what the VMs that run hold of a budget.
@@ -256,7 +261,7 @@
         for node in self.vms.iter().filter_map(|vm| vm.node.as_ref()) {
             let figures = node.figures(&id);
             let ready = figures.free.0 + figures.reserved.0 + figures.sealed.0;
-            held += ready + figures.parked.0 + figures.moving.0;
+            held += ready + figures.parked.0 + figures.in_transit.0;
         }
         held
     }
@@ -344,7 +349,7 @@
         let Some(node) = &vm.node else {
             return;
         };
-        let version = node.version();
+        let version = node.template_version();
         if version < vm.version {
             self.faults.push(format!("templates went back from {} to {version}", vm.version));
         }
@@ -385,7 +390,7 @@
                     started: self.now,
                     frozen: false,
                     backlog: Vec::new(),
-                    version: Version(0),
+                    version: TemplateVersion(0),
                     evacuated: BTreeSet::new(),
                     gateway: rollouts::Gateway::default(),
                 });
--- a/crates/badgerfield-standin/src/route.rs
+++ b/crates/badgerfield-standin/src/route.rs
@@ -8,13 +8,14 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::time::Duration;
 
-use badgerfield_core::amount::{Rate, Time, Tokens};
+use badgerfield_core::amount::{Time, TokenRate, Tokens};
 use badgerfield_core::event::{Chat, Work};
 use badgerfield_core::ids::{Region, UpstreamId};
 use badgerfield_core::residency::EVERYWHERE;
 use badgerfield_core::template::AccountTemplate;
-use badgerfield_core::upstream::{
-    Choice, EngineInfo, Kind, LoadReport, UpstreamInfo, Upstreams, VmEntry, VmList, Wish,
+use badgerfield_core::vm_upstreams::{
+    EngineInfo, LoadReport, UpstreamKind, VmEntry, VmList, VmUpstreamChoice, VmUpstreamCriteria,
+    VmUpstreamInfo, VmUpstreams,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -161,9 +162,9 @@
         let work = Work::Chat(Chat {
             model: "m".parse().unwrap_or_else(|_| unreachable!("the name is valid")),
             adapter: None,
-            prompt: Tokens(PROMPT.0 + PROMPT.1),
-            output: None,
-            prefixes: digests,
+            prompt_tokens: Tokens(PROMPT.0 + PROMPT.1),
+            output_limit: None,
+            prefix_digests: digests,
         });
         let (vm, output) = (rng.random_range(0..VMS), rng.random_range(50..350));
         jobs.push(Job { at, vm, prefix, output, work });
@@ -473,8 +474,9 @@
         let Work::Chat(chat) = &job.work else {
             return None;
         };
-        let digest =
-            badgerfield_core::upstream::prefixes(&chat.prefixes[0].to_be_bytes().repeat(32))[0];
+        let digest = badgerfield_core::vm_upstreams::prefix_digests(
+            &chat.prefix_digests[0].to_be_bytes().repeat(32),
+        )[0];
         let first = usize::try_from(digest % u64::try_from(ENGINES).ok()?).ok()?;
         let Some(bound) = self.bound else {
             return Some(first);
@@ -500,7 +502,7 @@
 
 /// The system's own choice: one table for each VM.
 struct Ours {
-    tables: Vec<Upstreams>,
+    tables: Vec<VmUpstreams>,
     template: AccountTemplate,
     region: Region,
     count: u64,
@@ -510,8 +512,8 @@
     fn new(case: &Case) -> Self {
         let vms: Vec<_> = (0..ENGINES).map(|i| entry(case, i)).collect();
         let table = || {
-            let mut table = Upstreams::default();
-            table.learn(&VmList { version: 1, vms: vms.clone() });
+            let mut table = VmUpstreams::default();
+            table.apply_list(&VmList { version: 1, vms: vms.clone() });
             table
         };
         let tables = (0..VMS).map(|_| table()).collect();
@@ -527,7 +529,7 @@
     fn choose(&mut self, now: Duration, job: &Job) -> Option<usize> {
         self.count += 1;
         let seed = self.count.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let wish = Wish {
+        let wish = VmUpstreamCriteria {
             work: &job.work,
             template: &self.template,
             residency: &EVERYWHERE,
@@ -535,29 +537,29 @@
             seed,
         };
         match self.tables[job.vm].choose(Time(now), &wish) {
-            Choice::Take(id) => id.as_str().trim_start_matches("e-").parse().ok(),
-            Choice::Full(_) | Choice::None => None,
+            VmUpstreamChoice::Selected(id) => id.as_str().trim_start_matches("e-").parse().ok(),
+            VmUpstreamChoice::Full(_) | VmUpstreamChoice::Unavailable => None,
         }
     }
 
     fn sent(&mut self, now: Duration, job: &Job, engine: usize) {
-        self.tables[job.vm].dispatched(Time(now), &name(engine), &job.work);
+        self.tables[job.vm].record_dispatch(Time(now), &name(engine), &job.work);
     }
 
     fn first(&mut self, job: &Job, engine: usize, took: Duration) {
-        self.tables[job.vm].first(&name(engine), &job.work, took);
+        self.tables[job.vm].record_first_token(&name(engine), &job.work, took);
     }
 
     fn ended(&mut self, job: &Job, engine: usize) {
-        self.tables[job.vm].ended(&name(engine), &job.work, true);
+        self.tables[job.vm].record_end(&name(engine), &job.work, true);
     }
 
     fn failed(&mut self, now: Duration, job: &Job, engine: usize) {
-        self.tables[job.vm].failed(Time(now), &name(engine));
+        self.tables[job.vm].record_failure(Time(now), &name(engine));
     }
 
     fn report(&mut self, now: Duration, vm: usize, engine: usize, report: LoadReport) {
-        self.tables[vm].report(Time(now), &name(engine), report);
+        self.tables[vm].apply_report(Time(now), &name(engine), report);
     }
 }
 
@@ -567,13 +569,13 @@
 
 fn entry(case: &Case, engine: usize) -> VmEntry {
     let slow = if engine % 2 == 1 { case.mixed } else { 1 };
-    let kind = Kind::Engine(EngineInfo {
+    let kind = UpstreamKind::Engine(EngineInfo {
         model: "m".parse().unwrap_or_else(|_| unreachable!("the name is valid")),
         adapters: std::collections::BTreeSet::new(),
-        prefill: Rate(PREFILL / slow),
-        decode: Rate(DECODE / slow),
+        prefill: TokenRate(PREFILL / slow),
+        decode: TokenRate(DECODE / slow),
     });
-    let upstream = UpstreamInfo {
+    let upstream = VmUpstreamInfo {
         id: name(engine),
         address: ([127, 0, 0, 1], 1).into(),
         region: region_name(0),
--- a/crates/badgerfield-standin/src/site.rs
+++ b/crates/badgerfield-standin/src/site.rs
@@ -362,7 +362,7 @@
         let work = async {
             let response = self.client.request(request).await.ok()?;
             let status = response.status().as_u16();
-            let body = http::read(response.into_body(), 16_000_000).await?;
+            let body = http::read_body(response.into_body(), 16_000_000).await?;
             Some(Got { status, body: String::from_utf8_lossy(&body).into_owned() })
         };
         tokio::time::timeout(PATIENCE, work).await.ok().flatten().unwrap_or(lost)
@@ -490,7 +490,7 @@
 }
 
 fn templates(limit: u64) -> String {
-    let digest = KeyDigest::of(KEY);
+    let digest = KeyDigest::from_secret(KEY);
     format!(
         "[account parcelview]\nmodels = land-7b\nservices = scoring\nunrepeatable = scoring/score\n\
          output_limit = 64\n[budget {BUDGET}]\nlimit = {limit}\nkeys = {digest}\n"
--- a/crates/badgerfield-standin/tests/histories.rs
+++ b/crates/badgerfield-standin/tests/histories.rs
@@ -283,7 +283,7 @@
 /// Checks what must hold once all faults are over.
 fn check_settled(fleet: &Fleet) {
     for vm in 0..VMS {
-        let version = fleet.node(vm).map(badgerfield_core::Node::version);
+        let version = fleet.node(vm).map(badgerfield_core::Node::template_version);
         assert_eq!(version, Some(fleet.templates.version), "templates on VM {vm}");
     }
     for (id, asked) in &fleet.asked {
@@ -291,7 +291,7 @@
     }
     // A VM that dies between the end of an answer and the arbiter's word takes the bill
     // with it, and keys in doubt are rather not billed than billed twice.
-    if fleet.kills() > 0 || !fleet.platform.view().doubts.is_empty() {
+    if fleet.kills() > 0 || !fleet.platform.view().uncertain_keys.is_empty() {
         return;
     }
     for asked in fleet.asked.values() {
--- a/crates/badgerfield-standin/tests/rollouts.rs
+++ b/crates/badgerfield-standin/tests/rollouts.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use badgerfield_core::amount::Time;
-use badgerfield_core::rollout::{Phase, RolloutOrder, RolloutState};
+use badgerfield_core::rollout::{RolloutOrder, RolloutPhase, RolloutState};
 use badgerfield_standin::fleet::{Badness, Fleet, Shape, Traffic, version};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -240,7 +240,7 @@
     bad: bool,
     withdrawn: bool,
     until: Time,
-    phases: Vec<Option<(u64, Option<Phase>)>>,
+    phases: Vec<Option<(u64, Option<RolloutPhase>)>>,
     /// Whether anything went wrong that may cost the deadline.
     faults: usize,
 }
@@ -297,7 +297,7 @@
                 self.phases[vm] = None;
                 continue;
             };
-            let known = node.rollouts(self.fleet.now);
+            let known = node.rollout_statuses(self.fleet.now);
             let found = known.first().map(|s| (s.known.change.revision, s.known.phase()));
             assert!(found >= self.phases[vm], "VM {vm}: {:?} after {:?}", found, self.phases[vm]);
             self.phases[vm] = found;
@@ -353,7 +353,7 @@
 
     /// Tells whether the newest order has ended.
     fn is_over(&self) -> bool {
-        let open = self.fleet.record().is_some_and(|record| !record.state.is_end());
+        let open = self.fleet.record().is_some_and(|record| !record.state.is_final());
         if self.withdrawn { !open } else { self.fleet.rollouts.ended.is_some() }
     }
 
--- a/crates/badgerfield/src/rollout.rs
+++ b/crates/badgerfield/src/rollout.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use anyhow::{Context, Result, bail};
-use badgerfield_core::event::{KvCall, KvName, KvResult};
+use badgerfield_core::event::{StoreCall, StoreKey, StoreResult};
 use badgerfield_core::ids::Service;
 use badgerfield_core::rollout::{OrderChange, RolloutRecord, RolloutState};
-use badgerfield_node::adapter::KeyValue;
+use badgerfield_node::adapter::KeyValueStore;
 use badgerfield_node::settings::Settings;
 use clap::ArgMatches;
 use serde_json::{Value, json};
@@ -39,7 +39,7 @@
         return Ok(DONE);
     };
     let path: &PathBuf = args.get_one("settings").expect("the argument is required");
-    let settings = Settings::open(path)?;
+    let settings = Settings::load(path)?;
     let store = adapter(&settings)?.store;
     let service: Option<&Service> = args.get_one("service");
     match name {
@@ -48,7 +48,7 @@
     }
 }
 
-async fn status(store: &Arc<dyn KeyValue>, service: Option<&Service>) -> Result<u8> {
+async fn status(store: &Arc<dyn KeyValueStore>, service: Option<&Service>) -> Result<u8> {
     for (service, found) in look(store, service).await? {
         println!("{}", line(&service, &found));
     }
@@ -56,7 +56,7 @@
 }
 
 /// Prints each change until every roll-out has ended.
-async fn watch(store: &Arc<dyn KeyValue>, service: Option<&Service>) -> Result<u8> {
+async fn watch(store: &Arc<dyn KeyValueStore>, service: Option<&Service>) -> Result<u8> {
     let mut printed: BTreeMap<Service, String> = BTreeMap::new();
     loop {
         let all = look(store, service).await?;
@@ -90,13 +90,13 @@
         let Some(record) = &self.record else {
             return ordered.is_none();
         };
-        record.state.is_end() && ordered.is_none_or(|revision| revision <= record.order)
+        record.state.is_final() && ordered.is_none_or(|revision| revision <= record.order)
     }
 }
 
 /// Reads what there is of a service, or of all services with an order.
 async fn look(
-    store: &Arc<dyn KeyValue>,
+    store: &Arc<dyn KeyValueStore>,
     only: Option<&Service>,
 ) -> Result<BTreeMap<Service, Found>> {
     let orders = orders(store).await?;
@@ -106,8 +106,8 @@
     };
     let mut all = BTreeMap::new();
     for service in services {
-        let name = KvName::Rollout(service.clone());
-        let KvResult::Value(found) = call(store, name).await? else {
+        let name = StoreKey::Rollout(service.clone());
+        let StoreResult::Value(found) = call(store, name).await? else {
             bail!("expected a record or none of {service}");
         };
         let record = RolloutRecord::decode(found.value.as_deref());
@@ -119,17 +119,17 @@
 }
 
 /// Reads the orders; a platform whose operators cannot order any has none.
-async fn orders(store: &Arc<dyn KeyValue>) -> Result<Vec<OrderChange>> {
-    match call(store, KvName::Templates).await? {
-        KvResult::Operators(found) => Ok(found.rollouts),
+async fn orders(store: &Arc<dyn KeyValueStore>) -> Result<Vec<OrderChange>> {
+    match call(store, StoreKey::Templates).await? {
+        StoreResult::Operators(found) => Ok(found.rollouts),
         _ => Ok(Vec::new()),
     }
 }
 
-async fn call(store: &Arc<dyn KeyValue>, name: KvName) -> Result<KvResult> {
+async fn call(store: &Arc<dyn KeyValueStore>, name: StoreKey) -> Result<StoreResult> {
     for _ in 0..TRIES {
-        let result = store.call(&KvCall::Get(name.clone())).await;
-        if matches!(result, KvResult::Value(_) | KvResult::Operators(_)) {
+        let result = store.call(&StoreCall::Get(name.clone())).await;
+        if matches!(result, StoreResult::Value(_) | StoreResult::Operators(_)) {
             return Ok(result);
         }
         tokio::time::sleep(PAUSE).await;
--- a/crates/badgerfield/src/template.rs
+++ b/crates/badgerfield/src/template.rs
@@ -5,11 +5,11 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use anyhow::{Result, bail};
-use badgerfield_core::event::{KvCall, KvName, KvResult};
-use badgerfield_core::ids::{Author, Version};
-use badgerfield_core::template::{Change, KeyDigest, TemplateSet};
+use badgerfield_core::event::{StoreCall, StoreKey, StoreResult};
+use badgerfield_core::ids::{Author, TemplateVersion};
+use badgerfield_core::template::{KeyDigest, TemplateChange, TemplateSet};
 use badgerfield_core::view::View;
-use badgerfield_node::adapter::KeyValue;
+use badgerfield_node::adapter::KeyValueStore;
 use badgerfield_node::templates;
 use bytes::Bytes;
 use clap::ArgMatches;
@@ -73,9 +73,9 @@
     let path: &PathBuf = args.get_one("file").expect("the argument is required");
     let author: &String = args.get_one("author").expect("the argument is required");
     let author: Author = author.parse()?;
-    let wanted = templates::open(path)?;
+    let wanted = templates::load(path)?;
     let (old, revision) = platform.templates().await?;
-    let expected = args.get_one::<u64>("expect").copied().map(Version);
+    let expected = args.get_one::<u64>("expect").copied().map(TemplateVersion);
     if let Some(expected) = expected.filter(|e| *e != old.version) {
         eprintln!("expected {expected} in force, found {}", winner(&old));
         return Ok(CONFLICT);
@@ -109,12 +109,17 @@
 /// Writes the set; finds out what became of a write whose reply was lost.
 async fn write(platform: &Platform, expect: u64, next: &TemplateSet, mark: &str) -> Result<u8> {
     let value = Bytes::from(next.encode());
-    let call = KvCall::Swap { name: KvName::Templates, expect, value };
+    let call =
+        StoreCall::CompareAndSwap { key: StoreKey::Templates, expected_revision: expect, value };
     match platform.kv.call(&call).await {
-        KvResult::Written(_) => return Ok(DONE),
-        KvResult::Refused => bail!("the key-value service refused the write; nothing is changed"),
-        KvResult::Conflict(_) | KvResult::Unknown | KvResult::Value(_) | KvResult::Operators(_) => {
+        StoreResult::Written(_) => return Ok(DONE),
+        StoreResult::Refused => {
+            bail!("the key-value service refused the write; nothing is changed")
         }
+        StoreResult::Conflict(_)
+        | StoreResult::Unknown
+        | StoreResult::Value(_)
+        | StoreResult::Operators(_) => {}
     }
     for _ in 0..LOOKS {
         let (set, revision) = platform.templates().await?;
@@ -133,7 +138,7 @@
 }
 
 fn winner(set: &TemplateSet) -> String {
-    let by = set.history.last().map(|change: &Change| format!(" by {}", change.author));
+    let by = set.history.last().map(|change: &TemplateChange| format!(" by {}", change.author));
     format!("{}{}", set.version, by.unwrap_or_default())
 }
 
@@ -149,15 +154,15 @@
 }
 
 /// Waits until every VM of the view has the version in force.
-async fn confirm(platform: &Platform, version: Version) -> Result<u8> {
+async fn confirm(platform: &Platform, version: TemplateVersion) -> Result<u8> {
     let until = std::time::Instant::now() + WAIT;
     let mut missing = BTreeSet::new();
     while std::time::Instant::now() < until {
-        let found = platform.get(KvName::View).await?;
+        let found = platform.get(StoreKey::View).await?;
         let view = View::decode(found.value.as_deref())?;
         missing.clear();
         for member in &view.members {
-            let seen = badgerfield_node::callers::version_at(member.caller).await;
+            let seen = badgerfield_node::caller_api::fetch_templates_version(member.caller).await;
             if seen.is_none_or(|seen| seen < version) {
                 missing.insert(member.vm.to_string());
             }
