--- a/crates/badgerfield-core/src/claims/handover.rs
+++ b/crates/badgerfield-core/src/claims/handover.rs
@@ -1,10 +1,10 @@
-//! Hand-overs: claims move to the members that keep them under a newer view.
+//! Hand-overs: members send claims to the arbiters and backups of a newer view.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{Claims, places};
+use super::{Claims, arbiter_and_backup};
 use crate::amount::Time;
 use crate::confirmations::{ConfirmationReport, Confirmations};
 use crate::event::Outbox;
@@ -12,100 +12,104 @@
 use crate::message::{HandoverPart, Message};
 use crate::view::{MemberState, View};
 
-/// How often unacknowledged hand-overs are sent again.
-const RESEND: Duration = Duration::from_millis(500);
-/// How many claims one hand-over message carries.
-const BATCH: usize = 500;
+/// The interval at which unacknowledged hand-overs are sent again.
+const RESEND_INTERVAL: Duration = Duration::from_millis(500);
+/// The maximum number of claims in one hand-over message.
+const MAX_PART_CLAIMS: usize = 500;
 
-/// Claims on their way to a member.
+/// Claims that a member has not acknowledged.
 #[derive(Debug, Default)]
-pub(super) struct Moving {
+pub(super) struct PendingHandover {
     keys: BTreeSet<RequestKey>,
     part: u32,
-    sent: Option<Time>,
+    sent_at: Option<Time>,
 }
 
 impl Claims {
-    /// Puts a newer view in force and starts the hand-overs that it asks for.
+    /// Applies a newer view and starts the hand-overs that it requires.
     pub fn apply_view(&mut self, now: Time, view: &Arc<View>, out: &mut Outbox) {
         if view.epoch <= self.view.epoch {
             return;
         }
         let old = std::mem::replace(&mut self.view, Arc::clone(view));
-        self.since.push(Arc::clone(view));
+        self.views_since_complete.push(Arc::clone(view));
         self.confirmations = Confirmations::new(view);
-        for doubt in &view.uncertain_keys {
-            self.doubted.entry(doubt.epoch).or_insert(now);
+        for uncertain in &view.uncertain_keys {
+            self.uncertain_seen.entry(uncertain.epoch).or_insert(now);
         }
-        self.moving.retain(|id, _| view.has(*id));
-        for moving in self.moving.values_mut() {
-            moving.sent = None;
-            moving.part = 0;
+        self.handovers.retain(|id, _| view.has(*id));
+        for pending in self.handovers.values_mut() {
+            pending.sent_at = None;
+            pending.part = 0;
         }
-        self.plan_moves(&old);
+        self.plan_handovers(&old);
         self.confirm_own();
-        self.resend(now, out);
+        self.resend_handovers(now, out);
     }
 
-    /// Returns what a sign of life says about the hand-overs of the view in force.
+    /// Returns the state of the current view's hand-overs for a heartbeat.
     #[must_use]
     pub fn confirmation_status(&self) -> ConfirmationReport {
-        ConfirmationReport { complete: self.complete, bits: self.confirmations.bits() }
+        ConfirmationReport { complete: self.complete_epoch, bits: self.confirmations.bits() }
     }
 
-    /// Takes in what another process says about the hand-overs of an epoch.
+    /// Applies a report of another process about the hand-overs of an epoch.
     ///
-    /// Returns whether that is news which others should hear soon.
-    pub fn merge_confirmations(&mut self, epoch: Epoch, theirs: &ConfirmationReport) -> bool {
-        if epoch != self.view.epoch || self.complete == epoch {
+    /// Returns whether it adds confirmations that should be forwarded soon.
+    pub fn merge_confirmations(&mut self, epoch: Epoch, report: &ConfirmationReport) -> bool {
+        if epoch != self.view.epoch || self.complete_epoch == epoch {
             return false;
         }
-        let news = if theirs.complete == epoch {
+        let is_new = if report.complete == epoch {
             self.confirmations.confirm_all();
             true
         } else {
-            self.confirmations.merge(&theirs.bits)
+            self.confirmations.merge(&report.bits)
         };
         self.check_complete();
-        news
+        is_new
     }
 
-    /// Confirms the view for this process once nothing is left to hand over.
+    /// Confirms the view for this process once no hand-over is pending.
     fn confirm_own(&mut self) {
-        if self.moving.is_empty() {
+        if self.handovers.is_empty() {
             self.confirmations.confirm(&self.view, self.me);
             self.check_complete();
         }
     }
 
-    /// Finds the claims that a new view makes this process hand over.
-    fn plan_moves(&mut self, old: &View) {
+    /// Determines the claims that this process must hand over under the new view.
+    fn plan_handovers(&mut self, old: &View) {
         let view = &self.view;
         let standing = |v: &View| v.member(self.me).map(|m| m.standing);
-        let leaves =
+        let is_leaving_now =
             standing(view) == Some(MemberState::Leaving) && standing(old) != standing(view);
         for entry in self.entries.values() {
             let key = entry.record.key;
             let home = entry.record.home.as_ref();
-            let (before, after) = (places(old, key, home), places(view, key, home));
-            // The other memory of a claim may have gone, or this one is about to go.
-            let alone = after[0] == Some(self.me) && entry.keeper.is_none_or(|k| !view.has(k));
-            if before == after && !alone && !leaves {
+            let (before, after) =
+                (arbiter_and_backup(old, key, home), arbiter_and_backup(view, key, home));
+            // A claim is copied again if its other copy may have been on a removed member, or if
+            // this process has started to leave.
+            let lacks_other_copy =
+                after[0] == Some(self.me) && entry.other_copy.is_none_or(|id| !view.has(id));
+            if before == after && !lacks_other_copy && !is_leaving_now {
                 continue;
             }
-            for place in after.into_iter().flatten().filter(|id| *id != self.me) {
-                self.moving.entry(place).or_default().keys.insert(key);
+            for member in after.into_iter().flatten().filter(|id| *id != self.me) {
+                self.handovers.entry(member).or_default().keys.insert(key);
             }
         }
     }
 
-    /// Tells whether everything that this process had to hand over has arrived.
+    /// Returns whether all hand-overs of this process are acknowledged.
     #[must_use]
     pub fn is_handed_over(&self) -> bool {
-        self.moving.is_empty()
+        self.handovers.is_empty()
     }
 
-    /// Takes in claims that another member hands over; tells whether they are for this view.
+    /// Applies claims that another member hands over; returns whether they belong to the current
+    /// view.
     pub fn receive_handover(&mut self, now: Time, from: Incarnation, part: &HandoverPart) -> bool {
         for record in &part.claims {
             self.merge(now, from, record);
@@ -113,7 +117,7 @@
         part.epoch == self.view.epoch
     }
 
-    /// Notes that a member has everything of a hand-over, and sends what is left.
+    /// Records that a member has a part of a hand-over, and sends the next part.
     pub fn handle_handover_ack(
         &mut self,
         now: Time,
@@ -125,50 +129,50 @@
         if epoch != self.view.epoch {
             return;
         }
-        let Some(moving) = self.moving.get_mut(&from) else {
+        let Some(pending) = self.handovers.get_mut(&from) else {
             return;
         };
-        if part != moving.part {
+        if part != pending.part {
             return;
         }
-        for _ in 0..BATCH.min(moving.keys.len()) {
-            let key = moving.keys.pop_first();
+        for _ in 0..MAX_PART_CLAIMS.min(pending.keys.len()) {
+            let key = pending.keys.pop_first();
             if let Some(entry) = key.and_then(|key| self.entries.get_mut(&key)) {
-                entry.keeper = Some(from);
+                entry.other_copy = Some(from);
             }
         }
-        if moving.keys.is_empty() {
-            self.moving.remove(&from);
+        if pending.keys.is_empty() {
+            self.handovers.remove(&from);
             self.confirm_own();
             return;
         }
-        moving.part += 1;
-        moving.sent = None;
-        self.resend(now, out);
+        pending.part += 1;
+        pending.sent_at = None;
+        self.resend_handovers(now, out);
     }
 
-    pub(super) fn resend(&mut self, now: Time, out: &mut Outbox) {
-        for (to, moving) in &mut self.moving {
-            if moving.sent.is_some_and(|sent| now.since(sent) < RESEND) {
+    pub(super) fn resend_handovers(&mut self, now: Time, out: &mut Outbox) {
+        for (to, pending) in &mut self.handovers {
+            if pending.sent_at.is_some_and(|sent_at| now.since(sent_at) < RESEND_INTERVAL) {
                 continue;
             }
-            moving.sent = Some(now);
-            let claims = moving
+            pending.sent_at = Some(now);
+            let claims = pending
                 .keys
                 .iter()
-                .take(BATCH)
+                .take(MAX_PART_CLAIMS)
                 .filter_map(|key| self.entries.get(key))
                 .map(|entry| entry.record.clone())
                 .collect();
-            let part = HandoverPart { epoch: self.view.epoch, index: moving.part, claims };
+            let part = HandoverPart { epoch: self.view.epoch, index: pending.part, claims };
             out.send(*to, Message::Handover(part));
         }
     }
 
     fn check_complete(&mut self) {
         if self.view.has(self.me) && self.confirmations.is_complete() {
-            self.complete = self.view.epoch;
-            self.since = vec![Arc::clone(&self.view)];
+            self.complete_epoch = self.view.epoch;
+            self.views_since_complete = vec![Arc::clone(&self.view)];
         }
     }
 }
--- a/crates/badgerfield-core/src/claims/mod.rs
+++ b/crates/badgerfield-core/src/claims/mod.rs
@@ -1,9 +1,9 @@
 //! Claims: who may run a request's key.
 //!
-//! One member, the arbiter, decides about a key under the present view. A claim is
-//! remembered by two members of the key's home region before it counts, and every
-//! change of the view makes members hand over what others now decide about. The
-//! arbiter answers only for keys whose memory it is sure to have.
+//! Under the current view one member, the arbiter, decides about a key. A claim takes effect
+//! once two members of the key's home region have recorded it. After each change of the view,
+//! members hand over the claims that other members now decide about. An arbiter decides only
+//! about keys for which it has received all earlier claims.
 
 mod handover;
 
@@ -19,21 +19,21 @@
     ChargeId, ClaimDecision, ClaimProgress, ClaimRecord, ClaimRequest, Message, SettleRequest,
 };
 use crate::view::View;
-use handover::Moving;
+use handover::PendingHandover;
 
-/// One remembered claim.
+/// A recorded claim.
 #[derive(Debug, Clone)]
-struct Entry {
+struct ClaimEntry {
     record: ClaimRecord,
-    /// Who is told once a second copy is kept.
-    asker: Incarnation,
-    copied: bool,
-    /// Who else remembers it, as far as this process knows.
-    keeper: Option<Incarnation>,
-    changed: Time,
+    /// The member that gets the decision once the backup has recorded the claim.
+    requester: Incarnation,
+    backed_up: bool,
+    /// The member that has the other copy of the claim, as far as this process knows.
+    other_copy: Option<Incarnation>,
+    updated_at: Time,
 }
 
-/// What a second copy settles.
+/// The decision that takes effect when the backup has recorded a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Settlement {
     /// The owner may run the request.
@@ -42,12 +42,12 @@
         owner: Incarnation,
         /// The arbiter's epoch.
         epoch: Epoch,
-        /// What to tell it.
+        /// The decision to send to the owner.
         verdict: ClaimDecision,
     },
-    /// The charge is the owner's to bill.
+    /// The owner may bill the charge.
     Billed {
-        /// Who asked.
+        /// The member that sent the settle request.
         to: Incarnation,
         /// The charge.
         id: ChargeId,
@@ -56,164 +56,172 @@
     },
 }
 
-/// What one process remembers about claims, as arbiter and as keeper.
+/// The claims that a process has recorded, as arbiter and as backup.
 #[derive(Debug)]
 pub struct Claims {
     me: Incarnation,
-    keep: Duration,
-    entries: HashMap<RequestKey, Entry>,
+    retention: Duration,
+    entries: HashMap<RequestKey, ClaimEntry>,
     view: Arc<View>,
-    complete: Epoch,
-    since: Vec<Arc<View>>,
+    /// The newest epoch for which all hand-overs have arrived.
+    complete_epoch: Epoch,
+    /// The view of `complete_epoch` and the views applied after it.
+    views_since_complete: Vec<Arc<View>>,
     confirmations: Confirmations,
-    moving: BTreeMap<Incarnation, Moving>,
-    doubted: HashMap<Epoch, Time>,
-    swept: Time,
+    handovers: BTreeMap<Incarnation, PendingHandover>,
+    /// When this process first saw the uncertain keys of an epoch.
+    uncertain_seen: HashMap<Epoch, Time>,
+    last_sweep: Time,
 }
 
 impl Claims {
-    /// Makes an empty memory that keeps ended claims for a span.
+    /// Creates an empty table that keeps claims for `retention` after their last change.
     #[must_use]
-    pub fn new(me: Incarnation, keep: Duration) -> Self {
+    pub fn new(me: Incarnation, retention: Duration) -> Self {
         Self {
             me,
-            keep,
+            retention,
             entries: HashMap::new(),
             view: Arc::default(),
-            complete: Epoch(0),
-            since: Vec::new(),
+            complete_epoch: Epoch(0),
+            views_since_complete: Vec::new(),
             confirmations: Confirmations::default(),
-            moving: BTreeMap::new(),
-            doubted: HashMap::new(),
-            swept: Time::default(),
+            handovers: BTreeMap::new(),
+            uncertain_seen: HashMap::new(),
+            last_sweep: Time::default(),
         }
     }
 
-    /// Returns the newest epoch whose hand-overs are all here.
+    /// Returns the newest epoch for which all hand-overs have arrived.
     #[must_use]
     pub fn complete_epoch(&self) -> Epoch {
-        self.complete
+        self.complete_epoch
     }
 
-    /// Returns the number of the view in force.
+    /// Returns the epoch of the current view.
     #[must_use]
     pub fn epoch(&self) -> Epoch {
         self.view.epoch
     }
 
-    /// Returns how many claims are remembered.
+    /// Returns the number of recorded claims.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Tells whether no claim is remembered.
+    /// Returns whether no claim is recorded.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Decides about a wish; returns nothing while the second copy is on its way.
+    /// Decides about a claim request.
+    ///
+    /// Returns `None` if the decision has to wait until the backup has recorded the claim.
     pub fn decide(
         &mut self,
         now: Time,
         from: Incarnation,
-        ask: &ClaimRequest,
+        request: &ClaimRequest,
         out: &mut Outbox,
     ) -> Option<ClaimDecision> {
-        if ask.epoch != self.view.epoch || !self.answers_for(ask.key, ask.home.as_ref()) {
-            return Some(ClaimDecision::Wait { hint: self.hint(ask.key) });
+        if request.epoch != self.view.epoch || !self.can_decide(request.key, request.home.as_ref())
+        {
+            return Some(ClaimDecision::Wait { hint: self.hint(request.key) });
         }
-        if let Some(verdict) = self.settled_verdict(now, from, ask) {
-            return Some(verdict);
+        if let Some(decision) = self.try_claim(now, from, request) {
+            return Some(decision);
         }
-        let entry = self.entries.get(&ask.key)?;
+        let entry = self.entries.get(&request.key)?;
         let claim = entry.record.clone();
-        if entry.copied {
-            return Some(granted(&claim));
+        if entry.backed_up {
+            return Some(grant_decision(&claim));
         }
-        let Some(keeper) = self.keeper(from, ask.key, ask.home.as_ref()) else {
-            return Some(granted(&claim));
+        let Some(backup) = self.backup_member(from, request.key, request.home.as_ref()) else {
+            return Some(grant_decision(&claim));
         };
         let epoch = self.view.epoch;
-        out.send(keeper, Message::ClaimBackup { epoch, claim });
+        out.send(backup, Message::ClaimBackup { epoch, claim });
         None
     }
 
-    /// Returns the upstream on which a key may have run, as far as this process knows.
+    /// Returns the upstream to which the request with this key was last sent, if known here.
     #[must_use]
     pub fn hint(&self, key: RequestKey) -> Option<UpstreamId> {
-        self.entries.get(&key).and_then(|entry| upstream(&entry.record.progress))
+        self.entries.get(&key).and_then(|entry| dispatched_upstream(&entry.record.progress))
     }
 
-    /// Records the wish where it may be granted, and returns any other verdict.
-    fn settled_verdict(
+    /// Records the claim if it may be granted; otherwise returns the decision.
+    fn try_claim(
         &mut self,
         now: Time,
         from: Incarnation,
-        ask: &ClaimRequest,
+        request: &ClaimRequest,
     ) -> Option<ClaimDecision> {
-        let Some(entry) = self.entries.get_mut(&ask.key) else {
-            if ask.at_most_once && self.is_doubtful(now, ask.key, ask.home.as_ref()) {
+        let Some(entry) = self.entries.get_mut(&request.key) else {
+            if request.at_most_once && self.is_uncertain(now, request.key, request.home.as_ref()) {
                 return Some(ClaimDecision::Uncertain);
             }
-            self.record(now, from, ask, 0, ClaimProgress::Held);
+            self.insert_claim(now, from, request, 0, ClaimProgress::Held);
             return None;
         };
         let record = &entry.record;
-        if record.owner == from && record.serial == ask.serial {
+        if record.owner == from && record.serial == request.serial {
             return None;
         }
         let ended = matches!(record.progress, ClaimProgress::Ended(_));
-        let replaces = ask.replaces == Some((record.owner, record.serial));
+        let replaces = request.replaces == Some((record.owner, record.serial));
         if replaces && !ended {
             let progress = record.progress.clone();
-            let (turn, once) = (record.owner_changes + 1, record.at_most_once);
-            // An unrepeatable request that may have run elsewhere can only be resumed.
-            if once && progress == ClaimProgress::Held {
+            let (owner_changes, at_most_once) = (record.owner_changes + 1, record.at_most_once);
+            // An at-most-once request that may have run can only be resumed at its upstream, and
+            // none is recorded.
+            if at_most_once && progress == ClaimProgress::Held {
                 return Some(ClaimDecision::Uncertain);
             }
-            self.record(now, from, ask, turn, progress);
+            self.insert_claim(now, from, request, owner_changes, progress);
             return None;
         }
-        let upstream = upstream(&record.progress);
+        let upstream = dispatched_upstream(&record.progress);
         Some(ClaimDecision::Owned { owner: record.owner, serial: record.serial, upstream, ended })
     }
 
-    fn record(
+    fn insert_claim(
         &mut self,
         now: Time,
         from: Incarnation,
-        ask: &ClaimRequest,
-        turn: u32,
+        request: &ClaimRequest,
+        owner_changes: u32,
         progress: ClaimProgress,
     ) {
         let record = ClaimRecord {
-            key: ask.key,
-            home: ask.home.clone(),
+            key: request.key,
+            home: request.home.clone(),
             owner: from,
-            serial: ask.serial,
-            owner_changes: turn,
-            at_most_once: ask.at_most_once,
+            serial: request.serial,
+            owner_changes,
+            at_most_once: request.at_most_once,
             progress,
         };
-        // An asker in the home region remembers the claim itself.
-        let copied = self.keeper(from, ask.key, ask.home.as_ref()).is_none();
-        let keeper = (copied && from != self.me).then_some(from);
-        let entry = Entry { record, asker: from, copied, keeper, changed: now };
-        self.entries.insert(ask.key, entry);
+        // A requester in the home region is itself the backup.
+        let backed_up = self.backup_member(from, request.key, request.home.as_ref()).is_none();
+        let other_copy = (backed_up && from != self.me).then_some(from);
+        let entry = ClaimEntry { record, requester: from, backed_up, other_copy, updated_at: now };
+        self.entries.insert(request.key, entry);
     }
 
-    /// Returns the member that must keep a copy besides the arbiter and the asker.
-    fn keeper(
+    /// Returns the member that must record the claim as backup, or `None` if the requester is the
+    /// backup or there is no other member.
+    fn backup_member(
         &self,
         from: Incarnation,
         key: RequestKey,
         home: Option<&Region>,
     ) -> Option<Incarnation> {
-        let near =
+        let is_near =
             self.view.member(from).is_some_and(|m| home.is_none_or(|home| &m.region == home));
-        if near && from != self.me {
+        if is_near && from != self.me {
             return None;
         }
         let (first, second) = self.view.arbiters(key, home)?;
@@ -221,27 +229,28 @@
         second.map(|m| m.incarnation)
     }
 
-    fn is_doubtful(&self, now: Time, key: RequestKey, home: Option<&Region>) -> bool {
+    fn is_uncertain(&self, now: Time, key: RequestKey, home: Option<&Region>) -> bool {
         let Some(epoch) = self.view.uncertain_since(key, home) else {
             return false;
         };
-        let seen = self.doubted.get(&epoch).copied().unwrap_or(now);
-        now.since(seen) < self.keep
+        let first_seen = self.uncertain_seen.get(&epoch).copied().unwrap_or(now);
+        now.since(first_seen) < self.retention
     }
 
-    /// Tells whether this process decides about a key and has its whole memory.
-    fn answers_for(&self, key: RequestKey, home: Option<&Region>) -> bool {
-        let first = |view: &View| places(view, key, home)[0] == Some(self.me);
-        if !first(&self.view) {
+    /// Returns whether this process is the arbiter of a key and has all earlier claims on it.
+    fn can_decide(&self, key: RequestKey, home: Option<&Region>) -> bool {
+        let is_arbiter = |view: &View| arbiter_and_backup(view, key, home)[0] == Some(self.me);
+        if !is_arbiter(&self.view) {
             return false;
         }
-        self.complete == self.view.epoch
-            || (self.complete > Epoch(0) && self.since.iter().all(|view| first(view)))
+        self.complete_epoch == self.view.epoch
+            || (self.complete_epoch > Epoch(0)
+                && self.views_since_complete.iter().all(|view| is_arbiter(view)))
     }
 
-    /// Remembers a claim of which this process is the asker, or the second keeper.
+    /// Records a claim as its requester or backup.
     ///
-    /// Refuses what an arbiter of another epoch decided.
+    /// Returns `false` if the arbiter decided under another epoch.
     pub fn record_claim(&mut self, now: Time, epoch: Epoch, record: &ClaimRecord) -> bool {
         if epoch != self.view.epoch {
             return false;
@@ -250,7 +259,7 @@
         true
     }
 
-    /// Notes that a second copy of a claim is kept; returns what that settles.
+    /// Records that the backup has a claim; returns the decision that now takes effect.
     pub fn copied(
         &mut self,
         from: Incarnation,
@@ -263,21 +272,21 @@
             return None;
         }
         let record = &entry.record;
-        let current = record.serial == serial && record.has_ended() == ended;
-        if !current || entry.copied {
+        let is_current = record.serial == serial && record.has_ended() == ended;
+        if !is_current || entry.backed_up {
             return None;
         }
-        entry.copied = true;
-        entry.keeper = Some(from);
+        entry.backed_up = true;
+        entry.other_copy = Some(from);
         let (owner, epoch) = (record.owner, self.view.epoch);
         if ended {
-            let (to, id) = (entry.asker, ChargeId { owner, serial });
+            let (to, id) = (entry.requester, ChargeId { owner, serial });
             return Some(Settlement::Billed { to, id, epoch });
         }
-        Some(Settlement::Granted { owner, epoch, verdict: granted(record) })
+        Some(Settlement::Granted { owner, epoch, verdict: grant_decision(record) })
     }
 
-    /// Notes that the owner is about to send the request to an upstream.
+    /// Records that the owner is about to send the request to an upstream.
     pub fn record_dispatch(
         &mut self,
         now: Time,
@@ -286,148 +295,163 @@
         serial: u64,
         to: UpstreamId,
     ) {
-        let Some(entry) = self.owned(from, key, serial) else {
+        let Some(entry) = self.owned_entry(from, key, serial) else {
             return;
         };
         if matches!(entry.record.progress, ClaimProgress::Ended(_)) {
             return;
         }
         entry.record.progress = ClaimProgress::Dispatched(to);
-        entry.changed = now;
+        entry.updated_at = now;
     }
 
-    /// Forgets a claim that its owner gives up: one that has not run, or that may run again.
+    /// Removes a claim that its owner releases, if the request was not sent or may run again.
     pub fn release(&mut self, from: Incarnation, key: RequestKey, serial: u64) {
-        let Some(entry) = self.owned(from, key, serial) else {
+        let Some(entry) = self.owned_entry(from, key, serial) else {
             return;
         };
-        let may = match entry.record.progress {
+        let is_allowed = match entry.record.progress {
             ClaimProgress::Held => true,
             ClaimProgress::Dispatched(_) => !entry.record.at_most_once,
             ClaimProgress::Ended(_) => false,
         };
-        if may {
+        if is_allowed {
             self.entries.remove(&key);
         }
     }
 
-    /// Remembers that an own charge was agreed; tells whether the arbiter's word counts.
+    /// Records that the arbiter has allowed this process to bill a charge.
     ///
-    /// A word of an arbiter of another epoch does not count: a new arbiter may not know.
+    /// Returns `false` if the arbiter decided under another epoch: the new arbiter may not have the
+    /// decision.
     pub fn agreed(&mut self, now: Time, epoch: Epoch, record: &ClaimRecord) -> bool {
-        let turn = self.entries.get(&record.key).map_or(0, |e| e.record.owner_changes);
-        let record = ClaimRecord { owner_changes: turn, ..record.clone() };
+        let owner_changes = self.entries.get(&record.key).map_or(0, |e| e.record.owner_changes);
+        let record = ClaimRecord { owner_changes, ..record.clone() };
         self.record_claim(now, epoch, &record)
     }
 
-    /// Ends a claim; tells whether the charge is the owner's to bill, once that is sure.
+    /// Ends a claim and returns whether the owner may bill the charge.
+    ///
+    /// Returns `None` if this process cannot decide, or if the decision has to wait until the
+    /// backup has recorded it.
     pub fn settle(
         &mut self,
         now: Time,
         from: Incarnation,
-        ask: &SettleRequest,
+        request: &SettleRequest,
         out: &mut Outbox,
     ) -> Option<bool> {
-        let home = ask.home.as_ref();
-        if !self.answers_for(ask.key, home) {
+        let home = request.home.as_ref();
+        if !self.can_decide(request.key, home) {
             return None;
         }
-        let keeper = self.keeper(from, ask.key, home);
+        let backup = self.backup_member(from, request.key, home);
         let record = ClaimRecord {
-            key: ask.key,
-            home: ask.home.clone(),
-            owner: ask.id.owner,
-            serial: ask.id.serial,
-            owner_changes: self.entries.get(&ask.key).map_or(0, |e| e.record.owner_changes),
+            key: request.key,
+            home: request.home.clone(),
+            owner: request.id.owner,
+            serial: request.id.serial,
+            owner_changes: self.entries.get(&request.key).map_or(0, |e| e.record.owner_changes),
             at_most_once: false,
-            progress: ClaimProgress::Ended(ask.cost),
+            progress: ClaimProgress::Ended(request.cost),
         };
-        let near = (keeper.is_none() && from != self.me).then_some(from);
-        let copied = keeper.is_none();
-        let fresh = Entry { record, asker: from, copied, keeper: near, changed: now };
-        // The charge may have been billed by somebody whose memory is lost.
-        let known = self.entries.get(&ask.key).is_some_and(|e| e.record.has_ended());
-        if !known && self.is_doubtful(now, ask.key, home) {
+        let other_copy = (backup.is_none() && from != self.me).then_some(from);
+        let backed_up = backup.is_none();
+        let new_entry =
+            ClaimEntry { record, requester: from, backed_up, other_copy, updated_at: now };
+        // Another owner may have billed the charge, and the record of that may be lost.
+        let is_known_ended = self.entries.get(&request.key).is_some_and(|e| e.record.has_ended());
+        if !is_known_ended && self.is_uncertain(now, request.key, home) {
             return Some(false);
         }
-        match self.entries.get_mut(&ask.key) {
+        match self.entries.get_mut(&request.key) {
             None => {
-                self.entries.insert(ask.key, fresh);
+                self.entries.insert(request.key, new_entry);
             }
             Some(entry) if entry.record.has_ended() => {
                 let record = &entry.record;
-                if record.owner != ask.id.owner || record.serial != ask.id.serial {
+                if record.owner != request.id.owner || record.serial != request.id.serial {
                     return Some(false);
                 }
             }
-            // Whoever ends first bills: an owner that has not ended may still be refused.
+            // The first owner to end bills; the recorded owner has not ended and can still be
+            // refused.
             Some(entry) => {
-                let once = entry.record.at_most_once;
-                *entry = fresh;
-                entry.record.at_most_once = once;
+                let at_most_once = entry.record.at_most_once;
+                *entry = new_entry;
+                entry.record.at_most_once = at_most_once;
             }
         }
-        let entry = self.entries.get_mut(&ask.key)?;
-        entry.asker = from;
-        if entry.copied {
+        let entry = self.entries.get_mut(&request.key)?;
+        entry.requester = from;
+        if entry.backed_up {
             return Some(true);
         }
-        if let Some(keeper) = keeper {
+        if let Some(backup) = backup {
             let (epoch, claim) = (self.view.epoch, entry.record.clone());
-            out.send(keeper, Message::ClaimBackup { epoch, claim });
+            out.send(backup, Message::ClaimBackup { epoch, claim });
         }
         None
     }
 
-    /// Sends hand-overs again and forgets what is old.
+    /// Resends unacknowledged hand-overs and removes claims older than the retention period.
     pub fn tick(&mut self, now: Time, out: &mut Outbox) {
-        self.resend(now, out);
-        if now.since(self.swept) < Duration::from_secs(1) {
+        self.resend_handovers(now, out);
+        if now.since(self.last_sweep) < Duration::from_secs(1) {
             return;
         }
-        self.swept = now;
-        let keep = self.keep;
-        self.entries.retain(|_, entry| now.since(entry.changed) < keep);
+        self.last_sweep = now;
+        let retention = self.retention;
+        self.entries.retain(|_, entry| now.since(entry.updated_at) < retention);
     }
 
-    /// Takes in a record that another member remembers too, unless a later one is here.
+    /// Applies a record from another member, unless a record at least as new is present.
     fn merge(&mut self, now: Time, from: Incarnation, record: &ClaimRecord) {
-        let keeper = (from != self.me).then_some(from);
+        let other_copy = (from != self.me).then_some(from);
         let rank = |r: &ClaimRecord| (r.owner_changes, r.progress.clone());
         if let Some(entry) = self.entries.get_mut(&record.key)
             && rank(&entry.record) >= rank(record)
         {
-            entry.keeper = entry.keeper.or(keeper);
+            entry.other_copy = entry.other_copy.or(other_copy);
             return;
         }
-        let (record, asker) = (record.clone(), record.owner);
-        let entry = Entry { asker, copied: true, keeper, changed: now, record };
+        let (record, requester) = (record.clone(), record.owner);
+        let entry = ClaimEntry { requester, backed_up: true, other_copy, updated_at: now, record };
         self.entries.insert(entry.record.key, entry);
     }
 
-    fn owned(&mut self, from: Incarnation, key: RequestKey, serial: u64) -> Option<&mut Entry> {
+    fn owned_entry(
+        &mut self,
+        from: Incarnation,
+        key: RequestKey,
+        serial: u64,
+    ) -> Option<&mut ClaimEntry> {
         let entry = self.entries.get_mut(&key)?;
-        let mine = entry.record.owner == from && entry.record.serial == serial;
-        mine.then_some(entry)
+        let is_owner = entry.record.owner == from && entry.record.serial == serial;
+        is_owner.then_some(entry)
     }
 }
 
-fn upstream(progress: &ClaimProgress) -> Option<UpstreamId> {
+fn dispatched_upstream(progress: &ClaimProgress) -> Option<UpstreamId> {
     match progress {
         ClaimProgress::Dispatched(upstream) => Some(upstream.clone()),
         ClaimProgress::Held | ClaimProgress::Ended(_) => None,
     }
 }
 
-fn granted(record: &ClaimRecord) -> ClaimDecision {
+fn grant_decision(record: &ClaimRecord) -> ClaimDecision {
     ClaimDecision::Granted {
-        previous_upstream: upstream(&record.progress),
+        previous_upstream: dispatched_upstream(&record.progress),
         owner_changes: record.owner_changes,
     }
 }
 
-/// Returns the arbiter and the second keeper of a key.
-fn places(view: &View, key: RequestKey, home: Option<&Region>) -> [Option<Incarnation>; 2] {
+/// Returns the arbiter and the backup of a key.
+fn arbiter_and_backup(
+    view: &View,
+    key: RequestKey,
+    home: Option<&Region>,
+) -> [Option<Incarnation>; 2] {
     let Some((first, second)) = view.arbiters(key, home) else {
         return [None, None];
     };
