--- a/crates/badgerfield-core/src/adaptive_timeout.rs
+++ b/crates/badgerfield-core/src/adaptive_timeout.rs
@@ -15,7 +15,7 @@
 const MAX_TIMEOUT_RATIO: u32 = 3;
 /// The percentage by which the longest response time decays with each response: after 20 fast
 /// responses an eighth of it is left.
-const FADE_PERCENT: u32 = 10;
+const DECAY_PERCENT: u32 = 10;
 
 /// A timeout that follows the response times of calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -42,7 +42,7 @@
 
     /// Records the time from a call to its complete response.
     pub fn record_answer(&mut self, elapsed: Duration) {
-        let decayed = self.longest.unwrap_or_default() * (100 - FADE_PERCENT) / 100;
+        let decayed = self.longest.unwrap_or_default() * (100 - DECAY_PERCENT) / 100;
         let longest = decayed.max(elapsed);
         self.longest = Some(longest);
         self.current = self.clamp(longest.saturating_mul(TIMEOUT_RATIO));
--- a/crates/badgerfield-core/src/bootstrap.rs
+++ b/crates/badgerfield-core/src/bootstrap.rs
@@ -15,8 +15,8 @@
 use crate::ids::{Incarnation, VmId};
 use crate::view::{MAX_SMALL_VIEW_MEMBERS, Member, View};
 
-/// The number of VMs of a region that read at a time: the store may reject one of them.
-const MAX_CONCURRENT_READERS: usize = 2;
+/// The number of VMs of a region that read in a turn: the store may reject one of them.
+const READERS_PER_TURN: usize = 2;
 /// The duration of a turn: time for a response of the store over a congested link, and for two hops
 /// between members.
 const TURN_DURATION: Duration = Duration::from_secs(1);
@@ -28,7 +28,7 @@
 /// sheets.
 const CHILDREN_PER_PARENT: usize = 4;
 
-/// Returns whether a process has its turn to read whole values from the store.
+/// Returns whether it is a process's turn to read whole values from the store.
 ///
 /// `age` is the time since its start. `stored` is the view in the store, or `None` until it was read;
 /// it lists the VMs, including those that have just started and have not joined.
@@ -40,9 +40,9 @@
         return true;
     }
     let (rank, count) = rank(view, me);
-    let turns = count.div_ceil(MAX_CONCURRENT_READERS).clamp(1, MAX_TURNS);
+    let turns = count.div_ceil(READERS_PER_TURN).clamp(1, MAX_TURNS);
     let turn = age.0.as_millis() / TURN_DURATION.as_millis();
-    usize::try_from(turn).unwrap_or_default() % turns == rank / MAX_CONCURRENT_READERS % turns
+    usize::try_from(turn).unwrap_or_default() % turns == rank / READERS_PER_TURN % turns
 }
 
 /// Returns the member to which a process sends its first request for initial values, or `None` for the
@@ -53,7 +53,7 @@
     let order: BTreeMap<u64, Incarnation> =
         others.map(|m| (vm_hash(&m.vm), m.incarnation)).collect();
     let rank = order.range(..vm_hash(&me.vm)).count();
-    let parent = rank.checked_sub(MAX_CONCURRENT_READERS)? / CHILDREN_PER_PARENT;
+    let parent = rank.checked_sub(READERS_PER_TURN)? / CHILDREN_PER_PARENT;
     order.values().nth(parent).copied()
 }
 
--- a/crates/badgerfield-core/src/retry_budget.rs
+++ b/crates/badgerfield-core/src/retry_budget.rs
@@ -54,10 +54,10 @@
 
     /// Counts a caller's request for a service.
     pub fn count_request(&mut self, now: Time, service: &Service) {
-        let length = self.limits.window;
+        let max_age = self.limits.window;
         let window = self.window(now, service);
         window.requests.push_back(now);
-        remove_expired(&mut window.requests, now, length);
+        remove_expired(&mut window.requests, now, max_age);
     }
 
     /// Takes one repeat for a service if the budget allows it; `vms` is the number of VMs that share
@@ -75,24 +75,24 @@
         let limits = self.limits;
         let window = self.window(now, service);
         let allowance = limits.allowance / to_f64(vms.max(1));
-        let fleet_limit = limits.ratio * to_f64(window.requests.len()) + allowance;
-        fleet_limit * USED_PERCENT / 100.0 - to_f64(window.repeats.len())
+        let limit = limits.ratio * to_f64(window.requests.len()) + allowance;
+        limit * USED_PERCENT / 100.0 - to_f64(window.repeats.len())
     }
 
     fn window(&mut self, now: Time, service: &Service) -> &mut Window {
-        let length = self.limits.window;
+        let max_age = self.limits.window;
         if !self.services.contains_key(service) {
             self.services.insert(service.clone(), Window::default());
         }
         let window = self.services.entry(service.clone()).or_default();
-        remove_expired(&mut window.requests, now, length);
-        remove_expired(&mut window.repeats, now, length);
+        remove_expired(&mut window.requests, now, max_age);
+        remove_expired(&mut window.repeats, now, max_age);
         window
     }
 }
 
-fn remove_expired(times: &mut VecDeque<Time>, now: Time, length: Duration) {
-    while times.front().is_some_and(|at| now.since(*at) > length) {
+fn remove_expired(times: &mut VecDeque<Time>, now: Time, max_age: Duration) {
+    while times.front().is_some_and(|at| now.since(*at) > max_age) {
         times.pop_front();
     }
 }
--- a/crates/badgerfield-core/tests/event_stream.rs
+++ b/crates/badgerfield-core/tests/event_stream.rs
@@ -1,5 +1,5 @@
-//! Event streams against a naive version that sees the whole stream at once: however the
-//! bytes are cut, only whole events leave, each once and in order.
+//! Tests of the event scanner: wherever the bytes of a stream are split, it forwards only complete
+//! events, each once and in order.
 
 use badgerfield_core::event_stream::EventScanner;
 use proptest::prelude::*;
@@ -10,8 +10,8 @@
     (1..=events).map(event).collect::<String>().into_bytes()
 }
 
-/// Returns the numbers of the events in some bytes.
-fn numbers(bytes: &[u8]) -> Vec<u64> {
+/// Returns the ids of the events in `bytes`.
+fn event_ids(bytes: &[u8]) -> Vec<u64> {
     let text = String::from_utf8_lossy(bytes);
     let ids = text.lines().filter_map(|line| line.strip_prefix("id: "));
     ids.filter_map(|id| id.parse().ok()).collect()
@@ -20,58 +20,63 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
+    /// Guards against incomplete, lost or changed events when the bytes arrive in pieces of any size.
     #[test]
-    fn whole_events_leave_as_they_came(events in 0_u64..40, cuts in prop::collection::vec(1_usize..30, 1..200)) {
+    fn complete_events_are_forwarded_unchanged(events in 0_u64..40, cuts in prop::collection::vec(1_usize..30, 1..200)) {
         let bytes = stream(events);
         let mut scanner = EventScanner::default();
-        let (mut at, mut out) = (0, Vec::new());
+        let (mut offset, mut out) = (0, Vec::new());
         for cut in cuts.iter().cycle() {
-            if at >= bytes.len() {
+            if offset >= bytes.len() {
                 break;
             }
-            let end = (at + cut).min(bytes.len());
-            let whole = scanner.push(&bytes[at..end]);
-            prop_assert!(whole.is_empty() || whole.ends_with(b"\n\n"));
-            out.extend_from_slice(&whole);
-            at = end;
+            let end = (offset + cut).min(bytes.len());
+            let complete = scanner.push(&bytes[offset..end]);
+            prop_assert!(complete.is_empty() || complete.ends_with(b"\n\n"));
+            out.extend_from_slice(&complete);
+            offset = end;
         }
         prop_assert_eq!(out, bytes);
         prop_assert_eq!(scanner.event_count(), events);
         prop_assert!(scanner.partial_event().is_empty());
     }
 
+    /// Guards against lost or repeated events when a stream breaks off and a second upstream resumes it
+    /// after the last event or repeats earlier ones.
     #[test]
-    fn a_stream_that_goes_on_elsewhere_has_each_event_once(
+    fn resumed_stream_has_each_event_once(
         events in 2_u64..40,
         broken_at in 0_usize..400,
-        again_from in 0_u64..40,
+        resume_from in 0_u64..40,
     ) {
         let bytes = stream(events);
         let mut scanner = EventScanner::default();
         let mut out = scanner.push(&bytes[..broken_at.min(bytes.len())]).to_vec();
         scanner.discard_partial();
-        // The second upstream goes on after the last event, or begins earlier.
+        // The second upstream starts after the last event or at an earlier one.
         let last = scanner.last_event_id().unwrap_or(0);
-        let from = again_from.min(last);
+        let from = resume_from.min(last);
         let skip = stream(from).len();
         out.extend_from_slice(&scanner.push(&bytes[skip..]));
-        prop_assert_eq!(numbers(&out), (1..=events).collect::<Vec<_>>());
+        prop_assert_eq!(event_ids(&out), (1..=events).collect::<Vec<_>>());
     }
 }
 
+/// Guards against missed event boundaries in streams with CRLF line ends and comment lines.
 #[test]
 fn carriage_returns_and_comments_are_part_of_events() {
     let mut scanner = EventScanner::default();
     let bytes = b": hello\r\nid: 4\r\ndata: a\r\n\r\nid: 5\r\ndata:";
-    let whole = scanner.push(bytes);
-    assert_eq!(whole.as_ref(), b": hello\r\nid: 4\r\ndata: a\r\n\r\n");
+    let complete = scanner.push(bytes);
+    assert_eq!(complete.as_ref(), b": hello\r\nid: 4\r\ndata: a\r\n\r\n");
     assert_eq!(scanner.last_event_id(), Some(4));
     assert_eq!(scanner.partial_event(), b"id: 5\r\ndata:");
 }
 
+/// Guards against events that a caller already has being sent again when it resumes a stream.
 #[test]
-fn a_stream_taken_up_by_its_caller_goes_on_after_its_last_event() {
+fn stream_resumes_after_the_last_event_of_the_caller() {
     let mut scanner = EventScanner::resume_after(Some(2));
-    let whole = scanner.push(&stream(4));
-    assert_eq!(numbers(&whole), vec![3, 4]);
+    let complete = scanner.push(&stream(4));
+    assert_eq!(event_ids(&complete), vec![3, 4]);
 }
--- a/crates/badgerfield-core/tests/ledger.rs
+++ b/crates/badgerfield-core/tests/ledger.rs
@@ -1,5 +1,5 @@
-//! The ledger against a naive one: changes that come twice, late or out of order have
-//! their effect once, and never is more handed out than the limit.
+//! Tests of the ledger: a change takes effect once, even if it is delivered twice, late or out of
+//! order, and the ledger never grants more than the limit.
 
 use std::collections::BTreeMap;
 
@@ -11,10 +11,10 @@
 use proptest::test_runner::{Config, RngSeed};
 
 const LIMIT: u64 = 10_000;
-/// How many VMs there are; each life of one is a holder.
-const LIVES: u64 = 4;
+/// The number of VMs. Each incarnation of a VM is a holder.
+const VMS: u64 = 4;
 
-/// What a holder has, as the naive version counts it: exactly what it was told.
+/// The reference model of a holder: its tokens according to the replies it has received.
 #[derive(Debug, Default)]
 struct Holder {
     seq: u64,
@@ -25,37 +25,38 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// A holder asks; its change reaches the ledger this often, and the reply may be lost.
+    /// A holder sends a change, which is delivered `deliveries` times. If `first_replies_lost` is set,
+    /// the holder receives only the last reply.
     Draw {
         holder: u64,
         need: u64,
-        back: u64,
-        copies: usize,
-        lost: bool,
+        returned: u64,
+        deliveries: usize,
+        first_replies_lost: bool,
     },
     Spend {
         holder: u64,
         amount: u64,
     },
-    /// A message that was sent long ago arrives again.
+    /// An earlier change is delivered again.
     Replay {
-        nth: usize,
+        index: usize,
     },
     Close {
         holder: u64,
     },
-    /// The holders of all past lives are forgotten.
-    Forget,
+    /// The holders of all earlier incarnations are removed.
+    Remove,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (0..4_u64, 0..3000_u64, 0..2000_u64, 1..4_usize, any::<bool>())
-            .prop_map(|(holder, need, back, copies, lost)| Step::Draw { holder, need, back, copies, lost }),
+            .prop_map(|(holder, need, returned, deliveries, first_replies_lost)| Step::Draw { holder, need, returned, deliveries, first_replies_lost }),
         4 => (0..4_u64, 0..2000_u64).prop_map(|(holder, amount)| Step::Spend { holder, amount }),
-        2 => (0..50_usize).prop_map(|nth| Step::Replay { nth }),
+        2 => (0..50_usize).prop_map(|index| Step::Replay { index }),
         1 => (0..4_u64).prop_map(|holder| Step::Close { holder }),
-        1 => Just(Step::Forget),
+        1 => Just(Step::Remove),
     ]
 }
 
@@ -63,7 +64,7 @@
     "account/main".parse().expect("the name is valid")
 }
 
-fn op(id: u64, holder: &mut Holder, need: u64, back: u64, close: bool) -> LedgerOp {
+fn op(id: u64, holder: &mut Holder, need: u64, returned: u64, close: bool) -> LedgerOp {
     holder.seq += 1;
     let region: Region = "north".parse().expect("the name is valid");
     LedgerOp {
@@ -72,7 +73,7 @@
         holder: Incarnation(id),
         seq: holder.seq,
         need: Tokens(need),
-        returned: Tokens(back),
+        returned: Tokens(returned),
         held: Tokens(holder.held),
         rate: TokenRate(10),
         request_size: Tokens(100),
@@ -88,11 +89,17 @@
     }
 }
 
-/// Applies a change, and takes its first good reply into account.
-fn send(shard: &mut LedgerShard, holder: &mut Holder, op: &LedgerOp, copies: usize, lost: bool) {
-    for copy in 0..copies {
+/// Delivers a change and applies the first received reply to the model.
+fn send(
+    shard: &mut LedgerShard,
+    holder: &mut Holder,
+    op: &LedgerOp,
+    deliveries: usize,
+    first_replies_lost: bool,
+) {
+    for delivery in 0..deliveries {
         let reply = shard.apply(op);
-        if lost && copy + 1 < copies {
+        if first_replies_lost && delivery + 1 < deliveries {
             continue;
         }
         let LedgerReply::Applied { seq, granted, .. } = reply else {
@@ -108,63 +115,64 @@
 proptest! {
     #![proptest_config(Config { cases: 1000, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..Config::default() })]
 
+    /// Guards against grants beyond the limit when changes are repeated or their replies are lost.
     #[test]
-    fn hands_out_no_more_than_the_limit(steps in proptest::collection::vec(step(), 1..80)) {
+    fn grants_stay_within_the_limit(steps in proptest::collection::vec(step(), 1..80)) {
         let mut shard = LedgerShard::default();
         let mut holders: BTreeMap<u64, Holder> = BTreeMap::new();
         let mut sent: Vec<LedgerOp> = Vec::new();
-        let mut lives: BTreeMap<u64, u64> = (0..LIVES).map(|id| (id, id)).collect();
+        let mut incarnations: BTreeMap<u64, u64> = (0..VMS).map(|id| (id, id)).collect();
         for step in steps {
             match step {
-                Step::Draw { holder: vm, need, back, copies, lost } => {
-                    let id = lives[&vm];
+                Step::Draw { holder: vm, need, returned, deliveries, first_replies_lost } => {
+                    let id = incarnations[&vm];
                     let holder = holders.entry(id).or_default();
-                    // A change without a reply is sent again before the next is made.
+                    // A holder repeats a change without a reply before it makes the next one.
                     if let Some(pending) = holder.pending.clone() {
-                        send(&mut shard, holder, &pending, copies, lost);
+                        send(&mut shard, holder, &pending, deliveries, first_replies_lost);
                         continue;
                     }
-                    let back = if holder.seq == 0 { 0 } else { back.min(holder.held) };
-                    holder.held -= back;
-                    let op = op(id, holder, need, back, false);
+                    let returned = if holder.seq == 0 { 0 } else { returned.min(holder.held) };
+                    holder.held -= returned;
+                    let op = op(id, holder, need, returned, false);
                     holder.pending = Some(op.clone());
                     sent.push(op.clone());
-                    send(&mut shard, holder, &op, copies, lost);
+                    send(&mut shard, holder, &op, deliveries, first_replies_lost);
                 }
                 Step::Spend { holder: vm, amount } => {
-                    let id = lives[&vm];
+                    let id = incarnations[&vm];
                     let holder = holders.entry(id).or_default();
                     let amount = amount.min(holder.held);
                     holder.held -= amount;
                     holder.spent += amount;
                 }
-                Step::Replay { nth } => {
-                    if let Some(op) = sent.get(nth % sent.len().max(1)) {
+                Step::Replay { index } => {
+                    if let Some(op) = sent.get(index % sent.len().max(1)) {
                         shard.apply(&op.clone());
                     }
                 }
-                Step::Forget => {
-                    let gone: Vec<_> = holders
+                Step::Remove => {
+                    let removed: Vec<_> = holders
                         .keys()
-                        .filter(|id| lives[&(**id % LIVES)] != **id)
+                        .filter(|id| incarnations[&(**id % VMS)] != **id)
                         .map(|id| Incarnation(*id))
                         .collect();
-                    shard.remove_holders(&gone);
+                    shard.remove_holders(&removed);
                 }
                 Step::Close { holder: vm } => {
-                    let id = lives[&vm];
+                    let id = incarnations[&vm];
                     let Some(holder) = holders.get_mut(&id) else {
                         continue;
                     };
                     if holder.pending.is_some() || holder.seq == 0 {
                         continue;
                     }
-                    let back = std::mem::take(&mut holder.held);
-                    let op = op(id, holder, 0, back, true);
+                    let returned = std::mem::take(&mut holder.held);
+                    let op = op(id, holder, 0, returned, true);
                     sent.push(op.clone());
                     shard.apply(&op);
-                    // An incarnation is never used again: its VM goes on with the next.
-                    lives.insert(id % LIVES, id + LIVES);
+                    // Incarnations are not reused; the VM continues with the next one.
+                    incarnations.insert(id % VMS, id + VMS);
                 }
             }
             let total: u64 = holders.values().map(|h| h.held + h.spent).sum();
@@ -179,12 +187,12 @@
 const HOLDER: u64 = 1;
 const WITNESS: u64 = 2;
 const SUCCESSOR: u64 = 3;
-/// What the holder draws in [`held`], and what of it is sealed in the ledger.
+/// The amount that the holder draws in [`drawn_ledger`], and the part of it that is sealed.
 const DRAWN: u64 = 1000;
 const SEALED: u64 = 300;
 
-/// Makes a ledger of which one holder has drawn a part, with a witness and a seal.
-fn held() -> LedgerShard {
+/// Creates a ledger from which one holder with a witness and a seal has drawn tokens.
+fn drawn_ledger() -> LedgerShard {
     let mut shard = LedgerShard::default();
     let mut holder = Holder::default();
     let mut draw = op(HOLDER, &mut holder, DRAWN, 0, false);
@@ -196,103 +204,107 @@
 
 fn seal(vm: &str, amount: u64, claims: &[SealClaim]) -> Seal {
     let vm = vm.parse().expect("the name is valid");
-    let at = Some(FleetTime(1));
-    let (amount, released) = (Tokens(amount), Tokens::ZERO);
-    Seal {
-        vm,
-        amount,
-        unsealed: released,
-        sealed_at: at,
-        decay_ms: 10_000,
-        claims: claims.to_vec(),
-    }
+    let sealed_at = Some(FleetTime(1));
+    let (amount, unsealed) = (Tokens(amount), Tokens::ZERO);
+    Seal { vm, amount, unsealed, sealed_at, decay_ms: 10_000, claims: claims.to_vec() }
 }
 
-/// Makes the first change of a process that says what the holder left untouched.
-fn witnessed(id: u64, amount: u64) -> LedgerOp {
+/// Creates the first change of a process that reports the holder's unspent tokens as witness.
+fn witness_change(id: u64, amount: u64) -> LedgerOp {
     let mut change = op(id, &mut Holder::default(), 0, 0, true);
     change.witness_reports =
         vec![WitnessReport { holder: Incarnation(HOLDER), amount: Tokens(amount) }];
     change
 }
 
-/// Makes the first change of a successor that found the holder's seal unbroken.
-fn unsealed() -> LedgerOp {
+/// Creates the first change of a successor that claims all of the holder's sealed tokens.
+fn successor_change() -> LedgerOp {
     let mut change = op(SUCCESSOR, &mut Holder::default(), 0, 0, true);
     let claim = SealClaim { holder: Incarnation(HOLDER), unspent: Tokens(u64::MAX) };
     change.seal = Some(seal("vm-1", 0, &[claim]));
     change
 }
 
-fn left(shard: &LedgerShard) -> u64 {
+fn remaining(shard: &LedgerShard) -> u64 {
     shard.budgets[&budget()].remaining().0
 }
 
+/// Guards against unspent tokens of a removed holder that are added back more than once, when the
+/// witness repeats its report or another process sends it too.
 #[test]
-fn what_a_witness_knows_to_be_untouched_comes_back_once() {
-    let mut shard = held();
-    assert_eq!(left(&shard), LIMIT - DRAWN);
+fn witness_report_is_applied_once() {
+    let mut shard = drawn_ledger();
+    assert_eq!(remaining(&shard), LIMIT - DRAWN);
     shard.remove_holders(&[Incarnation(HOLDER)]);
-    shard.apply(&witnessed(WITNESS, 700));
-    assert_eq!(left(&shard), LIMIT - DRAWN + 700);
-    // Another change that says so again, and one of another process, have no effect.
-    let mut again = witnessed(WITNESS, 700);
-    again.seq = 2;
-    shard.apply(&again);
-    shard.apply(&witnessed(9, 700));
-    assert_eq!(left(&shard), LIMIT - DRAWN + 700);
+    shard.apply(&witness_change(WITNESS, 700));
+    assert_eq!(remaining(&shard), LIMIT - DRAWN + 700);
+    // A second change with the report, and one from another process, have no effect.
+    let mut repeated = witness_change(WITNESS, 700);
+    repeated.seq = 2;
+    shard.apply(&repeated);
+    shard.apply(&witness_change(9, 700));
+    assert_eq!(remaining(&shard), LIMIT - DRAWN + 700);
 }
 
+/// Guards against reports from a process that is not the holder's witness, which would return tokens
+/// that the holder still spends.
 #[test]
-fn only_the_named_witness_gives_back_for_a_holder() {
-    let mut shard = held();
-    shard.apply(&witnessed(9, 700));
-    assert_eq!(left(&shard), LIMIT - DRAWN);
+fn only_the_recorded_witness_can_report() {
+    let mut shard = drawn_ledger();
+    shard.apply(&witness_change(9, 700));
+    assert_eq!(remaining(&shard), LIMIT - DRAWN);
 }
 
+/// Guards against tokens that are added back twice because both the successor's claim and the
+/// witness's report cover them.
 #[test]
-fn what_is_sealed_and_witnessed_comes_back_once() {
+fn tokens_both_sealed_and_witnessed_are_restored_once() {
     for seal_first in [true, false] {
-        let mut shard = held();
+        let mut shard = drawn_ledger();
         shard.remove_holders(&[Incarnation(HOLDER)]);
-        let mut changes = [unsealed(), witnessed(WITNESS, 700)];
+        let mut changes = [successor_change(), witness_change(WITNESS, 700)];
         if !seal_first {
             changes.reverse();
         }
         for change in &changes {
             shard.apply(change);
         }
-        // The same tokens are sealed and witnessed; the larger of both figures is untouched.
-        assert_eq!(left(&shard), LIMIT - DRAWN + 700, "seal first: {seal_first}");
+        // The claim and the report cover the same tokens; the larger amount is unspent.
+        assert_eq!(remaining(&shard), LIMIT - DRAWN + 700, "seal first: {seal_first}");
     }
 }
 
+/// Guards against a holder that is still running and draws or returns tokens after its witness has
+/// reported them as unspent.
 #[test]
-fn a_holder_for_which_its_witness_spoke_changes_nothing_more() {
-    let mut shard = held();
-    shard.apply(&witnessed(WITNESS, 700));
+fn changes_after_the_witness_report_have_no_effect() {
+    let mut shard = drawn_ledger();
+    shard.apply(&witness_change(WITNESS, 700));
     let mut holder = Holder { seq: 1, ..Holder::default() };
     let reply = shard.apply(&op(HOLDER, &mut holder, 500, 300, false));
     assert!(matches!(reply, LedgerReply::UnknownHolder { .. }), "{reply:?}");
-    assert_eq!(left(&shard), LIMIT - DRAWN + 700);
+    assert_eq!(remaining(&shard), LIMIT - DRAWN + 700);
 }
 
+/// Guards against records of closed holders that stay in the ledger after their witness is removed,
+/// and against reports from a removed witness. While the witness can still report, the record stays.
 #[test]
-fn a_holder_is_forgotten_with_its_witness() {
-    let mut shard = held();
-    shard.apply(&unsealed());
+fn closed_holder_is_removed_with_its_witness() {
+    let mut shard = drawn_ledger();
+    shard.apply(&successor_change());
     shard.remove_holders(&[Incarnation(HOLDER)]);
     assert!(shard.budgets[&budget()].holders.contains_key(&Incarnation(HOLDER)));
     shard.remove_holders(&[Incarnation(WITNESS)]);
-    shard.apply(&witnessed(WITNESS, 700));
-    let back = LIMIT - DRAWN + SEALED;
-    assert_eq!(left(&shard), back, "a removed witness gives nothing back");
+    shard.apply(&witness_change(WITNESS, 700));
+    let returned = LIMIT - DRAWN + SEALED;
+    assert_eq!(remaining(&shard), returned, "the report of a removed witness must have no effect");
 }
 
+/// Guards against claims to sealed tokens that the holder may have spent. A holder of an older
+/// version promises the whole amount for 3.2 s and nothing after, and its record has no decay span.
+/// A promise that decays would last longer than that.
 #[test]
-fn nothing_is_claimed_of_a_holder_that_does_not_say_how_its_promise_falls() {
-    // One of an older version keeps its promise whole for 3.2 s and then not at all: what it had
-    // sealed may be spent while the promise of a newer one would still hold.
+fn seal_without_decay_span_yields_nothing() {
     let older = r#"{"v":"vm-1","a":5000,"t":1000}"#;
     let record: SealRecord = serde_json::from_str(older).expect("an older record");
     assert_eq!(record.unspent_at(FleetTime(1000)), Tokens::ZERO);
--- a/crates/badgerfield-core/tests/queue.rs
+++ b/crates/badgerfield-core/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The fair queue against one that serves in the order of arrival.
+//! Tests of the fair queue.
 
 use badgerfield_core::amount::{Time, Tokens};
 use badgerfield_core::ids::{Account, RunId};
@@ -9,20 +9,22 @@
 }
 
 fn push(queue: &mut Queue, name: &str, id: u64) {
-    let until = Time::from_millis(1_000_000);
-    queue.push(&account(name), QueuedRequest { run: RunId(id), deadline: until });
+    let deadline = Time::from_millis(1_000_000);
+    queue.push(&account(name), QueuedRequest { run: RunId(id), deadline });
 }
 
-/// Serves one request of 100 tokens; returns whose it was.
-fn serve(queue: &mut Queue, priority: impl Fn(&str) -> u32) -> Option<String> {
-    let (name, waiting) = queue.heads().into_iter().next()?;
-    queue.remove(&name, waiting.run);
+/// Serves the next request with 100 tokens and returns its account.
+fn serve_next(queue: &mut Queue, priority: impl Fn(&str) -> u32) -> Option<String> {
+    let (name, head) = queue.heads().into_iter().next()?;
+    queue.remove(&name, head.run);
     queue.start_request(&name);
     queue.count_tokens(&name, priority(name.as_str()), Tokens(100));
     queue.finish_request(Time::default(), &name);
     Some(name.to_string())
 }
 
+/// Guards against an account whose many requests delay those of other accounts. In a queue ordered by
+/// arrival, the small account would be served after 1000 other requests.
 #[test]
 fn flood_does_not_hold_up_another_account() {
     let mut queue = Queue::default();
@@ -32,34 +34,37 @@
     for id in 1000..1010 {
         push(&mut queue, "small", id);
     }
-    let served: Vec<_> = (0..20).filter_map(|_| serve(&mut queue, |_| 1)).collect();
-    // In the order of arrival, the small account would come after a thousand others.
+    let served: Vec<_> = (0..20).filter_map(|_| serve_next(&mut queue, |_| 1)).collect();
     assert_eq!(served.iter().filter(|name| *name == "small").count(), 10);
 }
 
+/// Guards against service that does not follow priorities: at priority 3 against 1, an account gets
+/// three quarters of the service.
 #[test]
-fn priority_divides_the_service() {
+fn service_is_proportional_to_priority() {
     let mut queue = Queue::default();
     for id in 0..400 {
         push(&mut queue, if id % 2 == 0 { "gold" } else { "plain" }, id);
     }
     let priority = |name: &str| if name == "gold" { 3 } else { 1 };
-    let served: Vec<_> = (0..200).filter_map(|_| serve(&mut queue, priority)).collect();
+    let served: Vec<_> = (0..200).filter_map(|_| serve_next(&mut queue, priority)).collect();
     let gold = served.iter().filter(|name| *name == "gold").count();
     assert_eq!(gold, 150);
 }
 
+/// Guards against an account that collects credit while it is idle and then delays all other
+/// accounts.
 #[test]
-fn idle_account_gets_no_hoard() {
+fn idle_account_gains_no_credit() {
     let mut queue = Queue::default();
     for id in 0..500 {
         push(&mut queue, "busy", id);
-        serve(&mut queue, |_| 1);
+        serve_next(&mut queue, |_| 1);
     }
     for id in 500..600 {
         push(&mut queue, if id % 2 == 0 { "busy" } else { "late" }, id);
     }
-    let served: Vec<_> = (0..20).filter_map(|_| serve(&mut queue, |_| 1)).collect();
+    let served: Vec<_> = (0..20).filter_map(|_| serve_next(&mut queue, |_| 1)).collect();
     let late = served.iter().filter(|name| *name == "late").count();
     assert!((9..=11).contains(&late), "late was served {late} of 20");
 }
--- a/crates/badgerfield-core/tests/retry_budget.rs
+++ b/crates/badgerfield-core/tests/retry_budget.rs
@@ -1,5 +1,5 @@
-//! The retry budget of a whole fleet against a naive count: whatever the VMs are asked,
-//! repeats in any window stay within the ratio and the allowance.
+//! Tests of the retry budget: in any window, the repeats of the whole fleet stay within the ratio and
+//! the allowance.
 
 use std::time::Duration;
 
@@ -8,22 +8,24 @@
 use badgerfield_core::retry_budget::{RetryBudget, RetryLimits};
 use proptest::prelude::*;
 
-const BOUND: RetryLimits =
+const LIMITS: RetryLimits =
     RetryLimits { ratio: 0.2, allowance: 50.0, window: Duration::from_secs(10) };
 const VMS: usize = 5;
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
+    /// Guards against repeats beyond the limits for the fleet, when requests and repeats are distributed
+    /// unevenly over the VMs. Compares with a count over the whole fleet.
     #[test]
     fn repeats_stay_within_the_bound(steps in prop::collection::vec((0..VMS, 0_u64..60, any::<bool>()), 1..800)) {
         let service: Service = "pool".parse().expect("the name is valid");
-        let mut vms: Vec<_> = (0..VMS).map(|_| RetryBudget::new(BOUND)).collect();
+        let mut vms: Vec<_> = (0..VMS).map(|_| RetryBudget::new(LIMITS)).collect();
         let (mut now, mut requests, mut repeats) = (0, Vec::new(), Vec::new());
-        for (vm, pause, again) in steps {
-            now += pause;
+        for (vm, delay, is_repeat) in steps {
+            now += delay;
             let time = Time::from_millis(now);
-            if !again {
+            if !is_repeat {
                 vms[vm].count_request(time, &service);
                 requests.push(now);
                 continue;
@@ -32,18 +34,20 @@
                 repeats.push(now);
             }
             let within = |times: &[u64]| times.iter().filter(|t| now - **t <= 10_000).count();
-            let allowed = BOUND.ratio * f64::from(u32::try_from(within(&requests)).expect("few")) + BOUND.allowance;
+            let allowed = LIMITS.ratio * f64::from(u32::try_from(within(&requests)).expect("few")) + LIMITS.allowance;
             let spent = f64::from(u32::try_from(within(&repeats)).expect("few"));
             prop_assert!(spent <= allowed, "{spent} repeats, {allowed} allowed");
         }
     }
 }
 
+/// Guards against a VM that uses more than its part of the allowance, or none, while there are no
+/// requests.
 #[test]
 fn a_fleet_without_requests_has_its_allowance_only() {
     let service: Service = "pool".parse().expect("the name is valid");
-    let mut budget = RetryBudget::new(BOUND);
+    let mut budget = RetryBudget::new(LIMITS);
     let taken = (0..100).filter(|_| budget.try_take(Time::default(), &service, VMS)).count();
     assert!(taken >= 1, "some repeats are allowed");
-    assert!(taken <= 10, "{taken} of the ten that are this VM's share");
+    assert!(taken <= 10, "{taken} repeats; this VM's part of the allowance is 10");
 }
