--- a/crates/badgerfield-core/src/claims/mod.rs
+++ b/crates/badgerfield-core/src/claims/mod.rs
@@ -1,4 +1,4 @@
-//! Claims: who may run a request's key.
+//! Claims: which process may run the request with a key.
 //!
 //! Under the current view one member, the arbiter, decides about a key. A claim takes effect
 //! once two members of the key's home region have recorded it. After each change of the view,
--- a/crates/badgerfield-core/src/ledger.rs
+++ b/crates/badgerfield-core/src/ledger.rs
@@ -29,8 +29,8 @@
 /// A budget is low when there are fewer than this many requests left for each active holder.
 const LOW_SHARE_REQUESTS: u64 = 3;
 /// A low budget has one collector for all regions when fewer than this many requests are left.
-const LAST_REQUESTS: u64 = 6;
-/// A holder whose rate is below the largest rate divided by this gets what it needs, but no share:
+const SINGLE_COLLECTOR_REQUESTS: u64 = 6;
+/// A holder whose rate is below the largest rate divided by this gets its need, but no share:
 /// many such holders would make a budget seem low.
 const MIN_RATE_DIVISOR: u64 = 32;
 /// The maximum number of other holders that a reply lists.
@@ -366,8 +366,8 @@
         }
     }
 
-    /// Adds the tokens that removed holders left unspent, as reported by their witnesses, back to the
-    /// budget.
+    /// Adds the tokens that removed holders left unspent, as reported by their witnesses, back to
+    /// the budget.
     ///
     /// A holder spends parked tokens only with its witness's permission, and a witness gives no
     /// permission once it has the view without that holder.
@@ -437,13 +437,14 @@
                 share
             });
         }
-        let is_last = remaining.0 < request_size.saturating_mul(LAST_REQUESTS);
-        let is_in_scope = |h: &HolderEntry| is_last || h.region.as_ref() == Some(&op.region);
+        let single_collector = remaining.0 < request_size.saturating_mul(SINGLE_COLLECTOR_REQUESTS);
+        let is_in_scope =
+            |h: &HolderEntry| single_collector || h.region.as_ref() == Some(&op.region);
         let scope = || self.active_holders().filter(|(_, h)| is_in_scope(h));
-        let subject = op.budget.as_str().as_bytes();
-        match scope().map(|(id, _)| *id).max_by_key(|id| rendezvous_weight(subject, *id)) {
+        let budget_key = op.budget.as_str().as_bytes();
+        match scope().map(|(id, _)| *id).max_by_key(|id| rendezvous_weight(budget_key, *id)) {
             Some(id) if id != op.holder => HoldingPlan::Defer(id),
-            Some(_) if is_last => HoldingPlan::Collect(self.terms.limit),
+            Some(_) if single_collector => HoldingPlan::Collect(self.terms.limit),
             Some(_) => {
                 let scope_rate: u64 = scope().map(|(_, h)| h.rate.0).sum();
                 HoldingPlan::Collect(remaining.part(scope_rate, total_rate.max(1)))
@@ -518,14 +519,14 @@
     }
 
     fn applied_reply(&self, op: &LedgerOp, granted: Tokens) -> LedgerReply {
-        let mut richest: Vec<_> = self
+        let mut largest: Vec<_> = self
             .holders
             .iter()
             .filter(|(id, holder)| **id != op.holder && !holder.held.is_zero())
             .collect();
-        richest.sort_by_key(|(id, holder)| (std::cmp::Reverse(holder.held), **id));
+        largest.sort_by_key(|(id, holder)| (std::cmp::Reverse(holder.held), **id));
         let other_holders =
-            richest.into_iter().take(MAX_OTHER_HOLDERS).map(|(id, _)| *id).collect();
+            largest.into_iter().take(MAX_OTHER_HOLDERS).map(|(id, _)| *id).collect();
         let (seq, remaining, plan) = (op.seq, self.remaining(), self.plan(op));
         let orphaned_seals =
             op.seal.as_ref().map_or_else(Vec::new, |s| self.orphaned_seals(&s.vm, op.holder));
--- a/crates/badgerfield-core/src/lenders.rs
+++ b/crates/badgerfield-core/src/lenders.rs
@@ -3,7 +3,7 @@
 //! If each of many processes held a share of each budget, the shares would be smaller than a request
 //! and the ledger would list every process. Therefore, in a region with more than
 //! [`MAX_SMALL_VIEW_MEMBERS`] members, each budget is held by a few of them, its lenders. All other
-//! members borrow the tokens that one request needs, and return the rest when it has ended.
+//! members borrow the tokens that one request needs, and return the unspent ones when it has ended.
 //!
 //! Each budget has the same number of backup lenders. They borrow as other members do, but draw from
 //! the ledger when no lender answers. No other member draws, so the ledger lists few processes for a
--- a/crates/badgerfield-core/src/retry_budget.rs
+++ b/crates/badgerfield-core/src/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget: limits for the whole fleet how many requests are sent to a second upstream.
+//! The retry budget: limits how many requests the whole fleet sends to a second upstream.
 //!
 //! In any window, the repeats that arrive at a service are limited to a ratio of its requests plus
 //! an allowance that all VMs share. Each VM applies the ratio to its own requests and uses an equal
--- a/crates/badgerfield-core/src/runs.rs
+++ b/crates/badgerfield-core/src/runs.rs
@@ -136,7 +136,7 @@
 pub(crate) struct Runs {
     next_run: u64,
     next_attempt: u64,
-    runs: BTreeMap<RunId, Run>,
+    by_id: BTreeMap<RunId, Run>,
     by_key: HashMap<RequestKey, RunId>,
     by_request: HashMap<RequestId, RunId>,
     by_attempt: HashMap<AttemptId, RunId>,
@@ -153,7 +153,7 @@
         Self {
             next_run: 1,
             next_attempt: 1,
-            runs: BTreeMap::new(),
+            by_id: BTreeMap::new(),
             by_key: HashMap::new(),
             by_request: HashMap::new(),
             by_attempt: HashMap::new(),
@@ -171,13 +171,13 @@
             self.by_key.insert(keyed.key, id);
         }
         self.by_request.insert(request, id);
-        self.runs.insert(id, run);
+        self.by_id.insert(id, run);
         id
     }
 
     /// Adds a listener to a run.
     pub(crate) fn listen(&mut self, id: RunId, request: RequestId) {
-        let Some(run) = self.runs.get_mut(&id) else {
+        let Some(run) = self.by_id.get_mut(&id) else {
             return;
         };
         run.listeners.push(Listener { request, next: 0 });
@@ -192,17 +192,17 @@
     /// Returns the run of an attempt, if it is that run's current attempt.
     pub(crate) fn of_attempt(&mut self, attempt: AttemptId) -> Option<(RunId, &mut Run)> {
         let id = *self.by_attempt.get(&attempt)?;
-        let run = self.runs.get_mut(&id)?;
+        let run = self.by_id.get_mut(&id)?;
         let is_current = matches!(&run.stage, Stage::Running { attempt: a, .. } if *a == attempt);
         is_current.then_some((id, run))
     }
 
     pub(crate) fn get_mut(&mut self, id: RunId) -> Option<&mut Run> {
-        self.runs.get_mut(&id)
+        self.by_id.get_mut(&id)
     }
 
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = (RunId, &mut Run)> {
-        self.runs.iter_mut().map(|(id, run)| (*id, run))
+        self.by_id.iter_mut().map(|(id, run)| (*id, run))
     }
 
     /// Registers a new attempt of a run.
@@ -221,14 +221,14 @@
     /// Removes a listener; returns its run and how many listeners and followers remain.
     pub(crate) fn hang_up(&mut self, request: RequestId) -> Option<(RunId, usize)> {
         let id = self.by_request.remove(&request)?;
-        let run = self.runs.get_mut(&id)?;
+        let run = self.by_id.get_mut(&id)?;
         run.listeners.retain(|l| l.request != request);
         Some((id, run.listeners.len() + run.followers.len()))
     }
 
     /// Removes a run and its index entries, except those of its attempts.
     pub(crate) fn remove(&mut self, id: RunId) -> Option<Run> {
-        let run = self.runs.remove(&id)?;
+        let run = self.by_id.remove(&id)?;
         if run.has_ended() {
             self.kept_bytes = self.kept_bytes.saturating_sub(run.bytes);
         }
@@ -245,7 +245,7 @@
 
     /// Marks a run as ended. A run with a key is kept, so that retries get its answer.
     pub(crate) fn end(&mut self, now: Time, id: RunId) {
-        let Some(run) = self.runs.get_mut(&id) else {
+        let Some(run) = self.by_id.get_mut(&id) else {
             return;
         };
         if run.has_ended() {
@@ -260,7 +260,7 @@
     pub(crate) fn sweep(&mut self, now: Time, may_store: impl Fn(&Run) -> bool) {
         let mut expired = Vec::new();
         let mut kept_bytes = self.kept_bytes;
-        for (id, run) in &self.runs {
+        for (id, run) in &self.by_id {
             let Stage::Ended { at } = run.stage else {
                 continue;
             };
@@ -282,7 +282,7 @@
 
     /// Returns the number of runs that have not ended.
     pub(crate) fn active_count(&self) -> usize {
-        self.runs.values().filter(|run| !run.has_ended()).count()
+        self.by_id.values().filter(|run| !run.has_ended()).count()
     }
 
     /// Returns the size of the kept answers of ended runs, in bytes.
--- a/crates/badgerfield-core/src/seal.rs
+++ b/crates/badgerfield-core/src/seal.rs
@@ -32,7 +32,7 @@
 
 /// The percentage of the tokens granted beyond the need that is sealed from the start.
 ///
-/// The rest stays unsealed for requests in the near future; a holder leaves no more unsealed.
+/// The rest stays unsealed for the next requests. A holder never leaves a larger part unsealed.
 const GRANT_SEALED_PERCENT: u64 = 60;
 
 /// Returns how much of a grant is sealed from the start, for the ledger as for the holder.
