--- a/crates/badgerfield-core/src/adaptive_timeout.rs
+++ b/crates/badgerfield-core/src/adaptive_timeout.rs
@@ -2,9 +2,9 @@
 //!
 //! Over a slow or congested link every response takes longer than the configured timeout. If all
 //! processes then repeat their calls while the responses are still in transit, the link stays
-//! congested. Therefore the timeout follows the recent response times. It does not grow if responses
-//! were fast and then stop: the store is unavailable in that case, and callers should notice soon
-//! when it is back.
+//! congested. Therefore the timeout follows the recent response times. It does not grow if
+//! responses were fast and then stop: the store is unavailable in that case, and callers should
+//! notice soon when it is back.
 
 use std::time::Duration;
 
--- a/crates/badgerfield-core/src/bootstrap.rs
+++ b/crates/badgerfield-core/src/bootstrap.rs
@@ -1,10 +1,10 @@
 //! Bootstrap: decides which starting processes read whole values from the store.
 //!
 //! All VMs of a region may start at once while the link to the store is slow. The templates and the
-//! list of upstreams are tens of kilobytes each. If every VM read them itself, the reads would delay
-//! each other until they time out and are repeated. Therefore only a few VMs of each region read, and
-//! send the values to the others. If these VMs cannot read, others get a turn, but never more than a
-//! few VMs of a region at a time.
+//! list of upstreams are tens of kilobytes each. If every VM read them itself, the reads would
+//! delay each other until they time out and are repeated. Therefore only a few VMs of each region
+//! read, and send the values to the others. If these VMs cannot read, others get a turn, but never
+//! more than a few VMs of a region at a time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -30,8 +30,8 @@
 
 /// Returns whether it is a process's turn to read whole values from the store.
 ///
-/// `age` is the time since its start. `stored` is the view in the store, or `None` until it was read;
-/// it lists the VMs, including those that have just started and have not joined.
+/// `age` is the time since its start. `stored` is the view in the store, or `None` until it was
+/// read; it lists the VMs, including those that have just started and have not joined.
 pub(crate) fn can_read(age: Time, stored: Option<&View>, me: &Member) -> bool {
     let Some(view) = stored else {
         return false;
@@ -45,9 +45,9 @@
     usize::try_from(turn).unwrap_or_default() % turns == rank / READERS_PER_TURN % turns
 }
 
-/// Returns the member to which a process sends its first request for initial values, or `None` for the
-/// first readers. The members form trees with the first readers at the roots, so that each member
-/// sends the values to few others.
+/// Returns the member to which a process sends its first request for initial values, or `None` for
+/// the first readers. The members form trees with the first readers at the roots, so that each
+/// member sends the values to few others.
 pub(crate) fn tree_parent(view: &View, me: &Member) -> Option<Incarnation> {
     let others = view.members.iter().filter(|m| m.region == me.region && m.vm != me.vm);
     let order: BTreeMap<u64, Incarnation> =
--- a/crates/badgerfield-core/src/event_stream.rs
+++ b/crates/badgerfield-core/src/event_stream.rs
@@ -26,8 +26,8 @@
 
     /// Appends bytes and returns all new complete events.
     ///
-    /// Events whose id is not greater than the last one are skipped: they were already received from
-    /// an earlier upstream.
+    /// Events whose id is not greater than the last one are skipped: they were already received
+    /// from an earlier upstream.
     pub fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.partial.extend_from_slice(bytes);
         let mut complete = BytesMut::new();
--- a/crates/badgerfield-core/src/ledger.rs
+++ b/crates/badgerfield-core/src/ledger.rs
@@ -3,7 +3,7 @@
 //! A shard of the ledger is one value of the store with many budgets. A holder spends only tokens
 //! that were granted to it, so the sum of all spending stays within the limit, whatever happens to
 //! messages, replies, leases or clocks. Every change carries the holder's own sequence number: a
-//! change that is applied twice, or sent again after its reply was lost, has its effect once.
+//! change that is applied twice, or sent again after its reply was lost, takes effect once.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -486,8 +486,8 @@
         spread.of(self.remaining().saturating_add(held)).saturating_sub(held)
     }
 
-    /// Removes the record of a holder whose process has ended, and the records of closed holders that
-    /// were kept only for it as their witness.
+    /// Removes the record of a holder whose process has ended, and the records of closed holders
+    /// that were kept only for it as their witness.
     fn remove_holder(&mut self, id: Incarnation) {
         let mut ended = vec![id];
         for (other, holder) in self.holders.iter_mut().filter(|(_, h)| h.closed) {
--- a/crates/badgerfield-core/src/ledger_writer.rs
+++ b/crates/badgerfield-core/src/ledger_writer.rs
@@ -2,7 +2,7 @@
 //!
 //! Any process can be the writer of any shard; the processes of a region choose the same one by
 //! rank. Correctness does not depend on a unique writer: the store's compare-and-swap orders the
-//! writes, and each change has its effect once.
+//! writes, and each change takes effect once.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -14,8 +14,8 @@
 use crate::ids::{BudgetId, Incarnation, Period};
 use crate::ledger::{LedgerOp, LedgerReply, LedgerShard};
 
-/// The maximum number of shards that are written at the full rate. With more shards, each is written
-/// less often, so that the total write rate stays the same.
+/// The maximum number of shards that are written at the full rate. With more shards, each is
+/// written less often, so that the total write rate stays the same.
 const MAX_FULL_RATE_SHARDS: u32 = 8;
 /// The minimum interval between writes of a shard for which no request waits.
 const WRITE_INTERVAL: Duration = Duration::from_secs(1);
@@ -56,6 +56,7 @@
 struct Shard {
     queue: BTreeMap<(Incarnation, BudgetId), LedgerOp>,
     phase: Phase,
+    /// The last value read or written, with its revision in the store.
     cached: Option<(LedgerShard, u64)>,
     last_write: Option<Time>,
     last_failure: Option<Time>,
@@ -68,8 +69,9 @@
 pub struct LedgerWriter {
     shards: BTreeMap<u32, Shard>,
     removed: VecDeque<Incarnation>,
+    /// The factor by which all intervals are extended if there are many shards.
     interval_factor: u32,
-    interval: Duration,
+    default_interval: Duration,
     conflicts: u64,
     writes: u64,
 }
@@ -80,7 +82,11 @@
     #[must_use]
     pub fn new(shards: u32, report_interval: Duration) -> Self {
         let interval_factor = shards.div_ceil(MAX_FULL_RATE_SHARDS).max(1);
-        Self { interval_factor, interval: WRITE_INTERVAL.min(report_interval), ..Self::default() }
+        Self {
+            interval_factor,
+            default_interval: WRITE_INTERVAL.min(report_interval),
+            ..Self::default()
+        }
     }
 
     /// Returns the number of writes that had a conflict, and of all writes.
@@ -130,7 +136,7 @@
         let removed: Vec<_> = self.removed.iter().copied().collect();
         for (id, shard) in &mut self.shards {
             if let Some(call) =
-                shard.next_call(now, *id, &removed, (self.interval_factor, self.interval))
+                shard.next_call(now, *id, &removed, (self.interval_factor, self.default_interval))
             {
                 calls.push((*id, call));
             }
@@ -182,8 +188,8 @@
         if !matches!(self.phase, Phase::Idle) || self.queue.is_empty() {
             return None;
         }
-        let urgent = self.queue.values().any(is_urgent);
-        let interval = match (urgent, self.is_exhausted) {
+        let has_urgent = self.queue.values().any(is_urgent);
+        let interval = match (has_urgent, self.is_exhausted) {
             (true, false) => URGENT_WRITE_INTERVAL,
             (true, true) => EXHAUSTED_WRITE_INTERVAL,
             (false, _) => default_interval,
@@ -220,9 +226,9 @@
 
     fn complete_ops(&mut self, results: Vec<OpResult>) -> Vec<OpResult> {
         self.is_exhausted = !results.iter().any(|r| has_grant(&r.reply));
-        for reply in &results {
-            let id = (reply.holder, reply.budget.clone());
-            let is_done = self.queue.get(&id).is_some_and(|op| is_answered_by(op, &reply.reply));
+        for result in &results {
+            let id = (result.holder, result.budget.clone());
+            let is_done = self.queue.get(&id).is_some_and(|op| is_answered_by(op, &result.reply));
             if is_done {
                 self.queue.remove(&id);
             }
@@ -256,13 +262,13 @@
 
 /// Returns whether a request waits for a change, or other holders could use the tokens it returns.
 ///
-/// The regular returns of an active holder that seals, and the tokens it unseals, are written at the
-/// usual interval, since such a holder keeps enough tokens unsealed. Tokens returned by a process
-/// that stops or borrows are written without that delay.
+/// The regular returns of an active holder that seals, and the tokens it unseals, are written at
+/// the usual interval, since such a holder keeps enough tokens unsealed. Tokens returned by a
+/// process that stops or borrows are written without that delay.
 fn is_urgent(op: &LedgerOp) -> bool {
     let is_active = op.seal.is_some() && op.rate > TokenRate(0);
-    let returns = !op.returned.is_zero() && !is_active;
-    op.close || returns || !op.need.is_zero()
+    let returns_tokens = !op.returned.is_zero() && !is_active;
+    op.close || returns_tokens || !op.need.is_zero()
 }
 
 fn has_grant(reply: &LedgerReply) -> bool {
--- a/crates/badgerfield-core/src/lenders.rs
+++ b/crates/badgerfield-core/src/lenders.rs
@@ -1,12 +1,12 @@
 //! Lenders: the members that hold a budget in a large fleet, and from which the others borrow.
 //!
-//! If each of many processes held a share of each budget, the shares would be smaller than a request
-//! and the ledger would list every process. Therefore, in a region with more than
+//! If each of many processes held a share of each budget, the shares would be smaller than a
+//! request and the ledger would list every process. Therefore, in a region with more than
 //! [`MAX_SMALL_VIEW_MEMBERS`] members, each budget is held by a few of them, its lenders. All other
 //! members borrow the tokens that one request needs, and return the unspent ones when it has ended.
 //!
-//! Each budget has the same number of backup lenders. They borrow as other members do, but draw from
-//! the ledger when no lender answers. No other member draws, so the ledger lists few processes for a
+//! Each budget also has as many backup lenders. They borrow as other members do, but draw from the
+//! ledger when no lender answers. No other member draws, so the ledger lists few processes for a
 //! budget even when most lenders are unavailable.
 //!
 //! Lenders are ranked by VM, not by process: a new process on the VM of a lender has the same
@@ -34,7 +34,7 @@
 struct Lender {
     id: Incarnation,
     /// A hash of the VM's id, for rankings.
-    vm: Incarnation,
+    vm_hash: Incarnation,
     domain: Domain,
 }
 
@@ -52,7 +52,8 @@
             .len()
             .div_ceil(MEMBERS_PER_LENDER)
             .max(LENDERS_PER_BUDGET + BACKUP_LENDERS_PER_BUDGET);
-        members.sort_by_key(|lender| std::cmp::Reverse(rendezvous_weight(b"lender", lender.vm)));
+        members
+            .sort_by_key(|lender| std::cmp::Reverse(rendezvous_weight(b"lender", lender.vm_hash)));
         members.truncate(count);
         Self(members)
     }
@@ -61,7 +62,8 @@
     pub(crate) fn part(&self, budget: &BudgetId, me: Incarnation) -> BudgetRole {
         let budget_key = budget.as_str().as_bytes();
         let mut ranked = self.0.clone();
-        ranked.sort_by_key(|lender| std::cmp::Reverse(rendezvous_weight(budget_key, lender.vm)));
+        ranked
+            .sort_by_key(|lender| std::cmp::Reverse(rendezvous_weight(budget_key, lender.vm_hash)));
         ranked = spread_domains(ranked);
         ranked.truncate(LENDERS_PER_BUDGET + BACKUP_LENDERS_PER_BUDGET);
         let mut backup_lenders = ranked.split_off(LENDERS_PER_BUDGET.min(ranked.len()));
@@ -75,9 +77,9 @@
         }
         // Each borrower has its own order of lenders, which spreads the load.
         let own_id = me.0.to_be_bytes();
-        ranked.sort_by_key(|lender| std::cmp::Reverse(rendezvous_weight(&own_id, lender.vm)));
+        ranked.sort_by_key(|lender| std::cmp::Reverse(rendezvous_weight(&own_id, lender.vm_hash)));
         backup_lenders
-            .sort_by_key(|lender| std::cmp::Reverse(rendezvous_weight(&own_id, lender.vm)));
+            .sort_by_key(|lender| std::cmp::Reverse(rendezvous_weight(&own_id, lender.vm_hash)));
         ranked.append(&mut backup_lenders);
         BudgetRole { lenders: ranked.into_iter().map(|lender| lender.id).collect(), stands_in }
     }
@@ -88,7 +90,7 @@
         is_lender && self.part(budget, id) == BudgetRole::default()
     }
 
-    /// Returns whether the region has no lenders.
+    /// Returns whether there are no lenders.
     pub(crate) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -99,20 +101,20 @@
 pub(crate) struct BudgetRole {
     /// The members to request tokens from, in this order.
     pub(crate) lenders: Vec<Incarnation>,
-    /// Whether the process is a backup lender: if no lender answers, it draws from the ledger and lends
-    /// to others.
+    /// Whether the process is a backup lender: if no lender answers, it draws from the ledger and
+    /// lends to others.
     pub(crate) stands_in: bool,
 }
 
 impl Lender {
     fn of(member: &Member) -> Self {
-        let vm = Incarnation(xxh3_64(member.vm.as_str().as_bytes()));
-        Self { id: member.incarnation, vm, domain: member.domain.clone() }
+        let vm_hash = Incarnation(xxh3_64(member.vm.as_str().as_bytes()));
+        Self { id: member.incarnation, vm_hash, domain: member.domain.clone() }
     }
 }
 
-/// Moves the first lender of each failure domain to the front and keeps the order otherwise, so that
-/// lenders remain when one domain fails.
+/// Moves the first lender of each failure domain to the front and keeps the order otherwise, so
+/// that lenders remain when one domain fails.
 fn spread_domains(ranked: Vec<Lender>) -> Vec<Lender> {
     let mut seen = BTreeSet::new();
     let is_first = |lender: &Lender| seen.insert(lender.domain.clone());
--- a/crates/badgerfield-core/src/queue.rs
+++ b/crates/badgerfield-core/src/queue.rs
@@ -1,9 +1,9 @@
 //! The fair queue: the order in which waiting requests are dispatched.
 //!
-//! Each account has a counter of the tokens that it was served, divided by its priority. The account
-//! with the lowest counter is next. The counter of an account that was idle is raised to the lowest
-//! counter of the active accounts, so that an account gains no credit while idle. This is the virtual
-//! token counter algorithm.
+//! Each account has a counter of the tokens that it was served, divided by its priority. The
+//! account with the lowest counter is next. The counter of an account that was idle is raised to
+//! the lowest counter of the active accounts, so that an account gains no credit while idle. This
+//! is the virtual token counter algorithm.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -92,11 +92,11 @@
         removed > 0
     }
 
-    /// Estimates the remaining wait of a request; returns `None` if it is not queued, or if no request
-    /// has ended recently.
+    /// Estimates the remaining wait of a request; returns `None` if it is not queued, or if no
+    /// request has ended recently.
     ///
-    /// The estimate assumes that all accounts with queued requests are served equally often, and that
-    /// requests end at the recent rate.
+    /// The estimate assumes that all accounts with queued requests are served equally often, and
+    /// that requests end at the recent rate.
     #[must_use]
     pub fn wait(&self, now: Time, account: &Account, run: RunId) -> Option<Duration> {
         let queue = self.queues.get(account)?;
@@ -163,8 +163,8 @@
         self.queues.get(account).map_or(0, |queue| queue.served)
     }
 
-    /// Returns the lowest counter of the accounts with queued or running requests; if there are none,
-    /// the highest counter of any account that has started a request.
+    /// Returns the lowest counter of the accounts with queued or running requests; if there are
+    /// none, the highest counter of any account that has started a request.
     fn min_counter(&self) -> u64 {
         let active = self.queues.values().filter(|queue| queue.is_active());
         active.map(|queue| queue.served).min().unwrap_or(self.max_counter)
--- a/crates/badgerfield-core/src/refusal.rs
+++ b/crates/badgerfield-core/src/refusal.rs
@@ -44,7 +44,8 @@
     /// The budget has too few tokens left.
     #[error("the prepaid budget has too little left for this request")]
     BudgetSpent,
-    /// The remaining tokens are reserved for running requests or held by members that do not answer.
+    /// The remaining tokens are reserved for running requests or held by members that do not
+    /// answer.
     #[error("what is left of the prepaid budget is held elsewhere for now; come back later")]
     BudgetHeld,
     /// No upstream becomes available within the maximum wait.
--- a/crates/badgerfield-core/src/retry_budget.rs
+++ b/crates/badgerfield-core/src/retry_budget.rs
@@ -60,8 +60,8 @@
         remove_expired(&mut window.requests, now, max_age);
     }
 
-    /// Takes one repeat for a service if the budget allows it; `vms` is the number of VMs that share
-    /// the allowance.
+    /// Takes one repeat for a service if the budget allows it; `vms` is the number of VMs that
+    /// share the allowance.
     pub fn try_take(&mut self, now: Time, service: &Service, vms: usize) -> bool {
         if self.remaining(now, service, vms) < 1.0 {
             return false;
--- a/crates/badgerfield-core/src/runs.rs
+++ b/crates/badgerfield-core/src/runs.rs
@@ -38,7 +38,7 @@
     Assumed,
 }
 
-/// The stage of a run.
+/// The progress of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Stage {
     /// Waits for the arbiter's reply to a claim request.
@@ -88,7 +88,7 @@
     pub(crate) output: Tokens,
     pub(crate) reserved: Tokens,
     pub(crate) stage: Stage,
-    /// How often an upstream has not taken the request.
+    /// The number of attempts that no upstream accepted.
     pub(crate) tries: u32,
     pub(crate) resumes: u32,
     pub(crate) usage: Option<Usage>,
@@ -147,8 +147,8 @@
 }
 
 impl Runs {
-    /// Creates an empty table that keeps answers of ended runs for
-    /// `answer_retention`, up to `max_answer_bytes`.
+    /// Creates an empty table that keeps the answers of ended runs for `answer_retention`, up to
+    /// `max_answer_bytes`.
     pub(crate) fn new(answer_retention: Duration, max_answer_bytes: usize) -> Self {
         Self {
             next_run: 1,
@@ -255,8 +255,8 @@
         self.kept_bytes += run.bytes;
     }
 
-    /// Removes ended runs that all listeners have received in full, if they have no key or are past
-    /// the retention period, exceed the byte limit or may not be stored here.
+    /// Removes ended runs whose listeners have received the whole answer, if they have no key, are
+    /// past the retention period, exceed the byte limit or may not be stored here.
     pub(crate) fn sweep(&mut self, now: Time, may_store: impl Fn(&Run) -> bool) {
         let mut expired = Vec::new();
         let mut kept_bytes = self.kept_bytes;
--- a/crates/badgerfield-core/src/seal.rs
+++ b/crates/badgerfield-core/src/seal.rs
@@ -1,15 +1,16 @@
 //! Sealed tokens: tokens of a holding that its holder promises not to spend for a while.
 //!
-//! A process holds tokens ahead of demand for outages of the store. If all processes end at once, no
-//! process knows how much of them was spent. Therefore the ledger records how much of a holding is
-//! sealed, and since when. The promise decays linearly, so that the holder may have spent all sealed
-//! tokens after [`DECAY_SPAN`]. Its successor on the same VM computes how many of them cannot have
-//! been spent when it started, and returns them to the ledger.
+//! A process holds tokens ahead of demand for outages of the store. If all processes end at once,
+//! no process knows how much of them was spent. Therefore the ledger records how much of a holding
+//! is sealed, and since when. The promise decays linearly, so that the holder may have spent all
+//! sealed tokens after [`DECAY_SPAN`]. Its successor on the same VM computes how many of them
+//! cannot have been spent when it started, and returns them to the ledger.
 //!
 //! The promise depends on these conditions: only one process runs on a VM at a time; the holder's
-//! clock is monotonic; and there is a fleet time on which more than half of the fleet's clocks agree,
-//! or in a large fleet three quarters of the clocks from which a process receives heartbeats. If the
-//! clocks do not agree, nothing is claimed: this loses tokens but never exceeds a limit.
+//! clock is monotonic; and there is a fleet time on which more than half of the fleet's clocks
+//! agree, or in a large fleet three quarters of the clocks from which a process receives
+//! heartbeats. If the clocks do not agree, nothing is claimed: this loses tokens but never exceeds
+//! a limit.
 
 use std::time::Duration;
 
@@ -20,12 +21,12 @@
 
 /// The span over which the promise for sealed tokens decays to zero.
 ///
-/// It is a little shorter than the span of demand that is held ahead, so that the tokens last for an
-/// outage of about that length.
+/// It is a little shorter than the span of demand that is held ahead, so that the tokens last for
+/// an outage of about that length.
 ///
 /// The decay is linear to limit the loss when power fails late in an outage. At 4.5 s, a promise of
-/// the whole amount for 3.2 s lost 34,000 and 33,000 of 120,000 tokens of two accounts; linear decay
-/// lost 22,000 and 13,000.
+/// the whole amount for 3.2 s lost 34,000 and 33,000 of 120,000 tokens of two accounts; linear
+/// decay lost 22,000 and 13,000.
 pub const DECAY_SPAN: Duration = Duration::from_secs(10);
 /// The maximum difference between clocks that agree.
 pub const MAX_CLOCK_DIFFERENCE: Duration = Duration::from_millis(250);
@@ -59,8 +60,8 @@
     pub unsealed: Tokens,
     /// The time of the seal; `None` if the holder promises nothing.
     pub sealed_at: Option<FleetTime>,
-    /// The span over which the promise decays, in milliseconds. Holders of older versions do not send
-    /// it; nothing is claimed from their seals, since they may have spent the whole amount.
+    /// The span over which the promise decays, in milliseconds. Holders of older versions do not
+    /// send it; nothing is claimed from their seals, since they may have spent the whole amount.
     #[serde(default)]
     pub decay_ms: u64,
     /// The unspent sealed tokens of earlier processes on this VM.
@@ -160,8 +161,8 @@
 impl FleetClock {
     /// Computes the fleet's time at the start of this process.
     ///
-    /// Each offset is a clock's time less the time since this process started; `quorum` is the number
-    /// of clocks that must agree.
+    /// Each offset is a clock's time less the time since this process started; `quorum` is the
+    /// number of clocks that must agree.
     #[must_use]
     pub fn from_offsets(mut offsets: Vec<u64>, quorum: usize) -> Self {
         offsets.sort_unstable();
--- a/crates/badgerfield-core/tests/event_stream.rs
+++ b/crates/badgerfield-core/tests/event_stream.rs
@@ -20,7 +20,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against incomplete, lost or changed events when the bytes arrive in pieces of any size.
+    /// Guards against incomplete, lost or changed events when the bytes arrive in pieces of any
+    /// size.
     #[test]
     fn complete_events_are_forwarded_unchanged(events in 0_u64..40, cuts in prop::collection::vec(1_usize..30, 1..200)) {
         let bytes = stream(events);
@@ -41,8 +42,8 @@
         prop_assert!(scanner.partial_event().is_empty());
     }
 
-    /// Guards against lost or repeated events when a stream breaks off and a second upstream resumes it
-    /// after the last event or repeats earlier ones.
+    /// Guards against lost or repeated events when a stream breaks off and a second upstream
+    /// resumes it after the last event or repeats earlier ones.
     #[test]
     fn resumed_stream_has_each_event_once(
         events in 2_u64..40,
--- a/crates/badgerfield-core/tests/ledger.rs
+++ b/crates/badgerfield-core/tests/ledger.rs
@@ -25,8 +25,8 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// A holder sends a change, which is delivered `deliveries` times. If `first_replies_lost` is set,
-    /// the holder receives only the last reply.
+    /// A holder sends a change, which is delivered `deliveries` times. If `first_replies_lost` is
+    /// set, the holder receives only the last reply.
     Draw {
         holder: u64,
         need: u64,
@@ -246,8 +246,8 @@
     assert_eq!(remaining(&shard), LIMIT - DRAWN + 700);
 }
 
-/// Guards against reports from a process that is not the holder's witness, which would return tokens
-/// that the holder still spends.
+/// Guards against reports from a process that is not the holder's witness, which would return
+/// tokens that the holder still spends.
 #[test]
 fn only_the_recorded_witness_can_report() {
     let mut shard = drawn_ledger();
@@ -287,7 +287,8 @@
 }
 
 /// Guards against records of closed holders that stay in the ledger after their witness is removed,
-/// and against reports from a removed witness. While the witness can still report, the record stays.
+/// and against reports from a removed witness. While the witness can still report, the record
+/// stays.
 #[test]
 fn closed_holder_is_removed_with_its_witness() {
     let mut shard = drawn_ledger();
--- a/crates/badgerfield-core/tests/queue.rs
+++ b/crates/badgerfield-core/tests/queue.rs
@@ -23,8 +23,8 @@
     Some(name.to_string())
 }
 
-/// Guards against an account whose many requests delay those of other accounts. In a queue ordered by
-/// arrival, the small account would be served after 1000 other requests.
+/// Guards against an account whose many requests delay those of other accounts. In a queue ordered
+/// by arrival, the small account would be served after 1000 other requests.
 #[test]
 fn flood_does_not_hold_up_another_account() {
     let mut queue = Queue::default();
--- a/crates/badgerfield-core/tests/retry_budget.rs
+++ b/crates/badgerfield-core/tests/retry_budget.rs
@@ -1,5 +1,5 @@
-//! Tests of the retry budget: in any window, the repeats of the whole fleet stay within the ratio and
-//! the allowance.
+//! Tests of the retry budget: in any window, the repeats of the whole fleet stay within the ratio
+//! and the allowance.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against repeats beyond the limits for the fleet, when requests and repeats are distributed
-    /// unevenly over the VMs. Compares with a count over the whole fleet.
+    /// Guards against repeats beyond the limits for the fleet, when requests and repeats are
+    /// distributed unevenly over the VMs. Compares with a count over the whole fleet.
     #[test]
     fn repeats_stay_within_the_bound(steps in prop::collection::vec((0..VMS, 0_u64..60, any::<bool>()), 1..800)) {
         let service: Service = "pool".parse().expect("the name is valid");
