--- a/crates/badgerfield-core/src/handlers/admission.rs
+++ b/crates/badgerfield-core/src/handlers/admission.rs
@@ -11,12 +11,12 @@
 use crate::template::{AccountTemplate, KeyDigest, MAX_OUTPUT_TOKENS, TemplateSet, account_name};
 
 /// What marks a key that names the region that decides about it, as `@region:key`.
-const HOME_MARK: char = '@';
+const HOME_REGION_PREFIX: char = '@';
 /// When to come back to another VM.
-const ELSEWHERE: Duration = Duration::from_secs(1);
+const OTHER_VM_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// What the templates say about a request.
-struct Admitted {
+struct MatchedTemplate {
     account: Account,
     budget: BudgetId,
     period: Period,
@@ -58,34 +58,34 @@
         request: RequestId,
         arrival: IncomingRequest,
     ) -> Result<Run, Refusal> {
-        self.check_open(now)?;
-        let admitted = self.look_up(&arrival)?;
-        let keyed = arrival.key.as_deref().map(|key| keyed(key, &admitted));
-        let once = arrival.at_most_once || forbids_repeats(&admitted.template, &arrival.work);
+        self.check_accepting(now)?;
+        let matched = self.find_template(&arrival)?;
+        let keyed = arrival.key.as_deref().map(|key| run_key(key, &matched));
+        let once = arrival.at_most_once || is_unrepeatable(&matched.template, &arrival.work);
         if once && keyed.is_none() {
             return Err(Refusal::not_run(Cause::KeyMissing));
         }
-        let (bound, output) = bound(&admitted.template, &arrival.work)?;
-        if !allows(&admitted.template, &arrival.work) {
+        let (bound, output) = max_cost(&matched.template, &arrival.work)?;
+        if !is_allowed(&matched.template, &arrival.work) {
             return Err(Refusal::not_run(Cause::Forbidden));
         }
         // What operators wrote allows no region; only they can change that.
-        if admitted.template.regions.allows_none() {
+        if matched.template.regions.allows_none() {
             return Err(Refusal::not_run(Cause::NoRegionAllowed));
         }
         let wait = arrival
             .max_wait
-            .unwrap_or(admitted.template.queue_wait)
-            .min(admitted.template.queue_wait);
+            .unwrap_or(matched.template.queue_wait)
+            .min(matched.template.queue_wait);
         let claimed = if keyed.is_some() { Claimed::Open } else { Claimed::Unneeded };
         Ok(Run {
             arrival,
-            account: admitted.account,
-            budget: admitted.budget,
-            period: admitted.period,
-            priority: admitted.template.priority,
+            account: matched.account,
+            budget: matched.budget,
+            period: matched.period,
+            priority: matched.template.priority,
             keyed,
-            residency: admitted.template.regions,
+            residency: matched.template.regions,
             once,
             claimed,
             over: None,
@@ -105,35 +105,35 @@
         })
     }
 
-    fn check_open(&self, now: Time) -> Result<(), Refusal> {
+    fn check_accepting(&self, now: Time) -> Result<(), Refusal> {
         let members = self.state.membership();
-        let closed = members
+        let is_stopped = members
             .stopping_since
             .is_some_and(|since| now.since(since) >= self.config.directory_ttl);
-        if closed || members.removed {
-            return Err(Refusal::not_run(Cause::Stopping).with_retry_after(ELSEWHERE));
+        if is_stopped || members.removed {
+            return Err(Refusal::not_run(Cause::Stopping).with_retry_after(OTHER_VM_RETRY_AFTER));
         }
         if !members.is_member() {
-            return Err(Refusal::not_run(Cause::NotReady).with_retry_after(ELSEWHERE));
+            return Err(Refusal::not_run(Cause::NotReady).with_retry_after(OTHER_VM_RETRY_AFTER));
         }
         Ok(())
     }
 
-    fn look_up(&self, arrival: &IncomingRequest) -> Result<Admitted, Refusal> {
+    fn find_template(&self, arrival: &IncomingRequest) -> Result<MatchedTemplate, Refusal> {
         let templates = self.state.templates();
         if templates.version.0 == 0 {
-            return Err(Refusal::not_run(Cause::NotReady).with_retry_after(ELSEWHERE));
+            return Err(Refusal::not_run(Cause::NotReady).with_retry_after(OTHER_VM_RETRY_AFTER));
         }
         let unknown = Refusal::not_run(Cause::UnknownCaller);
         let found = find_budget(&templates, &arrival.secret_digest).ok_or(unknown)?;
         let template = templates.account_of(&found.0).ok_or(unknown)?.clone();
         let account = account_name(&found.0).parse().map_err(|_| unknown)?;
-        Ok(Admitted { account, budget: found.0, period: found.1, template })
+        Ok(MatchedTemplate { account, budget: found.0, period: found.1, template })
     }
 
     /// Lets a request listen to a run with the same key, or starts a run for it.
     fn join_or_start(&self, now: Time, request: RequestId, run: Run, out: &mut Outbox) {
-        let (id, fresh) = {
+        let (id, is_new) = {
             let mut runs = self.state.runs();
             let same = run.keyed.as_ref().and_then(|k| runs.with_key(k.key));
             match same {
@@ -144,7 +144,7 @@
                 None => (runs.add(run, request), true),
             }
         };
-        if !fresh {
+        if !is_new {
             self.deliver(id, out);
             return;
         }
@@ -158,14 +158,14 @@
     Some((found.0.clone(), found.1.period))
 }
 
-fn keyed(key: &str, admitted: &Admitted) -> RunKey {
-    let named = key.strip_prefix(HOME_MARK).and_then(|rest| rest.split_once(':'));
-    let home = named.and_then(|(region, _)| region.parse().ok());
-    let home = home.or_else(|| admitted.template.home.clone());
-    RunKey { key: RequestKey::new(&admitted.budget, key), home }
+fn run_key(key: &str, matched: &MatchedTemplate) -> RunKey {
+    let prefix = key.strip_prefix(HOME_REGION_PREFIX).and_then(|rest| rest.split_once(':'));
+    let home = prefix.and_then(|(region, _)| region.parse().ok());
+    let home = home.or_else(|| matched.template.home.clone());
+    RunKey { key: RequestKey::new(&matched.budget, key), home }
 }
 
-fn forbids_repeats(template: &AccountTemplate, work: &Work) -> bool {
+fn is_unrepeatable(template: &AccountTemplate, work: &Work) -> bool {
     let Work::Call(call) = work else {
         return false;
     };
@@ -173,7 +173,7 @@
     template.unrepeatable.iter().any(|prefix| path.starts_with(prefix.as_str()))
 }
 
-fn allows(template: &AccountTemplate, work: &Work) -> bool {
+fn is_allowed(template: &AccountTemplate, work: &Work) -> bool {
     match work {
         Work::Chat(chat) => {
             let adapter = chat.adapter.as_ref().is_none_or(|a| template.adapters.contains(a));
@@ -184,7 +184,7 @@
 }
 
 /// Returns the most that a request can cost, and its output limit.
-fn bound(template: &AccountTemplate, work: &Work) -> Result<(Tokens, Tokens), Refusal> {
+fn max_cost(template: &AccountTemplate, work: &Work) -> Result<(Tokens, Tokens), Refusal> {
     let Work::Chat(chat) = work else {
         return Ok((template.call_cost, Tokens::ZERO));
     };
--- a/crates/badgerfield-core/src/handlers/answer.rs
+++ b/crates/badgerfield-core/src/handlers/answer.rs
@@ -18,35 +18,35 @@
         out: &mut Outbox,
     ) {
         match event {
-            UpstreamEvent::Head(head) => self.head(now, attempt, head, out),
-            UpstreamEvent::Chunk(chunk) => self.chunk(now, attempt, chunk, out),
+            UpstreamEvent::Head(head) => self.handle_head(now, attempt, head, out),
+            UpstreamEvent::Chunk(chunk) => self.handle_chunk(now, attempt, chunk, out),
             UpstreamEvent::Ended { parts, usage } => {
-                if self.is_whole(attempt, parts) {
-                    self.upstream_ended(now, attempt, usage, out);
+                if self.has_all_parts(attempt, parts) {
+                    self.handle_end(now, attempt, usage, out);
                 } else {
-                    self.gap(now, attempt, out);
+                    self.handle_gap(now, attempt, out);
                 }
             }
             UpstreamEvent::NotSent => {
-                if let Some((id, upstream)) = self.over(now, attempt) {
+                if let Some((id, upstream)) = self.end_attempt(now, attempt) {
                     self.state.upstreams().record_failure(now, &upstream);
-                    self.not_taken(now, id, out);
+                    self.handle_not_taken(now, id, out);
                 }
             }
-            UpstreamEvent::Busy(rest) => {
-                if let Some((id, upstream)) = self.over(now, attempt) {
+            UpstreamEvent::Busy(back_off) => {
+                if let Some((id, upstream)) = self.end_attempt(now, attempt) {
                     self.state.upstreams().record_failure(now, &upstream);
-                    self.state.upstreams().back_off(now, &upstream, rest.unwrap_or_default());
-                    self.not_taken(now, id, out);
+                    self.state.upstreams().back_off(now, &upstream, back_off.unwrap_or_default());
+                    self.handle_not_taken(now, id, out);
                 }
             }
             UpstreamEvent::NoStream => {
-                if let Some((id, _)) = self.over(now, attempt) {
-                    self.no_stream(now, id, out);
+                if let Some((id, _)) = self.end_attempt(now, attempt) {
+                    self.handle_no_stream(now, id, out);
                 }
             }
             UpstreamEvent::Broken => {
-                if let Some((id, upstream)) = self.over(now, attempt) {
+                if let Some((id, upstream)) = self.end_attempt(now, attempt) {
                     self.state.upstreams().record_failure(now, &upstream);
                     self.resume_broken(now, id, &upstream, out);
                 }
@@ -65,9 +65,9 @@
                 return;
             };
             // A run with a key goes on: its caller may come back for the answer.
-            let wanted = listening > 0 || run.has_ended();
+            let is_needed = listening > 0 || run.has_ended();
             match &run.stage {
-                _ if wanted => return,
+                _ if is_needed => return,
                 Stage::Running { .. } if run.keyed.is_some() => return,
                 Stage::Running { attempt, .. } => (id, Some(*attempt)),
                 _ => (id, None),
@@ -86,8 +86,8 @@
             return;
         };
         for listener in &mut run.listeners {
-            for (place, part) in run.parts.iter().enumerate().skip(listener.next) {
-                out.answer(listener.request, place, answer(part));
+            for (index, part) in run.parts.iter().enumerate().skip(listener.next) {
+                out.answer(listener.request, index, to_answer(part));
             }
             listener.next = run.parts.len();
         }
@@ -95,8 +95,8 @@
             return;
         };
         for (to, next) in &mut run.followers {
-            for (place, content) in run.parts.iter().enumerate().skip(*next) {
-                let offset = u64::try_from(place).unwrap_or(u64::MAX);
+            for (index, content) in run.parts.iter().enumerate().skip(*next) {
+                let offset = u64::try_from(index).unwrap_or(u64::MAX);
                 let (key, serial, content) = (keyed.key, id.0, content.clone());
                 out.send(*to, Message::AnswerPart(AnswerPart { key, serial, offset, content }));
             }
@@ -109,10 +109,10 @@
         let Some(run) = self.state.runs().remove(id) else {
             return;
         };
-        let refusal = truthful(&run, refusal);
+        let refusal = adjust_outcome(&run, refusal);
         for listener in &run.listeners {
-            let begun = listener.next > 0;
-            let answer = if begun { Answer::Broken(refusal) } else { Answer::Refused(refusal) };
+            let has_begun = listener.next > 0;
+            let answer = if has_begun { Answer::Broken(refusal) } else { Answer::Refused(refusal) };
             out.answer(listener.request, listener.next, answer);
         }
         if let Some(keyed) = &run.keyed {
@@ -157,8 +157,8 @@
     }
 
     /// Goes on without a stream that the upstream does not have.
-    pub(crate) fn no_stream(&self, now: Time, id: RunId, out: &mut Outbox) {
-        let anew = {
+    pub(crate) fn handle_no_stream(&self, now: Time, id: RunId, out: &mut Outbox) {
+        let can_requeue = {
             let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
@@ -166,39 +166,39 @@
             run.earlier = None;
             !run.once && run.parts.is_empty()
         };
-        if anew {
-            self.try_again(now, id, out);
+        if can_requeue {
+            self.requeue(now, id, out);
             return;
         }
-        let once =
+        let is_once =
             self.state.runs().get_mut(id).is_some_and(|run| run.once && run.parts.is_empty());
-        if once {
+        if is_once {
             self.refuse(now, id, Refusal::may_have_run(Cause::KeyLost), out);
             return;
         }
         self.give_up(now, id, out);
     }
 
-    fn not_taken(&self, now: Time, id: RunId, out: &mut Outbox) {
-        let (begun, resumed) = {
+    fn handle_not_taken(&self, now: Time, id: RunId, out: &mut Outbox) {
+        let (has_begun, is_resumed) = {
             let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
             (!run.parts.is_empty(), run.earlier.is_some() || run.resumes > 0)
         };
-        if !begun && !resumed {
-            self.try_again(now, id, out);
+        if !has_begun && !is_resumed {
+            self.requeue(now, id, out);
             return;
         }
-        if resumed && !begun {
-            self.no_stream(now, id, out);
+        if is_resumed && !has_begun {
+            self.handle_no_stream(now, id, out);
             return;
         }
         self.give_up(now, id, out);
     }
 
-    fn head(&self, now: Time, attempt: AttemptId, head: Head, out: &mut Outbox) {
+    fn handle_head(&self, now: Time, attempt: AttemptId, head: Head, out: &mut Outbox) {
         let id = {
             let mut runs = self.state.runs();
             let Some((id, run)) = runs.of_attempt(attempt) else {
@@ -214,8 +214,8 @@
         self.deliver(id, out);
     }
 
-    fn chunk(&self, now: Time, attempt: AttemptId, chunk: Chunk, out: &mut Outbox) {
-        let (id, first, served) = {
+    fn handle_chunk(&self, now: Time, attempt: AttemptId, chunk: Chunk, out: &mut Outbox) {
+        let (id, first_token, served) = {
             let mut runs = self.state.runs();
             let Some((id, run)) = runs.of_attempt(attempt) else {
                 return;
@@ -227,7 +227,7 @@
             }
             if chunk.offset > next {
                 drop(runs);
-                self.gap(now, attempt, out);
+                self.handle_gap(now, attempt, out);
                 return;
             }
             let before = run.usage.unwrap_or_default().output;
@@ -237,12 +237,13 @@
             let Stage::Running { upstream, at, started, .. } = &mut run.stage else {
                 return;
             };
-            let fresh = !std::mem::replace(started, true);
-            let first = fresh.then(|| (upstream.clone(), now.since(*at), run.arrival.work.clone()));
-            (id, first, (run.account.clone(), run.priority, served))
+            let is_first = !std::mem::replace(started, true);
+            let first_token =
+                is_first.then(|| (upstream.clone(), now.since(*at), run.arrival.work.clone()));
+            (id, first_token, (run.account.clone(), run.priority, served))
         };
-        if let Some((upstream, took, work)) = first {
-            self.state.upstreams().record_first_token(&upstream, &work, took);
+        if let Some((upstream, delay, work)) = first_token {
+            self.state.upstreams().record_first_token(&upstream, &work, delay);
         }
         let (account, priority, tokens) = served;
         self.state.queue().count_tokens(&account, priority, tokens);
@@ -250,26 +251,20 @@
     }
 
     /// Tells whether all parts of an answer that has ended are here.
-    fn is_whole(&self, attempt: AttemptId, parts: u64) -> bool {
+    fn has_all_parts(&self, attempt: AttemptId, parts: u64) -> bool {
         let mut runs = self.state.runs();
         runs.of_attempt(attempt).is_none_or(|(_, run)| run.next_chunk() >= parts)
     }
 
     /// Fetches parts that were lost on the way; the stream at the upstream goes on.
-    fn gap(&self, now: Time, attempt: AttemptId, out: &mut Outbox) {
-        if let Some((id, upstream)) = self.over(now, attempt) {
+    fn handle_gap(&self, now: Time, attempt: AttemptId, out: &mut Outbox) {
+        if let Some((id, upstream)) = self.end_attempt(now, attempt) {
             self.resume_broken(now, id, &upstream, out);
         }
     }
 
-    fn upstream_ended(
-        &self,
-        now: Time,
-        attempt: AttemptId,
-        usage: Option<Usage>,
-        out: &mut Outbox,
-    ) {
-        let Some((id, _)) = self.over(now, attempt) else {
+    fn handle_end(&self, now: Time, attempt: AttemptId, usage: Option<Usage>, out: &mut Outbox) {
+        let Some((id, _)) = self.end_attempt(now, attempt) else {
             return;
         };
         let cost = {
@@ -292,7 +287,7 @@
     }
 
     /// Ends an attempt; returns its run and upstream if it was the run's present one.
-    fn over(&self, now: Time, attempt: AttemptId) -> Option<(RunId, UpstreamId)> {
+    fn end_attempt(&self, now: Time, attempt: AttemptId) -> Option<(RunId, UpstreamId)> {
         let (id, upstream, account, work, started) = {
             let mut runs = self.state.runs();
             let (id, run) = runs.of_attempt(attempt)?;
@@ -301,12 +296,12 @@
             };
             (id, upstream.clone(), run.account.clone(), run.arrival.work.clone(), *started)
         };
-        self.attempt_over(now, attempt, &upstream, (&account, &work, started));
+        self.release_attempt(now, attempt, &upstream, (&account, &work, started));
         Some((id, upstream))
     }
 }
 
-fn answer(part: &PartContent) -> Answer {
+fn to_answer(part: &PartContent) -> Answer {
     match part {
         PartContent::Head(head) => Answer::Head(head.clone()),
         PartContent::Data(data) => Answer::Data(data.clone()),
@@ -317,15 +312,15 @@
 
 /// Says "not run" only where the key is known not to have run before.
 ///
-/// A repeatable request may have run without its arbiter's word at a place that is cut
+/// A repeatable request may have run without its arbiter's word at a index that is cut
 /// off, so a fresh claim proves something only for a request that may run once.
-fn truthful(run: &Run, refusal: Refusal) -> Refusal {
-    let sure = match run.claimed {
+fn adjust_outcome(run: &Run, refusal: Refusal) -> Refusal {
+    let is_certain = match run.claimed {
         Claimed::Unneeded => true,
         Claimed::Fresh => run.once,
         Claimed::Open | Claimed::Inherited | Claimed::Assumed => false,
     };
-    if sure {
+    if is_certain {
         return refusal;
     }
     Refusal { outcome: Outcome::Unknown, ..refusal }
--- a/crates/badgerfield-core/src/handlers/charging.rs
+++ b/crates/badgerfield-core/src/handlers/charging.rs
@@ -10,7 +10,7 @@
 impl Node {
     /// Settles an ended run at its cost and bills it, once the arbiter agrees.
     pub(crate) fn charge(&self, now: Time, id: RunId, cost: Tokens, out: &mut Outbox) {
-        let (note, bill) = {
+        let (pending, bill) = {
             let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
@@ -21,17 +21,17 @@
             if run.keyed.is_none() {
                 holdings.record_charge(&run.budget, run.period, cost, true);
             }
-            (self.note_of(id, run, cost), self.bill_of(id, run, cost))
+            (self.new_pending_charge(id, run, cost), self.new_bill(id, run, cost))
         };
-        let Some(note) = note else {
+        let Some(pending) = pending else {
             out.push(Command::Bill(bill));
             return;
         };
-        self.state.charges().add(now, note);
+        self.state.charges().add(now, pending);
         self.tick_charges(now, out);
     }
 
-    fn note_of(&self, id: RunId, run: &Run, cost: Tokens) -> Option<PendingCharge> {
+    fn new_pending_charge(&self, id: RunId, run: &Run, cost: Tokens) -> Option<PendingCharge> {
         let keyed = run.keyed.as_ref()?;
         Some(PendingCharge {
             id: ChargeId { owner: self.id(), serial: id.0 },
@@ -45,7 +45,7 @@
         })
     }
 
-    fn bill_of(&self, id: RunId, run: &Run, cost: Tokens) -> Bill {
+    fn new_bill(&self, id: RunId, run: &Run, cost: Tokens) -> Bill {
         let (account, budget) = (run.account.clone(), run.budget.clone());
         let stream = self.stream_name(id, run);
         Bill { account, budget, key: None, stream, cost, billed: true }
@@ -53,13 +53,13 @@
 
     /// Asks arbiters about charges that are due.
     pub(crate) fn tick_charges(&self, now: Time, out: &mut Outbox) {
-        let (asks, expired) = {
+        let (requests, expired) = {
             let mut charges = self.state.charges();
             charges.sweep(now, self.config.key_retention);
             (charges.due_requests(now), charges.expired(now, self.config.key_retention))
         };
-        for ask in asks {
-            self.ask_settle(now, ask, out);
+        for request in requests {
+            self.send_settle_request(now, request, out);
         }
         // An arbiter that has forgotten the key cannot say who bills it.
         for id in expired {
@@ -67,37 +67,37 @@
         }
     }
 
-    fn ask_settle(&self, now: Time, ask: SettleRequest, out: &mut Outbox) {
-        let keyed = RunKey { key: ask.key, home: ask.home.clone() };
-        let Some(arbiter) = self.places(&keyed)[0] else {
+    fn send_settle_request(&self, now: Time, request: SettleRequest, out: &mut Outbox) {
+        let keyed = RunKey { key: request.key, home: request.home.clone() };
+        let Some(arbiter) = self.arbiter_and_backup(&keyed)[0] else {
             return;
         };
         if arbiter != self.id() {
-            out.send(arbiter, Message::SettleRequest(ask));
+            out.send(arbiter, Message::SettleRequest(request));
             return;
         }
         let (billed, epoch) = {
             let mut claims = self.state.claims();
-            (claims.settle(now, arbiter, &ask, out), claims.epoch())
+            (claims.settle(now, arbiter, &request, out), claims.epoch())
         };
         if let Some(billed) = billed {
-            self.handle_settle_reply(now, ask.id, epoch, billed, out);
+            self.handle_settle_reply(now, request.id, epoch, billed, out);
         }
     }
 
-    /// Answers a process that asks whether it may bill a key.
+    /// Answers a process that requests whether it may bill a key.
     pub(crate) fn handle_settle_request(
         &self,
         now: Time,
         from: Incarnation,
-        ask: &SettleRequest,
+        request: &SettleRequest,
         out: &mut Outbox,
     ) {
         let (billed, epoch) = {
             let mut claims = self.state.claims();
-            (claims.settle(now, from, ask, out), claims.epoch())
+            (claims.settle(now, from, request, out), claims.epoch())
         };
-        let id = ask.id;
+        let id = request.id;
         if let Some(billed) = billed {
             out.send(from, Message::SettleReply { id, epoch, billed });
         }
@@ -123,24 +123,24 @@
     }
 
     fn end_charge(&self, id: ChargeId, billed: bool, out: &mut Outbox) {
-        let Some(note) = self.state.charges().remove(id) else {
+        let Some(charge) = self.state.charges().remove(id) else {
             return;
         };
-        self.state.holdings().record_charge(&note.budget, note.period, note.cost, billed);
-        let (account, budget) = (note.account, note.budget);
-        let (key, stream, cost) = (Some(note.key), note.stream, note.cost);
+        self.state.holdings().record_charge(&charge.budget, charge.period, charge.cost, billed);
+        let (account, budget) = (charge.account, charge.budget);
+        let (key, stream, cost) = (Some(charge.key), charge.stream, charge.cost);
         out.push(Command::Bill(Bill { account, budget, key, stream, cost, billed }));
     }
 
     /// Hands open charges to another process, because this one ends.
-    pub(crate) fn hand_charges(&self, now: Time, out: &mut Outbox) {
-        let notes = self.state.charges().due_handover(now);
-        let usable = self.state.membership().available_members(now);
-        let near = |m: &&crate::view::Member| m.region == self.config.member.region;
-        let others = || usable.iter().filter(|m| m.incarnation != self.id());
-        let heir = others().find(near).or_else(|| others().next());
-        if let Some(heir) = heir.filter(|_| !notes.is_empty()) {
-            out.send(heir.incarnation, Message::Charges(notes));
+    pub(crate) fn hand_over_charges(&self, now: Time, out: &mut Outbox) {
+        let charges = self.state.charges().due_handover(now);
+        let available = self.state.membership().available_members(now);
+        let is_near = |m: &&crate::view::Member| m.region == self.config.member.region;
+        let others = || available.iter().filter(|m| m.incarnation != self.id());
+        let successor = others().find(is_near).or_else(|| others().next());
+        if let Some(successor) = successor.filter(|_| !charges.is_empty()) {
+            out.send(successor.incarnation, Message::Charges(charges));
         }
     }
 
@@ -149,11 +149,11 @@
         &self,
         now: Time,
         from: Incarnation,
-        notes: Vec<PendingCharge>,
+        charges: Vec<PendingCharge>,
         out: &mut Outbox,
     ) {
-        let ids = notes.iter().map(|note| note.id).collect();
-        self.state.charges().take_over(now, notes);
+        let ids = charges.iter().map(|charge| charge.id).collect();
+        self.state.charges().take_over(now, charges);
         out.send(from, Message::ChargesAck(ids));
         self.tick_charges(now, out);
     }
--- a/crates/badgerfield-core/src/handlers/claiming.rs
+++ b/crates/badgerfield-core/src/handlers/claims.rs
@@ -14,16 +14,16 @@
 use crate::refusal::{Cause, Refusal};
 use crate::runs::{Claimed, Run, RunKey, Stage};
 
-/// How often an unanswered ask is sent again.
-const RESEND: Duration = Duration::from_millis(150);
+/// How often an unanswered request is sent again.
+const RESEND_INTERVAL: Duration = Duration::from_millis(150);
 /// How long a repeatable request waits for its arbiter.
-const ASSUME: Duration = Duration::from_millis(400);
+const ARBITER_TIMEOUT: Duration = Duration::from_millis(400);
 /// How often a follower asks its owner for more.
-const FOLLOW: Duration = Duration::from_millis(400);
+const FOLLOW_INTERVAL: Duration = Duration::from_millis(400);
 /// After how long without a word from the owner a follower takes over.
-const LOST: Duration = Duration::from_millis(1500);
+const OWNER_TIMEOUT: Duration = Duration::from_millis(1500);
 /// When to come back if nobody can decide about a key.
-const UNDECIDED: Duration = Duration::from_secs(2);
+const UNDECIDED_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl Node {
     /// Starts a run: its key first, if it has one.
@@ -40,61 +40,73 @@
             }
             run.stage = Stage::Claiming { since: now, sent: now };
         }
-        self.ask_claim(now, id, out);
+        self.send_claim_request(now, id, out);
     }
 
-    fn ask_claim(&self, now: Time, id: RunId, out: &mut Outbox) {
+    fn send_claim_request(&self, now: Time, id: RunId, out: &mut Outbox) {
         let epoch = self.state.claims().epoch();
-        let Some((ask, again)) = self.make_ask(now, id, epoch) else {
+        let Some((request, is_retry)) = self.build_claim_request(now, id, epoch) else {
             return;
         };
-        let [arbiter, second] = self.places(&RunKey { key: ask.key, home: ask.home.clone() });
+        let [arbiter, backup] =
+            self.arbiter_and_backup(&RunKey { key: request.key, home: request.home.clone() });
         let Some(arbiter) = arbiter else {
             return;
         };
-        // An arbiter that does not answer may be gone; the second may know what ran where.
-        if let Some(second) = second.filter(|to| again && *to != self.id()) {
-            out.send(second, Message::ClaimRequest(ask.clone()));
+        // An arbiter that does not answer may be gone; the backup may know what ran where.
+        if let Some(backup) = backup.filter(|to| is_retry && *to != self.id()) {
+            out.send(backup, Message::ClaimRequest(request.clone()));
         }
         if arbiter != self.id() {
-            out.send(arbiter, Message::ClaimRequest(ask));
+            out.send(arbiter, Message::ClaimRequest(request));
             return;
         }
-        let verdict = self.state.claims().decide(now, arbiter, &ask, out);
-        if let Some(verdict) = verdict {
-            self.handle_claim_reply(now, arbiter, (ask.key, ask.serial, epoch), verdict, out);
+        let decision = self.state.claims().decide(now, arbiter, &request, out);
+        if let Some(decision) = decision {
+            self.handle_claim_reply(
+                now,
+                arbiter,
+                (request.key, request.serial, epoch),
+                decision,
+                out,
+            );
         }
     }
 
-    /// Returns the arbiter and the second keeper of a key.
-    pub(crate) fn places(&self, keyed: &RunKey) -> [Option<Incarnation>; 2] {
+    /// Returns the arbiter and the backup keeper of a key.
+    pub(crate) fn arbiter_and_backup(&self, keyed: &RunKey) -> [Option<Incarnation>; 2] {
         let members = self.state.membership();
         let arbiters = members.view.arbiters(keyed.key, keyed.home.as_ref());
-        let Some((first, second)) = arbiters else {
+        let Some((arbiter, backup)) = arbiters else {
             return [None, None];
         };
-        [Some(first.incarnation), second.map(|m| m.incarnation)]
+        [Some(arbiter.incarnation), backup.map(|m| m.incarnation)]
     }
 
     /// Remembers where a key may have run, to resume it there.
-    fn hinted(&self, id: RunId, hint: Option<UpstreamId>) {
+    fn record_hint(&self, id: RunId, hint: Option<UpstreamId>) {
         let mut runs = self.state.runs();
         if let Some(run) = runs.get_mut(id) {
             run.earlier = hint.or(run.earlier.take());
         }
     }
 
-    fn make_ask(&self, now: Time, id: RunId, epoch: Epoch) -> Option<(ClaimRequest, bool)> {
+    fn build_claim_request(
+        &self,
+        now: Time,
+        id: RunId,
+        epoch: Epoch,
+    ) -> Option<(ClaimRequest, bool)> {
         let mut runs = self.state.runs();
         let run = runs.get_mut(id)?;
         let Stage::Claiming { since, sent } = &mut run.stage else {
             return None;
         };
-        let again = now > *since;
+        let is_retry = now > *since;
         *sent = now;
         let keyed = run.keyed.clone()?;
         let (once, over) = (run.once, run.over);
-        let ask = ClaimRequest {
+        let request = ClaimRequest {
             key: keyed.key,
             home: keyed.home,
             serial: id.0,
@@ -102,7 +114,7 @@
             at_most_once: once,
             replaces: over,
         };
-        Some((ask, again))
+        Some((request, is_retry))
     }
 
     /// Answers a process that asks for a key.
@@ -110,22 +122,22 @@
         &self,
         now: Time,
         from: Incarnation,
-        ask: &ClaimRequest,
+        request: &ClaimRequest,
         out: &mut Outbox,
     ) {
-        let (verdict, epoch) = {
+        let (decision, epoch) = {
             let mut claims = self.state.claims();
-            (claims.decide(now, from, ask, out), claims.epoch())
+            (claims.decide(now, from, request, out), claims.epoch())
         };
-        if let Some(verdict) = verdict {
+        if let Some(decision) = decision {
             out.send(
                 from,
-                Message::ClaimReply { key: ask.key, serial: ask.serial, epoch, decision: verdict },
+                Message::ClaimReply { key: request.key, serial: request.serial, epoch, decision },
             );
         }
     }
 
-    /// Keeps a second copy for an arbiter.
+    /// Keeps a backup copy for an arbiter.
     pub(crate) fn record_claim_backup(
         &self,
         now: Time,
@@ -140,24 +152,24 @@
         }
     }
 
-    /// Grants a claim, or agrees to a charge, once its second copy is kept.
+    /// Grants a claim, or agrees to a charge, once its backup copy is kept.
     pub(crate) fn handle_claim_backup_ack(
         &self,
         now: Time,
         from: Incarnation,
-        about: (RequestKey, RunId, bool),
+        claim: (RequestKey, RunId, bool),
         out: &mut Outbox,
     ) {
-        let (key, id, ended) = about;
+        let (key, id, ended) = claim;
         let settlement = self.state.claims().copied(from, key, id.0, ended);
         let serial = id.0;
         match settlement {
             None => {}
-            Some(Settlement::Granted { owner, epoch, verdict }) if owner == self.id() => {
-                self.handle_claim_reply(now, owner, (key, serial, epoch), verdict, out);
+            Some(Settlement::Granted { owner, epoch, verdict: decision }) if owner == self.id() => {
+                self.handle_claim_reply(now, owner, (key, serial, epoch), decision, out);
             }
-            Some(Settlement::Granted { owner, epoch, verdict }) => {
-                out.send(owner, Message::ClaimReply { key, serial, epoch, decision: verdict });
+            Some(Settlement::Granted { owner, epoch, verdict: decision }) => {
+                out.send(owner, Message::ClaimReply { key, serial, epoch, decision });
             }
             Some(Settlement::Billed { to, id, epoch }) if to == self.id() => {
                 self.handle_settle_reply(now, id, epoch, true, out);
@@ -168,24 +180,24 @@
         }
     }
 
-    /// Takes in the arbiter's verdict.
+    /// Takes in the arbiter's decision.
     pub(crate) fn handle_claim_reply(
         &self,
         now: Time,
         from: Incarnation,
-        about: (RequestKey, u64, Epoch),
-        verdict: ClaimDecision,
+        claim: (RequestKey, u64, Epoch),
+        decision: ClaimDecision,
         out: &mut Outbox,
     ) {
-        let (key, serial, epoch) = about;
+        let (key, serial, epoch) = claim;
         let id = RunId(serial);
         if !self.is_claiming(id, key) {
             return;
         }
-        match verdict {
-            ClaimDecision::Granted { previous_upstream: earlier, owner_changes: turn } => {
-                if self.keep_own(now, id, epoch, turn, earlier.as_ref())
-                    && self.granted(id, earlier)
+        match decision {
+            ClaimDecision::Granted { previous_upstream: earlier, owner_changes } => {
+                if self.record_own_claim(now, id, epoch, owner_changes, earlier.as_ref())
+                    && self.apply_grant(id, earlier)
                 {
                     self.reserve(now, id, out);
                 }
@@ -200,7 +212,7 @@
             ClaimDecision::Owned { owner, serial, ended, .. } => {
                 self.follow(now, id, (owner, serial, ended), out);
             }
-            ClaimDecision::Wait { hint } => self.hinted(id, hint),
+            ClaimDecision::Wait { hint } => self.record_hint(id, hint),
             ClaimDecision::Uncertain => {
                 self.refuse(now, id, Refusal::may_have_run(Cause::KeyLost), out)
             }
@@ -210,55 +222,64 @@
     /// Sends asks again, and ends those that took too long.
     pub(crate) fn tick_claims(&self, now: Time, out: &mut Outbox) {
         self.state.claims().tick(now, out);
-        let (mut again, mut assume, mut late, mut lost, mut more) =
+        let (mut resend, mut assume, mut expired, mut lost, mut poll) =
             (vec![], vec![], vec![], vec![], vec![]);
         for (id, run) in self.state.runs().iter_mut() {
             match run.stage {
-                Stage::Claiming { .. } if now >= run.until && run.once => late.push(id),
-                Stage::Claiming { since, .. } if !run.once && now.since(since) >= ASSUME => {
+                Stage::Claiming { .. } if now >= run.until && run.once => expired.push(id),
+                Stage::Claiming { since, .. }
+                    if !run.once && now.since(since) >= ARBITER_TIMEOUT =>
+                {
                     assume.push(id);
                 }
-                Stage::Claiming { sent, .. } if now.since(sent) >= RESEND => again.push(id),
-                Stage::Following { heard, .. } if now.since(heard) >= LOST => lost.push(id),
-                Stage::Following { sent, .. } if now.since(sent) >= FOLLOW => more.push(id),
+                Stage::Claiming { sent, .. } if now.since(sent) >= RESEND_INTERVAL => {
+                    resend.push(id)
+                }
+                Stage::Following { heard, .. } if now.since(heard) >= OWNER_TIMEOUT => {
+                    lost.push(id)
+                }
+                Stage::Following { sent, .. } if now.since(sent) >= FOLLOW_INTERVAL => {
+                    poll.push(id)
+                }
                 _ => {}
             }
         }
-        for id in again {
-            self.ask_claim(now, id, out);
+        for id in resend {
+            self.send_claim_request(now, id, out);
         }
         for id in assume {
-            self.assume(now, id, out);
+            self.assume_claim(now, id, out);
         }
-        for id in late {
-            if !self.stops_claiming(id) {
+        for id in expired {
+            if !self.end_claiming(id) {
                 continue;
             }
-            let refusal = Refusal::may_have_run(Cause::KeyUndecided).with_retry_after(UNDECIDED);
+            let refusal =
+                Refusal::may_have_run(Cause::KeyUndecided).with_retry_after(UNDECIDED_RETRY_AFTER);
             self.refuse(now, id, refusal, out);
         }
         for id in lost {
             self.take_over(now, id, out);
         }
-        for id in more {
-            self.ask_more(now, id, out);
+        for id in poll {
+            self.request_answer_parts(now, id, out);
         }
     }
 
     /// Tells the arbiter and the keeper that a key was not run and never will be.
     pub(crate) fn release(&self, keyed: &RunKey, id: RunId, out: &mut Outbox) {
         self.state.claims().release(self.id(), keyed.key, id.0);
-        for place in self.places(keyed).into_iter().flatten() {
-            self.release_at(place, keyed.key, id.0, out);
+        for holder in self.arbiter_and_backup(keyed).into_iter().flatten() {
+            self.release_at(holder, keyed.key, id.0, out);
         }
     }
 
-    fn release_at(&self, place: Incarnation, key: RequestKey, serial: u64, out: &mut Outbox) {
-        if place == self.id() {
+    fn release_at(&self, holder: Incarnation, key: RequestKey, serial: u64, out: &mut Outbox) {
+        if holder == self.id() {
             self.state.claims().release(self.id(), key, serial);
             return;
         }
-        out.send(place, Message::Release { key, serial });
+        out.send(holder, Message::Release { key, serial });
     }
 
     /// Passes on what a follower lacks.
@@ -277,8 +298,9 @@
             let mut runs = self.state.runs();
             let charge = ChargeId { owner: self.id(), serial };
             let settling = self.state.charges().contains(charge);
-            let mine = runs.get_mut(id).filter(|r| r.keyed.as_ref().is_some_and(|k| k.key == key));
-            if let Some(run) = mine {
+            let own_run =
+                runs.get_mut(id).filter(|r| r.keyed.as_ref().is_some_and(|k| k.key == key));
+            if let Some(run) = own_run {
                 let next = usize::try_from(offset).unwrap_or(usize::MAX).min(run.parts.len());
                 run.followers.insert(from, next);
                 let idle = next == run.parts.len();
@@ -315,11 +337,11 @@
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
-            if !hears(now, run, from, part.serial) {
+            if !record_owner_contact(now, run, from, part.serial) {
                 return;
             }
-            let place = u64::try_from(run.parts.len()).unwrap_or(u64::MAX);
-            if part.offset != place {
+            let next_offset = u64::try_from(run.parts.len()).unwrap_or(u64::MAX);
+            if part.offset != next_offset {
                 return;
             }
             let last = matches!(part.content, PartContent::End(_) | PartContent::Broken);
@@ -345,7 +367,7 @@
             return;
         };
         if let Some(run) = runs.get_mut(id) {
-            hears(now, run, from, serial);
+            record_owner_contact(now, run, from, serial);
         }
     }
 
@@ -366,7 +388,7 @@
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
-            if !hears(now, run, from, serial) {
+            if !record_owner_contact(now, run, from, serial) {
                 return;
             }
             let ended = matches!(run.stage, Stage::Following { ended: true, .. });
@@ -388,10 +410,10 @@
             run.over = None;
             run.stage = Stage::Following { owner, serial, ended, sent: now, heard: now };
         }
-        self.ask_more(now, id, out);
+        self.request_answer_parts(now, id, out);
     }
 
-    fn ask_more(&self, now: Time, id: RunId, out: &mut Outbox) {
+    fn request_answer_parts(&self, now: Time, id: RunId, out: &mut Outbox) {
         let mut runs = self.state.runs();
         let Some(run) = runs.get_mut(id) else {
             return;
@@ -408,7 +430,7 @@
         out.send(*owner, Message::AnswerRequest { key, home, serial: *serial, offset });
     }
 
-    /// Claims a key in place of an owner that does not answer.
+    /// Claims a key in holder of an owner that does not answer.
     fn take_over(&self, now: Time, id: RunId, out: &mut Outbox) {
         let ended = {
             let mut runs = self.state.runs();
@@ -419,7 +441,7 @@
                 return;
             };
             run.over = Some((owner, serial));
-            run.until = run.until.max(now.after(LOST));
+            run.until = run.until.max(now.after(OWNER_TIMEOUT));
             run.stage = Stage::Claiming { since: now, sent: now };
             ended
         };
@@ -427,13 +449,13 @@
             self.refuse(now, id, Refusal::may_have_run(Cause::AnswerGone), out);
             return;
         }
-        self.ask_claim(now, id, out);
+        self.send_claim_request(now, id, out);
     }
 
     /// Lets a repeatable request go on although its arbiter does not answer.
-    fn assume(&self, now: Time, id: RunId, out: &mut Outbox) {
+    fn assume_claim(&self, now: Time, id: RunId, out: &mut Outbox) {
         // The arbiter's word may have come since it was found late.
-        if !self.stops_claiming(id) {
+        if !self.end_claiming(id) {
             return;
         }
         let key = {
@@ -444,9 +466,9 @@
             run.claimed = Claimed::Assumed;
             run.keyed.as_ref().map(|keyed| keyed.key)
         };
-        // This process may be the second keeper, and know what ran where.
+        // This process may be the backup keeper, and know what ran where.
         let hint = key.and_then(|key| self.state.claims().hint(key));
-        self.hinted(id, hint);
+        self.record_hint(id, hint);
         self.reserve(now, id, out);
     }
 
@@ -460,7 +482,7 @@
     }
 
     /// Ends the wait for an arbiter that took too long; tells whether this thread ended it.
-    fn stops_claiming(&self, id: RunId) -> bool {
+    fn end_claiming(&self, id: RunId) -> bool {
         let mut runs = self.state.runs();
         let Some(run) = runs.get_mut(id).filter(|run| run.is_claiming()) else {
             return false;
@@ -470,12 +492,12 @@
     }
 
     /// Remembers an own claim, so that a new arbiter can learn of it.
-    fn keep_own(
+    fn record_own_claim(
         &self,
         now: Time,
         id: RunId,
         epoch: Epoch,
-        turn: u32,
+        owner_changes: u32,
         earlier: Option<&UpstreamId>,
     ) -> bool {
         let record = {
@@ -491,7 +513,7 @@
                 home: keyed.home,
                 owner: self.id(),
                 serial: id.0,
-                owner_changes: turn,
+                owner_changes,
                 at_most_once: run.once,
                 progress: earlier
                     .map_or(ClaimProgress::Held, |id| ClaimProgress::Dispatched(id.clone())),
@@ -502,8 +524,8 @@
 
     /// Takes in that the arbiter lets a run go on; tells whether this thread may go on with it.
     /// Another does if the same word came twice, or the wait was over just now.
-    fn granted(&self, id: RunId, earlier: Option<UpstreamId>) -> bool {
-        if !self.stops_claiming(id) {
+    fn apply_grant(&self, id: RunId, earlier: Option<UpstreamId>) -> bool {
+        if !self.end_claiming(id) {
             return false;
         }
         let mut runs = self.state.runs();
@@ -517,11 +539,11 @@
 }
 
 /// Notes a word from the owner; tells whether the run follows it.
-fn hears(now: Time, run: &mut Run, from: Incarnation, about: u64) -> bool {
+fn record_owner_contact(now: Time, run: &mut Run, from: Incarnation, owner_serial: u64) -> bool {
     let Stage::Following { owner, serial, heard, .. } = &mut run.stage else {
         return false;
     };
-    if *owner != from || *serial != about {
+    if *owner != from || *serial != owner_serial {
         return false;
     }
     *heard = now;
--- a/crates/badgerfield-core/src/handlers/directory.rs
+++ b/crates/badgerfield-core/src/handlers/directory.rs
@@ -12,32 +12,32 @@
 use crate::view::Member;
 
 /// The smallest subset to which an account is steered.
-const LEAST: usize = 2;
+const MIN_SUBSET_SIZE: usize = 2;
 
 impl Node {
     /// Returns the VMs that a caller should use, the best first.
     #[must_use]
     pub fn directory(&self, now: Time, secret: Option<&KeyDigest>) -> Vec<Member> {
         let mut members = self.available_members(now);
-        let Some((account, size)) = secret.and_then(|s| self.subset_of(s)) else {
+        let Some((account, size)) = secret.and_then(|s| self.find_subset(s)) else {
             return members;
         };
         let region = &self.config.member.region;
         let rank = |m: &Member| crate::ids::rendezvous_weight(account.as_bytes(), m.incarnation);
         members.sort_by_key(|m| (&m.region != region, std::cmp::Reverse(rank(m))));
-        spread(members, size)
+        spread_over_domains(members, size)
     }
 
-    fn subset_of(&self, secret: &KeyDigest) -> Option<(String, usize)> {
+    fn find_subset(&self, secret: &KeyDigest) -> Option<(String, usize)> {
         let templates = self.state.templates();
         let (id, _) = templates.budgets.iter().find(|(_, b)| b.keys.contains(secret))?;
         let size = usize::try_from(templates.account_of(id)?.priority).ok()?;
-        Some((account_name(id).to_owned(), size.max(LEAST)))
+        Some((account_name(id).to_owned(), size.max(MIN_SUBSET_SIZE)))
     }
 }
 
 /// Takes the best members, of as many failure domains as there are first.
-fn spread(members: Vec<Member>, size: usize) -> Vec<Member> {
+fn spread_over_domains(members: Vec<Member>, size: usize) -> Vec<Member> {
     let mut domains = BTreeSet::new();
     let (mut first, mut rest) = (Vec::new(), Vec::new());
     for member in members {
--- a/crates/badgerfield-core/src/handlers/dispatch.rs
+++ b/crates/badgerfield-core/src/handlers/dispatch.rs
@@ -18,14 +18,15 @@
 /// How often a stream may be resumed at its upstream.
 const MAX_RESUMES: u32 = 3;
 /// When to come back if no upstream serves a request.
-const NO_UPSTREAM: Duration = Duration::from_secs(2);
+const NO_UPSTREAM_RETRY_AFTER: Duration = Duration::from_secs(2);
 /// The shortest and the longest span after which to come back to a full queue.
-const BACK: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(30));
+const QUEUE_RETRY_AFTER_RANGE: (Duration, Duration) =
+    (Duration::from_secs(1), Duration::from_secs(30));
 
 impl Node {
     /// Puts a run into the queue, or refuses it if it would wait too long.
     pub(crate) fn enqueue(&self, now: Time, id: RunId, out: &mut Outbox) {
-        let (account, until) = {
+        let (account, deadline) = {
             let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
@@ -33,12 +34,14 @@
             run.stage = Stage::Queued;
             (run.account.clone(), run.until)
         };
-        self.state.queue().push(&account, QueuedRequest { run: id, deadline: until });
+        self.state.queue().push(&account, QueuedRequest { run: id, deadline });
         self.dispatch_queued(now, out);
         let wait = self.state.queue().wait(now, &account, id);
-        let patience = until.since(now);
-        if let Some(wait) = wait.filter(|wait| *wait > patience) {
-            let after = wait.saturating_sub(patience).clamp(BACK.0, BACK.1);
+        let max_wait = deadline.since(now);
+        if let Some(wait) = wait.filter(|wait| *wait > max_wait) {
+            let after = wait
+                .saturating_sub(max_wait)
+                .clamp(QUEUE_RETRY_AFTER_RANGE.0, QUEUE_RETRY_AFTER_RANGE.1);
             self.refuse(now, id, Refusal::not_run(Cause::Overloaded).with_retry_after(after), out);
         }
     }
@@ -47,44 +50,49 @@
     pub(crate) fn tick_queue(&self, now: Time, out: &mut Outbox) {
         let expired = self.state.queue().expired(now);
         for id in expired {
-            self.refuse(now, id, Refusal::not_run(Cause::Overloaded).with_retry_after(BACK.0), out);
+            self.refuse(
+                now,
+                id,
+                Refusal::not_run(Cause::Overloaded).with_retry_after(QUEUE_RETRY_AFTER_RANGE.0),
+                out,
+            );
         }
     }
 
-    /// Sends as many waiting requests as upstreams take, in fair order.
+    /// Sends as many queued requests as upstreams take, in fair order.
     pub(crate) fn dispatch_queued(&self, now: Time, out: &mut Outbox) {
         let mut blocked = BTreeSet::new();
         loop {
             let heads = self.state.queue().heads();
             let head = heads.into_iter().find(|(account, _)| !blocked.contains(account));
-            let Some((account, waiting)) = head else {
+            let Some((account, queued)) = head else {
                 return;
             };
-            match self.choose(now, waiting.run) {
+            match self.choose_upstream(now, queued.run) {
                 Some(VmUpstreamChoice::Selected(upstream)) => {
                     // Other threads look at the same head: whoever takes it out sends it.
-                    if self.state.queue().remove(&account, waiting.run) {
-                        self.send_new(now, waiting.run, &upstream, out);
+                    if self.state.queue().remove(&account, queued.run) {
+                        self.send_first_attempt(now, queued.run, &upstream, out);
                     }
                 }
                 Some(VmUpstreamChoice::Full(_)) => {
                     blocked.insert(account);
                 }
                 Some(VmUpstreamChoice::Unavailable) => {
-                    if self.state.queue().remove(&account, waiting.run) {
-                        let refusal =
-                            Refusal::not_run(Cause::NoUpstream).with_retry_after(NO_UPSTREAM);
-                        self.refuse(now, waiting.run, refusal, out);
+                    if self.state.queue().remove(&account, queued.run) {
+                        let refusal = Refusal::not_run(Cause::NoUpstream)
+                            .with_retry_after(NO_UPSTREAM_RETRY_AFTER);
+                        self.refuse(now, queued.run, refusal, out);
                     }
                 }
                 None => {
-                    self.state.queue().remove(&account, waiting.run);
+                    self.state.queue().remove(&account, queued.run);
                 }
             }
         }
     }
 
-    fn choose(&self, now: Time, id: RunId) -> Option<VmUpstreamChoice> {
+    fn choose_upstream(&self, now: Time, id: RunId) -> Option<VmUpstreamChoice> {
         let (work, account, residency) = {
             let mut runs = self.state.runs();
             let run = runs.get_mut(id)?;
@@ -93,29 +101,31 @@
         let template = self.state.templates().accounts.get(&account)?.clone();
         let seed = self.config.seed ^ id.0;
         let region = &self.config.member.region;
-        let wish = VmUpstreamCriteria {
+        let criteria = VmUpstreamCriteria {
             work: &work,
             template: &template,
             residency: &residency,
             region,
             seed,
         };
-        Some(self.state.upstreams().choose(now, &wish))
+        Some(self.state.upstreams().choose(now, &criteria))
     }
 
-    fn send_new(&self, now: Time, id: RunId, upstream: &UpstreamId, out: &mut Outbox) {
+    fn send_first_attempt(&self, now: Time, id: RunId, upstream: &UpstreamId, out: &mut Outbox) {
         let keyed = {
             let mut runs = self.state.runs();
             runs.get_mut(id).and_then(|run| run.keyed.clone())
         };
         if let Some(keyed) = keyed {
             self.state.claims().record_dispatch(now, self.id(), keyed.key, id.0, upstream.clone());
-            for to in self.places(&keyed).into_iter().flatten().filter(|to| *to != self.id()) {
+            for to in
+                self.arbiter_and_backup(&keyed).into_iter().flatten().filter(|to| *to != self.id())
+            {
                 let (key, serial, upstream) = (keyed.key, id.0, upstream.clone());
                 out.send(to, Message::Dispatching { key, serial, upstream });
             }
         }
-        self.send_to(now, id, upstream, None, out);
+        self.send_attempt(now, id, upstream, None, out);
     }
 
     /// Resumes the stream that an earlier owner of the key has started.
@@ -127,12 +137,12 @@
             };
             (run.earlier.clone(), run.next_chunk())
         };
-        let known = earlier.filter(|earlier| self.may_get(id, earlier));
-        let Some(upstream) = known else {
-            self.no_stream(now, id, out);
+        let resumable = earlier.filter(|earlier| self.can_resume_at(id, earlier));
+        let Some(upstream) = resumable else {
+            self.handle_no_stream(now, id, out);
             return;
         };
-        self.send_to(now, id, &upstream, Some(next), out);
+        self.send_attempt(now, id, &upstream, Some(next), out);
     }
 
     /// Resumes a broken stream at its upstream, or gives it up.
@@ -149,20 +159,21 @@
                 return;
             };
             run.resumes += 1;
-            let may = run.resumes <= MAX_RESUMES && matches!(run.arrival.work, Work::Chat(_));
-            may.then(|| run.next_chunk())
+            let can_resume =
+                run.resumes <= MAX_RESUMES && matches!(run.arrival.work, Work::Chat(_));
+            can_resume.then(|| run.next_chunk())
         };
-        let next = next.filter(|_| self.may_get(id, upstream));
+        let next = next.filter(|_| self.can_resume_at(id, upstream));
         let Some(next) = next else {
             self.give_up(now, id, out);
             return;
         };
-        self.send_to(now, id, upstream, Some(next), out);
+        self.send_attempt(now, id, upstream, Some(next), out);
     }
 
     /// Puts a run back that an upstream did not take.
-    pub(crate) fn try_again(&self, now: Time, id: RunId, out: &mut Outbox) {
-        let (account, tries, until) = {
+    pub(crate) fn requeue(&self, now: Time, id: RunId, out: &mut Outbox) {
+        let (account, tries, deadline) = {
             let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
@@ -171,21 +182,21 @@
             run.stage = Stage::Queued;
             (run.account.clone(), run.tries, run.until)
         };
-        if tries > MAX_TRIES || now >= until {
+        if tries > MAX_TRIES || now >= deadline {
             self.refuse(
                 now,
                 id,
-                Refusal::not_run(Cause::NoUpstream).with_retry_after(NO_UPSTREAM),
+                Refusal::not_run(Cause::NoUpstream).with_retry_after(NO_UPSTREAM_RETRY_AFTER),
                 out,
             );
             return;
         }
-        self.state.queue().push(&account, QueuedRequest { run: id, deadline: until });
+        self.state.queue().push(&account, QueuedRequest { run: id, deadline });
     }
 
     /// Tells whether an upstream is known and lies where a run may be served, by the templates
     /// that it was let in with and by those in force.
-    fn may_get(&self, id: RunId, upstream: &UpstreamId) -> bool {
+    fn can_resume_at(&self, id: RunId, upstream: &UpstreamId) -> bool {
         let found = {
             let mut runs = self.state.runs();
             runs.get_mut(id).map(|run| (run.account.clone(), run.residency.clone()))
@@ -193,13 +204,13 @@
         let Some((account, residency)) = found else {
             return false;
         };
-        let newest = {
+        let in_force = {
             let templates = self.state.templates();
             templates.accounts.get(&account).map(|template| template.regions.clone())
         };
-        let bound = residency.intersect(&newest.unwrap_or_default());
+        let allowed = residency.intersect(&in_force.unwrap_or_default());
         let upstreams = self.state.upstreams();
-        upstreams.get(upstream).is_some_and(|known| bound.allows(Some(&known.info.region)))
+        upstreams.get(upstream).is_some_and(|known| allowed.allows(Some(&known.info.region)))
     }
 
     /// Removes ended runs whose answers are no longer to be kept here.
@@ -221,7 +232,7 @@
         });
     }
 
-    fn send_to(
+    fn send_attempt(
         &self,
         now: Time,
         id: RunId,
@@ -237,7 +248,7 @@
             };
             let at = now;
             run.stage = Stage::Running { attempt, upstream: upstream.clone(), at, started: false };
-            let dispatch = self.dispatch_of(id, run, upstream, resume);
+            let dispatch = self.new_dispatch(id, run, upstream, resume);
             (attempt, dispatch, run.arrival.work.clone(), run.account.clone(), run.priority)
         };
         {
@@ -251,7 +262,7 @@
         out.push(Command::Dispatch(attempt, dispatch));
     }
 
-    fn dispatch_of(
+    fn new_dispatch(
         &self,
         id: RunId,
         run: &Run,
@@ -281,14 +292,14 @@
     }
 
     /// Frees what an attempt took up at its upstream and in the queue.
-    pub(crate) fn attempt_over(
+    pub(crate) fn release_attempt(
         &self,
         now: Time,
         attempt: AttemptId,
         upstream: &UpstreamId,
-        about: (&Account, &Work, bool),
+        request: (&Account, &Work, bool),
     ) {
-        let (account, work, started) = about;
+        let (account, work, started) = request;
         self.state.runs().drop_attempt(attempt);
         self.state.queue().finish_request(now, account);
         self.state.upstreams().record_end(upstream, work, started);
--- a/crates/badgerfield-core/src/handlers/evacuations.rs
+++ b/crates/badgerfield-core/src/handlers/evacuations.rs
@@ -15,19 +15,19 @@
 use crate::node::Node;
 
 /// The least time between two comparisons with one member: shorter than signs of life are
-/// apart (0.4 s and more), so that one whose answer was lost is asked again at its next.
-pub(super) const COMPARE: Duration = Duration::from_millis(200);
+/// apart (0.4 s and reply), so that one whose answer was lost is asked again at its next.
+pub(super) const MIN_COMPARE_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Node {
     /// Takes in all that operators have at the platform.
     pub(crate) fn apply_operator_values(&self, now: Time, found: OperatorValues, out: &mut Outbox) {
         let OperatorValues { revision, templates, evacuated, rollouts } = found;
-        self.read_orders(now, revision, rollouts, out);
-        let turned = self.state.evacuations().apply_snapshot(revision, evacuated);
-        self.tell_evacuations(now, &turned, out);
-        out.evacuated(None, turned);
+        self.apply_order_snapshot(now, revision, rollouts, out);
+        let changed = self.state.evacuations().apply_snapshot(revision, evacuated);
+        self.broadcast_evacuations(now, &changed, out);
+        out.push_evacuations(None, changed);
         if let Some(bytes) = templates {
-            self.decode_templates(now, &bytes, out);
+            self.apply_encoded_templates(now, &bytes, out);
         }
     }
 
@@ -39,12 +39,12 @@
         out: &mut Outbox,
     ) {
         let OperatorChanges { templates, domains, rollouts, .. } = found;
-        self.orders_changed(now, rollouts, out);
-        let turned = self.state.evacuations().apply(domains);
-        self.tell_evacuations(now, &turned, out);
-        out.evacuated(None, turned);
+        self.apply_order_changes(now, rollouts, out);
+        let changed = self.state.evacuations().apply(domains);
+        self.broadcast_evacuations(now, &changed, out);
+        out.push_evacuations(None, changed);
         if let Some(bytes) = templates {
-            self.decode_templates(now, &bytes, out);
+            self.apply_encoded_templates(now, &bytes, out);
         }
     }
 
@@ -53,33 +53,37 @@
         &self,
         now: Time,
         from: Incarnation,
-        news: EvacuationUpdate,
+        update: EvacuationUpdate,
         out: &mut Outbox,
     ) {
-        if news.reach > 0 {
-            for (to, reach) in self.state.membership().broadcast_targets(now, news.reach) {
-                let news = EvacuationUpdate { reach, ..news.clone() };
-                out.send(to, Message::Evacuations(news));
+        if update.reach > 0 {
+            for (to, reach) in self.state.membership().broadcast_targets(now, update.reach) {
+                let update = EvacuationUpdate { reach, ..update.clone() };
+                out.send(to, Message::Evacuations(update));
             }
         }
-        let turned = self.state.evacuations().apply(news.changes);
-        out.evacuated(Some(from), turned);
+        let changed = self.state.evacuations().apply(update.changes);
+        out.push_evacuations(Some(from), changed);
     }
 
     /// Tells a neighbour whose digest differs all that is known here, and so asks it for what
     /// it knows beyond that.
-    pub(crate) fn compare_evacuations(
+    pub(crate) fn compare_evacuation_digest(
         &self,
         now: Time,
         from: Incarnation,
-        theirs: u64,
+        peer_digest: u64,
         out: &mut Outbox,
     ) {
         let changes = {
             let mut members = self.state.membership();
             let known = self.state.evacuations();
-            if known.digest() == theirs
-                || !is_due(now, members.evacuations_compared.get(&from).copied(), COMPARE)
+            if known.digest() == peer_digest
+                || !is_due(
+                    now,
+                    members.evacuations_compared.get(&from).copied(),
+                    MIN_COMPARE_INTERVAL,
+                )
             {
                 return;
             }
@@ -89,40 +93,40 @@
         out.send(from, Message::CompareEvacuations(changes));
     }
 
-    /// Takes in what a neighbour knows, and answers if more is known here.
+    /// Takes in what a neighbour knows, and answers if reply is known here.
     pub(crate) fn reconcile_evacuations(
         &self,
         from: Incarnation,
-        theirs: &[DomainChange],
+        peer_changes: &[DomainChange],
         out: &mut Outbox,
     ) {
-        let (turned, more) = {
+        let (changed, reply) = {
             let mut known = self.state.evacuations();
-            let turned = known.apply(theirs.iter().cloned());
+            let changed = known.apply(peer_changes.iter().cloned());
             let changes = known.changes();
-            (turned, (changes != theirs).then_some(changes))
+            (changed, (changes != peer_changes).then_some(changes))
         };
-        out.evacuated(Some(from), turned);
-        if let Some(changes) = more {
+        out.push_evacuations(Some(from), changed);
+        if let Some(changes) = reply {
             out.send(from, Message::Evacuations(EvacuationUpdate { changes, reach: 0 }));
         }
     }
 
     /// Tells all members what the platform said.
-    fn tell_evacuations(&self, now: Time, turned: &[DomainChange], out: &mut Outbox) {
-        if turned.is_empty() {
+    fn broadcast_evacuations(&self, now: Time, changed: &[DomainChange], out: &mut Outbox) {
+        if changed.is_empty() {
             return;
         }
         let members = self.state.membership();
         for (to, reach) in members.broadcast_targets(now, broadcast::full_reach(&members.view)) {
-            let news = EvacuationUpdate { changes: turned.to_vec(), reach };
-            out.send(to, Message::Evacuations(news));
+            let update = EvacuationUpdate { changes: changed.to_vec(), reach };
+            out.send(to, Message::Evacuations(update));
         }
     }
 }
 
 impl Outbox {
-    fn evacuated(&mut self, from: Option<Incarnation>, changes: Vec<DomainChange>) {
+    fn push_evacuations(&mut self, from: Option<Incarnation>, changes: Vec<DomainChange>) {
         if !changes.is_empty() {
             self.push(Command::ApplyEvacuations(from, changes));
         }
--- a/crates/badgerfield-core/src/handlers/members.rs
+++ b/crates/badgerfield-core/src/handlers/members.rs
@@ -19,11 +19,11 @@
 use crate::view_update::ViewUpdate;
 
 /// How often the platform's values are read.
-const READ: Duration = Duration::from_secs(1);
+const READ_INTERVAL: Duration = Duration::from_secs(1);
 /// The least time between two writes of the view by one process.
-const WRITE: Duration = Duration::from_millis(200);
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(200);
 /// The least time between two fetches from one member.
-const FETCH: Duration = Duration::from_millis(200);
+const MIN_FETCH_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Node {
     /// Returns the members that callers may be sent to.
@@ -40,22 +40,22 @@
                 || is_due(now, members.heartbeat_at, self.config.pacing.heartbeat_interval)
         };
         if is_due {
-            self.spread(now, out);
+            self.send_heartbeats(now, out);
         }
     }
 
     /// Sends a sign of life to all neighbours, with the versions in force.
-    pub(crate) fn spread(&self, now: Time, out: &mut Outbox) {
+    pub(crate) fn send_heartbeats(&self, now: Time, out: &mut Outbox) {
         let version = self.state.templates().version;
         let confirmed = self.state.claims().confirmation_status();
         let evacuations = self.state.evacuations().digest();
         let rollouts = self.state.rollouts().digest();
         let blocked = self.state.poison().digest(now);
-        let (neighbours, beat) = {
+        let (neighbours, heartbeat) = {
             let mut members = self.state.membership();
             members.heartbeat_at = Some(now);
             members.confirmations_pending = None;
-            let beat = Heartbeat {
+            let heartbeat = Heartbeat {
                 epoch: members.view.epoch,
                 confirmations: confirmed,
                 version,
@@ -68,18 +68,18 @@
                 needs: members.needs.average(now),
                 delay_reports: members.delay_reports.clone(),
             };
-            (members.neighbours(), beat)
+            (members.neighbours(), heartbeat)
         };
         for to in neighbours {
-            out.send(to, Message::Heartbeat(beat.clone()));
+            out.send(to, Message::Heartbeat(heartbeat.clone()));
         }
     }
 
     /// Tells whether this process follows the platform's values itself; `heard` is how long
     /// ago it has heard of the list of upstreams.
     #[must_use]
-    pub fn watches_platform(&self, now: Time, heard: Option<Duration>) -> bool {
-        self.state.membership().watches_platform(now, heard)
+    pub fn watches_platform(&self, now: Time, last_update: Option<Duration>) -> bool {
+        self.state.membership().watches_platform(now, last_update)
     }
 
     /// Tells whether this process reads whole values from the platform that it knows nothing
@@ -101,41 +101,41 @@
         &self,
         now: Time,
         from: Incarnation,
-        beat: &Heartbeat,
+        heartbeat: &Heartbeat,
         out: &mut Outbox,
     ) {
-        self.compare_lists(now, from, beat.upstream_list, out);
-        self.compare_evacuations(now, from, beat.evacuations_digest, out);
-        self.compare_rollouts(now, from, beat.rollouts_digest, out);
-        self.compare_crashes(now, from, beat.blocked_digest, out);
-        self.hear_confirmed(now, beat);
-        if !beat.delay_reports.is_empty() {
-            out.push(Command::ApplyDelayReports(beat.delay_reports.clone()));
+        self.compare_list_version(now, from, heartbeat.upstream_list, out);
+        self.compare_evacuation_digest(now, from, heartbeat.evacuations_digest, out);
+        self.compare_rollout_digest(now, from, heartbeat.rollouts_digest, out);
+        self.compare_crash_digest(now, from, heartbeat.blocked_digest, out);
+        self.apply_confirmations(now, heartbeat);
+        if !heartbeat.delay_reports.is_empty() {
+            out.push(Command::ApplyDelayReports(heartbeat.delay_reports.clone()));
         }
         let version = self.state.templates().version;
         let (epoch, is_near) = {
             let mut members = self.state.membership();
-            members.record_contact(now, from, Some(beat));
-            let is_behind = beat.epoch < members.view.epoch;
+            members.record_contact(now, from, Some(heartbeat));
+            let is_behind = heartbeat.epoch < members.view.epoch;
             // One that was removed hears of it from those it still talks to. Who is behind,
             // and not a neighbour, may hear only from members that it does not know yet, and
             // so cannot ask.
             let cannot_ask = !members.view.has(from) || !members.neighbours().contains(&from);
             if is_behind
                 && cannot_ask
-                && is_due(now, members.views_pushed.get(&from).copied(), FETCH)
+                && is_due(now, members.views_pushed.get(&from).copied(), MIN_FETCH_INTERVAL)
             {
-                // Some that were removed beat on for a while; nobody else forgets them here.
-                members.views_pushed.retain(|_, at| now.since(*at) < FETCH);
+                // Some that were removed heartbeat on for a while; nobody else forgets them here.
+                members.views_pushed.retain(|_, at| now.since(*at) < MIN_FETCH_INTERVAL);
                 members.views_pushed.insert(from, now);
                 out.send(
                     from,
-                    Message::View(members.view_log.update_since(&members.view, beat.epoch)),
+                    Message::View(members.view_log.update_since(&members.view, heartbeat.epoch)),
                 );
                 return;
             }
-            let newer = beat.epoch > members.view.epoch || beat.version > version;
-            if !newer || !is_due(now, members.fetch_sent_at, FETCH) {
+            let newer = heartbeat.epoch > members.view.epoch || heartbeat.version > version;
+            if !newer || !is_due(now, members.fetch_sent_at, MIN_FETCH_INTERVAL) {
                 return;
             }
             members.fetch_sent_at = Some(now);
@@ -144,7 +144,7 @@
         };
         let whole = version == TemplateVersion(0);
         // Whole templates are asked of members of the region only.
-        let version = if whole && !is_near { beat.version } else { version };
+        let version = if whole && !is_near { heartbeat.version } else { version };
         out.send(from, Message::Fetch { epoch, version, whole });
     }
 
@@ -178,13 +178,16 @@
     /// Takes in what a neighbour knows of hand-overs. Whoever remembers claims, or is one of
     /// few, passes news on at its next tick, since callers wait for it; others with their next
     /// sign of life.
-    fn hear_confirmed(&self, now: Time, beat: &Heartbeat) {
-        let (is_news, has_claims) = {
+    fn apply_confirmations(&self, now: Time, heartbeat: &Heartbeat) {
+        let (is_new, has_claims) = {
             let mut claims = self.state.claims();
-            (claims.merge_confirmations(beat.epoch, &beat.confirmations), !claims.is_empty())
+            (
+                claims.merge_confirmations(heartbeat.epoch, &heartbeat.confirmations),
+                !claims.is_empty(),
+            )
         };
         let mut members = self.state.membership();
-        if is_news && (has_claims || members.view.members.len() <= MAX_SMALL_VIEW_MEMBERS) {
+        if is_new && (has_claims || members.view.members.len() <= MAX_SMALL_VIEW_MEMBERS) {
             members.confirmations_pending = Some(now);
         }
     }
@@ -209,7 +212,7 @@
             update.apply(&old)
         };
         if let Some(view) = next {
-            self.adopt_view(now, &Arc::new(view), out);
+            self.apply_view(now, &Arc::new(view), out);
             return;
         }
         let version = self.state.templates().version;
@@ -218,14 +221,14 @@
     }
 
     /// Puts a newer view in force in every table that depends on it.
-    pub(crate) fn adopt_view(&self, now: Time, view: &Arc<View>, out: &mut Outbox) {
+    pub(crate) fn apply_view(&self, now: Time, view: &Arc<View>, out: &mut Outbox) {
         let (gone, removed) = {
             let mut members = self.state.membership();
-            let was = members.removed;
+            let was_removed = members.removed;
             let Some(gone) = members.adopt(now, view) else {
                 return;
             };
-            (gone, members.removed && !was)
+            (gone, members.removed && !was_removed)
         };
         self.state.claims().apply_view(now, view, out);
         self.state.ledger_writer().mark_removed(gone);
@@ -235,7 +238,7 @@
             out.push(Command::Log(LogEntry::Removed));
             self.stop(now, out);
         }
-        self.spread(now, out);
+        self.send_heartbeats(now, out);
     }
 
     /// Reads the platform's values, and writes the view, when that is due.
@@ -246,18 +249,20 @@
         let reads_view = members.is_reader(now)
             || !members.stored_known
             || members.must_read_to_complete(complete);
-        if is_due(now, members.view_read_at, members.view_read_interval(READ)) && reads_view {
+        if is_due(now, members.view_read_at, members.view_read_interval(READ_INTERVAL))
+            && reads_view
+        {
             members.view_read_at = Some(now);
-            read(&mut members, now, StoreKey::View, out);
+            start_read(&mut members, now, StoreKey::View, out);
         }
         let reads_templates = if version == TemplateVersion(0) {
             members.is_bootstrap_reader(now)
         } else {
             reads_view
         };
-        if is_due(now, members.templates_read_at, READ) && reads_templates {
+        if is_due(now, members.templates_read_at, READ_INTERVAL) && reads_templates {
             members.templates_read_at = Some(now);
-            read(&mut members, now, StoreKey::Templates, out);
+            start_read(&mut members, now, StoreKey::Templates, out);
         }
         drop(members);
         self.write_view(now, out);
@@ -273,7 +278,7 @@
         let mut members = self.state.membership();
         // Without routes there is no list of their upstreams.
         let has_list = members.upstream_list.revision > 0 || !has_routes;
-        if (has_templates && has_list) || !is_due(now, members.bootstrap_at, FETCH) {
+        if (has_templates && has_list) || !is_due(now, members.bootstrap_at, MIN_FETCH_INTERVAL) {
             return;
         }
         members.bootstrap_at = Some(now);
@@ -294,13 +299,13 @@
         &self,
         now: Time,
         from: Incarnation,
-        guest: Member,
+        joiner: Member,
         out: &mut Outbox,
     ) {
-        if guest.incarnation != from {
+        if joiner.incarnation != from {
             return;
         }
-        self.state.membership().joining.add_joiner(now, guest);
+        self.state.membership().joining.add_joiner(now, joiner);
         self.write_view(now, out);
     }
 
@@ -309,7 +314,7 @@
         let mut members = self.state.membership();
         if !members.stored_known
             || members.store_calls.is_open(&StoreKey::View)
-            || !is_due(now, members.view_written_at, WRITE)
+            || !is_due(now, members.view_written_at, MIN_WRITE_INTERVAL)
         {
             return;
         }
@@ -338,21 +343,21 @@
             (MembershipIntent::Join | MembershipIntent::Leave | MembershipIntent::Quit, _) => None,
         };
         let next = next.or_else(|| {
-            let guests = members.joining.joiners(now, &stored);
-            let may = members.is_member() && !guests.is_empty();
-            may.then(|| stored.with_members(guests, handed_over))
+            let joiners = members.joining.joiners(now, &stored);
+            let can_write = members.is_member() && !joiners.is_empty();
+            can_write.then(|| stored.with_members(joiners, handed_over))
         });
         let next = next.or_else(|| {
             let gone = members.members_to_remove(now);
-            let may = members.is_member() && !gone.is_empty();
-            for id in gone.iter().filter(|_| may) {
+            let can_write = members.is_member() && !gone.is_empty();
+            for id in gone.iter().filter(|_| can_write) {
                 out.push(Command::Log(members.removal_entry(now, *id)));
             }
-            may.then(|| stored.without_members(&gone, handed_over))
+            can_write.then(|| stored.without_members(&gone, handed_over))
         });
         let next = next.or_else(|| {
-            let open = handed_over && stored.complete < stored.epoch;
-            (open && members.is_completion_writer()).then(|| stored.completed())
+            let incomplete = handed_over && stored.complete < stored.epoch;
+            (incomplete && members.is_completion_writer()).then(|| stored.completed())
         });
         let Some(next) = next else {
             return;
@@ -380,11 +385,11 @@
         };
         match (purpose, result) {
             (Purpose::Rollout(service, written), result) => {
-                self.record_answered(now, &service, written, result, out);
+                self.handle_record_result(now, &service, written, result, out);
             }
-            (Purpose::PoisonRead, result) => self.poison_answered(now, false, result, out),
-            (Purpose::PoisonWrite, result) => self.poison_answered(now, true, result, out),
-            (Purpose::Draw(shard), result) => self.ledger_answered(now, shard, result, out),
+            (Purpose::PoisonRead, result) => self.handle_poison_result(now, false, result, out),
+            (Purpose::PoisonWrite, result) => self.handle_poison_result(now, true, result, out),
+            (Purpose::Draw(shard), result) => self.handle_ledger_result(now, shard, result, out),
             (Purpose::Read(StoreKey::Templates), StoreResult::Value(found)) => {
                 self.apply_stored_templates(now, &found, out);
             }
@@ -392,7 +397,7 @@
                 self.apply_operator_values(now, found, out);
             }
             (Purpose::Read(StoreKey::View), StoreResult::Value(found)) => {
-                self.read_view(now, &found, out);
+                self.apply_stored_view(now, &found, out);
             }
             (Purpose::Write(view), StoreResult::Written(revision)) => {
                 let view = Arc::new(view);
@@ -401,10 +406,10 @@
                     members.stored_revision = revision;
                     members.stored = Arc::clone(&view);
                 }
-                self.adopt_view(now, &view, out);
+                self.apply_view(now, &view, out);
             }
             (Purpose::Write(_), StoreResult::Conflict(found)) => {
-                self.read_view(now, &found, out);
+                self.apply_stored_view(now, &found, out);
                 let mut members = self.state.membership();
                 members.view_written_at = None;
                 members.joining.record_conflict();
@@ -421,7 +426,7 @@
         }
     }
 
-    fn read_view(&self, now: Time, found: &Versioned, out: &mut Outbox) {
+    fn apply_stored_view(&self, now: Time, found: &Versioned, out: &mut Outbox) {
         let view = match View::decode(found.value.as_deref()) {
             Ok(view) => Arc::new(view),
             Err(error) => {
@@ -429,7 +434,7 @@
                 return;
             }
         };
-        let asked = {
+        let requested_at = {
             let mut members = self.state.membership();
             // A stale read names an older revision; writing on it would only conflict.
             if found.revision < members.stored_revision {
@@ -441,16 +446,16 @@
             members.joining.record_view(&view);
             members.view_requested_at
         };
-        self.adopt_view(now, &view, out);
+        self.apply_view(now, &view, out);
         // Only now: a judge that took the older view for one of this time would not wait for a
         // member that has just joined.
         let mut members = self.state.membership();
-        members.view_known_at = members.view_known_at.max(asked);
+        members.view_known_at = members.view_known_at.max(requested_at);
     }
 }
 
 /// Reads a value of the platform, unless that is under way.
-pub(super) fn read(members: &mut Membership, now: Time, name: StoreKey, out: &mut Outbox) {
+pub(super) fn start_read(members: &mut Membership, now: Time, name: StoreKey, out: &mut Outbox) {
     if members.store_calls.is_open(&name) {
         return;
     }
--- a/crates/badgerfield-core/src/handlers/reservations.rs
+++ b/crates/badgerfield-core/src/handlers/reservations.rs
@@ -9,26 +9,26 @@
 
 impl Node {
     /// Sets tokens aside for a request on a route.
-    pub(crate) fn reserve_for_route(&self, now: Time, ask: &ReserveRequest, out: &mut Outbox) {
-        self.learn_terms(now, &ask.budget);
-        let waiter = (ask.id.to_run_id(), ask.amount, ask.deadline);
-        let reserved = self.state.holdings().reserve(now, &ask.budget, waiter, out);
-        match reserved {
+    pub(crate) fn reserve_for_route(&self, now: Time, request: &ReserveRequest, out: &mut Outbox) {
+        self.update_terms(now, &request.budget);
+        let waiter = (request.id.to_run_id(), request.amount, request.deadline);
+        let outcome = self.state.holdings().reserve(now, &request.budget, waiter, out);
+        match outcome {
             ReserveOutcome::Reserved(period) => {
-                out.push(Command::AnswerReserve(ask.id, Ok(period)))
+                out.push(Command::AnswerReserve(request.id, Ok(period)))
             }
             ReserveOutcome::Waiting => {}
             ReserveOutcome::Refused(refusal) => {
-                out.push(Command::AnswerReserve(ask.id, Err(refusal)))
+                out.push(Command::AnswerReserve(request.id, Err(refusal)))
             }
         }
     }
 
     /// Drops a request that waits for tokens.
-    pub(crate) fn cancel_reserve(&self, _now: Time, ask: &ReserveRequest, out: &mut Outbox) {
-        if self.state.holdings().cancel_request(&ask.budget, ask.id.to_run_id()) {
+    pub(crate) fn cancel_reserve(&self, _now: Time, request: &ReserveRequest, out: &mut Outbox) {
+        if self.state.holdings().cancel_request(&request.budget, request.id.to_run_id()) {
             let refusal = Refusal::not_run(Cause::Stopping);
-            out.push(Command::AnswerReserve(ask.id, Err(refusal)));
+            out.push(Command::AnswerReserve(request.id, Err(refusal)));
         }
     }
 
@@ -41,7 +41,7 @@
 }
 
 /// Tells a request that waited what became of its wish.
-pub(crate) fn tell(id: ReservationId, decision: &ReserveDecision, out: &mut Outbox) {
+pub(crate) fn answer_reserve(id: ReservationId, decision: &ReserveDecision, out: &mut Outbox) {
     let result = decision.refusal.map_or(Ok(decision.period), Err);
     out.push(Command::AnswerReserve(id, result));
 }
--- a/crates/badgerfield-core/src/handlers/rollouts.rs
+++ b/crates/badgerfield-core/src/handlers/rollouts.rs
@@ -14,8 +14,8 @@
 use crate::event::{
     Command, LogEntry, Outbox, StoreCall, StoreKey, StoreResult, Versioned, is_due,
 };
-use crate::handlers::evacuations::COMPARE;
-use crate::handlers::members::read;
+use crate::handlers::evacuations::MIN_COMPARE_INTERVAL;
+use crate::handlers::members::start_read;
 use crate::ids::{Incarnation, Service};
 use crate::message::{Message, RolloutUpdate};
 use crate::node::Node;
@@ -28,65 +28,76 @@
 use crate::view::View;
 
 /// How many members judge a service: two may be lost at once.
-const JUDGES: usize = 3;
+const JUDGES_PER_SERVICE: usize = 3;
 
 /// Who judges what, at one moment.
-struct Bench {
+struct JudgeContext {
     view: Arc<View>,
     me: Incarnation,
     clock: FleetClock,
     /// When the platform was asked for the view that was read last.
-    view_asked: Option<Time>,
+    view_requested: Option<Time>,
 }
 
 impl Node {
     /// Takes in all orders that the platform has.
-    pub(crate) fn read_orders(
+    pub(crate) fn apply_order_snapshot(
         &self,
         now: Time,
         revision: u64,
         orders: Vec<OrderChange>,
         out: &mut Outbox,
     ) {
-        let turned = self.state.rollouts().apply_snapshot(now, revision, orders);
-        self.tell_rollouts(now, &turned, out);
-        self.put_rules(now, turned, out);
+        let changed = self.state.rollouts().apply_snapshot(now, revision, orders);
+        self.broadcast_rollouts(now, &changed, out);
+        self.apply_rollout_rules(now, changed, out);
     }
 
     /// Takes in orders that were given or withdrawn.
-    pub(crate) fn orders_changed(&self, now: Time, orders: Vec<OrderChange>, out: &mut Outbox) {
-        let news = orders.into_iter().map(|change| KnownRollout { change, stage: None }).collect();
-        self.learn_rollouts(now, news, out);
+    pub(crate) fn apply_order_changes(
+        &self,
+        now: Time,
+        orders: Vec<OrderChange>,
+        out: &mut Outbox,
+    ) {
+        let updates =
+            orders.into_iter().map(|change| KnownRollout { change, stage: None }).collect();
+        self.update_rollouts(now, updates, out);
     }
 
     /// Takes in what another process tells, and passes it on to its part of the ring.
-    pub(crate) fn receive_rollout_update(&self, now: Time, news: RolloutUpdate, out: &mut Outbox) {
-        if news.reach > 0 {
-            for (to, reach) in self.state.membership().broadcast_targets(now, news.reach) {
-                out.send(to, Message::Rollouts(RolloutUpdate { reach, ..news.clone() }));
+    pub(crate) fn receive_rollout_update(
+        &self,
+        now: Time,
+        update: RolloutUpdate,
+        out: &mut Outbox,
+    ) {
+        if update.reach > 0 {
+            for (to, reach) in self.state.membership().broadcast_targets(now, update.reach) {
+                out.send(to, Message::Rollouts(RolloutUpdate { reach, ..update.clone() }));
             }
         }
-        let turned = self.state.rollouts().apply(now, news.known);
-        self.put_rules(now, turned, out);
+        let changed = self.state.rollouts().apply(now, update.known);
+        self.apply_rollout_rules(now, changed, out);
     }
 
     /// Tells a neighbour whose digest differs all that is known here, and so asks it for what
     /// it knows beyond that.
-    pub(crate) fn compare_rollouts(
+    pub(crate) fn compare_rollout_digest(
         &self,
         now: Time,
         from: Incarnation,
-        theirs: u64,
+        peer_digest: u64,
         out: &mut Outbox,
     ) {
         let known = {
             let mut members = self.state.membership();
             let mut table = self.state.rollouts();
-            if table.digest() == theirs {
+            if table.digest() == peer_digest {
                 table.record_agreement(members.is_active() && members.view.has(from));
                 return;
             }
-            if !is_due(now, members.rollouts_compared.get(&from).copied(), COMPARE) {
+            if !is_due(now, members.rollouts_compared.get(&from).copied(), MIN_COMPARE_INTERVAL) {
                 return;
             }
             members.rollouts_compared.insert(from, now);
@@ -100,21 +111,21 @@
         &self,
         now: Time,
         from: Incarnation,
-        theirs: &[KnownRollout],
+        peer_known: &[KnownRollout],
         out: &mut Outbox,
     ) {
-        let (turned, known) = {
+        let (changed, known) = {
             let members = self.state.membership();
             let mut table = self.state.rollouts();
-            let turned = table.apply(now, theirs.to_vec());
+            let changed = table.apply(now, peer_known.to_vec());
             let known = table.all();
-            if known == theirs {
+            if known == peer_known {
                 table.record_agreement(members.is_active() && members.view.has(from));
             }
-            (turned, known)
+            (changed, known)
         };
-        self.put_rules(now, turned, out);
-        if known != theirs {
+        self.apply_rollout_rules(now, changed, out);
+        if known != peer_known {
             out.send(from, Message::Rollouts(RolloutUpdate { known, reach: 0 }));
         }
     }
@@ -130,7 +141,7 @@
             return;
         }
         self.state.rollouts().record_tallies(tallies);
-        self.report_rollouts(now, &self.bench(now), out);
+        self.report_rollouts(now, &self.judge_context(now), out);
     }
 
     /// Does what is due about roll-outs.
@@ -143,19 +154,19 @@
                 return;
             }
         }
-        let open = self.state.rollouts().unfinished();
-        if !open.is_empty() {
-            let bench = self.bench(now);
-            self.report_rollouts(now, &bench, out);
-            for (known, heard) in open {
-                self.judge_rollout(now, &bench, &known, heard, out);
+        let unfinished = self.state.rollouts().unfinished();
+        if !unfinished.is_empty() {
+            let context = self.judge_context(now);
+            self.report_rollouts(now, &context, out);
+            for (known, received) in unfinished {
+                self.judge_rollout(now, &context, &known, received, out);
             }
         }
-        self.put_rules(now, Vec::new(), out);
+        self.apply_rollout_rules(now, Vec::new(), out);
     }
 
     /// Takes in an answer of the key-value service about a record.
-    pub(crate) fn record_answered(
+    pub(crate) fn handle_record_result(
         &self,
         now: Time,
         service: &Service,
@@ -163,22 +174,22 @@
         result: StoreResult,
         out: &mut Outbox,
     ) {
-        let missed = |outcome| {
-            let note = RolloutLogEntry::CallFailed { service: service.clone(), outcome };
-            Command::Log(LogEntry::Rollout(Box::new(note)))
+        let call_failed = |outcome| {
+            let entry = RolloutLogEntry::CallFailed { service: service.clone(), outcome };
+            Command::Log(LogEntry::Rollout(Box::new(entry)))
         };
         match (result, written) {
             (StoreResult::Written(revision), Some(record)) => {
-                self.record_found(now, service, revision, Some(record), out);
+                self.apply_record(now, service, revision, Some(record), out);
             }
             (StoreResult::Conflict(found), _) => {
-                out.push(missed("another value stands there"));
-                self.record_read(now, service, &found, out);
+                out.push(call_failed("another value stands there"));
+                self.apply_stored_record(now, service, &found, out);
             }
-            (StoreResult::Value(found), _) => self.record_read(now, service, &found, out),
+            (StoreResult::Value(found), _) => self.apply_stored_record(now, service, &found, out),
             (result, _) => {
                 let refused = matches!(result, StoreResult::Refused);
-                out.push(missed(if refused { "refused" } else { "no answer" }));
+                out.push(call_failed(if refused { "refused" } else { "no answer" }));
                 if let Some(recorder) = self.state.rollouts().recorder_mut(service) {
                     recorder.invalidate();
                 }
@@ -186,7 +197,13 @@
         }
     }
 
-    fn record_read(&self, now: Time, service: &Service, found: &Versioned, out: &mut Outbox) {
+    fn apply_stored_record(
+        &self,
+        now: Time,
+        service: &Service,
+        found: &Versioned,
+        out: &mut Outbox,
+    ) {
         let record = match RolloutRecord::decode(found.value.as_deref()) {
             Ok(record) => record,
             // What nobody can read holds nothing up: the next record replaces it.
@@ -196,10 +213,10 @@
                 None
             }
         };
-        self.record_found(now, service, found.revision, record, out);
+        self.apply_record(now, service, found.revision, record, out);
     }
 
-    fn record_found(
+    fn apply_record(
         &self,
         now: Time,
         service: &Service,
@@ -207,7 +224,7 @@
         record: Option<RolloutRecord>,
         out: &mut Outbox,
     ) {
-        let news = {
+        let update = {
             let mut table = self.state.rollouts();
             let Some(known) = table.known(service).cloned() else {
                 return;
@@ -218,79 +235,80 @@
             let stage = recorder.apply_record(revision, record, &known);
             stage.map(|stage| KnownRollout { stage: Some(stage), ..known })
         };
-        self.learn_rollouts(now, news.into_iter().collect(), out);
+        self.update_rollouts(now, update.into_iter().collect(), out);
     }
 
     /// Judges an order, and takes the step that is due.
     fn judge_rollout(
         &self,
         now: Time,
-        bench: &Bench,
+        context: &JudgeContext,
         known: &KnownRollout,
-        heard: Time,
+        received: Time,
         out: &mut Outbox,
     ) {
         let service = &known.change.service;
-        let judges = bench.judges(service);
-        let place = judges.iter().position(|id| *id == bench.me);
-        let longest = self.longest(service);
-        let members: Vec<_> = bench.view.members.iter().map(|m| m.incarnation).collect();
+        let judges = context.judges(service);
+        let rank_index = judges.iter().position(|id| *id == context.me);
+        let max_duration = self.max_route_timeout(service);
+        let members: Vec<_> = context.view.members.iter().map(|m| m.incarnation).collect();
         let mut table = self.state.rollouts();
         let Some(recorder) = table.recorder_mut(service) else {
             return;
         };
-        let Some(rank) = place.and_then(|place| u32::try_from(place).ok()) else {
+        let Some(rank) = rank_index.and_then(|index| u32::try_from(index).ok()) else {
             recorder.stop_judging();
             return;
         };
         recorder.judge.tick(now);
-        let is_tried = matches!(known.phase(), Some(RolloutPhase::Canary | RolloutPhase::Moving));
-        let verdict = if is_tried { recorder.judge.verdict() } else { None };
+        let is_in_progress =
+            matches!(known.phase(), Some(RolloutPhase::Canary | RolloutPhase::Moving));
+        let verdict = if is_in_progress { recorder.judge.verdict() } else { None };
         if let Some(reason) = verdict {
             let evidence = recorder.judge.evidence().clone();
-            let turned = table.reject(now, known, reason);
+            let changed = table.reject(now, known, reason);
             drop(table);
-            self.target_rejected(now, known, reason, evidence, turned, out);
+            self.handle_rejection(now, known, reason, evidence, changed, out);
             return;
         }
-        let clock = bench.clock;
-        let at = StepContext {
+        let clock = context.clock;
+        let step = StepContext {
             now,
             known,
-            received: heard,
+            received,
             clock,
-            max_duration: longest,
+            max_duration,
             members: &members,
-            view_requested: bench.view_asked,
+            view_requested: context.view_requested,
             rank,
         };
-        let call = recorder.next_call(&at);
+        let call = recorder.next_call(&step);
         let evidence = recorder.judge.evidence().clone();
         drop(table);
         if let Some(call) = call {
-            self.call_record(now, service, call, evidence, out);
+            self.start_record_call(now, service, call, evidence, out);
         }
     }
 
     /// Logs that the target of an order was found to be bad, tells all members, and acts on it.
-    fn target_rejected(
+    fn handle_rejection(
         &self,
         now: Time,
         known: &KnownRollout,
         reason: RolloutReason,
         evidence: Evidence,
-        turned: Vec<KnownRollout>,
+        changed: Vec<KnownRollout>,
         out: &mut Outbox,
     ) {
         let (service, revision) = (known.change.service.clone(), known.change.revision);
-        let note = RolloutLogEntry::Rejected { service, revision, reason, evidence };
-        out.push(Command::Log(LogEntry::Rollout(Box::new(note))));
-        self.tell_rollouts(now, &turned, out);
-        self.put_rules(now, turned, out);
+        let entry = RolloutLogEntry::Rejected { service, revision, reason, evidence };
+        out.push(Command::Log(LogEntry::Rollout(Box::new(entry))));
+        self.broadcast_rollouts(now, &changed, out);
+        self.apply_rollout_rules(now, changed, out);
     }
 
     /// Makes a call that a judge asks for.
-    fn call_record(
+    fn start_record_call(
         &self,
         now: Time,
         service: &Service,
@@ -302,17 +320,17 @@
         let (written, call) = match call {
             RecorderCall::Read => (None, StoreCall::Get(name)),
             RecorderCall::ReadView => {
-                read(&mut self.state.membership(), now, StoreKey::View, out);
+                start_read(&mut self.state.membership(), now, StoreKey::View, out);
                 return;
             }
             RecorderCall::Write(expect, record) => {
                 let value = Bytes::from(record.encode());
-                let note = RolloutLogEntry::WritingRecord {
+                let entry = RolloutLogEntry::WritingRecord {
                     service: service.clone(),
                     record: record.clone(),
                     evidence,
                 };
-                out.push(Command::Log(LogEntry::Rollout(Box::new(note))));
+                out.push(Command::Log(LogEntry::Rollout(Box::new(entry))));
                 (
                     Some(record),
                     StoreCall::CompareAndSwap { key: name, expected_revision: expect, value },
@@ -325,12 +343,12 @@
     }
 
     /// Tells the judges how requests of this process went, where that is due.
-    fn report_rollouts(&self, now: Time, bench: &Bench, out: &mut Outbox) {
-        let members = u32::try_from(bench.view.members.len()).unwrap_or(u32::MAX);
+    fn report_rollouts(&self, now: Time, context: &JudgeContext, out: &mut Outbox) {
+        let members = u32::try_from(context.view.members.len()).unwrap_or(u32::MAX);
         let mut table = self.state.rollouts();
-        for (judges, report) in table.due_reports(now, members, |service| bench.judges(service)) {
+        for (judges, report) in table.due_reports(now, members, |service| context.judges(service)) {
             for judge in judges {
-                if judge == bench.me {
+                if judge == context.me {
                     table.apply_report(judge, report.clone());
                 } else {
                     out.send(judge, Message::RolloutReport(report.clone()));
@@ -340,58 +358,59 @@
     }
 
     /// Takes in news, tells all members what was news here, and puts the rules in force.
-    fn learn_rollouts(&self, now: Time, news: Vec<KnownRollout>, out: &mut Outbox) {
-        if news.is_empty() {
+    fn update_rollouts(&self, now: Time, updates: Vec<KnownRollout>, out: &mut Outbox) {
+        if updates.is_empty() {
             return;
         }
-        let turned = self.state.rollouts().apply(now, news);
-        self.tell_rollouts(now, &turned, out);
-        self.put_rules(now, turned, out);
+        let changed = self.state.rollouts().apply(now, updates);
+        self.broadcast_rollouts(now, &changed, out);
+        self.apply_rollout_rules(now, changed, out);
     }
 
     /// Tells all members what was news here.
-    fn tell_rollouts(&self, now: Time, turned: &[KnownRollout], out: &mut Outbox) {
-        if turned.is_empty() {
+    fn broadcast_rollouts(&self, now: Time, changed: &[KnownRollout], out: &mut Outbox) {
+        if changed.is_empty() {
             return;
         }
         let members = self.state.membership();
         for (to, reach) in members.broadcast_targets(now, broadcast::full_reach(&members.view)) {
-            let news = RolloutUpdate { known: turned.to_vec(), reach };
-            out.send(to, Message::Rollouts(news));
+            let update = RolloutUpdate { known: changed.to_vec(), reach };
+            out.send(to, Message::Rollouts(update));
         }
     }
 
     /// Logs what was news, and puts the rules in force that follow from it.
-    fn put_rules(&self, now: Time, turned: Vec<KnownRollout>, out: &mut Outbox) {
-        for known in turned {
+    fn apply_rollout_rules(&self, now: Time, changed: Vec<KnownRollout>, out: &mut Outbox) {
+        for known in changed {
             out.push(Command::Log(LogEntry::Rollout(Box::new(RolloutLogEntry::Updated(known)))));
         }
-        let bound = &self.config.pacing.rollout;
-        if let Some(rules) = self.state.rollouts().changed_rules(now, bound) {
+        let limits = &self.config.pacing.rollout;
+        if let Some(rules) = self.state.rollouts().changed_rules(now, limits) {
             out.push(Command::ApplyRolloutRules(rules));
         }
     }
 
-    /// Returns how long a request of a service may run: the longest timeout of its routes.
-    fn longest(&self, service: &Service) -> Duration {
-        let set = self.state.templates();
-        let routes = set.routing.routes.iter();
-        let of = routes.filter(|route| route.split.iter().any(|split| split.service == *service));
-        of.map(|route| route.timeout).max().unwrap_or_default()
+    /// Returns how long a request of a service may run: the max_duration timeout of its routes.
+    fn max_route_timeout(&self, service: &Service) -> Duration {
+        let templates = self.state.templates();
+        let routes = templates.routing.routes.iter();
+        let matching =
+            routes.filter(|route| route.split.iter().any(|split| split.service == *service));
+        matching.map(|route| route.timeout).max().unwrap_or_default()
     }
 
-    fn bench(&self, now: Time) -> Bench {
+    fn judge_context(&self, now: Time) -> JudgeContext {
         let members = self.state.membership();
         let (view, clock) = (Arc::clone(&members.view), members.fleet_clock(now));
-        Bench { view, me: members.id(), clock, view_asked: members.view_known_at }
+        JudgeContext { view, me: members.id(), clock, view_requested: members.view_known_at }
     }
 }
 
-impl Bench {
+impl JudgeContext {
     /// Returns the members that judge a service, the first of them first.
     fn judges(&self, service: &Service) -> Vec<Incarnation> {
         let subject = [b"rollout/", service.as_str().as_bytes()].concat();
         let ranked = self.view.ranked(&subject, None);
-        ranked.iter().take(JUDGES).map(|member| member.incarnation).collect()
+        ranked.iter().take(JUDGES_PER_SERVICE).map(|member| member.incarnation).collect()
     }
 }
--- a/crates/badgerfield-core/src/handlers/rights.rs
+++ b/crates/badgerfield-core/src/handlers/spending.rs
@@ -16,12 +16,12 @@
 use crate::view::MAX_SMALL_VIEW_MEMBERS;
 
 /// Up to how many budgets are opened before a request asks for them.
-const MAX_OPENED: usize = 256;
+const MAX_OPENED_BUDGETS: usize = 256;
 
 impl Node {
     /// Sets aside the most that a run can cost.
     pub(crate) fn reserve(&self, now: Time, id: RunId, out: &mut Outbox) {
-        let (budget, bound, until) = {
+        let (budget, bound, deadline) = {
             let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
@@ -29,10 +29,10 @@
             run.stage = Stage::Reserving;
             (run.budget.clone(), run.bound, run.until)
         };
-        self.learn_terms(now, &budget);
-        let reserved = self.state.holdings().reserve(now, &budget, (id, bound, until), out);
-        match reserved {
-            ReserveOutcome::Reserved(period) => self.reserved(now, id, period, out),
+        self.update_terms(now, &budget);
+        let outcome = self.state.holdings().reserve(now, &budget, (id, bound, deadline), out);
+        match outcome {
+            ReserveOutcome::Reserved(period) => self.apply_reservation(now, id, period, out),
             ReserveOutcome::Waiting => {}
             ReserveOutcome::Refused(refusal) => self.refuse(now, id, refusal, out),
         }
@@ -42,7 +42,7 @@
     ///
     /// The period comes with the tokens: a budget that is renewed meanwhile would get back, when
     /// the run ends, what it never handed out.
-    fn reserved(&self, now: Time, id: RunId, period: Period, out: &mut Outbox) {
+    fn apply_reservation(&self, now: Time, id: RunId, period: Period, out: &mut Outbox) {
         let resumes = {
             let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
@@ -67,7 +67,7 @@
         transfer: &Transfer,
         out: &mut Outbox,
     ) {
-        self.learn_terms(now, &transfer.budget);
+        self.update_terms(now, &transfer.budget);
         if self.state.holdings().receive_transfer(now, from, transfer, out) {
             out.send(from, Message::TransferAck { seq: transfer.seq });
         }
@@ -83,11 +83,11 @@
     ) {
         // A parked amount may fall to this process, which must know its budget then.
         for item in items {
-            self.learn_terms(now, &item.budget);
+            self.update_terms(now, &item.budget);
         }
-        let kept = self.state.holdings().accept_parked(from, items);
-        if !kept.is_empty() {
-            out.send(from, Message::ParkAck(kept));
+        let accepted = self.state.holdings().accept_parked(from, items);
+        if !accepted.is_empty() {
+            out.send(from, Message::ParkAck(accepted));
         }
     }
 
@@ -109,11 +109,11 @@
         }
         let budgets: Vec<_> = self.state.templates().budgets.keys().cloned().collect();
         self.state.holdings().opened_version = Some(version);
-        if budgets.len() > MAX_OPENED {
+        if budgets.len() > MAX_OPENED_BUDGETS {
             return;
         }
         for budget in budgets {
-            self.learn_terms(now, &budget);
+            self.update_terms(now, &budget);
         }
     }
 
@@ -125,18 +125,18 @@
             (holdings.take_due_ops(now), holdings.take_decisions())
         };
         self.send_ops(now, ops, out);
-        self.call_ledger(now, out);
+        self.start_ledger_calls(now, out);
         for decision in decisions {
             let id = decision.run;
             if let Some(reservation) = ReservationId::from_run_id(id) {
-                reservations::tell(reservation, &decision, out);
+                reservations::answer_reserve(reservation, &decision, out);
                 continue;
             }
             if let Some(refusal) = decision.refusal {
                 self.refuse(now, id, refusal, out);
                 continue;
             }
-            self.reserved(now, id, decision.period, out);
+            self.apply_reservation(now, id, decision.period, out);
         }
     }
 
@@ -145,7 +145,7 @@
         let mut batches: BTreeMap<Incarnation, Vec<LedgerOp>> = BTreeMap::new();
         for (op, tries) in ops {
             let shard = shard_of(&op.budget, self.config.ledger_shards);
-            let writer = self.writer(now, shard, tries);
+            let writer = self.shard_writer(now, shard, tries);
             batches.entry(writer).or_default().push(op);
         }
         for (writer, ops) in batches {
@@ -159,16 +159,16 @@
 
     /// Returns who writes a shard: the region's first by rank, then the second, then in a
     /// small view the holder itself. Those that could not reach the platform of late are passed over.
-    fn writer(&self, now: Time, shard: u32, tries: u32) -> Incarnation {
+    fn shard_writer(&self, now: Time, shard: u32, tries: u32) -> Incarnation {
         let members = self.state.membership();
         let ranked = members.view.ranked(&shard.to_be_bytes(), Some(&members.me.region));
-        let reaches = |id: &Incarnation| !members.has_store_failure(now, *id);
+        let can_reach_store = |id: &Incarnation| !members.has_store_failure(now, *id);
         let mut writers: Vec<_> =
-            ranked.iter().map(|m| m.incarnation).filter(reaches).take(2).collect();
+            ranked.iter().map(|m| m.incarnation).filter(can_reach_store).take(2).collect();
         // Many that write for themselves, because the first are slow, would only make each
         // other slower.
-        let many = members.view.members.len() > MAX_SMALL_VIEW_MEMBERS;
-        if writers.is_empty() || (!many && reaches(&self.id())) {
+        let is_large = members.view.members.len() > MAX_SMALL_VIEW_MEMBERS;
+        if writers.is_empty() || (!is_large && can_reach_store(&self.id())) {
             writers.push(self.id());
         }
         let choice = usize::try_from(tries).unwrap_or(0) % writers.len();
@@ -185,12 +185,12 @@
                 refused.extend(ledger_writer.add(now, shard, op));
             }
         }
-        self.tell(now, refused, out);
-        self.call_ledger(now, out);
+        self.send_ledger_replies(now, refused, out);
+        self.start_ledger_calls(now, out);
     }
 
     /// Takes in the platform's answer about a shard.
-    pub(crate) fn ledger_answered(
+    pub(crate) fn handle_ledger_result(
         &self,
         now: Time,
         shard: u32,
@@ -198,8 +198,8 @@
         out: &mut Outbox,
     ) {
         let replies = self.state.ledger_writer().handle_result(now, shard, result);
-        self.tell(now, replies, out);
-        self.call_ledger(now, out);
+        self.send_ledger_replies(now, replies, out);
+        self.start_ledger_calls(now, out);
     }
 
     /// Takes in what became of this process's own changes.
@@ -219,7 +219,7 @@
         }
     }
 
-    fn call_ledger(&self, now: Time, out: &mut Outbox) {
+    fn start_ledger_calls(&self, now: Time, out: &mut Outbox) {
         let calls = self.state.ledger_writer().next_calls(now);
         if calls.is_empty() {
             return;
@@ -231,7 +231,12 @@
         }
     }
 
-    fn tell(&self, now: Time, results: Vec<ledger_writer::OpResult>, out: &mut Outbox) {
+    fn send_ledger_replies(
+        &self,
+        now: Time,
+        results: Vec<ledger_writer::OpResult>,
+        out: &mut Outbox,
+    ) {
         let mut batches: BTreeMap<Incarnation, Vec<_>> = BTreeMap::new();
         for result in results {
             let reply = (result.budget, result.period, result.reply);
--- a/crates/badgerfield-core/src/handlers/stopping.rs
+++ b/crates/badgerfield-core/src/handlers/stopping.rs
@@ -8,9 +8,9 @@
 use crate::node::Node;
 
 /// How long the hand-over of charges and holdings may take once nothing runs.
-const HAND_OVER: Duration = Duration::from_secs(30);
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(30);
 /// When open charges go to another process because their arbiters do not answer.
-const HAND_CHARGES: Duration = Duration::from_secs(3);
+const CHARGES_HANDOVER_DELAY: Duration = Duration::from_secs(3);
 
 impl Node {
     /// Starts a planned stop.
@@ -36,25 +36,25 @@
             };
             (since, members.removed)
         };
-        let open = now.since(since) < self.config.directory_ttl;
-        let busy = self.state.runs().active_count() > 0;
-        if (open && !removed) || busy {
+        let is_listed = now.since(since) < self.config.directory_ttl;
+        let has_active_runs = self.state.runs().active_count() > 0;
+        if (is_listed && !removed) || has_active_runs {
             self.state.membership().idle_since = None;
             return;
         }
-        let quiet = *self.state.membership().idle_since.get_or_insert(now);
-        let idle = now.since(quiet);
-        let settled = self.state.charges().is_empty() && self.state.claims().is_handed_over();
-        if !settled && idle >= HAND_CHARGES {
-            self.hand_charges(now, out);
+        let idle_since = *self.state.membership().idle_since.get_or_insert(now);
+        let idle = now.since(idle_since);
+        let is_settled = self.state.charges().is_empty() && self.state.claims().is_handed_over();
+        if !is_settled && idle >= CHARGES_HANDOVER_DELAY {
+            self.hand_over_charges(now, out);
         }
-        if !settled && idle < HAND_OVER {
+        if !is_settled && idle < HANDOVER_TIMEOUT {
             return;
         }
-        self.hand_back(now, idle, removed, out);
+        self.return_holdings(now, idle, removed, out);
     }
 
-    fn hand_back(&self, now: Time, idle: Duration, removed: bool, out: &mut Outbox) {
+    fn return_holdings(&self, now: Time, idle: Duration, removed: bool, out: &mut Outbox) {
         let closed = {
             let mut holdings = self.state.holdings();
             holdings.close();
@@ -63,15 +63,15 @@
             }
             holdings.is_closed() || removed
         };
-        if !closed && idle < HAND_OVER {
+        if !closed && idle < HANDOVER_TIMEOUT {
             return;
         }
-        let gone = {
+        let has_left = {
             let mut members = self.state.membership();
             members.intent = MembershipIntent::Quit;
             !members.is_member()
         };
-        if gone || idle >= HAND_OVER {
+        if has_left || idle >= HANDOVER_TIMEOUT {
             out.push(Command::Exit);
         }
     }
--- a/crates/badgerfield-core/src/handlers/settings.rs
+++ b/crates/badgerfield-core/src/handlers/templates.rs
@@ -12,12 +12,12 @@
     /// Takes in the platform's value of the templates.
     pub(crate) fn apply_stored_templates(&self, now: Time, found: &Versioned, out: &mut Outbox) {
         if let Some(bytes) = &found.value {
-            self.decode_templates(now, bytes, out);
+            self.apply_encoded_templates(now, bytes, out);
         }
     }
 
     /// Takes in templates as operators wrote them.
-    pub(crate) fn decode_templates(&self, now: Time, bytes: &[u8], out: &mut Outbox) {
+    pub(crate) fn apply_encoded_templates(&self, now: Time, bytes: &[u8], out: &mut Outbox) {
         match TemplateSet::decode(bytes) {
             Ok(set) => self.apply_templates(now, set, out),
             Err(error) => out.push(Command::Log(LogEntry::BadTemplates(error.to_string()))),
@@ -33,7 +33,7 @@
             }
             *table = set;
         }
-        self.templates_changed(now, out);
+        self.process_template_change(now, out);
     }
 
     /// Puts a difference in force, or asks for the whole set if it does not fit.
@@ -53,7 +53,7 @@
             (newer, whole, fits, table.version)
         };
         if fits {
-            self.templates_changed(now, out);
+            self.process_template_change(now, out);
             return;
         }
         if newer {
@@ -63,7 +63,7 @@
     }
 
     /// Returns the terms of a budget with its owner's wish to spread it.
-    pub(crate) fn learn_terms(&self, now: Time, budget: &BudgetId) {
+    pub(crate) fn update_terms(&self, now: Time, budget: &BudgetId) {
         let terms = {
             let table = self.state.templates();
             let Some((template, account)) = table.budgets.get(budget).zip(table.account_of(budget))
@@ -77,21 +77,21 @@
         self.state.holdings().update_terms(now, budget, terms.0, terms.1);
     }
 
-    fn templates_changed(&self, now: Time, out: &mut Outbox) {
+    fn process_template_change(&self, now: Time, out: &mut Outbox) {
         let version = {
             let table = self.state.templates();
             self.state.template_history().record(&table);
             table.version
         };
         out.push(Command::Log(LogEntry::Templates(version)));
-        let held: Vec<_> = self.state.holdings().budgets().cloned().collect();
-        for budget in held {
+        let budgets: Vec<_> = self.state.holdings().budgets().cloned().collect();
+        for budget in budgets {
             let before = self.state.holdings().period(&budget);
-            self.learn_terms(now, &budget);
+            self.update_terms(now, &budget);
             if self.state.holdings().period(&budget) != before {
                 out.push(Command::Log(LogEntry::BudgetRenewed(budget)));
             }
         }
-        self.spread(now, out);
+        self.send_heartbeats(now, out);
     }
 }
--- a/crates/badgerfield-core/src/handlers/upstream_news.rs
+++ b/crates/badgerfield-core/src/handlers/upstream_updates.rs
@@ -19,18 +19,18 @@
 
 /// The least time between two fetches of what is missing of the list: about as long as an
 /// answer takes on a busy VM.
-const FETCH: Duration = Duration::from_millis(200);
+const MIN_FETCH_INTERVAL: Duration = Duration::from_millis(200);
 /// The least time between two fetches of the whole list by one that has a list: some 110 B for
 /// each upstream are not to be sent for each piece of news that finds the lists different.
-const WHOLE: Duration = Duration::from_secs(2);
+const MIN_FULL_FETCH_INTERVAL: Duration = Duration::from_secs(2);
 /// How long news that others have may still be under way here: it goes round a fleet of 300 in
 /// a tenth of a second. An upstream that leaves gives seconds of notice.
-const UNDER_WAY: Duration = Duration::from_millis(250);
+const PROPAGATION_TIME: Duration = Duration::from_millis(250);
 /// For how long a list that has not changed needs no confirmation: a fifth or less of the notice
 /// of upstreams on the users' sheets (3 s and more where fleets are large), after 0.6 of which
 /// others begin to read the list themselves. Several members follow the platform; the first to
 /// read it in each such span confirms it for all.
-const CONFIRM: Duration = Duration::from_millis(600);
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(600);
 
 impl Node {
     /// Returns the last revision of the list up to which all were told every change.
@@ -46,38 +46,38 @@
         found: &UpstreamUpdate,
         out: &mut Outbox,
     ) {
-        let UpstreamUpdate { changes, version: mark, .. } = found;
-        let is_news = !changes.written.is_empty() || !changes.gone.is_empty();
+        let UpstreamUpdate { changes, version, .. } = found;
+        let has_changes = !changes.written.is_empty() || !changes.gone.is_empty();
         let mut members = self.state.membership();
-        let news = |reach| UpstreamUpdate { reach, ..found.clone() };
+        let update = |reach| UpstreamUpdate { reach, ..found.clone() };
         if members.view.members.len() <= MAX_SMALL_VIEW_MEMBERS {
-            if !is_news {
+            if !has_changes {
                 return;
             }
-            members.announced_revision = members.announced_revision.max(mark.revision);
+            members.announced_revision = members.announced_revision.max(version.revision);
             for to in members.neighbours() {
-                out.send(to, Message::UpstreamChanges(news(0)));
+                out.send(to, Message::UpstreamChanges(update(0)));
             }
             return;
         }
-        if !is_news && !is_due(now, members.list_confirmed_at, CONFIRM) {
+        if !has_changes && !is_due(now, members.list_confirmed_at, CONFIRM_INTERVAL) {
             return;
         }
         members.list_confirmed_at = Some(now);
-        members.announced_revision = members.announced_revision.max(mark.revision);
+        members.announced_revision = members.announced_revision.max(version.revision);
         for (to, reach) in members.broadcast_targets(now, broadcast::full_reach(&members.view)) {
-            out.send(to, Message::UpstreamChanges(news(reach)));
+            out.send(to, Message::UpstreamChanges(update(reach)));
         }
     }
 
     /// Tells the neighbours of the limits that upstreams name.
-    pub(crate) fn send_limits(&self, notes: &[LimitReport], out: &mut Outbox) {
-        if notes.is_empty() {
+    pub(crate) fn send_limits(&self, reports: &[LimitReport], out: &mut Outbox) {
+        if reports.is_empty() {
             return;
         }
         let neighbours = self.state.membership().neighbours();
         for to in neighbours {
-            out.send(to, Message::LimitReports(notes.to_vec()));
+            out.send(to, Message::LimitReports(reports.to_vec()));
         }
     }
 
@@ -86,45 +86,50 @@
         &self,
         now: Time,
         from: Incarnation,
-        news: UpstreamUpdate,
+        update: UpstreamUpdate,
         out: &mut Outbox,
     ) {
-        let legs = {
+        let targets = {
             let mut members = self.state.membership();
             members.list_confirmed_at = Some(now);
             // In a small view each passes on what it has heard, and so tells it itself.
             if members.view.members.len() > MAX_SMALL_VIEW_MEMBERS {
-                members.announced_revision = members.announced_revision.max(news.version.revision);
+                members.announced_revision =
+                    members.announced_revision.max(update.version.revision);
+            }
+            if update.reach == 0 {
+                Vec::new()
+            } else {
+                members.broadcast_targets(now, update.reach)
             }
-            if news.reach == 0 { Vec::new() } else { members.broadcast_targets(now, news.reach) }
         };
-        for (to, reach) in legs {
-            let news = UpstreamUpdate { reach, ..news.clone() };
-            out.send(to, Message::UpstreamChanges(news));
+        for (to, reach) in targets {
+            let update = UpstreamUpdate { reach, ..update.clone() };
+            out.send(to, Message::UpstreamChanges(update));
         }
-        out.push(Command::ApplyUpstreamChanges(from, news));
+        out.push(Command::ApplyUpstreamChanges(from, update));
     }
 
     /// Compares what a neighbour knows of the list of upstreams with what is known here.
-    pub(crate) fn compare_lists(
+    pub(crate) fn compare_list_version(
         &self,
         now: Time,
         from: Incarnation,
-        theirs: ListVersion,
+        peer_version: ListVersion,
         out: &mut Outbox,
     ) {
         {
             let mut members = self.state.membership();
-            if theirs.revision <= members.upstream_list.revision {
+            if peer_version.revision <= members.upstream_list.revision {
                 return;
             }
-            if theirs.digest == members.upstream_list.digest {
-                members.upstream_list.revision = theirs.revision;
-                out.push(Command::ConfirmUpstreamList(theirs.revision));
+            if peer_version.digest == members.upstream_list.digest {
+                members.upstream_list.revision = peer_version.revision;
+                out.push(Command::ConfirmUpstreamList(peer_version.revision));
                 return;
             }
         }
-        self.fetch_missing_upstreams(now, from, theirs.revision, out);
+        self.fetch_missing_upstreams(now, from, peer_version.revision, out);
     }
 
     /// Takes in that a process knows the list up to a revision, which is beyond what is known
@@ -144,31 +149,35 @@
             let known = members.upstream_list.revision;
             // No whole list is under way to one that has none, so it asks at once.
             if known > 0 {
-                let noticed = members.newer_list.filter(|behind| behind.revision > known);
-                let Some(behind) = noticed else {
+                let noticed = members.newer_list.filter(|newer| newer.revision > known);
+                let Some(newer) = noticed else {
                     members.newer_list = Some(NewerList { revision, noticed_at: now });
                     return;
                 };
-                if !is_due(now, Some(behind.noticed_at), UNDER_WAY) {
+                if !is_due(now, Some(newer.noticed_at), PROPAGATION_TIME) {
                     return;
                 }
             }
             members.newer_list = None;
             known
         };
-        self.ask_upstreams(now, from, since, out);
+        self.request_upstream_list(now, from, since, out);
     }
 
     /// Takes in that a process knows no more than this one, and its list differs all the same:
     /// asks it for the whole.
     pub(crate) fn fetch_all_upstreams(&self, now: Time, from: Incarnation, out: &mut Outbox) {
-        self.ask_upstreams(now, from, 0, out);
+        self.request_upstream_list(now, from, 0, out);
     }
 
-    fn ask_upstreams(&self, now: Time, from: Incarnation, since: u64, out: &mut Outbox) {
+    fn request_upstream_list(&self, now: Time, from: Incarnation, since: u64, out: &mut Outbox) {
         let mut members = self.state.membership();
-        let pace = if since == 0 && members.upstream_list.revision > 0 { WHOLE } else { FETCH };
-        if !is_due(now, members.list_requested_at, pace) {
+        let interval = if since == 0 && members.upstream_list.revision > 0 {
+            MIN_FULL_FETCH_INTERVAL
+        } else {
+            MIN_FETCH_INTERVAL
+        };
+        if !is_due(now, members.list_requested_at, interval) {
             return;
         }
         members.list_requested_at = Some(now);
