--- a/crates/badgerfield-core/src/handlers/admission.rs
+++ b/crates/badgerfield-core/src/handlers/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: checks a request against its template before anything is spent on it.
+//! Admission: checks a request against its template before it reserves tokens.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 use crate::runs::{Claimed, Listener, Run, RunKey, Stage};
 use crate::template::{AccountTemplate, KeyDigest, MAX_OUTPUT_TOKENS, TemplateSet, account_name};
 
-/// What marks a key that names the region that decides about it, as `@region:key`.
+/// Prefix of a request key that names the region of its arbiter, as in `@region:key`.
 const HOME_REGION_PREFIX: char = '@';
-/// When to come back to another VM.
+/// Retry delay sent to callers that should use another VM.
 const OTHER_VM_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What the templates say about a request.
+/// The template that applies to a request, with its account and budget.
 struct MatchedTemplate {
     account: Account,
     budget: BudgetId,
@@ -24,14 +24,14 @@
 }
 
 impl Node {
-    /// Returns the account that a secret draws for, if there is one.
+    /// Returns the account to which a secret belongs, if any.
     #[must_use]
     pub fn find_account(&self, secret: &KeyDigest) -> Option<Account> {
         let (budget, _) = find_budget(&self.state.templates(), secret)?;
         account_name(&budget).parse().ok()
     }
 
-    /// Takes in a caller's request.
+    /// Admits a caller's request and starts its run, or refuses it.
     pub(crate) fn handle_request(
         &self,
         now: Time,
@@ -69,7 +69,8 @@
         if !is_allowed(&matched.template, &arrival.work) {
             return Err(Refusal::not_run(Cause::Forbidden));
         }
-        // What operators wrote allows no region; only they can change that.
+        // The template allows no region. Only operators can change that, so no retry delay is
+        // sent.
         if matched.template.regions.allows_none() {
             return Err(Refusal::not_run(Cause::NoRegionAllowed));
         }
@@ -131,7 +132,7 @@
         Ok(MatchedTemplate { account, budget: found.0, period: found.1, template })
     }
 
-    /// Lets a request listen to a run with the same key, or starts a run for it.
+    /// Attaches a request to an existing run with the same key, or starts a new run.
     fn join_or_start(&self, now: Time, request: RequestId, run: Run, out: &mut Outbox) {
         let (id, is_new) = {
             let mut runs = self.state.runs();
@@ -153,7 +154,7 @@
 }
 
 fn find_budget(templates: &TemplateSet, secret: &KeyDigest) -> Option<(BudgetId, Period)> {
-    // Secrets are compared by their digests, so that the time taken tells nothing of them.
+    // Compares digests, so that the comparison time reveals nothing about the secret.
     let found = templates.budgets.iter().find(|(_, b)| b.keys.contains(secret))?;
     Some((found.0.clone(), found.1.period))
 }
@@ -183,7 +184,7 @@
     }
 }
 
-/// Returns the most that a request can cost, and its output limit.
+/// Returns the maximum cost of a request and its output limit.
 fn max_cost(template: &AccountTemplate, work: &Work) -> Result<(Tokens, Tokens), Refusal> {
     let Work::Chat(chat) = work else {
         return Ok((template.call_cost, Tokens::ZERO));
--- a/crates/badgerfield-core/src/handlers/answer.rs
+++ b/crates/badgerfield-core/src/handlers/answer.rs
@@ -1,4 +1,4 @@
-//! Answers: passes what upstreams say to callers and followers, whole and in order.
+//! Answers: forwards answers of upstreams to callers and followers, complete and in order.
 
 use crate::amount::{Time, Tokens};
 use crate::event::{Answer, Chunk, Command, Outbox, UpstreamEvent, Usage, Work};
@@ -9,7 +9,7 @@
 use crate::runs::{Claimed, Run, Stage};
 
 impl Node {
-    /// Takes in what an upstream said about an attempt.
+    /// Handles an event of an upstream for an attempt.
     pub(crate) fn handle_upstream_event(
         &self,
         now: Time,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Takes in that a caller has hung up.
+    /// Handles a caller that has disconnected.
     pub(crate) fn handle_caller_disconnect(&self, now: Time, request: RequestId, out: &mut Outbox) {
         let (id, attempt) = {
             let mut runs = self.state.runs();
@@ -64,7 +64,7 @@
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
-            // A run with a key goes on: its caller may come back for the answer.
+            // A run with a key continues: its caller may reconnect for the answer.
             let is_needed = listening > 0 || run.has_ended();
             match &run.stage {
                 _ if is_needed => return,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Sends every listener and follower what it has not got.
+    /// Sends each listener and follower the parts that it does not have yet.
     pub(crate) fn deliver(&self, id: RunId, out: &mut Outbox) {
         let mut runs = self.state.runs();
         let Some(run) = runs.get_mut(id) else {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Ends a run without an answer: every listener gets the refusal at once.
+    /// Ends a run without an answer and sends the refusal to each listener at once.
     pub(crate) fn refuse(&self, now: Time, id: RunId, refusal: Refusal, out: &mut Outbox) {
         let Some(run) = self.state.runs().remove(id) else {
             return;
@@ -138,10 +138,10 @@
         }
     }
 
-    /// Gives up a run whose upstream may have run it, and may still.
+    /// Gives up a run that its upstream may have executed or may still execute.
     ///
-    /// All that was set aside counts as used, since nobody can tell what was served.
-    /// Nothing is billed: the caller has no whole answer.
+    /// All reserved tokens count as used, since the amount served is unknown. Nothing is billed,
+    /// because the caller has no complete answer.
     pub(crate) fn give_up(&self, now: Time, id: RunId, out: &mut Outbox) {
         {
             let mut runs = self.state.runs();
@@ -156,7 +156,8 @@
         self.refuse(now, id, Refusal::may_have_run(Cause::BrokenOff), out);
     }
 
-    /// Goes on without a stream that the upstream does not have.
+    /// Handles an upstream that does not have the stream: queues the run again if it may be
+    /// repeated, and ends it otherwise.
     pub(crate) fn handle_no_stream(&self, now: Time, id: RunId, out: &mut Outbox) {
         let can_requeue = {
             let mut runs = self.state.runs();
@@ -221,7 +222,7 @@
                 return;
             };
             let next = run.next_chunk();
-            // A part that was passed on already is dropped.
+            // Drops a part that was already forwarded.
             if chunk.offset < next {
                 return;
             }
@@ -250,13 +251,14 @@
         self.deliver(id, out);
     }
 
-    /// Tells whether all parts of an answer that has ended are here.
+    /// Returns whether all parts of a finished answer have arrived.
     fn has_all_parts(&self, attempt: AttemptId, parts: u64) -> bool {
         let mut runs = self.state.runs();
         runs.of_attempt(attempt).is_none_or(|(_, run)| run.next_chunk() >= parts)
     }
 
-    /// Fetches parts that were lost on the way; the stream at the upstream goes on.
+    /// Resumes the stream to fetch parts that were lost in transit. The upstream keeps the stream
+    /// running meanwhile.
     fn handle_gap(&self, now: Time, attempt: AttemptId, out: &mut Outbox) {
         if let Some((id, upstream)) = self.end_attempt(now, attempt) {
             self.resume_broken(now, id, &upstream, out);
@@ -273,7 +275,7 @@
                 return;
             };
             let usage = usage.or(run.usage);
-            // An upstream that does not say what it served is taken at its limit.
+            // If an upstream does not report usage, the maximum cost is charged.
             let cost = match run.arrival.work {
                 Work::Chat(_) => usage.map_or(run.bound, Usage::cost),
                 Work::Call(_) => run.bound,
@@ -286,7 +288,7 @@
         self.charge(now, id, cost, out);
     }
 
-    /// Ends an attempt; returns its run and upstream if it was the run's present one.
+    /// Ends an attempt. Returns its run and upstream if it was the run's current attempt.
     fn end_attempt(&self, now: Time, attempt: AttemptId) -> Option<(RunId, UpstreamId)> {
         let (id, upstream, account, work, started) = {
             let mut runs = self.state.runs();
@@ -310,10 +312,10 @@
     }
 }
 
-/// Says "not run" only where the key is known not to have run before.
+/// Reports "not run" only if the key is known not to have run before.
 ///
-/// A repeatable request may have run without its arbiter's word at a index that is cut
-/// off, so a fresh claim proves something only for a request that may run once.
+/// A repeatable request may have run without its arbiter's decision on a process that is cut off.
+/// A fresh claim therefore proves that only for an at-most-once request.
 fn adjust_outcome(run: &Run, refusal: Refusal) -> Refusal {
     let is_certain = match run.claimed {
         Claimed::Unneeded => true,
--- a/crates/badgerfield-core/src/handlers/charging.rs
+++ b/crates/badgerfield-core/src/handlers/charging.rs
@@ -1,4 +1,4 @@
-//! Charging: settles reservations, and bills each key once.
+//! Charging: settles reservations and bills each key once.
 
 use crate::amount::{Time, Tokens};
 use crate::event::{Bill, Command, Outbox};
@@ -8,7 +8,8 @@
 use crate::runs::{Run, RunKey};
 
 impl Node {
-    /// Settles an ended run at its cost and bills it, once the arbiter agrees.
+    /// Settles an ended run at its cost. The cost is billed once the arbiter agrees, or at once if
+    /// the run has no key.
     pub(crate) fn charge(&self, now: Time, id: RunId, cost: Tokens, out: &mut Outbox) {
         let (pending, bill) = {
             let mut runs = self.state.runs();
@@ -51,7 +52,7 @@
         Bill { account, budget, key: None, stream, cost, billed: true }
     }
 
-    /// Asks arbiters about charges that are due.
+    /// Sends due settle requests to arbiters.
     pub(crate) fn tick_charges(&self, now: Time, out: &mut Outbox) {
         let (requests, expired) = {
             let mut charges = self.state.charges();
@@ -61,7 +62,7 @@
         for request in requests {
             self.send_settle_request(now, request, out);
         }
-        // An arbiter that has forgotten the key cannot say who bills it.
+        // The arbiter may no longer remember the key, so it cannot decide who bills it.
         for id in expired {
             self.end_charge(id, false, out);
         }
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Answers a process that requests whether it may bill a key.
+    /// Decides whether another process may bill a key.
     pub(crate) fn handle_settle_request(
         &self,
         now: Time,
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Takes in whether a charge is this process's to bill.
+    /// Handles the arbiter's decision whether this process bills a charge.
     pub(crate) fn handle_settle_reply(
         &self,
         now: Time,
@@ -115,7 +116,7 @@
         let Some(record) = self.state.charges().claim_record(id) else {
             return;
         };
-        // What is billed must be remembered here before it is billed.
+        // A billed charge must be recorded here before it is billed.
         if billed && !self.state.claims().agreed(now, epoch, &record) {
             return;
         }
@@ -132,7 +133,7 @@
         out.push(Command::Bill(Bill { account, budget, key, stream, cost, billed }));
     }
 
-    /// Hands open charges to another process, because this one ends.
+    /// Hands pending charges over to another process, because this one stops.
     pub(crate) fn hand_over_charges(&self, now: Time, out: &mut Outbox) {
         let charges = self.state.charges().due_handover(now);
         let available = self.state.membership().available_members(now);
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Takes over the charges of a process that ends.
+    /// Takes over the pending charges of a process that stops.
     pub(crate) fn take_over_charges(
         &self,
         now: Time,
@@ -158,7 +159,7 @@
         self.tick_charges(now, out);
     }
 
-    /// Notes that another process has taken charges over.
+    /// Removes charges that another process has taken over.
     pub(crate) fn handle_charges_ack(&self, ids: &[ChargeId]) {
         let mut charges = self.state.charges();
         for id in ids {
--- a/crates/badgerfield-core/src/handlers/claims.rs
+++ b/crates/badgerfield-core/src/handlers/claims.rs
@@ -1,4 +1,4 @@
-//! Claiming: gets the right to run a key, or follows the process that has it.
+//! Claims: obtains the right to run a key, or follows the process that owns it.
 
 use std::time::Duration;
 
@@ -14,19 +14,19 @@
 use crate::refusal::{Cause, Refusal};
 use crate::runs::{Claimed, Run, RunKey, Stage};
 
-/// How often an unanswered request is sent again.
+/// Interval at which an unanswered claim request is resent.
 const RESEND_INTERVAL: Duration = Duration::from_millis(150);
 /// How long a repeatable request waits for its arbiter.
 const ARBITER_TIMEOUT: Duration = Duration::from_millis(400);
-/// How often a follower asks its owner for more.
+/// Interval at which a follower requests further answer parts from the owner.
 const FOLLOW_INTERVAL: Duration = Duration::from_millis(400);
-/// After how long without a word from the owner a follower takes over.
+/// How long an owner may stay silent before a follower claims its key.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// When to come back if nobody can decide about a key.
+/// Retry delay sent to the caller if no arbiter decides about a key in time.
 const UNDECIDED_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl Node {
-    /// Starts a run: its key first, if it has one.
+    /// Starts a run. If it has a key, the key is claimed first.
     pub(crate) fn start(&self, now: Time, id: RunId, out: &mut Outbox) {
         {
             let mut runs = self.state.runs();
@@ -53,7 +53,7 @@
         let Some(arbiter) = arbiter else {
             return;
         };
-        // An arbiter that does not answer may be gone; the backup may know what ran where.
+        // An arbiter that does not answer may be gone; the backup may know where the key has run.
         if let Some(backup) = backup.filter(|to| is_retry && *to != self.id()) {
             out.send(backup, Message::ClaimRequest(request.clone()));
         }
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Returns the arbiter and the backup keeper of a key.
+    /// Returns the arbiter and the backup of a key.
     pub(crate) fn arbiter_and_backup(&self, keyed: &RunKey) -> [Option<Incarnation>; 2] {
         let members = self.state.membership();
         let arbiters = members.view.arbiters(keyed.key, keyed.home.as_ref());
@@ -83,7 +83,7 @@
         [Some(arbiter.incarnation), backup.map(|m| m.incarnation)]
     }
 
-    /// Remembers where a key may have run, to resume it there.
+    /// Records the upstream where a key may have run, so that its stream is resumed there.
     fn record_hint(&self, id: RunId, hint: Option<UpstreamId>) {
         let mut runs = self.state.runs();
         if let Some(run) = runs.get_mut(id) {
@@ -117,7 +117,7 @@
         Some((request, is_retry))
     }
 
-    /// Answers a process that asks for a key.
+    /// Decides about a claim request of another process.
     pub(crate) fn handle_claim_request(
         &self,
         now: Time,
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Keeps a backup copy for an arbiter.
+    /// Stores the second copy of a claim for its arbiter.
     pub(crate) fn record_claim_backup(
         &self,
         now: Time,
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Grants a claim, or agrees to a charge, once its backup copy is kept.
+    /// Grants a claim or confirms a charge once the backup has stored the second copy.
     pub(crate) fn handle_claim_backup_ack(
         &self,
         now: Time,
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Takes in the arbiter's decision.
+    /// Handles the arbiter's decision on a claim.
     pub(crate) fn handle_claim_reply(
         &self,
         now: Time,
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Sends asks again, and ends those that took too long.
+    /// Resends unanswered requests and ends those that have timed out.
     pub(crate) fn tick_claims(&self, now: Time, out: &mut Outbox) {
         self.state.claims().tick(now, out);
         let (mut resend, mut assume, mut expired, mut lost, mut poll) =
@@ -266,7 +266,7 @@
         }
     }
 
-    /// Tells the arbiter and the keeper that a key was not run and never will be.
+    /// Notifies the arbiter and the backup that a key has not run and will not run here.
     pub(crate) fn release(&self, keyed: &RunKey, id: RunId, out: &mut Outbox) {
         self.state.claims().release(self.id(), keyed.key, id.0);
         for holder in self.arbiter_and_backup(keyed).into_iter().flatten() {
@@ -282,7 +282,7 @@
         out.send(holder, Message::Release { key, serial });
     }
 
-    /// Passes on what a follower lacks.
+    /// Sends a follower the parts of an answer from `offset` on.
     pub(crate) fn handle_answer_request(
         &self,
         now: Time,
@@ -316,12 +316,12 @@
                 return;
             }
         }
-        // A claim of a run that is neither here nor settled was never used.
+        // The run is neither known nor being settled, so its claim was never used.
         let _ = now;
         self.release(keyed, id, out);
     }
 
-    /// Takes in a part of an answer that another process passes on.
+    /// Appends a part of an answer that the owner forwards.
     pub(crate) fn receive_answer_part(
         &self,
         now: Time,
@@ -354,7 +354,7 @@
         self.deliver(id, out);
     }
 
-    /// Notes that the owner is still at it.
+    /// Records that the owner is still working on the answer.
     pub(crate) fn handle_answer_pending(
         &self,
         now: Time,
@@ -371,7 +371,7 @@
         }
     }
 
-    /// Asks the arbiter again, because the owner it named has no such run.
+    /// Claims the key again, because the owner that the arbiter named has no such run.
     pub(crate) fn handle_unknown_request(
         &self,
         now: Time,
@@ -430,7 +430,7 @@
         out.send(*owner, Message::AnswerRequest { key, home, serial: *serial, offset });
     }
 
-    /// Claims a key in holder of an owner that does not answer.
+    /// Claims a key whose owner does not answer.
     fn take_over(&self, now: Time, id: RunId, out: &mut Outbox) {
         let ended = {
             let mut runs = self.state.runs();
@@ -452,9 +452,9 @@
         self.send_claim_request(now, id, out);
     }
 
-    /// Lets a repeatable request go on although its arbiter does not answer.
+    /// Continues a repeatable request although its arbiter does not answer.
     fn assume_claim(&self, now: Time, id: RunId, out: &mut Outbox) {
-        // The arbiter's word may have come since it was found late.
+        // The arbiter may have answered after the timeout was detected.
         if !self.end_claiming(id) {
             return;
         }
@@ -466,7 +466,7 @@
             run.claimed = Claimed::Assumed;
             run.keyed.as_ref().map(|keyed| keyed.key)
         };
-        // This process may be the backup keeper, and know what ran where.
+        // This process may be the backup and know where the key has run.
         let hint = key.and_then(|key| self.state.claims().hint(key));
         self.record_hint(id, hint);
         self.reserve(now, id, out);
@@ -481,7 +481,7 @@
         same && run.is_claiming()
     }
 
-    /// Ends the wait for an arbiter that took too long; tells whether this thread ended it.
+    /// Ends the wait for the arbiter. Returns whether this thread ended it.
     fn end_claiming(&self, id: RunId) -> bool {
         let mut runs = self.state.runs();
         let Some(run) = runs.get_mut(id).filter(|run| run.is_claiming()) else {
@@ -491,7 +491,7 @@
         true
     }
 
-    /// Remembers an own claim, so that a new arbiter can learn of it.
+    /// Records a claim of this process, so that it can be reported to a new arbiter.
     fn record_own_claim(
         &self,
         now: Time,
@@ -522,8 +522,8 @@
         self.state.claims().record_claim(now, epoch, &record)
     }
 
-    /// Takes in that the arbiter lets a run go on; tells whether this thread may go on with it.
-    /// Another does if the same word came twice, or the wait was over just now.
+    /// Applies a grant of the arbiter. Returns whether this thread may continue the run: another
+    /// thread does if the grant was received twice or the wait has just timed out.
     fn apply_grant(&self, id: RunId, earlier: Option<UpstreamId>) -> bool {
         if !self.end_claiming(id) {
             return false;
@@ -538,7 +538,7 @@
     }
 }
 
-/// Notes a word from the owner; tells whether the run follows it.
+/// Records a message from the owner. Returns whether the run follows that owner.
 fn record_owner_contact(now: Time, run: &mut Run, from: Incarnation, owner_serial: u64) -> bool {
     let Stage::Following { owner, serial, heard, .. } = &mut run.stage else {
         return false;
--- a/crates/badgerfield-core/src/handlers/directory.rs
+++ b/crates/badgerfield-core/src/handlers/directory.rs
@@ -1,8 +1,8 @@
 //! The directory: which VMs a caller should use.
 //!
-//! A client account is steered to a small subset of the VMs, the same for all who ask
-//! with its keys, spread over failure domains. Few VMs then hold its budget and know
-//! its prefixes. The subset grows with the account's priority.
+//! A client account is directed to a small subset of the VMs, spread over failure domains and the
+//! same for all callers with its keys. Only a few VMs then hold its budget and cache its prefixes.
+//! The subset grows with the account's priority.
 
 use std::collections::BTreeSet;
 
@@ -11,11 +11,11 @@
 use crate::template::{KeyDigest, account_name};
 use crate::view::Member;
 
-/// The smallest subset to which an account is steered.
+/// Minimum number of VMs to which an account is directed.
 const MIN_SUBSET_SIZE: usize = 2;
 
 impl Node {
-    /// Returns the VMs that a caller should use, the best first.
+    /// Returns the VMs that a caller should use, best first.
     #[must_use]
     pub fn directory(&self, now: Time, secret: Option<&KeyDigest>) -> Vec<Member> {
         let mut members = self.available_members(now);
@@ -36,7 +36,7 @@
     }
 }
 
-/// Takes the best members, of as many failure domains as there are first.
+/// Takes the best members, one from each failure domain before any second one.
 fn spread_over_domains(members: Vec<Member>, size: usize) -> Vec<Member> {
     let mut domains = BTreeSet::new();
     let (mut first, mut rest) = (Vec::new(), Vec::new());
--- a/crates/badgerfield-core/src/handlers/dispatch.rs
+++ b/crates/badgerfield-core/src/handlers/dispatch.rs
@@ -13,18 +13,18 @@
 use crate::runs::{Run, Stage};
 use crate::vm_upstreams::{VmUpstreamChoice, VmUpstreamCriteria};
 
-/// How often a request may be sent again after an upstream did not take it.
+/// Maximum number of times a request is queued again after an upstream did not accept it.
 const MAX_TRIES: u32 = 3;
-/// How often a stream may be resumed at its upstream.
+/// Maximum number of times a stream is resumed at its upstream.
 const MAX_RESUMES: u32 = 3;
-/// When to come back if no upstream serves a request.
+/// Retry delay sent to the caller if no upstream serves a request.
 const NO_UPSTREAM_RETRY_AFTER: Duration = Duration::from_secs(2);
-/// The shortest and the longest span after which to come back to a full queue.
+/// Shortest and longest retry delay sent to callers while the queue is full.
 const QUEUE_RETRY_AFTER_RANGE: (Duration, Duration) =
     (Duration::from_secs(1), Duration::from_secs(30));
 
 impl Node {
-    /// Puts a run into the queue, or refuses it if it would wait too long.
+    /// Queues a run, or refuses it if its expected wait extends past its deadline.
     pub(crate) fn enqueue(&self, now: Time, id: RunId, out: &mut Outbox) {
         let (account, deadline) = {
             let mut runs = self.state.runs();
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Refuses what has waited too long.
+    /// Refuses requests whose deadline has passed in the queue.
     pub(crate) fn tick_queue(&self, now: Time, out: &mut Outbox) {
         let expired = self.state.queue().expired(now);
         for id in expired {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Sends as many queued requests as upstreams take, in fair order.
+    /// Sends as many queued requests as upstreams accept, in fair order.
     pub(crate) fn dispatch_queued(&self, now: Time, out: &mut Outbox) {
         let mut blocked = BTreeSet::new();
         loop {
@@ -70,7 +70,8 @@
             };
             match self.choose_upstream(now, queued.run) {
                 Some(VmUpstreamChoice::Selected(upstream)) => {
-                    // Other threads look at the same head: whoever takes it out sends it.
+                    // Other threads may see the same head; only the thread that removes it sends
+                    // it.
                     if self.state.queue().remove(&account, queued.run) {
                         self.send_first_attempt(now, queued.run, &upstream, out);
                     }
@@ -145,7 +146,7 @@
         self.send_attempt(now, id, &upstream, Some(next), out);
     }
 
-    /// Resumes a broken stream at its upstream, or gives it up.
+    /// Resumes an interrupted stream at its upstream, or gives the run up.
     pub(crate) fn resume_broken(
         &self,
         now: Time,
@@ -171,7 +172,7 @@
         self.send_attempt(now, id, upstream, Some(next), out);
     }
 
-    /// Puts a run back that an upstream did not take.
+    /// Queues a run again after an upstream did not accept it.
     pub(crate) fn requeue(&self, now: Time, id: RunId, out: &mut Outbox) {
         let (account, tries, deadline) = {
             let mut runs = self.state.runs();
@@ -194,8 +195,8 @@
         self.state.queue().push(&account, QueuedRequest { run: id, deadline });
     }
 
-    /// Tells whether an upstream is known and lies where a run may be served, by the templates
-    /// that it was let in with and by those in force.
+    /// Returns whether an upstream is known and lies in a region where the run may be served, both
+    /// by the template with which the run was admitted and by the template in force.
     fn can_resume_at(&self, id: RunId, upstream: &UpstreamId) -> bool {
         let found = {
             let mut runs = self.state.runs();
@@ -213,10 +214,10 @@
         upstreams.get(upstream).is_some_and(|known| allowed.allows(Some(&known.info.region)))
     }
 
-    /// Removes ended runs whose answers are no longer to be kept here.
+    /// Removes ended runs whose answers must no longer be stored here.
     ///
-    /// An answer stays for retries only where the templates that its request was let in with
-    /// and those in force both let it be stored.
+    /// An answer is stored for retries only if both the template with which its request was
+    /// admitted and the template in force allow this region.
     pub(crate) fn sweep_runs(&self, now: Time) {
         let region = &self.config.member.region;
         let excluded: BTreeSet<_> = {
@@ -283,7 +284,7 @@
         }
     }
 
-    /// Returns the name of a run's stream at its upstream, the same for all owners of a key.
+    /// Returns the name of a run's stream at its upstream. It is the same for all owners of a key.
     pub(crate) fn stream_name(&self, id: RunId, run: &Run) -> String {
         match &run.keyed {
             Some(keyed) => keyed.key.to_string(),
@@ -291,7 +292,7 @@
         }
     }
 
-    /// Frees what an attempt took up at its upstream and in the queue.
+    /// Frees the capacity that an attempt occupied at its upstream and in the queue.
     pub(crate) fn release_attempt(
         &self,
         now: Time,
--- a/crates/badgerfield-core/src/handlers/evacuations.rs
+++ b/crates/badgerfield-core/src/handlers/evacuations.rs
@@ -1,8 +1,10 @@
-//! News of evacuated failure domains: takes them in, passes them on, and compares beliefs.
+//! Evacuations of failure domains: applies them, broadcasts them, and compares them with
+//! neighbours.
 //!
-//! Whoever hears of a change from the platform tells all members by a broadcast. Signs of life
-//! carry a digest; members whose digests differ tell each other all that they know, so that one
-//! that has just joined, was cut off, or has no platform catches up with its first neighbour.
+//! A member that reads a change from the platform broadcasts it to all members. Heartbeats carry a
+//! digest, and members whose digests differ exchange all evacuations that they know. A member that
+//! has just joined, was cut off, or cannot reach the platform is thus up to date after its first
+//! exchange with a neighbour.
 
 use std::time::Duration;
 
@@ -14,12 +16,12 @@
 use crate::message::{EvacuationUpdate, Message};
 use crate::node::Node;
 
-/// The least time between two comparisons with one member: shorter than signs of life are
-/// apart (0.4 s and reply), so that one whose answer was lost is asked again at its next.
+/// Minimum time between two comparisons with one member. It is shorter than the heartbeat interval
+/// (0.4 s and more), so that a member whose reply was lost is asked again at its next heartbeat.
 pub(super) const MIN_COMPARE_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Node {
-    /// Takes in all that operators have at the platform.
+    /// Applies a snapshot of all values that operators have written to the store.
     pub(crate) fn apply_operator_values(&self, now: Time, found: OperatorValues, out: &mut Outbox) {
         let OperatorValues { revision, templates, evacuated, rollouts } = found;
         self.apply_order_snapshot(now, revision, rollouts, out);
@@ -31,7 +33,7 @@
         }
     }
 
-    /// Takes in what operators changed at the platform.
+    /// Applies changes that operators have written to the store.
     pub(crate) fn apply_operator_changes(
         &self,
         now: Time,
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Takes in what another process tells, and passes it on to its part of the ring.
+    /// Applies an evacuation update and forwards it to this process's part of the ring.
     pub(crate) fn receive_evacuation_update(
         &self,
         now: Time,
@@ -66,8 +68,8 @@
         out.push_evacuations(Some(from), changed);
     }
 
-    /// Tells a neighbour whose digest differs all that is known here, and so asks it for what
-    /// it knows beyond that.
+    /// Sends all known evacuations to a neighbour whose digest differs. The neighbour replies if
+    /// it knows more.
     pub(crate) fn compare_evacuation_digest(
         &self,
         now: Time,
@@ -93,7 +95,7 @@
         out.send(from, Message::CompareEvacuations(changes));
     }
 
-    /// Takes in what a neighbour knows, and answers if reply is known here.
+    /// Applies the evacuations of a neighbour and replies if this process knows more.
     pub(crate) fn reconcile_evacuations(
         &self,
         from: Incarnation,
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Tells all members what the platform said.
+    /// Broadcasts evacuations that have changed in the store.
     fn broadcast_evacuations(&self, now: Time, changed: &[DomainChange], out: &mut Outbox) {
         if changed.is_empty() {
             return;
--- a/crates/badgerfield-core/src/handlers/members.rs
+++ b/crates/badgerfield-core/src/handlers/members.rs
@@ -1,4 +1,5 @@
-//! Membership: joins, leaves, removes the lost, and passes views and versions on.
+//! Membership: joins and leaves the view, removes lost members, and distributes views and template
+//! versions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,21 +19,21 @@
 use crate::view::{MAX_SMALL_VIEW_MEMBERS, Member, MemberState, View};
 use crate::view_update::ViewUpdate;
 
-/// How often the platform's values are read.
+/// Interval at which values are read from the store.
 const READ_INTERVAL: Duration = Duration::from_secs(1);
-/// The least time between two writes of the view by one process.
+/// Minimum time between two writes of the view by one process.
 const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(200);
-/// The least time between two fetches from one member.
+/// Minimum time between two fetches from one member.
 const MIN_FETCH_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Node {
-    /// Returns the members that callers may be sent to.
+    /// Returns the members to which callers may be sent.
     #[must_use]
     pub fn available_members(&self, now: Time) -> Vec<Member> {
         self.state.membership().available_members(now)
     }
 
-    /// Sends signs of life when they are due.
+    /// Sends heartbeats if they are due.
     pub(crate) fn tick_heartbeat(&self, now: Time, out: &mut Outbox) {
         let is_due = {
             let members = self.state.membership();
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Sends a sign of life to all neighbours, with the versions in force.
+    /// Sends a heartbeat with the versions in force to all neighbours.
     pub(crate) fn send_heartbeats(&self, now: Time, out: &mut Outbox) {
         let version = self.state.templates().version;
         let confirmed = self.state.claims().confirmation_status();
@@ -75,28 +76,28 @@
         }
     }
 
-    /// Tells whether this process follows the platform's values itself; `heard` is how long
-    /// ago it has heard of the list of upstreams.
+    /// Returns whether this process watches the platform's values itself. `last_update` is the
+    /// time since it last received an update of the list of upstreams.
     #[must_use]
     pub fn watches_platform(&self, now: Time, last_update: Option<Duration>) -> bool {
         self.state.membership().watches_platform(now, last_update)
     }
 
-    /// Tells whether this process reads whole values from the platform that it knows nothing
-    /// of yet; others of its region give it those otherwise.
+    /// Returns whether it is this process's turn to read whole values from the store at its start.
+    /// Otherwise it requests them from members of its region.
     #[must_use]
     pub fn is_bootstrap_reader(&self, now: Time) -> bool {
         self.state.membership().is_bootstrap_reader(now)
     }
 
-    /// Tells whether this process is among the few that try the platform often while it does
-    /// not answer; they tell the others when it is back.
+    /// Returns whether this process is one of the few that probe the platform often while it does
+    /// not answer. They notify the others once it answers again.
     #[must_use]
     pub fn probes_platform(&self) -> bool {
         self.state.membership().probes_platform()
     }
 
-    /// Takes in a sign of life; asks for what the sender has newer.
+    /// Handles a heartbeat and fetches what the sender has newer.
     pub(crate) fn handle_heartbeat(
         &self,
         now: Time,
@@ -117,15 +118,16 @@
             let mut members = self.state.membership();
             members.record_contact(now, from, Some(heartbeat));
             let is_behind = heartbeat.epoch < members.view.epoch;
-            // One that was removed hears of it from those it still talks to. Who is behind,
-            // and not a neighbour, may hear only from members that it does not know yet, and
-            // so cannot ask.
+            // A removed member is informed by the members to which it still sends heartbeats. A
+            // member with an older view that is no neighbour may receive heartbeats only from
+            // members that it does not know yet, and cannot fetch the view from those.
             let cannot_ask = !members.view.has(from) || !members.neighbours().contains(&from);
             if is_behind
                 && cannot_ask
                 && is_due(now, members.views_pushed.get(&from).copied(), MIN_FETCH_INTERVAL)
             {
-                // Some that were removed heartbeat on for a while; nobody else forgets them here.
+                // Removed members send heartbeats for a while; their entries are dropped nowhere
+                // else.
                 members.views_pushed.retain(|_, at| now.since(*at) < MIN_FETCH_INTERVAL);
                 members.views_pushed.insert(from, now);
                 out.send(
@@ -143,12 +145,12 @@
             (members.view.epoch, is_near)
         };
         let whole = version == TemplateVersion(0);
-        // Whole templates are asked of members of the region only.
+        // Whole templates are requested only from members of the same region.
         let version = if whole && !is_near { heartbeat.version } else { version };
         out.send(from, Message::Fetch { epoch, version, whole });
     }
 
-    /// Sends a member what it lacks.
+    /// Sends a member the views and templates that it lacks.
     pub(crate) fn handle_fetch(
         &self,
         from: Incarnation,
@@ -175,9 +177,9 @@
         out.send(from, message);
     }
 
-    /// Takes in what a neighbour knows of hand-overs. Whoever remembers claims, or is one of
-    /// few, passes news on at its next tick, since callers wait for it; others with their next
-    /// sign of life.
+    /// Applies a neighbour's handover confirmations. A process that stores claims or is in a small
+    /// view forwards new confirmations at its next tick, because callers wait for them. Other
+    /// processes send them with their next heartbeat.
     fn apply_confirmations(&self, now: Time, heartbeat: &Heartbeat) {
         let (is_new, has_claims) = {
             let mut claims = self.state.claims();
@@ -192,8 +194,8 @@
         }
     }
 
-    /// Puts a newer view in force that a peer sent, or asks for the whole of it if what was
-    /// sent does not fit the one that is known.
+    /// Applies a newer view from a peer, or fetches the whole view if the update does not apply to
+    /// the current one.
     pub(crate) fn update_view(
         &self,
         now: Time,
@@ -207,7 +209,7 @@
             if update.epoch <= old.epoch {
                 return;
             }
-            // The answer has come: the next one may be asked for.
+            // The reply has arrived, so the next fetch may be sent.
             members.fetch_sent_at = None;
             update.apply(&old)
         };
@@ -220,7 +222,7 @@
         out.send(from, Message::Fetch { epoch: Epoch(0), version, whole });
     }
 
-    /// Puts a newer view in force in every table that depends on it.
+    /// Applies a newer view to every table that depends on it.
     pub(crate) fn apply_view(&self, now: Time, view: &Arc<View>, out: &mut Outbox) {
         let (gone, removed) = {
             let mut members = self.state.membership();
@@ -241,7 +243,7 @@
         self.send_heartbeats(now, out);
     }
 
-    /// Reads the platform's values, and writes the view, when that is due.
+    /// Reads the store's values and writes the view if that is due.
     pub(crate) fn read_platform(&self, now: Time, out: &mut Outbox) {
         let complete = self.state.claims().complete_epoch();
         let version = self.state.templates().version;
@@ -268,15 +270,15 @@
         self.write_view(now, out);
     }
 
-    /// Asks a member of the region for the templates and the list of upstreams, while none are
-    /// known here; it need not have joined for that.
+    /// Requests the templates and the list of upstreams from a member of the region while they are
+    /// missing here. This process need not have joined for that.
     pub(crate) fn request_bootstrap(&self, now: Time, out: &mut Outbox) {
         let (has_templates, has_routes) = {
             let templates = self.state.templates();
             (templates.version > TemplateVersion(0), !templates.routing.routes.is_empty())
         };
         let mut members = self.state.membership();
-        // Without routes there is no list of their upstreams.
+        // Without routes, no list of their upstreams is needed.
         let has_list = members.upstream_list.revision > 0 || !has_routes;
         if (has_templates && has_list) || !is_due(now, members.bootstrap_at, MIN_FETCH_INTERVAL) {
             return;
@@ -294,7 +296,7 @@
         }
     }
 
-    /// Writes a process that asks for it into the view, with others that ask.
+    /// Writes a joining process into the view, together with others that wait to join.
     pub(crate) fn handle_join_request(
         &self,
         now: Time,
@@ -318,7 +320,7 @@
         {
             return;
         }
-        // A write builds on what the platform has, which says more than peers do.
+        // The write is based on the stored view, which takes precedence over views from peers.
         let stored = Arc::clone(&members.stored);
         let handed_over = complete == stored.epoch && complete > Epoch(0);
         let me = members.me.clone();
@@ -372,7 +374,7 @@
         ));
     }
 
-    /// Takes in an answer of the key-value service.
+    /// Handles a result of the store.
     pub(crate) fn handle_store_result(
         &self,
         now: Time,
@@ -416,7 +418,7 @@
                 drop(members);
                 self.write_view(now, out);
             }
-            // Whether the write took effect is seen at the next read.
+            // Whether the write succeeded is known after the next read.
             (Purpose::Write(_), _) => {
                 let mut members = self.state.membership();
                 members.stored_known = false;
@@ -436,7 +438,7 @@
         };
         let requested_at = {
             let mut members = self.state.membership();
-            // A stale read names an older revision; writing on it would only conflict.
+            // A stale read has an older revision, and a write based on it would only conflict.
             if found.revision < members.stored_revision {
                 return;
             }
@@ -447,14 +449,14 @@
             members.view_requested_at
         };
         self.apply_view(now, &view, out);
-        // Only now: a judge that took the older view for one of this time would not wait for a
-        // member that has just joined.
+        // This is set only after the view is applied. Otherwise a judge could take the older view
+        // for the one just read, and would not wait for a member that has just joined.
         let mut members = self.state.membership();
         members.view_known_at = members.view_known_at.max(requested_at);
     }
 }
 
-/// Reads a value of the platform, unless that is under way.
+/// Starts reading a value from the store unless a read is in progress.
 pub(super) fn start_read(members: &mut Membership, now: Time, name: StoreKey, out: &mut Outbox) {
     if members.store_calls.is_open(&name) {
         return;
--- a/crates/badgerfield-core/src/handlers/mod.rs
+++ b/crates/badgerfield-core/src/handlers/mod.rs
@@ -1,4 +1,5 @@
-//! Controllers: each reads and writes the tables for one matter.
+//! Handlers of events, messages and ticks. Each module is responsible for one part of the shared
+//! state.
 
 mod admission;
 mod answer;
--- a/crates/badgerfield-core/src/handlers/poison.rs
+++ b/crates/badgerfield-core/src/handlers/poison.rs
@@ -1,9 +1,9 @@
-//! News of requests under which upstreams have ended: takes them in, passes them on, keeps them
-//! at the platform, and compares beliefs.
+//! Poison requests: applies crashes of upstreams, broadcasts them, stores them, and compares them
+//! with neighbours.
 //!
-//! A crash that blocks a request is crashes to all at once, any other after a moment in which more
-//! may be gathered. What is lost on the way matters only for blocked requests: those are compared
-//! by digests in signs of life, and recorded at the platform.
+//! A crash that blocks a request is broadcast at once. Others are gathered for a short time and
+//! broadcast together. Lost updates matter only for blocked requests: these are compared by
+//! digests in heartbeats and recorded in the store.
 
 use std::time::Duration;
 
@@ -19,23 +19,23 @@
 use crate::poison::{Crash, Fingerprint};
 use crate::poison_record::{self, RecordCall};
 
-/// The least time between two comparisons with one member: all that is known may be 50 KB, and
-/// what is new was crashes to all before.
+/// Minimum time between two comparisons with one member. The known crashes may take 50 KB, and new
+/// ones have already been broadcast.
 const MIN_COMPARE_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Node {
-    /// Takes in that an upstream ended while a request of this process was there.
+    /// Records that an upstream crashed while it had a request of this process.
     pub(crate) fn record_crash(&self, now: Time, crash: Crash, out: &mut Outbox) {
         let request = crash.request;
         let new_crashes = self.state.poison().record_crash(now, crash);
         let blocks = new_crashes.iter().any(|(_, blocks)| *blocks);
         let mut announced: Vec<_> = new_crashes.iter().map(|(crash, _)| crash.clone()).collect();
         if blocks {
-            // With what came before, for members that have missed it.
+            // Includes earlier crashes of the request, for members that missed them.
             announced = self.state.poison().crashes_of(now, request);
         }
         self.state.poison_record().enqueue(announced);
-        // At once if a caller may come back with it elsewhere.
+        // A blocked request is broadcast at once, because its caller may retry it elsewhere.
         self.broadcast_crashes(now, blocks, out);
         if blocks {
             self.state.poison_record().mark_dirty();
@@ -44,7 +44,7 @@
         self.start_poison_call(now, out);
     }
 
-    /// Takes in that a request was served whole which was there when an upstream ended.
+    /// Records that a suspect request was served completely.
     pub(crate) fn record_suspect_served(&self, now: Time, request: Fingerprint, out: &mut Outbox) {
         let cleared = self.state.poison().record_served(now, request);
         self.state.poison_record().enqueue(cleared.iter().cloned());
@@ -52,7 +52,7 @@
         out.push_crashes(None, cleared.into_iter().map(|crash| (crash, false)).collect());
     }
 
-    /// Takes in what another process tells, and passes it on to its part of the ring.
+    /// Applies a crash update and forwards it to this process's part of the ring.
     pub(crate) fn receive_crash_update(
         &self,
         now: Time,
@@ -68,8 +68,8 @@
         self.apply_crashes(now, Some(from), update.crashes, out);
     }
 
-    /// Tells a neighbour whose digest differs all that is known here, and so asks it for what
-    /// it knows beyond that.
+    /// Sends all crashes of blocked requests to a neighbour whose digest differs. The neighbour
+    /// replies with those that are missing here.
     pub(crate) fn compare_crash_digest(
         &self,
         now: Time,
@@ -91,7 +91,7 @@
         out.send(from, Message::CompareCrashes(crashes));
     }
 
-    /// Takes in what a neighbour knows, and answers if more is known here.
+    /// Applies the crashes of a neighbour and replies with those that it is missing.
     pub(crate) fn reconcile_crashes(
         &self,
         now: Time,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Takes in an answer of the key-value service about the record.
+    /// Handles the store's result for a call about the poison record.
     pub(crate) fn handle_poison_result(
         &self,
         now: Time,
@@ -118,7 +118,7 @@
             StoreResult::Written(revision) => self.state.poison_record().set_revision(revision),
             StoreResult::Value(found) => self.apply_poison_record(now, &found, out),
             StoreResult::Conflict(found) => {
-                // What was to be written is known here still.
+                // The crashes to be written are still known here, so they are written again.
                 self.state.poison_record().mark_dirty();
                 self.apply_poison_record(now, &found, out);
             }
@@ -127,7 +127,7 @@
         self.start_poison_call(now, out);
     }
 
-    /// Does what is due.
+    /// Runs the periodic work of poison requests.
     pub(crate) fn tick_poison(&self, now: Time, out: &mut Outbox) {
         self.state.poison().sweep(now);
         self.broadcast_crashes(now, false, out);
@@ -138,7 +138,7 @@
         self.state.poison_record().set_revision(found.revision);
         match poison_record::decode(found.value.as_deref()) {
             Ok(crashes) => self.apply_crashes(now, None, crashes, out),
-            // What nobody can read is replaced by the next record.
+            // An unreadable record is replaced by the next one.
             Err(error) => {
                 out.push(Command::Log(LogEntry::BadValue(StoreKey::Poison, error.to_string())));
             }
@@ -155,7 +155,8 @@
         let (new_crashes, records) = {
             let mut poison = self.state.poison();
             let new_crashes = poison.apply(now, crashes);
-            // Two crashes may be seen at one moment by two processes: either writes it down.
+            // Two crashes of a request may be seen at the same moment by two processes. Each of
+            // them then writes the record.
             let records =
                 new_crashes.iter().any(|(c, blocks)| *blocks && poison.has_seen_crash(c.request));
             (new_crashes, records)
@@ -167,7 +168,7 @@
         out.push_crashes(from, new_crashes);
     }
 
-    /// Tells all members what waits to be crashes.
+    /// Broadcasts the crashes that are due to be announced.
     fn broadcast_crashes(&self, now: Time, is_urgent: bool, out: &mut Outbox) {
         let members = self.state.membership();
         let crashes = self.state.poison_record().take_update(now, is_urgent);
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Makes the call about the record that is due.
+    /// Starts the store call for the poison record that is due.
     fn start_poison_call(&self, now: Time, out: &mut Outbox) {
         let mut members = self.state.membership();
         let blocked = self.state.poison().blocked_crashes(now);
@@ -207,12 +208,12 @@
 }
 
 impl Outbox {
-    /// Says what was news, and has what runs of blocked requests ended.
+    /// Logs new crashes and ends the runs of requests that are now blocked.
     fn push_crashes(&mut self, from: Option<Incarnation>, crashes: Vec<(Crash, bool)>) {
         let blocked = crashes.iter().filter(|(_, blocks)| *blocks).map(|(crash, _)| crash.request);
         let blocked: Vec<_> = blocked.collect();
-        // What others saw is in their logs: a line here for each request at each crash would be
-        // one for every VM of the fleet.
+        // Crashes that other processes saw are in their logs. Logging all of them here as well
+        // would add one line per VM of the fleet for each request at each crash.
         for (crash, blocks) in crashes.into_iter().filter(|(_, blocks)| from.is_none() || *blocks) {
             self.push(Command::Log(LogEntry::Crash { crash, blocks, from }));
         }
--- a/crates/badgerfield-core/src/handlers/reservations.rs
+++ b/crates/badgerfield-core/src/handlers/reservations.rs
@@ -1,4 +1,4 @@
-//! Reservations: tokens set aside for requests on routes, which keep no run here.
+//! Reservations: tokens reserved for requests on routes, which have no run in this node.
 
 use crate::amount::Time;
 use crate::event::{Command, Outbox, ReservationEnd, ReserveRequest};
@@ -8,7 +8,7 @@
 use crate::refusal::{Cause, Refusal};
 
 impl Node {
-    /// Sets tokens aside for a request on a route.
+    /// Reserves tokens for a request on a route.
     pub(crate) fn reserve_for_route(&self, now: Time, request: &ReserveRequest, out: &mut Outbox) {
         self.update_terms(now, &request.budget);
         let waiter = (request.id.to_run_id(), request.amount, request.deadline);
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Drops a request that waits for tokens.
+    /// Cancels a reservation request that waits for tokens.
     pub(crate) fn cancel_reserve(&self, _now: Time, request: &ReserveRequest, out: &mut Outbox) {
         if self.state.holdings().cancel_request(&request.budget, request.id.to_run_id()) {
             let refusal = Refusal::not_run(Cause::Stopping);
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Ends a reservation: bills what was used and frees the rest.
+    /// Ends a reservation: bills the tokens used and frees the rest.
     pub(crate) fn settle_reservation(&self, now: Time, end: &ReservationEnd, _out: &mut Outbox) {
         let mut holdings = self.state.holdings();
         holdings.settle(now, &end.budget, end.period, end.reserved, end.used);
@@ -40,7 +40,7 @@
     }
 }
 
-/// Tells a request that waited what became of its wish.
+/// Sends the decision on a reservation to the request that waits for it.
 pub(crate) fn answer_reserve(id: ReservationId, decision: &ReserveDecision, out: &mut Outbox) {
     let result = decision.refusal.map_or(Ok(decision.period), Err);
     out.push(Command::AnswerReserve(id, result));
--- a/crates/badgerfield-core/src/handlers/rollouts.rs
+++ b/crates/badgerfield-core/src/handlers/rollouts.rs
@@ -1,8 +1,8 @@
-//! Roll-outs: takes orders in, tells members what is known, judges, and writes the record.
+//! Rollouts: applies orders, broadcasts them to members, judges targets, and writes the record.
 //!
-//! News travel as those of evacuated failure domains do: by a broadcast, made up for by digests
-//! in signs of life. The three members that rank first for a service judge it; every process
-//! tells them how its requests went.
+//! Updates are distributed like those of evacuated failure domains: by a broadcast, with digests
+//! in heartbeats to repair losses. The three members that rank first for a service judge its
+//! rollouts; every process reports the results of its requests to them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,20 +27,20 @@
 use crate::seal::FleetClock;
 use crate::view::View;
 
-/// How many members judge a service: two may be lost at once.
+/// Number of members that judge a service: two may be lost at once.
 const JUDGES_PER_SERVICE: usize = 3;
 
-/// Who judges what, at one moment.
+/// The view and clock by which a member judges rollouts.
 struct JudgeContext {
     view: Arc<View>,
     me: Incarnation,
     clock: FleetClock,
-    /// When the platform was asked for the view that was read last.
+    /// When the view that was read last was requested from the store.
     view_requested: Option<Time>,
 }
 
 impl Node {
-    /// Takes in all orders that the platform has.
+    /// Applies a snapshot of all orders from the store.
     pub(crate) fn apply_order_snapshot(
         &self,
         now: Time,
@@ -53,7 +53,7 @@
         self.apply_rollout_rules(now, changed, out);
     }
 
-    /// Takes in orders that were given or withdrawn.
+    /// Applies orders that were added or withdrawn.
     pub(crate) fn apply_order_changes(
         &self,
         now: Time,
@@ -65,7 +65,7 @@
         self.update_rollouts(now, updates, out);
     }
 
-    /// Takes in what another process tells, and passes it on to its part of the ring.
+    /// Applies a rollout update and forwards it to this process's part of the ring.
     pub(crate) fn receive_rollout_update(
         &self,
         now: Time,
@@ -81,8 +81,8 @@
         self.apply_rollout_rules(now, changed, out);
     }
 
-    /// Tells a neighbour whose digest differs all that is known here, and so asks it for what
-    /// it knows beyond that.
+    /// Sends all known rollouts to a neighbour whose digest differs. The neighbour replies if it
+    /// knows more.
     pub(crate) fn compare_rollout_digest(
         &self,
         now: Time,
@@ -106,7 +106,7 @@
         out.send(from, Message::CompareRollouts(known));
     }
 
-    /// Takes in what a neighbour knows, and answers if more is known here.
+    /// Applies the rollouts of a neighbour and replies if this process knows more.
     pub(crate) fn reconcile_rollouts(
         &self,
         now: Time,
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Takes in how requests of this process went, and tells the judges what is due.
+    /// Records the results of this process's requests and sends due reports to the judges.
     pub(crate) fn record_rollout_tallies(
         &self,
         now: Time,
@@ -144,7 +144,7 @@
         self.report_rollouts(now, &self.judge_context(now), out);
     }
 
-    /// Does what is due about roll-outs.
+    /// Runs the periodic work of rollouts.
     pub(crate) fn tick_rollouts(&self, now: Time, out: &mut Outbox) {
         let is_active = self.state.membership().is_active();
         {
@@ -165,7 +165,7 @@
         self.apply_rollout_rules(now, Vec::new(), out);
     }
 
-    /// Takes in an answer of the key-value service about a record.
+    /// Handles the store's result for a call about a rollout record.
     pub(crate) fn handle_record_result(
         &self,
         now: Time,
@@ -183,7 +183,7 @@
                 self.apply_record(now, service, revision, Some(record), out);
             }
             (StoreResult::Conflict(found), _) => {
-                out.push(call_failed("another value stands there"));
+                out.push(call_failed("conflicting record found"));
                 self.apply_stored_record(now, service, &found, out);
             }
             (StoreResult::Value(found), _) => self.apply_stored_record(now, service, &found, out),
@@ -206,7 +206,7 @@
     ) {
         let record = match RolloutRecord::decode(found.value.as_deref()) {
             Ok(record) => record,
-            // What nobody can read holds nothing up: the next record replaces it.
+            // An unreadable record blocks nothing: the next record replaces it.
             Err(error) => {
                 let name = StoreKey::Rollout(service.clone());
                 out.push(Command::Log(LogEntry::BadValue(name, error.to_string())));
@@ -238,7 +238,7 @@
         self.update_rollouts(now, update.into_iter().collect(), out);
     }
 
-    /// Judges an order, and takes the step that is due.
+    /// Judges an order and takes the step that is due.
     fn judge_rollout(
         &self,
         now: Time,
@@ -290,7 +290,7 @@
         }
     }
 
-    /// Logs that the target of an order was found to be bad, tells all members, and acts on it.
+    /// Logs that the target of an order was rejected, broadcasts that, and applies the rules.
     fn handle_rejection(
         &self,
         now: Time,
@@ -307,7 +307,7 @@
         self.apply_rollout_rules(now, changed, out);
     }
 
-    /// Makes a call that a judge asks for.
+    /// Starts a store call that a judge needs.
     fn start_record_call(
         &self,
         now: Time,
@@ -342,7 +342,7 @@
         out.push(Command::CallStore(ticket, call));
     }
 
-    /// Tells the judges how requests of this process went, where that is due.
+    /// Sends due reports on this process's requests to the judges.
     fn report_rollouts(&self, now: Time, context: &JudgeContext, out: &mut Outbox) {
         let members = u32::try_from(context.view.members.len()).unwrap_or(u32::MAX);
         let mut table = self.state.rollouts();
@@ -357,7 +357,7 @@
         }
     }
 
-    /// Takes in news, tells all members what was news here, and puts the rules in force.
+    /// Applies updates, broadcasts those that are new here, and applies the rules.
     fn update_rollouts(&self, now: Time, updates: Vec<KnownRollout>, out: &mut Outbox) {
         if updates.is_empty() {
             return;
@@ -367,7 +367,7 @@
         self.apply_rollout_rules(now, changed, out);
     }
 
-    /// Tells all members what was news here.
+    /// Broadcasts rollouts that have changed here.
     fn broadcast_rollouts(&self, now: Time, changed: &[KnownRollout], out: &mut Outbox) {
         if changed.is_empty() {
             return;
@@ -379,7 +379,7 @@
         }
     }
 
-    /// Logs what was news, and puts the rules in force that follow from it.
+    /// Logs changed rollouts and applies the rules that follow from them.
     fn apply_rollout_rules(&self, now: Time, changed: Vec<KnownRollout>, out: &mut Outbox) {
         for known in changed {
             out.push(Command::Log(LogEntry::Rollout(Box::new(RolloutLogEntry::Updated(known)))));
@@ -390,7 +390,7 @@
         }
     }
 
-    /// Returns how long a request of a service may run: the max_duration timeout of its routes.
+    /// Returns how long a request of a service may run: the longest timeout of its routes.
     fn max_route_timeout(&self, service: &Service) -> Duration {
         let templates = self.state.templates();
         let routes = templates.routing.routes.iter();
@@ -407,7 +407,7 @@
 }
 
 impl JudgeContext {
-    /// Returns the members that judge a service, the first of them first.
+    /// Returns the members that judge a service, in order of rank.
     fn judges(&self, service: &Service) -> Vec<Incarnation> {
         let subject = [b"rollout/", service.as_str().as_bytes()].concat();
         let ranked = self.view.ranked(&subject, None);
--- a/crates/badgerfield-core/src/handlers/spending.rs
+++ b/crates/badgerfield-core/src/handlers/spending.rs
@@ -1,4 +1,4 @@
-//! Spending rights: moves changes to the ledger and tokens between holders.
+//! Spending: sends ledger operations and moves tokens between holders.
 
 use std::collections::BTreeMap;
 
@@ -15,11 +15,11 @@
 use crate::runs::Stage;
 use crate::view::MAX_SMALL_VIEW_MEMBERS;
 
-/// Up to how many budgets are opened before a request asks for them.
+/// Maximum number of budgets that are opened before a request needs them.
 const MAX_OPENED_BUDGETS: usize = 256;
 
 impl Node {
-    /// Sets aside the most that a run can cost.
+    /// Reserves the maximum cost of a run.
     pub(crate) fn reserve(&self, now: Time, id: RunId, out: &mut Outbox) {
         let (budget, bound, deadline) = {
             let mut runs = self.state.runs();
@@ -38,10 +38,10 @@
         }
     }
 
-    /// Moves a run on whose tokens were set aside in this period.
+    /// Continues a run whose tokens were reserved in the given period.
     ///
-    /// The period comes with the tokens: a budget that is renewed meanwhile would get back, when
-    /// the run ends, what it never handed out.
+    /// The period is recorded with the tokens. If the budget is renewed before the run ends, the
+    /// new period must not get back tokens that it never granted.
     fn apply_reservation(&self, now: Time, id: RunId, period: Period, out: &mut Outbox) {
         let resumes = {
             let mut runs = self.state.runs();
@@ -59,7 +59,7 @@
         self.enqueue(now, id, out);
     }
 
-    /// Takes in tokens of another holder.
+    /// Receives tokens from another holder.
     pub(crate) fn receive_transfer(
         &self,
         now: Time,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Keeps amounts that another holder parks here.
+    /// Stores amounts that another holder parks here.
     pub(crate) fn handle_park(
         &self,
         now: Time,
@@ -81,7 +81,8 @@
         items: &[ParkItem],
         out: &mut Outbox,
     ) {
-        // A parked amount may fall to this process, which must know its budget then.
+        // A parked amount may pass to this process, which must know the terms of its budget by
+        // then.
         for item in items {
             self.update_terms(now, &item.budget);
         }
@@ -91,14 +92,14 @@
         }
     }
 
-    /// Does the regular work of the holdings.
+    /// Runs the periodic work of the holdings.
     pub(crate) fn tick_holdings(&self, now: Time, out: &mut Outbox) {
         self.open_holdings(now);
         self.state.holdings().tick(now, out);
     }
 
-    /// Opens a holding of every budget where tokens are sealed, so that what earlier
-    /// processes of this VM left is settled before it is missed.
+    /// Opens a holding of every budget if tokens are sealed, so that amounts left by earlier
+    /// processes of this VM are settled before requests need them.
     fn open_holdings(&self, now: Time) {
         if !self.config.pacing.seal_holdings || !self.is_ready() {
             return;
@@ -117,7 +118,8 @@
         }
     }
 
-    /// Does what any event may have made due: sends changes, answers waiting runs.
+    /// Does work that any event may have made due: sends ledger operations and answers waiting
+    /// requests.
     pub(crate) fn flush_holdings(&self, now: Time, out: &mut Outbox) {
         let (ops, decisions) = {
             let mut holdings = self.state.holdings();
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Sends changes to whoever writes their shards.
+    /// Sends ledger operations to the processes that write their shards.
     fn send_ops(&self, now: Time, ops: Vec<(LedgerOp, u32)>, out: &mut Outbox) {
         let mut batches: BTreeMap<Incarnation, Vec<LedgerOp>> = BTreeMap::new();
         for (op, tries) in ops {
@@ -157,16 +159,17 @@
         }
     }
 
-    /// Returns who writes a shard: the region's first by rank, then the second, then in a
-    /// small view the holder itself. Those that could not reach the platform of late are passed over.
+    /// Returns the process that writes a shard: the first of the region by rank, then the second,
+    /// then, in a small view, the holder itself. Skips processes that recently failed to reach the
+    /// store.
     fn shard_writer(&self, now: Time, shard: u32, tries: u32) -> Incarnation {
         let members = self.state.membership();
         let ranked = members.view.ranked(&shard.to_be_bytes(), Some(&members.me.region));
         let can_reach_store = |id: &Incarnation| !members.has_store_failure(now, *id);
         let mut writers: Vec<_> =
             ranked.iter().map(|m| m.incarnation).filter(can_reach_store).take(2).collect();
-        // Many that write for themselves, because the first are slow, would only make each
-        // other slower.
+        // In a large view, many holders would otherwise write for themselves while the first
+        // writers are slow, and so slow each other down.
         let is_large = members.view.members.len() > MAX_SMALL_VIEW_MEMBERS;
         if writers.is_empty() || (!is_large && can_reach_store(&self.id())) {
             writers.push(self.id());
@@ -175,7 +178,7 @@
         writers.get(choice).copied().unwrap_or(self.id())
     }
 
-    /// Takes in changes that this process is to write.
+    /// Queues ledger operations that this process writes.
     pub(crate) fn handle_ledger_request(&self, now: Time, ops: Vec<LedgerOp>, out: &mut Outbox) {
         let mut refused = Vec::new();
         {
@@ -189,7 +192,7 @@
         self.start_ledger_calls(now, out);
     }
 
-    /// Takes in the platform's answer about a shard.
+    /// Handles the store's result for a shard.
     pub(crate) fn handle_ledger_result(
         &self,
         now: Time,
@@ -202,7 +205,7 @@
         self.start_ledger_calls(now, out);
     }
 
-    /// Takes in what became of this process's own changes.
+    /// Applies the replies to this process's own ledger operations.
     pub(crate) fn apply_ledger_replies(
         &self,
         now: Time,
--- a/crates/badgerfield-core/src/handlers/stopping.rs
+++ b/crates/badgerfield-core/src/handlers/stopping.rs
@@ -1,4 +1,4 @@
-//! Stopping: leaves the directory, ends what runs, gives everything back, and exits.
+//! Stopping: leaves the directory, finishes running requests, returns all holdings, and exits.
 
 use std::time::Duration;
 
@@ -7,9 +7,10 @@
 use crate::membership::MembershipIntent;
 use crate::node::Node;
 
-/// How long the hand-over of charges and holdings may take once nothing runs.
+/// Maximum time for the handover of charges and holdings after the last run has ended.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(30);
-/// When open charges go to another process because their arbiters do not answer.
+/// Idle time after which pending charges are handed to another process because their arbiters do
+/// not answer.
 const CHARGES_HANDOVER_DELAY: Duration = Duration::from_secs(3);
 
 impl Node {
@@ -27,7 +28,7 @@
         self.read_platform(now, out);
     }
 
-    /// Moves a planned stop on.
+    /// Takes the next step of a planned stop.
     pub(crate) fn tick_stop(&self, now: Time, out: &mut Outbox) {
         let (since, removed) = {
             let members = self.state.membership();
--- a/crates/badgerfield-core/src/handlers/templates.rs
+++ b/crates/badgerfield-core/src/handlers/templates.rs
@@ -1,4 +1,4 @@
-//! Templates: reads them from the platform and from peers, and never steps back.
+//! Templates: applies them from the store and from peers, and never goes back to an older version.
 
 use crate::amount::Time;
 use crate::event::{Command, LogEntry, Outbox, Versioned};
@@ -9,14 +9,14 @@
 use crate::template::{TemplateDelta, TemplateSet};
 
 impl Node {
-    /// Takes in the platform's value of the templates.
+    /// Applies the templates that were read from the store.
     pub(crate) fn apply_stored_templates(&self, now: Time, found: &Versioned, out: &mut Outbox) {
         if let Some(bytes) = &found.value {
             self.apply_encoded_templates(now, bytes, out);
         }
     }
 
-    /// Takes in templates as operators wrote them.
+    /// Decodes and applies templates in the encoding that operators use.
     pub(crate) fn apply_encoded_templates(&self, now: Time, bytes: &[u8], out: &mut Outbox) {
         match TemplateSet::decode(bytes) {
             Ok(set) => self.apply_templates(now, set, out),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Puts a newer set in force.
+    /// Applies a set of templates if it is newer and valid.
     pub(crate) fn apply_templates(&self, now: Time, set: TemplateSet, out: &mut Outbox) {
         {
             let mut table = self.state.templates();
@@ -36,7 +36,7 @@
         self.process_template_change(now, out);
     }
 
-    /// Puts a difference in force, or asks for the whole set if it does not fit.
+    /// Applies a delta, or fetches templates if it does not apply.
     pub(crate) fn apply_template_delta(
         &self,
         now: Time,
@@ -47,7 +47,8 @@
         let (newer, whole, fits, version) = {
             let mut table = self.state.templates();
             let newer = delta.version > table.version;
-            // One that starts elsewhere has been overtaken; the next one may fit.
+            // A delta with another base has been superseded, and the next one may apply. Otherwise
+            // the whole set is needed.
             let whole = delta.base == table.version;
             let fits = table.apply_delta(delta);
             (newer, whole, fits, table.version)
@@ -62,7 +63,8 @@
         }
     }
 
-    /// Returns the terms of a budget with its owner's wish to spread it.
+    /// Updates the terms of a budget, and the share of it that VMs hold ahead of demand, in the
+    /// holdings.
     pub(crate) fn update_terms(&self, now: Time, budget: &BudgetId) {
         let terms = {
             let table = self.state.templates();
--- a/crates/badgerfield-core/src/handlers/upstream_updates.rs
+++ b/crates/badgerfield-core/src/handlers/upstream_updates.rs
@@ -1,8 +1,8 @@
-//! News of the list of upstreams: passes it on, and compares lists.
+//! Updates of the list of upstreams: broadcasts them and compares lists.
 //!
-//! In a large view, whoever follows the platform tells all by a broadcast, which each member
-//! passes on before it looks at it. In a small one everybody follows the platform, and tells
-//! the others what was news.
+//! In a large view, the members that watch the platform broadcast changes, and each member
+//! forwards an update before it applies it. In a small view, every member watches the platform and
+//! sends new changes to the others.
 
 use std::time::Duration;
 
@@ -17,29 +17,29 @@
 use crate::upstream_list::ListVersion;
 use crate::view::MAX_SMALL_VIEW_MEMBERS;
 
-/// The least time between two fetches of what is missing of the list: about as long as an
-/// answer takes on a busy VM.
+/// Minimum time between two fetches of missing changes: about as long as a reply takes on a busy
+/// VM.
 const MIN_FETCH_INTERVAL: Duration = Duration::from_millis(200);
-/// The least time between two fetches of the whole list by one that has a list: some 110 B for
-/// each upstream are not to be sent for each piece of news that finds the lists different.
+/// Minimum time between two fetches of the whole list by a process that has one. The list takes
+/// some 110 B for each upstream, too much to send for each update after which lists differ.
 const MIN_FULL_FETCH_INTERVAL: Duration = Duration::from_secs(2);
-/// How long news that others have may still be under way here: it goes round a fleet of 300 in
-/// a tenth of a second. An upstream that leaves gives seconds of notice.
+/// How long an update that others have may still be in transit to this process: it reaches a fleet
+/// of 300 in a tenth of a second. An upstream that leaves gives seconds of notice.
 const PROPAGATION_TIME: Duration = Duration::from_millis(250);
-/// For how long a list that has not changed needs no confirmation: a fifth or less of the notice
-/// of upstreams on the users' sheets (3 s and more where fleets are large), after 0.6 of which
-/// others begin to read the list themselves. Several members follow the platform; the first to
-/// read it in each such span confirms it for all.
+/// How long an unchanged list needs no confirmation. This is at most a fifth of the notice that
+/// upstreams give before they leave (3 s and more in large fleets); after 0.6 of that notice,
+/// other members start to read the list themselves. Several members watch the platform; the first
+/// one to read the list in each such interval confirms it for all.
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(600);
 
 impl Node {
-    /// Returns the last revision of the list up to which all were told every change.
+    /// Returns the last revision of the list up to which every change has been announced to all.
     #[must_use]
     pub fn announced_revision(&self) -> u64 {
         self.state.membership().announced_revision
     }
 
-    /// Tells others what was read from the platform.
+    /// Announces changes that were read from the platform.
     pub(crate) fn announce_upstream_changes(
         &self,
         now: Time,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Tells the neighbours of the limits that upstreams name.
+    /// Sends the rate limits that upstreams announce to the neighbours.
     pub(crate) fn send_limits(&self, reports: &[LimitReport], out: &mut Outbox) {
         if reports.is_empty() {
             return;
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Takes in what another process tells, and passes it on to its part of the ring.
+    /// Applies an update of the list and forwards it to this process's part of the ring.
     pub(crate) fn receive_upstream_update(
         &self,
         now: Time,
@@ -92,7 +92,8 @@
         let targets = {
             let mut members = self.state.membership();
             members.list_confirmed_at = Some(now);
-            // In a small view each passes on what it has heard, and so tells it itself.
+            // In a small view, every member announces changes itself, so an update from another
+            // member does not raise the announced revision.
             if members.view.members.len() > MAX_SMALL_VIEW_MEMBERS {
                 members.announced_revision =
                     members.announced_revision.max(update.version.revision);
@@ -110,7 +111,7 @@
         out.push(Command::ApplyUpstreamChanges(from, update));
     }
 
-    /// Compares what a neighbour knows of the list of upstreams with what is known here.
+    /// Compares a neighbour's version of the list with the one known here.
     pub(crate) fn compare_list_version(
         &self,
         now: Time,
@@ -132,11 +133,11 @@
         self.fetch_missing_upstreams(now, from, peer_version.revision, out);
     }
 
-    /// Takes in that a process knows the list up to a revision, which is beyond what is known
-    /// here; asks it for what is missing, unless that comes by itself.
+    /// Fetches missing changes from a process that knows a later revision, unless they may still
+    /// be in transit.
     ///
-    /// Of a list of 3,000 upstreams one change takes some hundred bytes, and the whole 330 KB,
-    /// which at 300 VMs was most of what they sent each other.
+    /// In a list of 3,000 upstreams, one change takes some hundred bytes and the whole list 330
+    /// KB. At 300 VMs, whole lists were most of the traffic between members.
     pub(crate) fn fetch_missing_upstreams(
         &self,
         now: Time,
@@ -147,7 +148,8 @@
         let since = {
             let mut members = self.state.membership();
             let known = members.upstream_list.revision;
-            // No whole list is under way to one that has none, so it asks at once.
+            // A process without a list is not about to receive one, so it fetches the list at
+            // once.
             if known > 0 {
                 let noticed = members.newer_list.filter(|newer| newer.revision > known);
                 let Some(newer) = noticed else {
@@ -164,8 +166,7 @@
         self.request_upstream_list(now, from, since, out);
     }
 
-    /// Takes in that a process knows no more than this one, and its list differs all the same:
-    /// asks it for the whole.
+    /// Fetches the whole list from a process that knows no later revision, but whose list differs.
     pub(crate) fn fetch_all_upstreams(&self, now: Time, from: Incarnation, out: &mut Outbox) {
         self.request_upstream_list(now, from, 0, out);
     }
