--- a/crates/badgerfield-core/src/handlers/claims.rs
+++ b/crates/badgerfield-core/src/handlers/claims.rs
@@ -214,7 +214,7 @@
             }
             ClaimDecision::Wait { hint } => self.record_hint(id, hint),
             ClaimDecision::Uncertain => {
-                self.refuse(now, id, Refusal::may_have_run(Cause::KeyLost), out)
+                self.refuse(now, id, Refusal::may_have_run(Cause::KeyLost), out);
             }
         }
     }
@@ -233,13 +233,13 @@
                     assume.push(id);
                 }
                 Stage::Claiming { sent, .. } if now.since(sent) >= RESEND_INTERVAL => {
-                    resend.push(id)
+                    resend.push(id);
                 }
                 Stage::Following { heard, .. } if now.since(heard) >= OWNER_TIMEOUT => {
-                    lost.push(id)
+                    lost.push(id);
                 }
                 Stage::Following { sent, .. } if now.since(sent) >= FOLLOW_INTERVAL => {
-                    poll.push(id)
+                    poll.push(id);
                 }
                 _ => {}
             }
--- a/crates/badgerfield-core/src/handlers/evacuations.rs
+++ b/crates/badgerfield-core/src/handlers/evacuations.rs
@@ -1,9 +1,9 @@
 //! Evacuations of failure domains: applies them, broadcasts them, and compares them with
 //! neighbours.
 //!
-//! A member that reads a change from the platform broadcasts it to all members. Heartbeats carry a
+//! A member that reads a change from the store broadcasts it to all members. Heartbeats carry a
 //! digest, and members whose digests differ exchange all evacuations that they know. A member that
-//! has just joined, was cut off, or cannot reach the platform is thus up to date after its first
+//! has just joined, was cut off, or cannot reach the store is thus up to date after its first
 //! exchange with a neighbour.
 
 use std::time::Duration;
@@ -25,9 +25,9 @@
     pub(crate) fn apply_operator_values(&self, now: Time, found: OperatorValues, out: &mut Outbox) {
         let OperatorValues { revision, templates, evacuated, rollouts } = found;
         self.apply_order_snapshot(now, revision, rollouts, out);
-        let changed = self.state.evacuations().apply_snapshot(revision, evacuated);
-        self.broadcast_evacuations(now, &changed, out);
-        out.push_evacuations(None, changed);
+        let new_changes = self.state.evacuations().apply_snapshot(revision, evacuated);
+        self.broadcast_evacuations(now, &new_changes, out);
+        out.push_evacuations(None, new_changes);
         if let Some(bytes) = templates {
             self.apply_encoded_templates(now, &bytes, out);
         }
@@ -42,9 +42,9 @@
     ) {
         let OperatorChanges { templates, domains, rollouts, .. } = found;
         self.apply_order_changes(now, rollouts, out);
-        let changed = self.state.evacuations().apply(domains);
-        self.broadcast_evacuations(now, &changed, out);
-        out.push_evacuations(None, changed);
+        let new_changes = self.state.evacuations().apply(domains);
+        self.broadcast_evacuations(now, &new_changes, out);
+        out.push_evacuations(None, new_changes);
         if let Some(bytes) = templates {
             self.apply_encoded_templates(now, &bytes, out);
         }
@@ -64,8 +64,8 @@
                 out.send(to, Message::Evacuations(update));
             }
         }
-        let changed = self.state.evacuations().apply(update.changes);
-        out.push_evacuations(Some(from), changed);
+        let new_changes = self.state.evacuations().apply(update.changes);
+        out.push_evacuations(Some(from), new_changes);
     }
 
     /// Sends all known evacuations to a neighbour whose digest differs. The neighbour replies if
@@ -102,26 +102,26 @@
         peer_changes: &[DomainChange],
         out: &mut Outbox,
     ) {
-        let (changed, reply) = {
+        let (new_changes, reply) = {
             let mut known = self.state.evacuations();
-            let changed = known.apply(peer_changes.iter().cloned());
+            let new_changes = known.apply(peer_changes.iter().cloned());
             let changes = known.changes();
-            (changed, (changes != peer_changes).then_some(changes))
+            (new_changes, (changes != peer_changes).then_some(changes))
         };
-        out.push_evacuations(Some(from), changed);
+        out.push_evacuations(Some(from), new_changes);
         if let Some(changes) = reply {
             out.send(from, Message::Evacuations(EvacuationUpdate { changes, reach: 0 }));
         }
     }
 
     /// Broadcasts evacuations that have changed in the store.
-    fn broadcast_evacuations(&self, now: Time, changed: &[DomainChange], out: &mut Outbox) {
-        if changed.is_empty() {
+    fn broadcast_evacuations(&self, now: Time, new_changes: &[DomainChange], out: &mut Outbox) {
+        if new_changes.is_empty() {
             return;
         }
         let members = self.state.membership();
         for (to, reach) in members.broadcast_targets(now, broadcast::full_reach(&members.view)) {
-            let update = EvacuationUpdate { changes: changed.to_vec(), reach };
+            let update = EvacuationUpdate { changes: new_changes.to_vec(), reach };
             out.send(to, Message::Evacuations(update));
         }
     }
--- a/crates/badgerfield-core/src/handlers/members.rs
+++ b/crates/badgerfield-core/src/handlers/members.rs
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Returns whether this process watches the platform's values itself. `last_update` is the
+    /// Returns whether this process watches the store's values itself. `last_update` is the
     /// time since it last received an update of the list of upstreams.
     #[must_use]
     pub fn watches_platform(&self, now: Time, last_update: Option<Duration>) -> bool {
@@ -90,7 +90,7 @@
         self.state.membership().is_bootstrap_reader(now)
     }
 
-    /// Returns whether this process is one of the few that probe the platform often while it does
+    /// Returns whether this process is one of the few that probe the store often while it does
     /// not answer. They notify the others once it answers again.
     #[must_use]
     pub fn probes_platform(&self) -> bool {
@@ -457,13 +457,13 @@
 }
 
 /// Starts reading a value from the store unless a read is in progress.
-pub(super) fn start_read(members: &mut Membership, now: Time, name: StoreKey, out: &mut Outbox) {
-    if members.store_calls.is_open(&name) {
+pub(super) fn start_read(members: &mut Membership, now: Time, key: StoreKey, out: &mut Outbox) {
+    if members.store_calls.is_open(&key) {
         return;
     }
-    if name == StoreKey::View {
+    if key == StoreKey::View {
         members.view_requested_at = Some(now);
     }
-    let ticket = members.store_calls.begin(Purpose::Read(name.clone()));
-    out.push(Command::CallStore(ticket, StoreCall::Get(name)));
+    let ticket = members.store_calls.begin(Purpose::Read(key.clone()));
+    out.push(Command::CallStore(ticket, StoreCall::Get(key)));
 }
--- a/crates/badgerfield-core/src/handlers/poison.rs
+++ b/crates/badgerfield-core/src/handlers/poison.rs
@@ -110,7 +110,7 @@
     pub(crate) fn handle_poison_result(
         &self,
         now: Time,
-        write: bool,
+        is_write: bool,
         result: StoreResult,
         out: &mut Outbox,
     ) {
@@ -122,7 +122,7 @@
                 self.state.poison_record().mark_dirty();
                 self.apply_poison_record(now, &found, out);
             }
-            _ => self.state.poison_record().record_failure(write),
+            _ => self.state.poison_record().record_failure(is_write),
         }
         self.start_poison_call(now, out);
     }
@@ -152,16 +152,16 @@
         crashes: Vec<Crash>,
         out: &mut Outbox,
     ) {
-        let (new_crashes, records) = {
+        let (new_crashes, must_record) = {
             let mut poison = self.state.poison();
             let new_crashes = poison.apply(now, crashes);
             // Two crashes of a request may be seen at the same moment by two processes. Each of
             // them then writes the record.
-            let records =
+            let must_record =
                 new_crashes.iter().any(|(c, blocks)| *blocks && poison.has_seen_crash(c.request));
-            (new_crashes, records)
+            (new_crashes, must_record)
         };
-        if records {
+        if must_record {
             self.state.poison_record().mark_dirty();
             self.start_poison_call(now, out);
         }
--- a/crates/badgerfield-core/src/handlers/reservations.rs
+++ b/crates/badgerfield-core/src/handlers/reservations.rs
@@ -15,11 +15,11 @@
         let outcome = self.state.holdings().reserve(now, &request.budget, waiter, out);
         match outcome {
             ReserveOutcome::Reserved(period) => {
-                out.push(Command::AnswerReserve(request.id, Ok(period)))
+                out.push(Command::AnswerReserve(request.id, Ok(period)));
             }
             ReserveOutcome::Waiting => {}
             ReserveOutcome::Refused(refusal) => {
-                out.push(Command::AnswerReserve(request.id, Err(refusal)))
+                out.push(Command::AnswerReserve(request.id, Err(refusal)));
             }
         }
     }
--- a/crates/badgerfield-core/src/handlers/rollouts.rs
+++ b/crates/badgerfield-core/src/handlers/rollouts.rs
@@ -208,8 +208,8 @@
             Ok(record) => record,
             // An unreadable record blocks nothing: the next record replaces it.
             Err(error) => {
-                let name = StoreKey::Rollout(service.clone());
-                out.push(Command::Log(LogEntry::BadValue(name, error.to_string())));
+                let key = StoreKey::Rollout(service.clone());
+                out.push(Command::Log(LogEntry::BadValue(key, error.to_string())));
                 None
             }
         };
@@ -316,9 +316,9 @@
         evidence: Evidence,
         out: &mut Outbox,
     ) {
-        let name = StoreKey::Rollout(service.clone());
+        let key = StoreKey::Rollout(service.clone());
         let (written, call) = match call {
-            RecorderCall::Read => (None, StoreCall::Get(name)),
+            RecorderCall::Read => (None, StoreCall::Get(key)),
             RecorderCall::ReadView => {
                 start_read(&mut self.state.membership(), now, StoreKey::View, out);
                 return;
@@ -331,10 +331,7 @@
                     evidence,
                 };
                 out.push(Command::Log(LogEntry::Rollout(Box::new(entry))));
-                (
-                    Some(record),
-                    StoreCall::CompareAndSwap { key: name, expected_revision: expect, value },
-                )
+                (Some(record), StoreCall::CompareAndSwap { key, expected_revision: expect, value })
             }
         };
         let purpose = Purpose::Rollout(service.clone(), written);
--- a/crates/badgerfield-core/src/handlers/spending.rs
+++ b/crates/badgerfield-core/src/handlers/spending.rs
@@ -43,7 +43,7 @@
     /// The period is recorded with the tokens. If the budget is renewed before the run ends, the
     /// new period must not get back tokens that it never granted.
     fn apply_reservation(&self, now: Time, id: RunId, period: Period, out: &mut Outbox) {
-        let resumes = {
+        let must_resume = {
             let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
@@ -52,7 +52,7 @@
             run.period = period;
             run.earlier.is_some() || !run.parts.is_empty()
         };
-        if resumes {
+        if must_resume {
             self.resume_earlier(now, id, out);
             return;
         }
--- a/crates/badgerfield-core/src/handlers/templates.rs
+++ b/crates/badgerfield-core/src/handlers/templates.rs
@@ -16,7 +16,7 @@
         }
     }
 
-    /// Decodes and applies templates in the encoding that operators use.
+    /// Decodes and applies templates that operators have written.
     pub(crate) fn apply_encoded_templates(&self, now: Time, bytes: &[u8], out: &mut Outbox) {
         match TemplateSet::decode(bytes) {
             Ok(set) => self.apply_templates(now, set, out),
