--- a/crates/badgerfield-core/src/handlers/mod.rs
+++ b/crates/badgerfield-core/src/handlers/mod.rs
@@ -1,17 +1,18 @@
-//! Controllers: each reads and writes the tables for one matter.
+//! Handlers of events, messages and ticks. Each module is responsible for one part of the shared
+//! state.
 
 mod admission;
 mod answer;
 mod charging;
-mod claiming;
+mod claims;
 mod directory;
 mod dispatch;
 mod evacuations;
 mod members;
 mod poison;
 mod reservations;
-mod rights;
 mod rollouts;
-mod settings;
+mod spending;
 mod stopping;
-mod upstream_news;
+mod templates;
+mod upstream_updates;
--- a/crates/badgerfield-core/src/handlers/poison.rs
+++ b/crates/badgerfield-core/src/handlers/poison.rs
@@ -1,9 +1,9 @@
-//! News of requests under which upstreams have ended: takes them in, passes them on, keeps them
-//! at the platform, and compares beliefs.
+//! Poison requests: applies crashes of upstreams, broadcasts them, stores them, and compares them
+//! with neighbours.
 //!
-//! A crash that blocks a request is told to all at once, any other after a moment in which more
-//! may be gathered. What is lost on the way matters only for blocked requests: those are compared
-//! by digests in signs of life, and recorded at the platform.
+//! A crash that blocks a request is broadcast at once. Others are gathered for a short time and
+//! broadcast together. Lost updates matter only for blocked requests: these are compared by
+//! digests in heartbeats and recorded in the store.
 
 use std::time::Duration;
 
@@ -19,69 +19,69 @@
 use crate::poison::{Crash, Fingerprint};
 use crate::poison_record::{self, RecordCall};
 
-/// The least time between two comparisons with one member: all that is known may be 50 KB, and
-/// what is new was told to all before.
-const COMPARE: Duration = Duration::from_secs(2);
+/// Minimum time between two comparisons with one member. The known crashes may take 50 KB, and new
+/// ones have already been broadcast.
+const MIN_COMPARE_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Node {
-    /// Takes in that an upstream ended while a request of this process was there.
+    /// Records that an upstream crashed while it had a request of this process.
     pub(crate) fn record_crash(&self, now: Time, crash: Crash, out: &mut Outbox) {
         let request = crash.request;
-        let news = self.state.poison().record_crash(now, crash);
-        let blocks = news.iter().any(|(_, blocks)| *blocks);
-        let mut told: Vec<_> = news.iter().map(|(crash, _)| crash.clone()).collect();
+        let new_crashes = self.state.poison().record_crash(now, crash);
+        let blocks = new_crashes.iter().any(|(_, blocks)| *blocks);
+        let mut announced: Vec<_> = new_crashes.iter().map(|(crash, _)| crash.clone()).collect();
         if blocks {
-            // With what came before, for members that have missed it.
-            told = self.state.poison().crashes_of(now, request);
+            // Includes earlier crashes of the request, for members that missed them.
+            announced = self.state.poison().crashes_of(now, request);
         }
-        self.state.poison_record().enqueue(told);
-        // At once if a caller may come back with it elsewhere.
-        self.tell_crashes(now, blocks, out);
+        self.state.poison_record().enqueue(announced);
+        // A blocked request is broadcast at once, because its caller may retry it elsewhere.
+        self.broadcast_crashes(now, blocks, out);
         if blocks {
             self.state.poison_record().mark_dirty();
         }
-        out.crash_news(None, news);
-        self.call_poison_record(now, out);
+        out.push_crashes(None, new_crashes);
+        self.start_poison_call(now, out);
     }
 
-    /// Takes in that a request was served whole which was there when an upstream ended.
+    /// Records that a suspect request was served completely.
     pub(crate) fn record_suspect_served(&self, now: Time, request: Fingerprint, out: &mut Outbox) {
         let cleared = self.state.poison().record_served(now, request);
         self.state.poison_record().enqueue(cleared.iter().cloned());
-        self.tell_crashes(now, false, out);
-        out.crash_news(None, cleared.into_iter().map(|crash| (crash, false)).collect());
+        self.broadcast_crashes(now, false, out);
+        out.push_crashes(None, cleared.into_iter().map(|crash| (crash, false)).collect());
     }
 
-    /// Takes in what another process tells, and passes it on to its part of the ring.
+    /// Applies a crash update and forwards it to this process's part of the ring.
     pub(crate) fn receive_crash_update(
         &self,
         now: Time,
         from: Incarnation,
-        news: CrashUpdate,
+        update: CrashUpdate,
         out: &mut Outbox,
     ) {
-        if news.reach > 0 {
-            for (to, reach) in self.state.membership().broadcast_targets(now, news.reach) {
-                out.send(to, Message::Crashes(CrashUpdate { reach, ..news.clone() }));
+        if update.reach > 0 {
+            for (to, reach) in self.state.membership().broadcast_targets(now, update.reach) {
+                out.send(to, Message::Crashes(CrashUpdate { reach, ..update.clone() }));
             }
         }
-        self.learn_crashes(now, Some(from), news.crashes, out);
+        self.apply_crashes(now, Some(from), update.crashes, out);
     }
 
-    /// Tells a neighbour whose digest differs all that is known here, and so asks it for what
-    /// it knows beyond that.
-    pub(crate) fn compare_crashes(
+    /// Sends all crashes of blocked requests to a neighbour whose digest differs. The neighbour
+    /// replies with those that are missing here.
+    pub(crate) fn compare_crash_digest(
         &self,
         now: Time,
         from: Incarnation,
-        theirs: u64,
+        peer_digest: u64,
         out: &mut Outbox,
     ) {
         let crashes = {
             let mut members = self.state.membership();
             let known = self.state.poison();
-            if known.digest(now) == theirs
-                || !is_due(now, members.crashes_compared.get(&from).copied(), COMPARE)
+            if known.digest(now) == peer_digest
+                || !is_due(now, members.crashes_compared.get(&from).copied(), MIN_COMPARE_INTERVAL)
             {
                 return;
             }
@@ -91,97 +91,98 @@
         out.send(from, Message::CompareCrashes(crashes));
     }
 
-    /// Takes in what a neighbour knows, and answers if more is known here.
+    /// Applies the crashes of a neighbour and replies with those that it is missing.
     pub(crate) fn reconcile_crashes(
         &self,
         now: Time,
         from: Incarnation,
-        theirs: &[Crash],
+        peer_crashes: &[Crash],
         out: &mut Outbox,
     ) {
-        self.learn_crashes(now, Some(from), theirs.to_vec(), out);
-        let crashes = self.state.poison().missing_from(now, theirs);
+        self.apply_crashes(now, Some(from), peer_crashes.to_vec(), out);
+        let crashes = self.state.poison().missing_from(now, peer_crashes);
         if !crashes.is_empty() {
             out.send(from, Message::Crashes(CrashUpdate { crashes, reach: 0 }));
         }
     }
 
-    /// Takes in an answer of the key-value service about the record.
-    pub(crate) fn poison_answered(
+    /// Handles the store's result for a call about the poison record.
+    pub(crate) fn handle_poison_result(
         &self,
         now: Time,
-        write: bool,
+        is_write: bool,
         result: StoreResult,
         out: &mut Outbox,
     ) {
         match result {
             StoreResult::Written(revision) => self.state.poison_record().set_revision(revision),
-            StoreResult::Value(found) => self.poison_found(now, &found, out),
+            StoreResult::Value(found) => self.apply_poison_record(now, &found, out),
             StoreResult::Conflict(found) => {
-                // What was to be written is known here still.
+                // The crashes to be written are still known here, so they are written again.
                 self.state.poison_record().mark_dirty();
-                self.poison_found(now, &found, out);
+                self.apply_poison_record(now, &found, out);
             }
-            _ => self.state.poison_record().record_failure(write),
+            _ => self.state.poison_record().record_failure(is_write),
         }
-        self.call_poison_record(now, out);
+        self.start_poison_call(now, out);
     }
 
-    /// Does what is due.
+    /// Runs the periodic work of poison requests.
     pub(crate) fn tick_poison(&self, now: Time, out: &mut Outbox) {
         self.state.poison().sweep(now);
-        self.tell_crashes(now, false, out);
-        self.call_poison_record(now, out);
+        self.broadcast_crashes(now, false, out);
+        self.start_poison_call(now, out);
     }
 
-    fn poison_found(&self, now: Time, found: &Versioned, out: &mut Outbox) {
+    fn apply_poison_record(&self, now: Time, found: &Versioned, out: &mut Outbox) {
         self.state.poison_record().set_revision(found.revision);
         match poison_record::decode(found.value.as_deref()) {
-            Ok(crashes) => self.learn_crashes(now, None, crashes, out),
-            // What nobody can read is replaced by the next record.
+            Ok(crashes) => self.apply_crashes(now, None, crashes, out),
+            // An unreadable record is replaced by the next one.
             Err(error) => {
                 out.push(Command::Log(LogEntry::BadValue(StoreKey::Poison, error.to_string())));
             }
         }
     }
 
-    fn learn_crashes(
+    fn apply_crashes(
         &self,
         now: Time,
         from: Option<Incarnation>,
         crashes: Vec<Crash>,
         out: &mut Outbox,
     ) {
-        let (news, records) = {
+        let (new_crashes, must_record) = {
             let mut poison = self.state.poison();
-            let news = poison.apply(now, crashes);
-            // Two crashes may be seen at one moment by two processes: either writes it down.
-            let records =
-                news.iter().any(|(c, blocks)| *blocks && poison.has_seen_crash(c.request));
-            (news, records)
+            let new_crashes = poison.apply(now, crashes);
+            // Two crashes of a request may be seen at the same moment by two processes. Each of
+            // them then writes the record.
+            let must_record =
+                new_crashes.iter().any(|(c, blocks)| *blocks && poison.has_seen_crash(c.request));
+            (new_crashes, must_record)
         };
-        if records {
+        if must_record {
             self.state.poison_record().mark_dirty();
-            self.call_poison_record(now, out);
+            self.start_poison_call(now, out);
         }
-        out.crash_news(from, news);
+        out.push_crashes(from, new_crashes);
     }
 
-    /// Tells all members what waits to be told.
-    fn tell_crashes(&self, now: Time, is_urgent: bool, out: &mut Outbox) {
+    /// Broadcasts the crashes that are due to be announced.
+    fn broadcast_crashes(&self, now: Time, is_urgent: bool, out: &mut Outbox) {
         let members = self.state.membership();
         let crashes = self.state.poison_record().take_update(now, is_urgent);
         if crashes.is_empty() {
             return;
         }
         for (to, reach) in members.broadcast_targets(now, broadcast::full_reach(&members.view)) {
-            let news = CrashUpdate { crashes: crashes.clone(), reach };
-            out.send(to, Message::Crashes(news));
+            let update = CrashUpdate { crashes: crashes.clone(), reach };
+            out.send(to, Message::Crashes(update));
         }
     }
 
-    /// Makes the call about the record that is due.
-    fn call_poison_record(&self, now: Time, out: &mut Outbox) {
+    /// Starts the store call for the poison record that is due.
+    fn start_poison_call(&self, now: Time, out: &mut Outbox) {
         let mut members = self.state.membership();
         let blocked = self.state.poison().blocked_crashes(now);
         let Some(call) = self.state.poison_record().next_call(now) else {
@@ -207,13 +208,13 @@
 }
 
 impl Outbox {
-    /// Says what was news, and has what runs of blocked requests ended.
-    fn crash_news(&mut self, from: Option<Incarnation>, news: Vec<(Crash, bool)>) {
-        let blocked = news.iter().filter(|(_, blocks)| *blocks).map(|(crash, _)| crash.request);
+    /// Logs new crashes and ends the runs of requests that are now blocked.
+    fn push_crashes(&mut self, from: Option<Incarnation>, crashes: Vec<(Crash, bool)>) {
+        let blocked = crashes.iter().filter(|(_, blocks)| *blocks).map(|(crash, _)| crash.request);
         let blocked: Vec<_> = blocked.collect();
-        // What others saw is in their logs: a line here for each request at each crash would be
-        // one for every VM of the fleet.
-        for (crash, blocks) in news.into_iter().filter(|(_, blocks)| from.is_none() || *blocks) {
+        // Crashes that other processes saw are in their logs. Logging all of them here as well
+        // would add one line per VM of the fleet for each request at each crash.
+        for (crash, blocks) in crashes.into_iter().filter(|(_, blocks)| from.is_none() || *blocks) {
             self.push(Command::Log(LogEntry::Crash { crash, blocks, from }));
         }
         if !blocked.is_empty() {
