--- a/crates/badgerfield-core/src/rate_limit.rs
+++ b/crates/badgerfield-core/src/rate_limit.rs
@@ -22,27 +22,27 @@
 use crate::warm_up::{Bucket, SenderShare, Senders};
 
 /// The senders to an upstream whose limit is small.
-const LEAST_SENDERS: f64 = 2.0;
+const MIN_SENDERS: f64 = 2.0;
 /// How many requests a second of a limit bring one more sender.
 const RATE_PER_SENDER: f64 = 2.0;
 /// How many requests one sender may send at once, as the span in which it may send as many.
-const BURST: Duration = Duration::from_millis(250);
+const BURST_SPAN: Duration = Duration::from_millis(250);
 /// The least rate at which a fleet sends, in requests a second, whatever the limit: only an answer
 /// tells that a limit has ended.
-const LEAST_RATE: f64 = 0.1;
+const MIN_RATE: f64 = 0.1;
 /// How long the first process that is no sender waits at the least for news of a limit before it
 /// tries the upstream itself.
-const SILENCE: Duration = Duration::from_secs(6);
+const MIN_PROBE_DELAY: Duration = Duration::from_secs(6);
 /// How many times the span between two requests of one sender it waits at the least.
-const SILENT_TURNS: f64 = 2.0;
+const PROBE_INTERVALS: f64 = 2.0;
 /// For how long processes tell that a limit has ended.
-const TELL_ENDED: Duration = Duration::from_secs(20);
+const END_REPORT_SPAN: Duration = Duration::from_secs(20);
 /// By how much the age of a note may be off: it grows old on its way.
-const AGE_ERROR: Duration = Duration::from_secs(1);
+const MAX_AGE_ERROR: Duration = Duration::from_secs(1);
 /// How many limits a message tells of.
-pub(crate) const MAX_NOTES: usize = 8;
+pub(crate) const MAX_REPORTS: usize = 8;
 /// The units of a limit in a request a second.
-const UNITS: f64 = 1000.0;
+const UNITS_PER_REQUEST: f64 = 1000.0;
 
 /// Why a limit cannot be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
@@ -64,7 +64,7 @@
         if !rate.is_finite() || rate < 0.0 {
             return Err(InvalidLimit);
         }
-        let units = (rate * UNITS).round().min(f64::from(u32::MAX));
+        let units = (rate * UNITS_PER_REQUEST).round().min(f64::from(u32::MAX));
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "within range")]
         let units = units as u32;
         Ok(Self(units))
@@ -73,13 +73,13 @@
     /// Returns the requests a second.
     #[must_use]
     pub fn rate(self) -> f64 {
-        f64::from(self.0) / UNITS
+        f64::from(self.0) / UNITS_PER_REQUEST
     }
 
     /// Returns how many of so many processes may send.
     fn senders(self, members: usize) -> u32 {
         let members = u32::try_from(members).unwrap_or(u32::MAX).max(1);
-        let wanted = LEAST_SENDERS + (self.rate() / RATE_PER_SENDER).floor();
+        let wanted = MIN_SENDERS + (self.rate() / RATE_PER_SENDER).floor();
         if wanted >= f64::from(members) {
             return members;
         }
@@ -90,8 +90,8 @@
 
     /// Returns what each of so many senders may send.
     fn share(self, senders: u32) -> SenderShare {
-        let rate = self.rate().max(LEAST_RATE) / f64::from(senders);
-        SenderShare { rate, burst: (rate * BURST.as_secs_f64()).max(1.0) }
+        let rate = self.rate().max(MIN_RATE) / f64::from(senders);
+        SenderShare { rate, burst: (rate * BURST_SPAN.as_secs_f64()).max(1.0) }
     }
 }
 
@@ -133,11 +133,11 @@
     /// the first. Times of several processes cannot be ordered.
     version: u32,
     /// When the upstream made that statement.
-    said: Time,
+    announced_at: Time,
     /// When it made the last one in an answer to this process.
-    heard: Option<Time>,
+    answered_at: Option<Time>,
     /// Until when others are told that a limit has ended.
-    tell_until: Time,
+    report_until: Time,
 }
 
 /// What one process may send to an upstream with a limit.
@@ -147,25 +147,25 @@
     /// From when on this process keeps to it.
     since: Time,
     /// How many VMs come before this one, and how many there are; nothing outside the view.
-    place: Option<(usize, usize)>,
+    rank: Option<(usize, usize)>,
     /// What it may send, if it is a sender.
     bucket: Option<Bucket>,
     /// From when to when it had requests for the upstream, without a long pause.
-    wanted: Option<(Time, Time)>,
+    demand: Option<(Time, Time)>,
     /// When it tried the upstream last without being a sender.
-    tried: Time,
+    probed_at: Time,
 }
 
 impl Pacer {
-    fn new(limit: RateLimit, now: Time, place: Option<(usize, usize)>) -> Self {
-        let wanted = None;
-        let mut pacer = Self { limit, since: now, place, bucket: None, wanted, tried: now };
+    fn new(limit: RateLimit, now: Time, rank: Option<(usize, usize)>) -> Self {
+        let demand = None;
+        let mut pacer = Self { limit, since: now, rank, bucket: None, demand, probed_at: now };
         pacer.choose_role(now);
         pacer
     }
 
     fn senders(&self) -> u32 {
-        self.limit.senders(self.place.map_or(1, |(_, members)| members))
+        self.limit.senders(self.rank.map_or(1, |(_, members)| members))
     }
 
     fn share(&self) -> SenderShare {
@@ -175,46 +175,46 @@
     /// Makes this process a sender or none; a new one begins at a time, with nothing to send.
     fn choose_role(&mut self, from: Time) {
         let senders = usize::try_from(self.senders()).unwrap_or(usize::MAX);
-        let is_sender = self.place.is_some_and(|(rank, _)| rank < senders);
+        let is_sender = self.rank.is_some_and(|(rank, _)| rank < senders);
         self.bucket = is_sender.then(|| self.bucket.unwrap_or_else(|| Bucket::new(from)));
     }
 
     /// Returns how long this process waits for news before it tries the upstream, if it is no
     /// sender.
-    fn patience(&self) -> Option<Duration> {
-        let (rank, _) = self.place?;
-        let turn = self.share().rate.recip();
-        let least = SILENCE.as_secs_f64().max(SILENT_TURNS * turn);
-        let place = f64::from(u32::try_from(rank).unwrap_or(u32::MAX)) + 1.0;
-        let turns = 1.0 + (place / f64::from(self.senders())).log2();
-        Duration::try_from_secs_f64(least * turns).ok()
+    fn probe_delay(&self) -> Option<Duration> {
+        let (rank, _) = self.rank?;
+        let interval = self.share().rate.recip();
+        let min_delay = MIN_PROBE_DELAY.as_secs_f64().max(PROBE_INTERVALS * interval);
+        let position = f64::from(u32::try_from(rank).unwrap_or(u32::MAX)) + 1.0;
+        let factor = 1.0 + (position / f64::from(self.senders())).log2();
+        Duration::try_from_secs_f64(min_delay * factor).ok()
     }
 
-    fn may_try(&self, now: Time, said: Time) -> bool {
-        let Some(((from, _), patience)) = self.wanted.zip(self.patience()) else {
+    fn can_probe(&self, now: Time, announced_at: Time) -> bool {
+        let Some(((from, _), probe_delay)) = self.demand.zip(self.probe_delay()) else {
             return false;
         };
-        now.since(from.max(said).max(self.tried)) >= patience
+        now.since(from.max(announced_at).max(self.probed_at)) >= probe_delay
     }
 
-    fn admits(&self, now: Time, said: Time) -> bool {
+    fn admits(&self, now: Time, announced_at: Time) -> bool {
         match &self.bucket {
             Some(bucket) => bucket.may_send(now, self.share()),
-            None => self.may_try(now, said),
+            None => self.can_probe(now, announced_at),
         }
     }
 
-    fn take(&mut self, now: Time) {
+    fn record_sent(&mut self, now: Time) {
         let share = self.share();
         match &mut self.bucket {
             Some(bucket) => bucket.take(now, share),
-            None => self.tried = now,
+            None => self.probed_at = now,
         }
     }
 
-    fn want(&mut self, now: Time) {
-        let kept = self.wanted.filter(|(_, last)| now.since(*last) < SILENCE);
-        self.wanted = Some((kept.map_or(now, |(from, _)| from), now));
+    fn record_demand(&mut self, now: Time) {
+        let kept = self.demand.filter(|(_, last)| now.since(*last) < MIN_PROBE_DELAY);
+        self.demand = Some((kept.map_or(now, |(from, _)| from), now));
     }
 }
 
@@ -225,54 +225,56 @@
     }
 
     /// Takes in what the upstream says in an answer to this process.
-    pub(crate) fn hear(
+    pub(crate) fn record(
         &mut self,
         now: Time,
         limit: Option<RateLimit>,
-        place: impl FnOnce() -> Option<(usize, usize)>,
+        rank: impl FnOnce() -> Option<(usize, usize)>,
     ) {
         if self.pacer.is_none() && limit.is_none() {
-            self.heard = Some(now);
+            self.answered_at = Some(now);
             return;
         }
         self.version = self.version.saturating_add(1);
-        (self.said, self.heard) = (now, Some(now));
-        self.put(now, limit, place);
+        (self.announced_at, self.answered_at) = (now, Some(now));
+        self.set(now, limit, rank);
     }
 
     /// Takes in what another process tells, if that is newer.
-    pub(crate) fn learn(
+    pub(crate) fn apply_report(
         &mut self,
         now: Time,
-        note: &LimitReport,
-        place: impl FnOnce() -> Option<(usize, usize)>,
+        report: &LimitReport,
+        rank: impl FnOnce() -> Option<(usize, usize)>,
     ) {
-        let limit = note.limit;
+        let limit = report.limit;
         let differs = limit.is_some() != self.pacer.is_some();
-        if note.version <= self.version {
+        if report.version <= self.version {
             if differs {
                 // The sender has missed what is known here.
-                self.tell_until = now.after(TELL_ENDED);
+                self.report_until = now.after(END_REPORT_SPAN);
             }
             return;
         }
-        let age = Duration::from_millis(note.age_ms.into());
+        let age = Duration::from_millis(report.age_ms.into());
         let at = Time(now.0.saturating_sub(age));
-        if differs && self.heard.is_some_and(|heard| heard.since(at) > AGE_ERROR) {
+        if differs
+            && self.answered_at.is_some_and(|answered_at| answered_at.since(at) > MAX_AGE_ERROR)
+        {
             // The upstream has told this process otherwise since.
-            self.version = note.version.saturating_add(1);
-            self.tell_until = now.after(TELL_ENDED);
+            self.version = report.version.saturating_add(1);
+            self.report_until = now.after(END_REPORT_SPAN);
             return;
         }
-        (self.version, self.said) = (note.version, at);
-        self.put(now, limit, place);
+        (self.version, self.announced_at) = (report.version, at);
+        self.set(now, limit, rank);
     }
 
-    fn put(
+    fn set(
         &mut self,
         now: Time,
         limit: Option<RateLimit>,
-        place: impl FnOnce() -> Option<(usize, usize)>,
+        rank: impl FnOnce() -> Option<(usize, usize)>,
     ) {
         match (limit, &mut self.pacer) {
             (Some(limit), Some(pacer)) if pacer.limit == limit => {}
@@ -280,76 +282,78 @@
                 pacer.limit = limit;
                 pacer.choose_role(now);
             }
-            (Some(limit), None) => self.pacer = Some(Pacer::new(limit, now, place())),
+            (Some(limit), None) => self.pacer = Some(Pacer::new(limit, now, rank())),
             (None, Some(_)) => {
                 self.pacer = None;
-                self.tell_until = now.after(TELL_ENDED);
+                self.report_until = now.after(END_REPORT_SPAN);
             }
             (None, None) => {}
         }
     }
 
     /// Takes in a newer view; a process that becomes a sender begins at a time.
-    pub(crate) fn change_place(
-        &mut self,
-        from: Time,
-        place: impl FnOnce() -> Option<(usize, usize)>,
-    ) {
+    pub(crate) fn set_rank(&mut self, from: Time, rank: impl FnOnce() -> Option<(usize, usize)>) {
         if let Some(pacer) = &mut self.pacer {
-            pacer.place = place();
+            pacer.rank = rank();
             pacer.choose_role(from);
         }
     }
 
     /// Tells whether a request may be sent.
     pub(crate) fn admits(&self, now: Time) -> bool {
-        self.pacer.is_none_or(|pacer| pacer.admits(now, self.said))
+        self.pacer.is_none_or(|pacer| pacer.admits(now, self.announced_at))
     }
 
     /// Tells whether a request that was given the upstream at a time may still be sent. One that
     /// was given it before the limit was known here counts from now on.
-    pub(crate) fn admits_begun(&mut self, now: Time, begun: Time) -> bool {
-        if self.pacer.is_none_or(|pacer| pacer.since <= begun) {
+    pub(crate) fn admits_started(&mut self, now: Time, started: Time) -> bool {
+        if self.pacer.is_none_or(|pacer| pacer.since <= started) {
             return true;
         }
         let admitted = self.admits(now);
         if admitted {
-            self.take(now);
+            self.record_sent(now);
         }
         admitted
     }
 
     /// Counts a request that is sent.
-    pub(crate) fn take(&mut self, now: Time) {
+    pub(crate) fn record_sent(&mut self, now: Time) {
         if let Some(pacer) = &mut self.pacer {
-            pacer.take(now);
+            pacer.record_sent(now);
         }
     }
 
     /// Notes that there is a request for the upstream's service.
-    pub(crate) fn want(&mut self, now: Time) {
+    pub(crate) fn record_demand(&mut self, now: Time) {
         if let Some(pacer) = &mut self.pacer {
-            pacer.want(now);
+            pacer.record_demand(now);
         }
     }
 
     /// Returns how long it takes until this process may send; nothing if there is no limit, or
     /// others send.
-    pub(crate) fn wait(&self, now: Time) -> Option<Duration> {
+    pub(crate) fn time_until_admitted(&self, now: Time) -> Option<Duration> {
         let pacer = self.pacer.as_ref()?;
         pacer.bucket.map(|bucket| bucket.wait(now, pacer.share()))
     }
 
     /// Makes a note for other processes, if there is anything that they should know.
-    pub(crate) fn note(&self, now: Time, upstream: u32, process: u32) -> Option<LimitReport> {
-        let is_told = self.pacer.is_some() || now < self.tell_until;
-        let age_ms = u32::try_from(now.since(self.said).as_millis()).unwrap_or(u32::MAX);
+    pub(crate) fn report(&self, now: Time, upstream: u32, process: u32) -> Option<LimitReport> {
+        let is_reported = self.pacer.is_some() || now < self.report_until;
+        let age_ms = u32::try_from(now.since(self.announced_at).as_millis()).unwrap_or(u32::MAX);
         let limit = self.limit();
-        is_told.then_some(LimitReport { upstream, process, version: self.version, limit, age_ms })
+        is_reported.then_some(LimitReport {
+            upstream,
+            process,
+            version: self.version,
+            limit,
+            age_ms,
+        })
     }
 }
 
 /// Returns where this process stands among those that may send to an upstream.
-pub(crate) fn place(senders: &Senders, upstream: u64) -> Option<(usize, usize)> {
+pub(crate) fn sender_rank(senders: &Senders, upstream: u64) -> Option<(usize, usize)> {
     senders.rank(upstream).map(|rank| (rank, senders.count()))
 }
--- a/crates/badgerfield-core/src/upstream_table/canary.rs
+++ b/crates/badgerfield-core/src/upstream_table/canary.rs
@@ -12,7 +12,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::UpstreamCriteria;
-use super::replica::{Replica, shared};
+use super::upstream::{Upstream, shared_parts};
 use crate::amount::{Percent, Time};
 use crate::ids::{Service, SoftwareVersion};
 use crate::rollout::{Allowance, RolloutRule};
@@ -20,27 +20,27 @@
 /// For how long a version gets nothing that is new to a service which other versions serve.
 /// The order to roll it out and the list of upstreams come by different watches; a process that
 /// is in touch hears of either within a few seconds.
-const ORDER_LAG: Duration = Duration::from_secs(10);
+const ORDER_DELAY: Duration = Duration::from_secs(10);
 /// The most requests that a route may owe the target: it evens out how chains of prompt parts
 /// come, and is little beside the dozens that a fleet is usually allowed.
 const MAX_CREDIT: f64 = 3.0;
 /// The least number of upstreams of the target that get requests, so that one which fails by
 /// itself can be told from its version.
-const LEAST_UPSTREAMS: usize = 2;
+const MIN_TARGET_UPSTREAMS: usize = 2;
 /// How many values a random draw is cut down to: far more than a share in hundredths needs.
-const DRAWS: u32 = 1 << 16;
+const FRACTION_STEPS: u32 = 1 << 16;
 
 /// What a version may get.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Pass {
+pub(super) enum VersionAccess {
     /// Whatever comes.
-    Free,
+    Unrestricted,
     /// Its share.
-    Counted,
+    Limited,
     /// Nothing while another version serves.
-    Held,
+    Delayed,
     /// Nothing.
-    Barred,
+    Blocked,
 }
 
 /// How many requests of this process went to a service since an order was learned.
@@ -54,7 +54,7 @@
 
 /// A rule, and what was seen since.
 #[derive(Debug)]
-struct Ruled {
+struct ActiveRule {
     rule: RolloutRule,
     /// Whether the list has named an upstream of another version while the rule was known.
     /// Until then there is nothing to move from: the target serves, whatever the rule says.
@@ -65,23 +65,23 @@
 
 /// The versions of one service.
 #[derive(Debug, Default)]
-struct Split {
+struct ServiceVersions {
     /// Whether upstreams are listed that name no version; they count as another one.
     has_unnamed: bool,
-    rules: Vec<Ruled>,
+    rules: Vec<ActiveRule>,
     /// By route, how many requests the target may get.
     credits: BTreeMap<String, f64>,
-    given: SentCounts,
+    sent: SentCounts,
     /// The versions that the list names, and until when each is held.
     versions: BTreeMap<SoftwareVersion, Time>,
 }
 
 /// How many upstreams of each version the list names, by service.
-pub(super) type Listed<'a> = BTreeMap<&'a Service, Versions<'a>>;
+pub(super) type VersionsByService<'a> = BTreeMap<&'a Service, VersionCounts<'a>>;
 
 /// How many upstreams of one service name which version.
 #[derive(Debug, Default)]
-pub(super) struct Versions<'a> {
+pub(super) struct VersionCounts<'a> {
     pub(super) named: BTreeMap<&'a SoftwareVersion, usize>,
     /// Those that name none.
     pub(super) unnamed: usize,
@@ -90,7 +90,7 @@
 /// The versions of all services.
 #[derive(Debug, Default)]
 pub(super) struct Canary {
-    services: BTreeMap<Service, Split>,
+    services: BTreeMap<Service, ServiceVersions>,
 }
 
 impl Canary {
@@ -100,46 +100,49 @@
         for rule in rules {
             next.entry(rule.service.clone()).or_default().push(rule);
         }
-        let mut news = Vec::new();
-        for (service, split) in &mut self.services {
-            news.extend(split.set_rules(next.remove(service).unwrap_or_default()));
+        let mut changed = Vec::new();
+        for (service, versions) in &mut self.services {
+            changed.extend(versions.set_rules(next.remove(service).unwrap_or_default()));
         }
         for (service, rules) in next {
-            news.extend(self.services.entry(service).or_default().set_rules(rules));
+            changed.extend(self.services.entry(service).or_default().set_rules(rules));
         }
-        news
+        changed
     }
 
     /// Takes in which versions the list names.
-    pub(super) fn see(&mut self, now: Time, listed: &Listed<'_>) {
-        self.services.retain(|name, split| listed.contains_key(name) || !split.rules.is_empty());
+    pub(super) fn record_versions(&mut self, now: Time, listed: &VersionsByService<'_>) {
+        self.services
+            .retain(|name, versions| listed.contains_key(name) || !versions.rules.is_empty());
         for (service, versions) in listed {
             if !self.services.contains_key(*service) {
-                self.services.insert((*service).clone(), Split::default());
+                self.services.insert((*service).clone(), ServiceVersions::default());
             }
-            if let Some(split) = self.services.get_mut(*service) {
-                split.see(now, versions);
+            if let Some(known) = self.services.get_mut(*service) {
+                known.record_versions(now, versions);
             }
         }
     }
 
     /// Returns what an upstream may get as far as its version says.
-    pub(super) fn pass(&self, now: Time, replica: &Replica) -> Pass {
-        let split = self.active(&replica.info.service);
-        split.map_or(Pass::Free, |split| split.pass(now, replica.info.version.as_ref()))
+    pub(super) fn access(&self, now: Time, upstream: &Upstream) -> VersionAccess {
+        let versions = self.active_service(&upstream.info.service);
+        versions.map_or(VersionAccess::Unrestricted, |versions| {
+            versions.access(now, upstream.info.version.as_ref())
+        })
     }
 
     /// Leaves those of some upstreams that a request may go to by their versions; `serves_freely`
     /// tells whether a version that waits for no order has usable upstreams, be they fit or not.
-    pub(super) fn narrow<'a>(
+    pub(super) fn filter_by_version<'a>(
         &self,
         now: Time,
-        wanted: &UpstreamCriteria<'_>,
-        fit: Vec<&'a Replica>,
-        serves_freely: impl FnOnce() -> bool,
-    ) -> Vec<&'a Replica> {
-        match self.active(wanted.service) {
-            Some(split) => split.narrow(now, wanted, fit, serves_freely),
+        criteria: &UpstreamCriteria<'_>,
+        fit: Vec<&'a Upstream>,
+        has_unrestricted: impl FnOnce() -> bool,
+    ) -> Vec<&'a Upstream> {
+        match self.active_service(criteria.service) {
+            Some(versions) => versions.filter_by_version(now, criteria, fit, has_unrestricted),
             None => fit,
         }
     }
@@ -152,78 +155,79 @@
 
     /// Notes that a request goes to an upstream of a version; `is_open` tells whether the
     /// target could have taken it.
-    pub(super) fn charge(
+    pub(super) fn record_sent(
         &mut self,
-        wanted: &UpstreamCriteria<'_>,
+        criteria: &UpstreamCriteria<'_>,
         version: Option<&SoftwareVersion>,
-        is_open: bool,
+        target_available: bool,
     ) {
-        if let Some(split) = self.services.get_mut(wanted.service) {
-            split.charge(wanted, version, is_open);
+        if let Some(versions) = self.services.get_mut(criteria.service) {
+            versions.record_sent(criteria, version, target_available);
         }
     }
 
     /// Takes back what was charged for a request that reached no upstream.
-    pub(super) fn refund(
+    pub(super) fn undo_sent(
         &mut self,
         service: &Service,
         route: &str,
         version: Option<&SoftwareVersion>,
     ) {
-        if let Some(split) = self.services.get_mut(service) {
-            split.refund(route, version);
+        if let Some(versions) = self.services.get_mut(service) {
+            versions.undo_sent(route, version);
         }
     }
 
     /// Returns the rules in force, with what this process gave by each.
     pub(super) fn rules(&self) -> impl Iterator<Item = (&RolloutRule, SentCounts)> {
-        let splits = self.services.values();
-        splits.flat_map(|split| split.rules.iter().map(|ruled| (&ruled.rule, split.given)))
+        let services = self.services.values();
+        services
+            .flat_map(|versions| versions.rules.iter().map(|active| (&active.rule, versions.sent)))
     }
 
     /// Tells whether the versions of a service count at present.
-    pub(super) fn counts(&self, service: &Service) -> bool {
-        self.active(service).is_some()
+    pub(super) fn has_versions(&self, service: &Service) -> bool {
+        self.active_service(service).is_some()
     }
 
-    fn active(&self, service: &Service) -> Option<&Split> {
-        let split = self.services.get(service)?;
-        let kinds = split.versions.len() + usize::from(split.has_unnamed);
-        (!split.rules.is_empty() || kinds > 1).then_some(split)
+    fn active_service(&self, service: &Service) -> Option<&ServiceVersions> {
+        let versions = self.services.get(service)?;
+        let kind_count = versions.versions.len() + usize::from(versions.has_unnamed);
+        (!versions.rules.is_empty() || kind_count > 1).then_some(versions)
     }
 }
 
-impl Split {
+impl ServiceVersions {
     fn set_rules(&mut self, rules: Vec<RolloutRule>) -> Vec<RolloutRule> {
-        let newest = |rules: &[Ruled]| rules.iter().map(|ruled| ruled.rule.revision).max();
+        let newest = |rules: &[ActiveRule]| rules.iter().map(|active| active.rule.revision).max();
         let before = newest(&self.rules);
-        let mut news = Vec::new();
+        let mut changed = Vec::new();
         let mut next = Vec::new();
         for rule in rules {
-            let known = self.rules.iter().find(|ruled| ruled.rule.target == rule.target);
+            let known = self.rules.iter().find(|active| active.rule.target == rule.target);
             let is_other = |version: &SoftwareVersion| *version != rule.target;
-            let has_others = known.is_some_and(|ruled| ruled.has_others)
+            let has_others = known.is_some_and(|active| active.has_others)
                 || self.has_unnamed
                 || self.versions.keys().any(is_other);
             if known.is_none_or(|known| known.rule != rule) {
-                news.push(rule.clone());
+                changed.push(rule.clone());
             }
-            next.push(Ruled { rule, has_others });
+            next.push(ActiveRule { rule, has_others });
         }
         self.rules = next;
         // What one order left over is not the next one's to give.
         if newest(&self.rules) != before {
             self.credits.clear();
-            self.given = SentCounts::default();
+            self.sent = SentCounts::default();
         }
-        news
+        changed
     }
 
     /// Takes in which versions the list names. Of a service that is new here, the one with the
     /// most upstreams is known already: a process that starts while a version is rolled out
     /// cannot tell otherwise which that is.
-    fn see(&mut self, now: Time, listed: &Versions<'_>) {
-        let Versions { named: listed, unnamed } = listed;
+    fn record_versions(&mut self, now: Time, listed: &VersionCounts<'_>) {
+        let VersionCounts { named: listed, unnamed } = listed;
         self.versions.retain(|version, _| listed.contains_key(version));
         self.has_unnamed = *unnamed > 0;
         let most = listed.iter().rev().max_by_key(|(_, count)| **count);
@@ -233,70 +237,74 @@
             if self.versions.contains_key(version) {
                 continue;
             }
-            let until = if Some(version) == established { now } else { now.after(ORDER_LAG) };
+            let until = if Some(version) == established { now } else { now.after(ORDER_DELAY) };
             self.versions.insert(version.clone(), until);
         }
-        for ruled in &mut self.rules {
-            ruled.has_others |= self.has_unnamed;
-            ruled.has_others |= self.versions.keys().any(|version| *version != ruled.rule.target);
+        for active in &mut self.rules {
+            active.has_others |= self.has_unnamed;
+            active.has_others |= self.versions.keys().any(|version| *version != active.rule.target);
         }
     }
 
-    fn pass(&self, now: Time, version: Option<&SoftwareVersion>) -> Pass {
+    fn access(&self, now: Time, version: Option<&SoftwareVersion>) -> VersionAccess {
         let mut is_named = false;
-        let mut pass = Pass::Free;
-        for ruled in &self.rules {
-            let is_target = version == Some(&ruled.rule.target);
+        let mut access = VersionAccess::Unrestricted;
+        for active in &self.rules {
+            let is_target = version == Some(&active.rule.target);
             is_named |= is_target;
-            match ruled.rule.allowance {
-                Allowance::Nothing if is_target && ruled.has_others => return Pass::Barred,
-                Allowance::Share(_) if is_target && ruled.has_others => pass = Pass::Counted,
-                Allowance::All if !is_target => return Pass::Barred,
+            match active.rule.allowance {
+                Allowance::Nothing if is_target && active.has_others => {
+                    return VersionAccess::Blocked;
+                }
+                Allowance::Share(_) if is_target && active.has_others => {
+                    access = VersionAccess::Limited
+                }
+                Allowance::All if !is_target => return VersionAccess::Blocked,
                 Allowance::Nothing | Allowance::Share(_) | Allowance::All => {}
             }
         }
         let until = version.and_then(|version| self.versions.get(version));
-        let is_held = !is_named && until.is_some_and(|until| *until > now);
-        if is_held { Pass::Held } else { pass }
+        let is_delayed = !is_named && until.is_some_and(|until| *until > now);
+        if is_delayed { VersionAccess::Delayed } else { access }
     }
 
     /// Returns the version that gets a share, and that, from 0 to 1.
-    fn shared_with(&self) -> Option<(&SoftwareVersion, f64)> {
-        self.rules.iter().find_map(|Ruled { rule, .. }| match rule.allowance {
-            Allowance::Share(share) => Some((&rule.target, part(share))),
+    fn target_share(&self) -> Option<(&SoftwareVersion, f64)> {
+        self.rules.iter().find_map(|ActiveRule { rule, .. }| match rule.allowance {
+            Allowance::Share(share) => Some((&rule.target, as_fraction(share))),
             Allowance::Nothing | Allowance::All => None,
         })
     }
 
-    fn narrow<'a>(
+    fn filter_by_version<'a>(
         &self,
         now: Time,
-        wanted: &UpstreamCriteria<'_>,
-        fit: Vec<&'a Replica>,
-        serves_freely: impl FnOnce() -> bool,
-    ) -> Vec<&'a Replica> {
+        criteria: &UpstreamCriteria<'_>,
+        fit: Vec<&'a Upstream>,
+        has_unrestricted: impl FnOnce() -> bool,
+    ) -> Vec<&'a Upstream> {
         let mut free = Vec::new();
-        let (mut counted, mut held) = (Vec::new(), Vec::new());
-        for replica in fit {
-            match self.pass(now, replica.info.version.as_ref()) {
-                Pass::Free => free.push(replica),
-                Pass::Counted => counted.push(replica),
-                Pass::Held => held.push(replica),
-                Pass::Barred => {}
+        let (mut limited, mut delayed) = (Vec::new(), Vec::new());
+        for upstream in fit {
+            match self.access(now, upstream.info.version.as_ref()) {
+                VersionAccess::Unrestricted => free.push(upstream),
+                VersionAccess::Limited => limited.push(upstream),
+                VersionAccess::Delayed => delayed.push(upstream),
+                VersionAccess::Blocked => {}
             }
         }
-        let others = if free.is_empty() && !serves_freely() { held } else { free };
-        if let Some((target, share)) = self.shared_with().filter(|_| !counted.is_empty())
-            && self.gives(wanted, target, share)
+        let others = if free.is_empty() && !has_unrestricted() { delayed } else { free };
+        if let Some((target, share)) = self.target_share().filter(|_| !limited.is_empty())
+            && self.goes_to_target(criteria, target, share)
         {
-            counted.retain(|replica| replica.rests_until <= now);
-            let canary = concentrate(counted, share, others.len());
+            limited.retain(|upstream| upstream.avoid_until <= now);
+            let canary = select_target_upstreams(limited, share, others.len());
             if !canary.is_empty() {
                 return canary;
             }
         }
-        match wanted.resumed_version {
-            Some(version) => with_version(others, version),
+        match criteria.resumed_version {
+            Some(version) => prefer_version(others, version),
             None => others,
         }
     }
@@ -305,63 +313,69 @@
     ///
     /// Those of the same chains of prompt parts go there as far as that makes up the share, so
     /// that its upstreams read few prompts anew; the more the route owes, the more chains.
-    fn gives(&self, wanted: &UpstreamCriteria<'_>, target: &SoftwareVersion, share: f64) -> bool {
-        let credit = self.credit(wanted) + share;
+    fn goes_to_target(
+        &self,
+        criteria: &UpstreamCriteria<'_>,
+        target: &SoftwareVersion,
+        share: f64,
+    ) -> bool {
+        let credit = self.credit(criteria) + share;
         if credit < 1.0 {
             return false;
         }
         // A request that failed at one version is not tried out on the other.
-        if !wanted.tried.is_empty() {
-            return wanted.resumed_version == Some(target);
+        if !criteria.tried.is_empty() {
+            return criteria.resumed_version == Some(target);
         }
-        let Some(chain) = shared(wanted.parts).last() else {
+        let Some(chain) = shared_parts(criteria.parts).last() else {
             return true;
         };
-        let lot = fraction(xxh3_64_with_seed(&chain.id.to_be_bytes(), seed_of(target)));
-        credit >= MAX_CREDIT || lot < share * credit
+        let chain_fraction =
+            random_fraction(xxh3_64_with_seed(&chain.id.to_be_bytes(), seed_of(target)));
+        credit >= MAX_CREDIT || chain_fraction < share * credit
     }
 
-    fn credit(&self, wanted: &UpstreamCriteria<'_>) -> f64 {
-        let begun = self.credits.get(wanted.route).copied();
-        begun.unwrap_or_else(|| fraction(wanted.random))
+    fn credit(&self, criteria: &UpstreamCriteria<'_>) -> f64 {
+        let begun = self.credits.get(criteria.route).copied();
+        begun.unwrap_or_else(|| random_fraction(criteria.random))
     }
 
-    fn charge(
+    fn record_sent(
         &mut self,
-        wanted: &UpstreamCriteria<'_>,
+        criteria: &UpstreamCriteria<'_>,
         version: Option<&SoftwareVersion>,
-        is_open: bool,
+        target_available: bool,
     ) {
         let Some(first) = self.rules.first() else {
             return;
         };
         let is_target = version == Some(&first.rule.target);
-        self.given.all += 1;
-        self.given.target += u64::from(is_target);
-        let Some((target, share)) = self.shared_with() else {
+        self.sent.all += 1;
+        self.sent.target += u64::from(is_target);
+        let Some((target, share)) = self.target_share() else {
             return;
         };
-        let is_given = version == Some(target);
+        let is_target_request = version == Some(target);
         // What the target could not take is not made up for: all processes would at once.
-        let more = if is_open || is_given { share } else { 0.0 };
-        let taken = if is_given { 1.0 } else { 0.0 };
-        let credit = (self.credit(wanted) + more - taken).min(MAX_CREDIT);
-        match self.credits.get_mut(wanted.route) {
+        let more = if target_available || is_target_request { share } else { 0.0 };
+        let taken = if is_target_request { 1.0 } else { 0.0 };
+        let credit = (self.credit(criteria) + more - taken).min(MAX_CREDIT);
+        match self.credits.get_mut(criteria.route) {
             Some(known) => *known = credit,
             None => {
-                self.credits.insert(wanted.route.to_owned(), credit);
+                self.credits.insert(criteria.route.to_owned(), credit);
             }
         }
     }
 
-    fn refund(&mut self, route: &str, version: Option<&SoftwareVersion>) {
+    fn undo_sent(&mut self, route: &str, version: Option<&SoftwareVersion>) {
         let Some(first) = self.rules.first() else {
             return;
         };
         let is_target = version == Some(&first.rule.target);
-        self.given.all = self.given.all.saturating_sub(1);
-        self.given.target = self.given.target.saturating_sub(u64::from(is_target));
-        let Some((target, share)) = self.shared_with() else {
+        self.sent.all = self.sent.all.saturating_sub(1);
+        self.sent.target = self.sent.target.saturating_sub(u64::from(is_target));
+        let Some((target, share)) = self.target_share() else {
             return;
         };
         let taken = if version == Some(target) { 1.0 } else { 0.0 };
@@ -373,20 +387,24 @@
 
 /// Leaves as many upstreams of the target as make each about as loaded as one of the others,
 /// since a version may be bad under load only. All processes take the same ones, by rank.
-fn concentrate(mut counted: Vec<&Replica>, share: f64, others: usize) -> Vec<&Replica> {
+fn select_target_upstreams(
+    mut limited: Vec<&Upstream>,
+    share: f64,
+    others: usize,
+) -> Vec<&Upstream> {
     let others = f64::from(u32::try_from(others).unwrap_or(u32::MAX));
-    let wanted = (share * others / (1.0 - share)).round();
+    let criteria = (share * others / (1.0 - share)).round();
     // Places among long and short prompts go by the seed itself.
-    counted.sort_by_key(|replica| xxh3_64_with_seed(&replica.seed.to_be_bytes(), 1));
-    let fits = |n: usize| f64::from(u32::try_from(n).unwrap_or(u32::MAX)) < wanted;
-    let count = (0..counted.len()).take_while(|n| *n < LEAST_UPSTREAMS || fits(*n)).count();
-    counted.truncate(count);
-    counted
+    limited.sort_by_key(|upstream| xxh3_64_with_seed(&upstream.seed.to_be_bytes(), 1));
+    let fits = |n: usize| f64::from(u32::try_from(n).unwrap_or(u32::MAX)) < criteria;
+    let count = (0..limited.len()).take_while(|n| *n < MIN_TARGET_UPSTREAMS || fits(*n)).count();
+    limited.truncate(count);
+    limited
 }
 
 /// Leaves the upstreams of a version, or all if there is none.
-fn with_version<'a>(pool: Vec<&'a Replica>, version: &SoftwareVersion) -> Vec<&'a Replica> {
-    let has = |replica: &&&Replica| replica.info.version.as_ref() == Some(version);
+fn prefer_version<'a>(pool: Vec<&'a Upstream>, version: &SoftwareVersion) -> Vec<&'a Upstream> {
+    let has = |upstream: &&&Upstream| upstream.info.version.as_ref() == Some(version);
     let same: Vec<_> = pool.iter().filter(has).copied().collect();
     if same.is_empty() { pool } else { same }
 }
@@ -396,11 +414,12 @@
 }
 
 /// Returns a share as a part from 0 to 1.
-fn part(share: Percent) -> f64 {
+fn as_fraction(share: Percent) -> f64 {
     f64::from(u32::try_from(u64::from(share)).unwrap_or(100)) / 100.0
 }
 
 /// Turns random bits into a part from 0 to below 1.
-fn fraction(bits: u64) -> f64 {
-    f64::from(u32::try_from(bits % u64::from(DRAWS)).unwrap_or(0)) / f64::from(DRAWS)
+fn random_fraction(bits: u64) -> f64 {
+    f64::from(u32::try_from(bits % u64::from(FRACTION_STEPS)).unwrap_or(0))
+        / f64::from(FRACTION_STEPS)
 }
--- a/crates/badgerfield-core/src/upstream_table/choice.rs
+++ b/crates/badgerfield-core/src/upstream_table/choice.rs
@@ -5,7 +5,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::replica::{Replica, Weights, shared};
+use super::upstream::{CostParams, Upstream, shared_parts};
 use super::{ChosenUpstream, PromptPart, UpstreamCriteria, UpstreamTable};
 use crate::amount::Time;
 use crate::ids::UpstreamId;
@@ -27,55 +27,63 @@
 impl UpstreamTable {
     /// Chooses an upstream for a request, or none if none can take it.
     #[must_use]
-    pub fn choose(&self, now: Time, wanted: &UpstreamCriteria<'_>) -> Option<ChosenUpstream> {
-        let pool = self.candidates(now, wanted);
-        let mix = self.mixes.get(wanted.service).filter(|_| !wanted.parts.is_empty());
-        let weights = Weights::of(mix, wanted);
-        let ordinary = queueing_delay::ordinary(pool.iter().map(|r| r.lag.millis(now)).collect());
-        let own: Vec<_> = pool.iter().copied().filter(|r| weights.takes(r)).collect();
-        let homes = homes_of(
+    pub fn choose(&self, now: Time, criteria: &UpstreamCriteria<'_>) -> Option<ChosenUpstream> {
+        let pool = self.candidates(now, criteria);
+        let mix = self.request_mixes.get(criteria.service).filter(|_| !criteria.parts.is_empty());
+        let params = CostParams::new(mix, criteria);
+        let ordinary =
+            queueing_delay::ordinary(pool.iter().map(|u| u.queueing_delay.millis(now)).collect());
+        let own: Vec<_> = pool.iter().copied().filter(|u| params.is_in_group(u)).collect();
+        let homes = home_upstreams(
             if own.is_empty() { &pool } else { &own },
-            wanted.parts,
-            self.scope(&weights, wanted),
+            criteria.parts,
+            self.scope(&params, criteria),
         );
-        let mut best: Option<(&Replica, f64)> = None;
-        let mut second: Option<(&Replica, f64)> = None;
-        let cost_of = |replica: &Replica| {
-            let is_home = homes.contains(&&replica.info.id);
-            let mut cost = replica.cost(now, wanted, &weights, is_home);
-            cost += self.locality.cost(replica.distance, wanted.bytes);
-            if wanted.parts.is_empty() {
-                cost += overload::wait_cost(replica.lag.millis(now), replica.seed ^ wanted.random);
+        let mut best: Option<(&Upstream, f64)> = None;
+        let mut runner_up: Option<(&Upstream, f64)> = None;
+        let cost_of = |upstream: &Upstream| {
+            let is_home = homes.contains(&&upstream.info.id);
+            let mut cost = upstream.cost(now, criteria, &params, is_home);
+            cost += self.distance_costs.cost(upstream.distance, criteria.bytes);
+            if criteria.parts.is_empty() {
+                cost += overload::wait_cost(
+                    upstream.queueing_delay.millis(now),
+                    upstream.seed ^ criteria.random,
+                );
             } else {
-                cost += replica.lag.cost(now, ordinary, wanted.random);
+                cost += upstream.queueing_delay.cost(now, ordinary, criteria.random);
             }
             cost
         };
-        for replica in &pool {
-            let cost = cost_of(replica);
+        for upstream in &pool {
+            let cost = cost_of(upstream);
             if best.is_none_or(|(_, least)| cost < least) {
-                second = best;
-                best = Some((replica, cost));
-            } else if second.is_none_or(|(_, least)| cost < least) {
-                second = Some((replica, cost));
+                runner_up = best;
+                best = Some((upstream, cost));
+            } else if runner_up.is_none_or(|(_, least)| cost < least) {
+                runner_up = Some((upstream, cost));
             }
         }
-        let alike = wanted.rendezvous_key.and_then(|number| alike(&pool, number));
-        let (replica, cost) = alike.map(|r| (r, cost_of(r))).or(best)?;
-        let is_home = homes.contains(&&replica.info.id);
+        let alike = criteria.rendezvous_key.and_then(|number| choose_alike(&pool, number));
+        let (upstream, cost) = alike.map(|u| (u, cost_of(u))).or(best)?;
+        let is_home = homes.contains(&&upstream.info.id);
         Some(ChosenUpstream {
-            uncached_tokens: replica.unread(now, wanted.parts, is_home),
-            queueing_delay: replica.lag.millis(now),
-            group: weights.division.map(|(_, group)| (group, weights.takes(replica))),
-            id: replica.info.id.clone(),
-            address: replica.info.address,
-            process: replica.process,
-            version: replica.info.version.clone().filter(|_| self.canary.counts(wanted.service)),
+            uncached_tokens: upstream.uncached_tokens(now, criteria.parts, is_home),
+            queueing_delay: upstream.queueing_delay.millis(now),
+            group: params.division.map(|(_, group)| (group, params.is_in_group(upstream))),
+            id: upstream.info.id.clone(),
+            address: upstream.info.address,
+            process: upstream.process,
+            version: upstream
+                .info
+                .version
+                .clone()
+                .filter(|_| self.canary.has_versions(criteria.service)),
             cost,
-            distance: replica.distance,
-            crossing: crossing(&pool, replica),
+            distance: upstream.distance,
+            crossing: crossing_reason(&pool, upstream),
             candidates: pool.len(),
-            runner_up: second.map(|(r, cost)| (r.info.id.clone(), cost)),
+            runner_up: runner_up.map(|(u, cost)| (u.info.id.clone(), cost)),
         })
     }
 
@@ -84,73 +92,77 @@
     /// Where it costs more to leave a domain or region than to read the chain, each has a home
     /// of its own; where reading costs more, one home serves them all, and its memory is
     /// not spent twice.
-    fn scope(&self, weights: &Weights, wanted: &UpstreamCriteria<'_>) -> Scope {
-        let read = weights.read_ms(shared(wanted.parts));
-        if read < self.locality.cost(Distance::SameRegion, wanted.bytes) {
+    fn scope(&self, params: &CostParams, criteria: &UpstreamCriteria<'_>) -> Scope {
+        let read = params.read_ms(shared_parts(criteria.parts));
+        if read < self.distance_costs.cost(Distance::SameRegion, criteria.bytes) {
             return Scope::Domain;
         }
-        if read < self.locality.cost(Distance::OtherRegion, wanted.bytes) {
+        if read < self.distance_costs.cost(Distance::OtherRegion, criteria.bytes) {
             return Scope::Region;
         }
         Scope::Fleet
     }
 
     /// Returns the upstreams that may get a request.
-    fn candidates(&self, now: Time, wanted: &UpstreamCriteria<'_>) -> Vec<&Replica> {
-        let spares = self.starts.of(wanted.service).is_some();
-        let share = self.starts.share(wanted.service);
+    fn candidates(&self, now: Time, criteria: &UpstreamCriteria<'_>) -> Vec<&Upstream> {
+        let limits_cold = self.slow_start.warm_up(criteria.service).is_some();
+        let share = self.slow_start.sender_share(criteria.service);
         let fit: Vec<_> = self
-            .table
+            .upstreams
             .values()
-            .filter(|r| r.info.service == *wanted.service)
-            .filter(|r| r.is_usable(now))
-            .filter(|r| may_serve(r, wanted))
-            .filter(|r| !spares || r.bears_more(now, share))
-            .filter(|r| r.said.admits(now))
-            .filter(|r| !wanted.tried.contains(&r.info.id))
-            .filter(|r| r.running < wanted.max_connections)
+            .filter(|u| u.info.service == *criteria.service)
+            .filter(|u| u.is_usable(now))
+            .filter(|u| is_residency_allowed(u, criteria))
+            .filter(|u| !limits_cold || u.has_cold_capacity(now, share))
+            .filter(|u| u.announced.admits(now))
+            .filter(|u| !criteria.tried.contains(&u.info.id))
+            .filter(|u| u.running < criteria.max_connections)
             .collect();
-        let serves_freely = || self.serves_freely(now, wanted.service);
-        let fit = self.canary.narrow(now, wanted, fit, serves_freely);
-        let rested: Vec<_> = fit.iter().copied().filter(|r| r.rests_until <= now).collect();
+        let has_unrestricted = || self.has_unrestricted(now, criteria.service);
+        let fit = self.canary.filter_by_version(now, criteria, fit, has_unrestricted);
+        let available: Vec<_> = fit.iter().copied().filter(|u| u.avoid_until <= now).collect();
         // When most rest, the fault is likely elsewhere, and one of them may serve.
-        if rested.is_empty() { fit } else { rested }
+        if available.is_empty() { fit } else { available }
     }
 }
 
 /// Tells whether an upstream lies where a request may be served.
-fn may_serve(replica: &Replica, wanted: &UpstreamCriteria<'_>) -> bool {
-    let bound = wanted.residency;
-    !bound.is_restricted() || bound.allows(replica.region.as_ref())
+fn is_residency_allowed(upstream: &Upstream, criteria: &UpstreamCriteria<'_>) -> bool {
+    let bound = criteria.residency;
+    !bound.is_restricted() || bound.allows(upstream.region.as_ref())
 }
 
 /// Returns the upstreams that all VMs prefer for a chain of shared parts, one in each scope.
-fn homes_of<'a>(pool: &[&'a Replica], parts: &[PromptPart], scope: Scope) -> Vec<&'a UpstreamId> {
-    let Some(chain) = shared(parts).last() else {
+fn home_upstreams<'a>(
+    pool: &[&'a Upstream],
+    parts: &[PromptPart],
+    scope: Scope,
+) -> Vec<&'a UpstreamId> {
+    let Some(chain) = shared_parts(parts).last() else {
         return Vec::new();
     };
-    let mut best: Vec<(&Replica, u64)> = Vec::new();
-    for replica in pool {
-        let weight = xxh3_64_with_seed(&chain.id.to_be_bytes(), replica.seed);
-        match best.iter_mut().find(|(other, _)| shares_home(scope, other, replica)) {
-            Some(known) if known.1 < weight => *known = (replica, weight),
+    let mut best: Vec<(&Upstream, u64)> = Vec::new();
+    for upstream in pool {
+        let weight = xxh3_64_with_seed(&chain.id.to_be_bytes(), upstream.seed);
+        match best.iter_mut().find(|(other, _)| shares_home(scope, other, upstream)) {
+            Some(known) if known.1 < weight => *known = (upstream, weight),
             Some(_) => {}
-            None => best.push((replica, weight)),
+            None => best.push((upstream, weight)),
         }
     }
-    best.into_iter().map(|(replica, _)| &replica.info.id).collect()
+    best.into_iter().map(|(upstream, _)| &upstream.info.id).collect()
 }
 
 /// Returns the upstream that all VMs of a region choose for a number, of those in their region if
 /// there are any.
-fn alike<'a>(pool: &[&'a Replica], number: u64) -> Option<&'a Replica> {
-    let weight = |r: &&&Replica| xxh3_64_with_seed(&number.to_be_bytes(), r.seed);
-    let near = pool.iter().filter(|r| r.distance < Distance::OtherRegion).max_by_key(weight);
+fn choose_alike<'a>(pool: &[&'a Upstream], number: u64) -> Option<&'a Upstream> {
+    let weight = |u: &&&Upstream| xxh3_64_with_seed(&number.to_be_bytes(), u.seed);
+    let near = pool.iter().filter(|u| u.distance < Distance::OtherRegion).max_by_key(weight);
     near.or_else(|| pool.iter().max_by_key(weight)).copied()
 }
 
 /// Tells whether two upstreams are within the same scope of homes.
-fn shares_home(scope: Scope, one: &Replica, other: &Replica) -> bool {
+fn shares_home(scope: Scope, one: &Upstream, other: &Upstream) -> bool {
     match scope {
         Scope::Fleet => true,
         Scope::Region => one.region == other.region,
@@ -159,10 +171,10 @@
 }
 
 /// Tells why a request leaves its region for an upstream, if it does.
-fn crossing(pool: &[&Replica], chosen: &Replica) -> Option<CrossingReason> {
+fn crossing_reason(pool: &[&Upstream], chosen: &Upstream) -> Option<CrossingReason> {
     if chosen.distance < Distance::OtherRegion {
         return None;
     }
-    let near = pool.iter().any(|replica| replica.distance < Distance::OtherRegion);
+    let near = pool.iter().any(|upstream| upstream.distance < Distance::OtherRegion);
     Some(if near { CrossingReason::Cost } else { CrossingReason::NoneInRegion })
 }
--- a/crates/badgerfield-core/src/upstream_table/limits.rs
+++ b/crates/badgerfield-core/src/upstream_table/limits.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use super::UpstreamTable;
-use super::replica::Replica;
+use super::upstream::Upstream;
 use crate::amount::Time;
 use crate::event::is_due;
 use crate::ids::{Service, UpstreamId};
-use crate::rate_limit::{LimitReport, MAX_NOTES, RateLimit, place};
+use crate::rate_limit::{LimitReport, MAX_REPORTS, RateLimit, sender_rank};
 
 /// The least time between two messages about limits to each neighbour.
-const TELL_PACE: Duration = Duration::from_millis(200);
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A limit that has changed.
 #[derive(Debug, Clone, PartialEq)]
@@ -31,28 +31,28 @@
         id: &UpstreamId,
         limit: Option<RateLimit>,
     ) -> Option<LimitChange> {
-        let senders = self.starts.senders();
-        let replica = self.table.get_mut(id)?;
-        let (before, seed) = (replica.said.limit.limit(), replica.seed);
-        replica.said.limit.hear(now, limit, || place(senders, seed));
+        let senders = self.slow_start.senders();
+        let upstream = self.upstreams.get_mut(id)?;
+        let (before, seed) = (upstream.announced.limit.limit(), upstream.seed);
+        upstream.announced.limit.record(now, limit, || sender_rank(senders, seed));
         self.has_limits |= limit.is_some();
-        change_of(replica, before)
+        change_of(upstream, before)
     }
 
     /// Takes in what another process tells of limits; returns what has changed.
-    pub fn apply_limit_reports(&mut self, now: Time, notes: &[LimitReport]) -> Vec<LimitChange> {
-        let senders = self.starts.senders();
+    pub fn apply_limit_reports(&mut self, now: Time, reports: &[LimitReport]) -> Vec<LimitChange> {
+        let senders = self.slow_start.senders();
         let mut changes = Vec::new();
-        for replica in self.table.values_mut() {
-            let number = replica.number();
-            let note = notes.iter().find(|note| note.upstream == number);
-            let Some(note) = note.filter(|note| note.process == replica.process) else {
+        for upstream in self.upstreams.values_mut() {
+            let number = upstream.short_id();
+            let report = reports.iter().find(|report| report.upstream == number);
+            let Some(report) = report.filter(|report| report.process == upstream.process) else {
                 continue;
             };
-            let (before, seed) = (replica.said.limit.limit(), replica.seed);
-            replica.said.limit.learn(now, note, || place(senders, seed));
-            self.has_limits |= note.limit.is_some();
-            changes.extend(change_of(replica, before));
+            let (before, seed) = (upstream.announced.limit.limit(), upstream.seed);
+            upstream.announced.limit.apply_report(now, report, || sender_rank(senders, seed));
+            self.has_limits |= report.limit.is_some();
+            changes.extend(change_of(upstream, before));
         }
         changes
     }
@@ -60,18 +60,18 @@
     /// Returns what other processes should be told of limits now, another few at each turn where
     /// there are many.
     pub fn limit_reports(&mut self, now: Time) -> Vec<LimitReport> {
-        if !is_due(now, self.limits_told, TELL_PACE) {
+        if !is_due(now, self.limits_reported_at, REPORT_INTERVAL) {
             return Vec::new();
         }
-        let note = |r: &Replica| r.said.limit.note(now, r.number(), r.process);
-        let all: Vec<_> = self.table.values().filter_map(note).collect();
+        let report = |u: &Upstream| u.announced.limit.report(now, u.short_id(), u.process);
+        let all: Vec<_> = self.upstreams.values().filter_map(report).collect();
         if all.is_empty() {
             return all;
         }
-        self.limits_told = Some(now);
-        let start = self.limits_turn % all.len();
-        self.limits_turn = self.limits_turn.wrapping_add(MAX_NOTES);
-        all.iter().cycle().skip(start).take(all.len().min(MAX_NOTES)).copied().collect()
+        self.limits_reported_at = Some(now);
+        let start = self.limits_offset % all.len();
+        self.limits_offset = self.limits_offset.wrapping_add(MAX_REPORTS);
+        all.iter().cycle().skip(start).take(all.len().min(MAX_REPORTS)).copied().collect()
     }
 
     /// Notes that there is a request for a service, whose upstreams may have limits.
@@ -79,29 +79,30 @@
         if !self.has_limits {
             return;
         }
-        for replica in self.table.values_mut().filter(|r| r.info.service == *service) {
-            replica.said.limit.want(now);
+        for upstream in self.upstreams.values_mut().filter(|u| u.info.service == *service) {
+            upstream.announced.limit.record_demand(now);
         }
     }
 
     /// Tells whether a request that was given an upstream at a time may still be sent there.
-    pub fn can_still_send(&mut self, now: Time, id: &UpstreamId, begun: Time) -> bool {
-        let replica = self.table.get_mut(id);
-        replica.is_none_or(|replica| {
-            replica.said.rests_until <= now && replica.said.limit.admits_begun(now, begun)
+    pub fn can_still_send(&mut self, now: Time, id: &UpstreamId, started: Time) -> bool {
+        let upstream = self.upstreams.get_mut(id);
+        upstream.is_none_or(|upstream| {
+            upstream.announced.back_off_until <= now
+                && upstream.announced.limit.admits_started(now, started)
         })
     }
 
     /// Returns how many upstreams have a limit.
     #[must_use]
     pub fn limited_count(&self) -> usize {
-        let listed = self.table.values().filter(|r| r.vanished.is_none());
-        listed.filter(|r| r.said.limit.limit().is_some()).count()
+        let listed = self.upstreams.values().filter(|u| u.removed_at.is_none());
+        listed.filter(|u| u.announced.limit.limit().is_some()).count()
     }
 }
 
-fn change_of(replica: &Replica, before: Option<RateLimit>) -> Option<LimitChange> {
-    let limit = replica.said.limit.limit();
-    let upstream = || replica.info.id.clone();
-    (before != limit).then(|| LimitChange { upstream: upstream(), limit, before })
+fn change_of(upstream: &Upstream, before: Option<RateLimit>) -> Option<LimitChange> {
+    let limit = upstream.announced.limit.limit();
+    let id = || upstream.info.id.clone();
+    (before != limit).then(|| LimitChange { upstream: id(), limit, before })
 }
--- a/crates/badgerfield-core/src/upstream_table/mod.rs
+++ b/crates/badgerfield-core/src/upstream_table/mod.rs
@@ -8,22 +8,22 @@
 //! nothing; those that are cold get little ([`crate::warm_up`]), and those that name a limit no more
 //! than that ([`crate::rate_limit`]).
 
+mod announcements;
 mod canary;
 mod choice;
 mod limits;
-mod listed;
-mod replica;
-mod starts;
-mod statements;
-mod trial;
+mod list;
+mod rollout;
+mod slow_start;
+mod upstream;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use self::canary::{Canary, Pass};
-use self::replica::Replica;
-use self::starts::Starts;
+use self::canary::{Canary, VersionAccess};
+use self::slow_start::SlowStart;
+use self::upstream::Upstream;
 use crate::amount::Time;
 use crate::evacuation::DomainChange;
 use crate::ids::{Domain, Service, SoftwareVersion, UpstreamId};
@@ -43,13 +43,13 @@
 
 /// How long after it was taken back a domain's upstreams may be silent about having turned
 /// cold: the platform's upstreams write their entries anew every 1.2 s.
-const ENTRY_LAG: Duration = Duration::from_millis(1500);
+const MAX_ENTRY_DELAY: Duration = Duration::from_millis(1500);
 /// From how many engines on a service is divided between long and short prompts.
 ///
 /// Measured by docs/POLICY.md: 140 engines serve better when they are divided, 18 serve worse,
 /// since few engines in a group even out less and each move of the border costs prompts that
 /// were read before. Where between them it turns was not measured.
-const LEAST_ENGINES: usize = 32;
+const MIN_DIVIDED_ENGINES: usize = 32;
 
 /// A part of a prompt that requests may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -145,58 +145,58 @@
 #[derive(Debug, Default)]
 pub struct UpstreamTable {
     revision: u64,
-    learned: Option<Time>,
+    updated_at: Option<Time>,
     /// The last revision at which an upstream went that is not remembered any more.
-    forgotten: u64,
-    table: BTreeMap<UpstreamId, Replica>,
+    forgotten_revision: u64,
+    upstreams: BTreeMap<UpstreamId, Upstream>,
     /// Upstreams that have started again, of which nobody was told yet.
-    started_again: Vec<UpstreamId>,
+    restarted: Vec<UpstreamId>,
     /// What was seen of the requests of each service.
-    mixes: BTreeMap<Service, RequestMix>,
+    request_mixes: BTreeMap<Service, RequestMix>,
     /// The failure domains that operators have evacuated.
     evacuated: BTreeSet<Domain>,
     /// Which failure domain lies in which region.
     regions: RegionMap,
     /// Where this process stands, and what distance costs it.
-    place: Location,
-    locality: DistanceCosts,
-    starts: Starts,
+    location: Location,
+    distance_costs: DistanceCosts,
+    slow_start: SlowStart,
     canary: Canary,
     /// The turn of the rules of roll-outs in force.
-    rules_turn: u64,
+    rules_sequence: u64,
     /// How requests go at services that are rolled out.
     tallies: Tallies,
     /// The services, without engines, that requests of this process went to.
-    plain: BTreeSet<Service>,
+    plain_services: BTreeSet<Service>,
     /// Whether any upstream has named a limit.
     has_limits: bool,
     /// When others were told of limits last, and with which note the next turn begins.
-    limits_told: Option<Time>,
-    limits_turn: usize,
+    limits_reported_at: Option<Time>,
+    limits_offset: usize,
 }
 
 impl UpstreamTable {
     /// Returns the revision of the list in force, and when it was learned.
     #[must_use]
     pub fn last_update(&self) -> (u64, Option<Time>) {
-        (self.revision, self.learned)
+        (self.revision, self.updated_at)
     }
 
     /// Sets which failure domain lies in which region.
     pub fn set_regions(&mut self, regions: RegionMap) {
         self.regions = regions;
-        self.locate_all();
+        self.update_locations();
     }
 
     /// Sets where this process stands, and what distance costs it.
-    pub fn set_location(&mut self, place: Location, locality: DistanceCosts) {
-        (self.place, self.locality) = (place, locality);
-        self.locate_all();
+    pub fn set_location(&mut self, location: Location, distance_costs: DistanceCosts) {
+        (self.location, self.distance_costs) = (location, distance_costs);
+        self.update_locations();
     }
 
-    fn locate_all(&mut self) {
-        for replica in self.table.values_mut() {
-            replica.locate(&self.place, &self.regions);
+    fn update_locations(&mut self) {
+        for upstream in self.upstreams.values_mut() {
+            upstream.update_location(&self.location, &self.regions);
         }
     }
 
@@ -208,19 +208,19 @@
 
     /// Sets the fleet's bound on what cold upstreams get, and how many VMs send to each.
     pub fn set_warm_up_bound(&mut self, bound: Option<WarmUpBound>, senders: usize) {
-        self.starts.set_bound(bound, senders);
+        self.slow_start.set_bound(bound, senders);
     }
 
     /// Sets how the upstreams of each service start.
     pub fn set_warm_ups(&mut self, warm_ups: BTreeMap<Service, WarmUp>) {
-        self.starts.set_warm_ups(warm_ups);
+        self.slow_start.set_warm_ups(warm_ups);
     }
 
     /// Takes in who may send to cold upstreams by the view in force.
     pub fn set_senders(&mut self, now: Time, senders: Senders) {
-        self.starts.set_senders(senders);
-        for replica in self.table.values_mut() {
-            replica.change_senders(now, &self.starts);
+        self.slow_start.set_senders(senders);
+        for upstream in self.upstreams.values_mut() {
+            upstream.apply_senders(now, &self.slow_start);
         }
     }
 
@@ -229,89 +229,93 @@
     /// Those of a domain that was taken back count as just started, unless they have written
     /// since how it is.
     pub fn apply_evacuations(&mut self, now: Time, changes: &[DomainChange]) -> Vec<UpstreamId> {
-        let mut concerned = Vec::new();
+        let mut affected = Vec::new();
         for change in changes {
             if change.evacuated {
                 self.evacuated.insert(change.domain.clone());
             } else {
                 self.evacuated.remove(&change.domain);
             }
-            for replica in self.table.values_mut().filter(|r| r.info.domain == change.domain) {
-                concerned.push(replica.info.id.clone());
-                replica.evacuated = change.evacuated;
-                let warm_up = self.starts.of(&replica.info.service);
+            for upstream in self.upstreams.values_mut().filter(|u| u.info.domain == change.domain) {
+                affected.push(upstream.info.id.clone());
+                upstream.evacuated = change.evacuated;
+                let warm_up = self.slow_start.warm_up(&upstream.info.service);
                 let Some(warm_up) = warm_up.filter(|_| !change.evacuated) else {
                     continue;
                 };
-                if replica.revision <= change.revision {
-                    let until = now.after(warm_up.span.saturating_add(ENTRY_LAG));
-                    replica.spare(now, &self.starts, change.revision, until);
+                if upstream.revision <= change.revision {
+                    let until = now.after(warm_up.span.saturating_add(MAX_ENTRY_DELAY));
+                    upstream.mark_cold(now, &self.slow_start, change.revision, until);
                 }
             }
         }
-        concerned
+        affected
     }
 
     /// Returns how many upstreams get nothing since their domain is evacuated, and how many
     /// are cold.
     #[must_use]
     pub fn restricted_counts(&self, now: Time) -> (usize, usize) {
-        let listed = || self.table.values().filter(|r| r.vanished.is_none());
-        let evacuated = listed().filter(|r| r.evacuated).count();
-        let is_cold = |r: &&Replica| r.is_cold(now) && self.starts.of(&r.info.service).is_some();
+        let listed = || self.upstreams.values().filter(|u| u.removed_at.is_none());
+        let evacuated = listed().filter(|u| u.evacuated).count();
+        let is_cold =
+            |u: &&Upstream| u.is_cold(now) && self.slow_start.warm_up(&u.info.service).is_some();
         (evacuated, listed().filter(is_cold).count())
     }
 
     /// Returns when the first cold upstream of a service is warm, if requests may wait for one.
     #[must_use]
     pub fn time_until_warm(&self, now: Time, service: &Service) -> Option<Duration> {
-        self.starts.of(service)?;
-        let usable = self.table.values().filter(|r| r.info.service == *service && r.is_usable(now));
-        usable.map(|r| r.warm_in(now)).filter(|span| !span.is_zero()).min()
+        self.slow_start.warm_up(service)?;
+        let usable =
+            self.upstreams.values().filter(|u| u.info.service == *service && u.is_usable(now));
+        usable.map(|u| u.time_until_warm(now)).filter(|span| !span.is_zero()).min()
     }
 
     /// Notes that a request for an engine came on a route.
     pub fn record_arrival(&mut self, now: Time, service: &Service, route: &str, size: PromptSize) {
-        self.mixes.entry(service.clone()).or_default().record_arrival(now, route, size);
+        self.request_mixes.entry(service.clone()).or_default().record_arrival(now, route, size);
     }
 
     /// Returns what the requests of this process need of the engines of each service that
     /// has enough engines to divide.
     pub fn engine_demand(&mut self, now: Time) -> Vec<EngineDemand> {
-        let table = &self.table;
-        let mut needs = Vec::new();
-        for (service, mix) in &mut self.mixes {
-            let listed = |r: &&Replica| r.info.service == *service && r.vanished.is_none();
-            let engines = table.values().filter(listed).count();
-            let Some(first) = table.values().find(listed).filter(|_| engines >= LEAST_ENGINES)
+        let upstreams = &self.upstreams;
+        let mut demand = Vec::new();
+        for (service, mix) in &mut self.request_mixes {
+            let listed = |u: &&Upstream| u.info.service == *service && u.removed_at.is_none();
+            let engines = upstreams.values().filter(listed).count();
+            let Some(first) =
+                upstreams.values().find(listed).filter(|_| engines >= MIN_DIVIDED_ENGINES)
             else {
                 continue;
             };
-            needs.push(mix.demand(now, service, first.info.slots));
+            demand.push(mix.demand(now, service, first.info.slots));
         }
-        needs
+        demand
     }
 
     /// Divides the engines of each service by what all processes need.
     ///
     /// Returns the services that are divided anew.
-    pub fn divide_engines(&mut self, needs: &[EngineDemand]) -> Vec<(Service, EngineDivision)> {
-        let services: BTreeSet<_> = self.table.values().map(|r| r.info.service.clone()).collect();
-        let mut news = Vec::new();
+    pub fn divide_engines(&mut self, demand: &[EngineDemand]) -> Vec<(Service, EngineDivision)> {
+        let services: BTreeSet<_> =
+            self.upstreams.values().map(|u| u.info.service.clone()).collect();
+        let mut changed = Vec::new();
         for service in services {
             let number = service_number(&service);
-            let needs = needs.iter().find(|needs| needs.service == number);
-            let mix = self.mixes.entry(service.clone()).or_default();
+            let demand = demand.iter().find(|demand| demand.service == number);
+            let mix = self.request_mixes.entry(service.clone()).or_default();
             // A service that nobody has needs of is divided no more.
-            let division = mix.divide(&needs.copied().unwrap_or_default());
-            news.extend(division.map(|division| (service, division)));
+            let division = mix.divide(&demand.copied().unwrap_or_default());
+            changed.extend(division.map(|division| (service, division)));
         }
-        news
+        changed
     }
 
     /// Notes how a request went that an engine answered whole.
     pub fn record_timing(&mut self, service: &Service, route: &str, seen: &ObservedTiming) {
-        if let Some(mix) = self.mixes.get_mut(service) {
+        if let Some(mix) = self.request_mixes.get_mut(service) {
             mix.record_timing(route, seen);
         }
     }
@@ -323,36 +327,40 @@
         now: Time,
         id: &UpstreamId,
         span: Duration,
-        unread: u64,
+        uncached: u64,
     ) {
-        let Some(replica) = self.table.get_mut(id) else {
+        let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
-        let read_ms =
-            self.mixes.get(&replica.info.service).map_or(READ_MS_PRIOR, RequestMix::ms_per_token);
-        let reading = Duration::from_secs_f64(float(unread) * read_ms / 1e3);
-        replica.lag.observe(now, span.saturating_sub(reading));
+        let read_ms = self
+            .request_mixes
+            .get(&upstream.info.service)
+            .map_or(READ_MS_PRIOR, RequestMix::ms_per_token);
+        let reading = Duration::from_secs_f64(float(uncached) * read_ms / 1e3);
+        upstream.queueing_delay.observe(now, span.saturating_sub(reading));
     }
 
     /// Notes how long a request took at a plain upstream, or counts for that was turned away
     /// there.
     pub fn record_response_time(&mut self, now: Time, id: &UpstreamId, span: Duration) {
-        let Some(replica) = self.table.get_mut(id) else {
+        let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
-        replica.lag.observe(now, span);
-        if !self.plain.contains(&replica.info.service) {
-            self.plain.insert(replica.info.service.clone());
+        upstream.queueing_delay.observe(now, span);
+        if !self.plain_services.contains(&upstream.info.service) {
+            self.plain_services.insert(upstream.info.service.clone());
         }
     }
 
     /// Returns the upstreams with a lag that other processes should know of, another few at
     /// each turn where there are many.
     #[must_use]
-    pub fn delay_reports(&self, now: Time, turn: usize) -> Vec<DelayReport> {
-        let note = |r: &Replica| r.lag.note(now, r.number(), self.plain.contains(&r.info.service));
-        let all: Vec<_> = self.table.values().filter_map(note).collect();
-        let start = if all.is_empty() { 0 } else { turn * queueing_delay::MAX_NOTES % all.len() };
+    pub fn delay_reports(&self, now: Time, round: usize) -> Vec<DelayReport> {
+        let report = |u: &Upstream| {
+            u.queueing_delay.note(now, u.short_id(), self.plain_services.contains(&u.info.service))
+        };
+        let all: Vec<_> = self.upstreams.values().filter_map(report).collect();
+        let start = if all.is_empty() { 0 } else { round * queueing_delay::MAX_NOTES % all.len() };
         all.iter()
             .cycle()
             .skip(start)
@@ -362,62 +370,62 @@
     }
 
     /// Takes in what another process knows of lags.
-    pub fn apply_delay_reports(&mut self, now: Time, notes: &[DelayReport]) {
-        for replica in self.table.values_mut() {
-            let number = replica.number();
-            if let Some(note) = notes.iter().find(|note| note.upstream == number) {
-                replica.lag.hear(now, *note);
+    pub fn apply_delay_reports(&mut self, now: Time, reports: &[DelayReport]) {
+        for upstream in self.upstreams.values_mut() {
+            let number = upstream.short_id();
+            if let Some(report) = reports.iter().find(|report| report.upstream == number) {
+                upstream.queueing_delay.hear(now, *report);
             }
         }
     }
 
     /// Notes that a request goes to an upstream.
     pub fn start_request(&mut self, now: Time, id: &UpstreamId, parts: &[PromptPart]) {
-        let Some(replica) = self.table.get_mut(id) else {
+        let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
-        let share = self.starts.share(&replica.info.service);
-        replica.begin(now, share, parts);
+        let share = self.slow_start.sender_share(&upstream.info.service);
+        upstream.start_request(now, share, parts);
     }
 
     /// Notes how a request at an upstream ended.
-    pub fn end_request(&mut self, now: Time, id: &UpstreamId, health: AttemptOutcome) {
-        let Some(replica) = self.table.get_mut(id) else {
+    pub fn end_request(&mut self, now: Time, id: &UpstreamId, outcome: AttemptOutcome) {
+        let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
-        replica.running = replica.running.saturating_sub(1);
-        replica.note(now, health);
+        upstream.running = upstream.running.saturating_sub(1);
+        upstream.record_outcome(now, outcome);
     }
 
     /// Tells whether any upstream of a service may be used.
     #[must_use]
     pub fn serves(&self, now: Time, service: &Service) -> bool {
-        self.table.values().any(|r| r.info.service == *service && r.is_usable(now))
+        self.upstreams.values().any(|u| u.info.service == *service && u.is_usable(now))
     }
 
     /// Tells whether an upstream may still get requests.
     #[must_use]
     pub fn is_usable(&self, now: Time, id: &UpstreamId) -> bool {
-        let Some(replica) = self.table.get(id).filter(|r| r.is_usable(now)) else {
+        let Some(upstream) = self.upstreams.get(id).filter(|u| u.is_usable(now)) else {
             return false;
         };
-        match self.canary.pass(now, replica) {
-            Pass::Free | Pass::Counted => true,
-            Pass::Held => !self.serves_freely(now, &replica.info.service),
-            Pass::Barred => false,
+        match self.canary.access(now, upstream) {
+            VersionAccess::Unrestricted | VersionAccess::Limited => true,
+            VersionAccess::Delayed => !self.has_unrestricted(now, &upstream.info.service),
+            VersionAccess::Blocked => false,
         }
     }
 
     /// Tells whether the list still names a process of an upstream.
     #[must_use]
     pub fn is_current_process(&self, id: &UpstreamId, process: u32) -> bool {
-        self.table.get(id).is_some_and(|replica| replica.process == process)
+        self.upstreams.get(id).is_some_and(|upstream| upstream.process == process)
     }
 
     /// Returns how many upstreams the list names.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.table.values().filter(|r| r.vanished.is_none()).count()
+        self.upstreams.values().filter(|u| u.removed_at.is_none()).count()
     }
 
     /// Tells whether the list names no upstream.
--- a/crates/badgerfield-core/src/upstream_table/replica.rs
+++ b/crates/badgerfield-core/src/upstream_table/upstream.rs
@@ -14,50 +14,50 @@
 use crate::request_mix::{EngineDivision, PromptGroup, READ_MS_PRIOR, RequestMix, float};
 use crate::residency::RegionMap;
 use crate::upstream_list::{ListedUpstream, UpstreamEntry, digest_of};
-use crate::upstream_table::starts::Starts;
-use crate::upstream_table::statements::Statements;
+use crate::upstream_table::announcements::Announcements;
+use crate::upstream_table::slow_start::SlowStart;
 use crate::warm_up::{Bucket, HOLD_OFF, SenderShare};
 
 /// The expected delay by each request under way at an engine, in milliseconds.
-const RUNNING_MS: f64 = 1.5;
+const RUNNING_REQUEST_COST_MS: f64 = 1.5;
 /// The expected delay by each call under way at a plain service, in milliseconds.
-const CALL_MS: f64 = 30.0;
+const RUNNING_CALL_COST_MS: f64 = 30.0;
 /// How long a read prompt part is taken to stay in an engine's memory.
-const KEEP_PART: Duration = Duration::from_secs(120);
+const PART_RETENTION: Duration = Duration::from_secs(120);
 /// How many prompt parts are remembered for each upstream.
 const MAX_PARTS: usize = 4096;
 /// After how many failures in a row an upstream rests.
-const FAILURES: u32 = 2;
+const FAILURES_BEFORE_BACK_OFF: u32 = 2;
 /// How long an upstream rests after failures.
-const REST: Duration = Duration::from_secs(2);
+const FAILURE_BACK_OFF: Duration = Duration::from_secs(2);
 /// The longest that an upstream rests.
-const MAX_REST: Duration = Duration::from_secs(8);
+const MAX_FAILURE_BACK_OFF: Duration = Duration::from_secs(8);
 /// The weight of one outcome in the failing share of an upstream.
 const OUTCOME_WEIGHT: f64 = 0.15;
 /// What a request that was turned away counts in the share of these: it was not lost, and may
 /// still be served elsewhere.
-const FULL_OUTCOME: f64 = 0.5;
+const REJECTED_OUTCOME: f64 = 0.5;
 /// The expected delay by a failing share of one, in milliseconds.
-const FAILING_MS: f64 = 2000.0;
+const FAILURE_COST_MS: f64 = 2000.0;
 /// After how long the share of requests that were turned away as too many counts half. An
 /// upstream that is avoided shows nothing new; crowds on the users' sheets last 3 to 9 s.
-const FULL_HALF: Duration = Duration::from_secs(3);
+const REJECTED_HALF_LIFE: Duration = Duration::from_secs(3);
 /// After how long the share of requests that failed counts half: what fails a part of its
 /// requests is seldom mended soon, and each that is sent to find out may be lost.
-const FAILING_HALF: Duration = Duration::from_secs(15);
+const FAILED_HALF_LIFE: Duration = Duration::from_secs(15);
 /// How long an upstream may still be used whose entry vanished together with those of all
 /// others of its service.
 const LAPSE_GRACE: Duration = Duration::from_millis(1300);
 
 /// One upstream, with what this VM saw of it.
 #[derive(Debug)]
-pub(super) struct Replica {
+pub(super) struct Upstream {
     pub(super) info: ListedUpstream,
     /// The revision of the list at which it was written or went last.
     pub(super) revision: u64,
     /// The revision up to which all that it says was known. Upstreams write their entries anew
     /// every second, and what says nothing new is not told to others.
-    pub(super) changed: u64,
+    pub(super) changed_revision: u64,
     /// Stands for what the list says of it. Lists are compared with each piece of news: to
     /// reckon it anew for 3,000 upstreams each time took a tenth of a small VM's processor.
     pub(super) digest: u64,
@@ -65,23 +65,23 @@
     pub(super) process: u32,
     pub(super) seed: u64,
     /// Where it stands among the upstreams of its service, from 0 to 1.
-    pub(super) place: f64,
+    pub(super) position: f64,
     pub(super) running: u32,
     /// When its entry was found gone, if it has not come back since.
-    pub(super) vanished: Option<Time>,
+    pub(super) removed_at: Option<Time>,
     /// Whether all entries of its service vanished at once, as they do when the platform
     /// lets leases lapse; upstreams that leave do so one after the other.
-    pub(super) lapsed: bool,
+    pub(super) leases_lapsed: bool,
     /// The share of requests that failed there, and of those that it turned away.
-    failing: f64,
-    full: f64,
+    failed_share: f64,
+    rejected_share: f64,
     /// When it was seen last how a request ended there.
-    noted: Time,
-    pub(super) failures: u32,
-    pub(super) rests_until: Time,
+    outcome_at: Time,
+    pub(super) consecutive_failures: u32,
+    pub(super) avoid_until: Time,
     pub(super) parts: HashMap<u64, Time>,
     /// How long requests wait there beyond what their prompts take to read.
-    pub(super) lag: Lag,
+    pub(super) queueing_delay: Lag,
     /// Whether operators have evacuated its failure domain.
     pub(super) evacuated: bool,
     /// Its region, if it is known.
@@ -89,44 +89,45 @@
     /// How far it is from this process.
     pub(super) distance: Distance,
     /// Until when and how it is spared, while it is cold.
-    cold: Option<Cold>,
+    cold: Option<ColdState>,
     /// What its process has said of itself in its answers.
-    pub(super) said: Statements,
+    pub(super) announced: Announcements,
 }
 
 /// How an upstream is spared that is not warm yet.
 #[derive(Debug, Clone, Copy)]
-struct Cold {
+struct ColdState {
     until: Time,
     /// The platform's revision at which it was said to be cold; only what was written later
     /// may say that it is warm.
-    since: u64,
+    since_revision: u64,
     /// What this process may send, if it is among the senders.
     bucket: Option<Bucket>,
 }
 
 /// What the costs of upstreams are reckoned with, for one request.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Weights {
+pub(super) struct CostParams {
     /// The time to read a prompt token, in milliseconds.
     read_ms: f64,
     /// How the engines are divided, and the group of the request.
     pub(super) division: Option<(EngineDivision, PromptGroup)>,
     /// What it costs to send the request among those of the other group, in milliseconds:
     /// as much as a long prompt takes to read, since one of the two waits for that.
-    apart_ms: f64,
+    other_group_ms: f64,
 }
 
-impl Weights {
-    pub(super) fn of(mix: Option<&RequestMix>, wanted: &UpstreamCriteria<'_>) -> Self {
-        let prompt = float(wanted.parts.iter().map(|part| part.tokens).sum());
+impl CostParams {
+    pub(super) fn new(mix: Option<&RequestMix>, criteria: &UpstreamCriteria<'_>) -> Self {
+        let prompt = float(criteria.parts.iter().map(|part| part.tokens).sum());
         let read_ms = mix.map_or(READ_MS_PRIOR, RequestMix::ms_per_token);
         let division = mix.and_then(RequestMix::division).map(|division| {
-            let usual = mix.and_then(|mix| mix.prompt(wanted.route)).unwrap_or(prompt);
+            let usual = mix.and_then(|mix| mix.prompt(criteria.route)).unwrap_or(prompt);
             (division, division.group(usual))
         });
-        let apart_ms = division.map_or(0.0, |(division, _)| division.long_threshold * read_ms);
-        Self { read_ms, division, apart_ms }
+        let other_group_ms =
+            division.map_or(0.0, |(division, _)| division.long_threshold * read_ms);
+        Self { read_ms, division, other_group_ms }
     }
 
     /// Returns how long an engine reads parts of a prompt, in milliseconds.
@@ -134,44 +135,44 @@
         float(parts.iter().map(|part| part.tokens).sum()) * self.read_ms
     }
 
-    pub(super) fn takes(&self, replica: &Replica) -> bool {
-        self.division.is_none_or(|(division, group)| division.takes(group, replica.place))
+    pub(super) fn is_in_group(&self, upstream: &Upstream) -> bool {
+        self.division.is_none_or(|(division, group)| division.takes(group, upstream.position))
     }
 }
 
-impl Replica {
+impl Upstream {
     pub(super) fn new(info: ListedUpstream, revision: u64) -> Self {
         let seed = xxh3_64_with_seed(info.id.as_str().as_bytes(), 0);
-        let (digest, process) = (digest_of(&info), process_of(&info));
+        let (digest, process) = (digest_of(&info), process_id(&info));
         Self {
             info,
             revision,
-            changed: revision,
+            changed_revision: revision,
             digest,
             process,
             seed,
-            place: 0.0,
+            position: 0.0,
             running: 0,
-            vanished: None,
-            lapsed: false,
-            failing: 0.0,
-            full: 0.0,
-            noted: Time::default(),
-            failures: 0,
-            rests_until: Time::default(),
+            removed_at: None,
+            leases_lapsed: false,
+            failed_share: 0.0,
+            rejected_share: 0.0,
+            outcome_at: Time::default(),
+            consecutive_failures: 0,
+            avoid_until: Time::default(),
             parts: HashMap::new(),
-            lag: Lag::default(),
+            queueing_delay: Lag::default(),
             evacuated: false,
             region: None,
             distance: Distance::default(),
             cold: None,
-            said: Statements::default(),
+            announced: Announcements::default(),
         }
     }
 
     /// Tells whether an entry speaks of another process than the one that is known here, under the
     /// same id.
-    pub(super) fn is_another(&self, info: &ListedUpstream) -> bool {
+    pub(super) fn is_other_process(&self, info: &ListedUpstream) -> bool {
         let is_later =
             self.info.started_at.zip(info.started_at).is_some_and(|(known, told)| known != told);
         is_later || self.info.address != info.address
@@ -179,15 +180,15 @@
 
     /// Forgets what was seen of an earlier process under its id: a new one has read no prompts,
     /// owes no answers and may be well where the earlier one failed.
-    pub(super) fn start_again(&mut self) {
-        self.failing = 0.0;
-        self.full = 0.0;
-        self.failures = 0;
-        self.rests_until = Time::default();
+    pub(super) fn reset_process(&mut self) {
+        self.failed_share = 0.0;
+        self.rejected_share = 0.0;
+        self.consecutive_failures = 0;
+        self.avoid_until = Time::default();
         self.parts.clear();
-        self.lag = Lag::default();
+        self.queueing_delay = Lag::default();
         self.cold = None;
-        self.said = Statements::default();
+        self.announced = Announcements::default();
     }
 
     /// Returns what the platform's list says of it, for other processes.
@@ -195,63 +196,63 @@
         UpstreamEntry {
             revision: self.revision,
             info: self.info.clone(),
-            warm_in: self.warm_in(now),
+            warm_in: self.time_until_warm(now),
         }
     }
 
     /// Takes in where it and this process stand.
-    pub(super) fn locate(&mut self, own: &Location, regions: &RegionMap) {
+    pub(super) fn update_location(&mut self, own: &Location, regions: &RegionMap) {
         self.region = regions.region(&self.info.domain).cloned();
         self.distance = own.distance(&self.info.domain, regions);
     }
 
     /// Returns the number that stands for the upstream in messages.
-    pub(super) fn number(&self) -> u32 {
+    pub(super) fn short_id(&self) -> u32 {
         let [a, b, c, d, ..] = self.seed.to_be_bytes();
         u32::from_be_bytes([a, b, c, d])
     }
 
     /// Takes in what an entry says of it.
-    pub(super) fn describe(&mut self, info: ListedUpstream) {
+    pub(super) fn set_info(&mut self, info: ListedUpstream) {
         self.digest = digest_of(&info);
-        self.process = process_of(&info);
+        self.process = process_id(&info);
         self.info = info;
     }
 
     pub(super) fn is_usable(&self, now: Time) -> bool {
-        if self.info.leaving || self.said.is_leaving || self.evacuated {
+        if self.info.leaving || self.announced.is_leaving || self.evacuated {
             return false;
         }
-        match self.vanished {
+        match self.removed_at {
             None => true,
-            Some(at) => self.lapsed && now.since(at) < LAPSE_GRACE,
+            Some(at) => self.leases_lapsed && now.since(at) < LAPSE_GRACE,
         }
     }
 
     /// Returns how much longer it is cold; zero if it is warm.
-    pub(super) fn warm_in(&self, now: Time) -> Duration {
+    pub(super) fn time_until_warm(&self, now: Time) -> Duration {
         self.cold.map_or(Duration::ZERO, |cold| cold.until.since(now))
     }
 
     pub(super) fn is_cold(&self, now: Time) -> bool {
-        !self.warm_in(now).is_zero()
+        !self.time_until_warm(now).is_zero()
     }
 
     /// Takes in what an entry of the list says about how long it stays cold; returns whether
     /// it has turned cold or warm.
-    pub(super) fn hear_start(
+    pub(super) fn apply_warm_in(
         &mut self,
         now: Time,
-        starts: &Starts,
+        slow_start: &SlowStart,
         revision: u64,
         warm_in: Duration,
     ) -> bool {
         let was = self.is_cold(now);
         if !warm_in.is_zero() {
-            self.spare(now, starts, revision, now.after(warm_in));
+            self.mark_cold(now, slow_start, revision, now.after(warm_in));
             return !was;
         }
-        if !was || self.cold.is_some_and(|cold| cold.since >= revision) {
+        if !was || self.cold.is_some_and(|cold| cold.since_revision >= revision) {
             return false;
         }
         self.cold = None;
@@ -259,31 +260,37 @@
     }
 
     /// Counts it as cold until a time, which the platform said at a revision.
-    pub(super) fn spare(&mut self, now: Time, starts: &Starts, revision: u64, until: Time) {
+    pub(super) fn mark_cold(
+        &mut self,
+        now: Time,
+        slow_start: &SlowStart,
+        revision: u64,
+        until: Time,
+    ) {
         let known = self.cold.filter(|cold| cold.until > now);
         let bucket = match known {
             Some(cold) => cold.bucket,
-            None => starts.is_sender(self.seed).then(|| Bucket::new(now)),
+            None => slow_start.is_sender(self.seed).then(|| Bucket::new(now)),
         };
-        self.cold = Some(Cold { until, since: revision, bucket });
+        self.cold = Some(ColdState { until, since_revision: revision, bucket });
     }
 
     /// Lets it be sent to by the senders of another view; one that has become a sender waits until
     /// the others have learned of it.
-    pub(super) fn change_senders(&mut self, now: Time, starts: &Starts) {
+    pub(super) fn apply_senders(&mut self, now: Time, slow_start: &SlowStart) {
         let from = now.after(HOLD_OFF);
         let seed = self.seed;
-        self.said.limit.change_place(from, || rate_limit::place(starts.senders(), seed));
+        self.announced.limit.set_rank(from, || rate_limit::sender_rank(slow_start.senders(), seed));
         let Some(cold) = &mut self.cold else {
             return;
         };
-        let is_sender = starts.is_sender(self.seed);
+        let is_sender = slow_start.is_sender(self.seed);
         cold.bucket = is_sender.then(|| cold.bucket.unwrap_or_else(|| Bucket::new(from)));
     }
 
     /// Tells whether a request may be sent there as far as its start allows; `share` is what
     /// each sender may send while it is cold.
-    pub(super) fn bears_more(&self, now: Time, share: Option<SenderShare>) -> bool {
+    pub(super) fn has_cold_capacity(&self, now: Time, share: Option<SenderShare>) -> bool {
         let Some(cold) = self.cold.filter(|cold| cold.until > now) else {
             return true;
         };
@@ -292,17 +299,22 @@
     }
 
     /// Notes that a request goes there.
-    pub(super) fn begin(&mut self, now: Time, share: Option<SenderShare>, parts: &[PromptPart]) {
+    pub(super) fn start_request(
+        &mut self,
+        now: Time,
+        share: Option<SenderShare>,
+        parts: &[PromptPart],
+    ) {
         self.running += 1;
-        self.said.limit.take(now);
+        self.announced.limit.record_sent(now);
         let bucket = self.cold.as_mut().and_then(|cold| cold.bucket.as_mut());
         if let Some((bucket, share)) = bucket.zip(share) {
             bucket.take(now, share);
         }
         if self.parts.len() > MAX_PARTS {
-            self.parts.retain(|_, at| now.since(*at) < KEEP_PART / 4);
+            self.parts.retain(|_, at| now.since(*at) < PART_RETENTION / 4);
         }
-        for part in shared(parts) {
+        for part in shared_parts(parts) {
             self.parts.insert(part.id, now);
         }
     }
@@ -311,77 +323,79 @@
     pub(super) fn cost(
         &self,
         now: Time,
-        wanted: &UpstreamCriteria<'_>,
-        weights: &Weights,
+        criteria: &UpstreamCriteria<'_>,
+        params: &CostParams,
         is_home: bool,
     ) -> f64 {
         let jitter =
-            f64::from(u32::try_from((self.seed ^ wanted.random) % 1000).unwrap_or(0)) / 1e3;
-        let (failed, full) = self.shares(now);
-        let failing = (failed + full) * FAILING_MS;
+            f64::from(u32::try_from((self.seed ^ criteria.random) % 1000).unwrap_or(0)) / 1e3;
+        let (failed, full) = self.failure_shares(now);
+        let failing = (failed + full) * FAILURE_COST_MS;
         let running = f64::from(self.running);
-        if wanted.parts.is_empty() {
-            return running * CALL_MS + failing + jitter;
+        if criteria.parts.is_empty() {
+            return running * RUNNING_CALL_COST_MS + failing + jitter;
         }
-        let read = float(self.unread(now, wanted.parts, is_home)) * weights.read_ms;
-        let apart = if weights.takes(self) { 0.0 } else { weights.apart_ms };
-        read + apart + running * RUNNING_MS + failing + jitter
+        let read = float(self.uncached_tokens(now, criteria.parts, is_home)) * params.read_ms;
+        let apart = if params.is_in_group(self) { 0.0 } else { params.other_group_ms };
+        read + apart + running * RUNNING_REQUEST_COST_MS + failing + jitter
     }
 
     /// Returns how many tokens of a prompt's shared parts it is expected to read.
-    pub(super) fn unread(&self, now: Time, parts: &[PromptPart], is_home: bool) -> u64 {
-        let mut unread = 0;
+    pub(super) fn uncached_tokens(&self, now: Time, parts: &[PromptPart], is_home: bool) -> u64 {
+        let mut uncached = 0;
         let mut known = true;
-        for part in shared(parts) {
-            let fresh = self.parts.get(&part.id).is_some_and(|at| now.since(*at) < KEEP_PART);
+        for part in shared_parts(parts) {
+            let fresh = self.parts.get(&part.id).is_some_and(|at| now.since(*at) < PART_RETENTION);
             // All VMs send a chain home, so what another VM sent there is known too.
             known &= fresh || is_home;
             if !known {
-                unread += part.tokens;
+                uncached += part.tokens;
             }
         }
-        unread
+        uncached
     }
 
     /// Returns the shares of requests that failed and that were turned away, as far as they
     /// still count.
-    fn shares(&self, now: Time) -> (f64, f64) {
-        let age = now.since(self.noted).as_secs_f64();
+    fn failure_shares(&self, now: Time) -> (f64, f64) {
+        let age = now.since(self.outcome_at).as_secs_f64();
         let left = |half: Duration| (-age / half.as_secs_f64()).exp2();
-        (self.failing * left(FAILING_HALF), self.full * left(FULL_HALF))
+        (self.failed_share * left(FAILED_HALF_LIFE), self.rejected_share * left(REJECTED_HALF_LIFE))
     }
 
-    pub(super) fn note(&mut self, now: Time, health: AttemptOutcome) {
-        let (failed, full) = match health {
+    pub(super) fn record_outcome(&mut self, now: Time, outcome: AttemptOutcome) {
+        let (failed, full) = match outcome {
             AttemptOutcome::Answered => (0.0, 0.0),
             AttemptOutcome::Failed => (1.0, 0.0),
-            AttemptOutcome::Full => (0.0, FULL_OUTCOME),
+            AttemptOutcome::Full => (0.0, REJECTED_OUTCOME),
             AttemptOutcome::Unknown => return,
         };
-        let known = self.shares(now);
-        self.failing = known.0 + (failed - known.0) * OUTCOME_WEIGHT;
-        self.full = known.1 + (full - known.1) * OUTCOME_WEIGHT;
-        self.noted = now;
-        if health == AttemptOutcome::Answered {
-            self.failures = 0;
+        let known = self.failure_shares(now);
+        self.failed_share = known.0 + (failed - known.0) * OUTCOME_WEIGHT;
+        self.rejected_share = known.1 + (full - known.1) * OUTCOME_WEIGHT;
+        self.outcome_at = now;
+        if outcome == AttemptOutcome::Answered {
+            self.consecutive_failures = 0;
             return;
         }
-        self.failures += 1;
-        if self.failures >= FAILURES {
-            let rest = REST.saturating_mul(self.failures - FAILURES + 1).min(MAX_REST);
-            self.rests_until = now.after(rest);
+        self.consecutive_failures += 1;
+        if self.consecutive_failures >= FAILURES_BEFORE_BACK_OFF {
+            let rest = FAILURE_BACK_OFF
+                .saturating_mul(self.consecutive_failures - FAILURES_BEFORE_BACK_OFF + 1)
+                .min(MAX_FAILURE_BACK_OFF);
+            self.avoid_until = now.after(rest);
         }
     }
 }
 
 /// Returns the number that stands for the process that an entry names.
-fn process_of(info: &ListedUpstream) -> u32 {
+fn process_id(info: &ListedUpstream) -> u32 {
     let text = format!("{} {}", info.address, info.started_at.unwrap_or_default());
     let [a, b, c, d, ..] = xxh3_64(text.as_bytes()).to_be_bytes();
     u32::from_be_bytes([a, b, c, d])
 }
 
 /// Returns the parts that other requests may share: all but the last.
-pub(super) fn shared(parts: &[PromptPart]) -> &[PromptPart] {
+pub(super) fn shared_parts(parts: &[PromptPart]) -> &[PromptPart] {
     parts.split_last().map_or(&[], |(_, rest)| rest)
 }
