--- a/crates/badgerfield-core/src/rate_limit.rs
+++ b/crates/badgerfield-core/src/rate_limit.rs
@@ -1,15 +1,16 @@
-//! Limits on requests that upstreams name, and how a fleet keeps them.
+//! Rate limits that upstreams announce, and how a fleet keeps them.
 //!
-//! An upstream in need names in its answers how many requests a second it takes from all processes
-//! together. No process can count what the others send, so a few send to it, chosen by rank over
-//! the view, each at its own part of the limit; all others leave it alone from when they know of
-//! the limit. Processes tell each other which limits are in force, and which have ended: one that
-//! sends nothing gets no answer that says so.
+//! An overloaded upstream announces in its answers how many requests a second it takes from all
+//! processes together. No process can count the requests of the others, so only a few processes
+//! send to it. They are chosen by rank over the view, and each has its own share of the limit. All
+//! others stop sending once they know of the limit. Processes report to each other which limits are
+//! in force and which have ended, since a process that sends no requests gets no answer that says
+//! so.
 //!
-//! The senders may have nothing to send while another process has. So a process that has heard
-//! nothing of a limit for a while, and has requests for the upstream all that time, tries one. How
-//! long it waits grows with its rank, so that they try one after the other, and the answer to the
-//! first is known to the others before the next one tries.
+//! The senders may have no requests to send while another process has. So a process that has had no
+//! news of a limit for a while, and has had requests for the upstream all that time, sends one as a
+//! probe. Its delay grows with its rank: the processes probe one after the other, and the answer to
+//! the first probe is known to the others before the next one probes.
 
 use std::fmt::{self, Display, Formatter};
 use std::str::FromStr;
@@ -21,45 +22,46 @@
 use crate::amount::Time;
 use crate::warm_up::{Bucket, SenderShare, Senders};
 
-/// The senders to an upstream whose limit is small.
+/// The number of senders to an upstream with a small limit.
 const MIN_SENDERS: f64 = 2.0;
-/// How many requests a second of a limit bring one more sender.
+/// The requests a second of a limit that add one more sender.
 const RATE_PER_SENDER: f64 = 2.0;
-/// How many requests one sender may send at once, as the span in which it may send as many.
+/// The burst of one sender, as the span of its rate that it may send at once.
 const BURST_SPAN: Duration = Duration::from_millis(250);
-/// The least rate at which a fleet sends, in requests a second, whatever the limit: only an answer
-/// tells that a limit has ended.
+/// The minimum rate of a fleet in requests a second, whatever the limit: only an answer shows that
+/// a limit has ended.
 const MIN_RATE: f64 = 0.1;
-/// How long the first process that is no sender waits at the least for news of a limit before it
-/// tries the upstream itself.
+/// The minimum delay without news of a limit after which the first process that is not a sender
+/// probes the upstream.
 const MIN_PROBE_DELAY: Duration = Duration::from_secs(6);
-/// How many times the span between two requests of one sender it waits at the least.
+/// The minimum of that delay as a multiple of the interval between two requests of one sender.
 const PROBE_INTERVALS: f64 = 2.0;
-/// For how long processes tell that a limit has ended.
+/// How long processes report that a limit has ended.
 const END_REPORT_SPAN: Duration = Duration::from_secs(20);
-/// By how much the age of a note may be off: it grows old on its way.
+/// The maximum error of the age of a report: the time in transit is not included.
 const MAX_AGE_ERROR: Duration = Duration::from_secs(1);
-/// How many limits a message tells of.
+/// The maximum number of limits in a message.
 pub(crate) const MAX_REPORTS: usize = 8;
-/// The units of a limit in a request a second.
+/// The units of a limit that make up one request a second.
 const UNITS_PER_REQUEST: f64 = 1000.0;
 
-/// Why a limit cannot be used.
+/// The error for text or numbers that are not a valid limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("expected a decimal number of requests a second, such as 1.5")]
 pub struct InvalidLimit;
 
-/// How many requests a second an upstream takes from all processes together, in thousandths; all
-/// processes that hear of it have the same one.
+/// The number of requests a second that an upstream takes from all processes together, in
+/// thousandths, so that all processes that receive it have exactly the same value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RateLimit(u32);
 
 impl RateLimit {
-    /// Makes a limit of so many requests a second; one beyond four millions counts as that.
+    /// Creates a limit of `rate` requests a second; a rate above the maximum of four million is
+    /// lowered to that.
     ///
     /// # Errors
     ///
-    /// Refuses what is negative or not finite.
+    /// Returns an error if the rate is negative or not finite.
     pub fn per_second(rate: f64) -> Result<Self, InvalidLimit> {
         if !rate.is_finite() || rate < 0.0 {
             return Err(InvalidLimit);
@@ -76,7 +78,7 @@
         f64::from(self.0) / UNITS_PER_REQUEST
     }
 
-    /// Returns how many of so many processes may send.
+    /// Returns how many of `members` processes may send.
     fn senders(self, members: usize) -> u32 {
         let members = u32::try_from(members).unwrap_or(u32::MAX).max(1);
         let wanted = MIN_SENDERS + (self.rate() / RATE_PER_SENDER).floor();
@@ -88,7 +90,7 @@
         senders
     }
 
-    /// Returns what each of so many senders may send.
+    /// Returns the share of each of `senders` processes.
     fn share(self, senders: u32) -> SenderShare {
         let rate = self.rate().max(MIN_RATE) / f64::from(senders);
         SenderShare { rate, burst: (rate * BURST_SPAN.as_secs_f64()).max(1.0) }
@@ -109,50 +111,52 @@
     }
 }
 
-/// What one process tells another of the limit of an upstream.
+/// A report to other processes of the limit of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitReport {
-    /// Stands for the upstream.
+    /// Identifies the upstream.
     pub upstream: u32,
-    /// Stands for its process: one that starts again has named no limit.
+    /// Identifies its process: an upstream that restarts has announced no limit.
     pub process: u32,
-    /// Grows with each statement of the upstream that is heard by one who knows of the last.
+    /// The version of the announcement: one more than the last version known to the process that
+    /// received it.
     pub version: u32,
-    /// The limit; nothing if it names none any more.
+    /// The limit; `None` if it has ended.
     pub limit: Option<RateLimit>,
-    /// How long ago the upstream said so, in milliseconds.
+    /// The age of the announcement in milliseconds.
     pub age_ms: u32,
 }
 
-/// What is known of the limit of one upstream.
+/// What this process knows of the limit of one upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) struct KnownLimit {
-    /// The limit in force, and what this process may send.
+    /// The limit in force, and the requests that this process may send.
     pacer: Option<Pacer>,
-    /// The number of the last statement of the upstream that is known, whoever heard it; 0 before
-    /// the first. Times of several processes cannot be ordered.
+    /// The version of the last known announcement of the upstream, whichever process received it; 0
+    /// before the first. Versions are needed because times of different processes cannot be
+    /// ordered.
     version: u32,
-    /// When the upstream made that statement.
+    /// When the upstream made that announcement.
     announced_at: Time,
-    /// When it made the last one in an answer to this process.
+    /// When an answer to this process last announced a limit, or the lack of one.
     answered_at: Option<Time>,
-    /// Until when others are told that a limit has ended.
+    /// Until when the end of a limit is reported to others.
     report_until: Time,
 }
 
-/// What one process may send to an upstream with a limit.
+/// The limit in force at an upstream, and the requests that one process may send there.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Pacer {
     limit: RateLimit,
-    /// From when on this process keeps to it.
+    /// From when on this process keeps to the limit.
     since: Time,
-    /// How many VMs come before this one, and how many there are; nothing outside the view.
+    /// The rank of this VM and the number of VMs; `None` outside the view.
     rank: Option<(usize, usize)>,
-    /// What it may send, if it is a sender.
+    /// The requests that it may send, if it is a sender.
     bucket: Option<Bucket>,
-    /// From when to when it had requests for the upstream, without a long pause.
+    /// The span in which it had requests for the upstream, without a long pause.
     demand: Option<(Time, Time)>,
-    /// When it tried the upstream last without being a sender.
+    /// When it last sent a probe to the upstream, without being a sender.
     probed_at: Time,
 }
 
@@ -172,14 +176,15 @@
         self.limit.share(self.senders())
     }
 
-    /// Makes this process a sender or none; a new one begins at a time, with nothing to send.
+    /// Decides by rank whether this process is a sender; a new sender starts at `from` with an
+    /// empty bucket.
     fn choose_role(&mut self, from: Time) {
         let senders = usize::try_from(self.senders()).unwrap_or(usize::MAX);
         let is_sender = self.rank.is_some_and(|(rank, _)| rank < senders);
         self.bucket = is_sender.then(|| self.bucket.unwrap_or_else(|| Bucket::new(from)));
     }
 
-    /// Returns how long this process waits for news before it tries the upstream, if it is no
+    /// Returns how long this process waits for news before it probes the upstream, if it is not a
     /// sender.
     fn probe_delay(&self) -> Option<Duration> {
         let (rank, _) = self.rank?;
@@ -224,7 +229,7 @@
         self.pacer.map(|pacer| pacer.limit)
     }
 
-    /// Takes in what the upstream says in an answer to this process.
+    /// Records the limit that the upstream announces in an answer to this process, if any.
     pub(crate) fn record(
         &mut self,
         now: Time,
@@ -240,7 +245,7 @@
         self.set(now, limit, rank);
     }
 
-    /// Takes in what another process tells, if that is newer.
+    /// Applies a report of another process, if it is newer.
     pub(crate) fn apply_report(
         &mut self,
         now: Time,
@@ -251,7 +256,7 @@
         let differs = limit.is_some() != self.pacer.is_some();
         if report.version <= self.version {
             if differs {
-                // The sender has missed what is known here.
+                // The reporting process has missed an announcement that is known here.
                 self.report_until = now.after(END_REPORT_SPAN);
             }
             return;
@@ -261,7 +266,7 @@
         if differs
             && self.answered_at.is_some_and(|answered_at| answered_at.since(at) > MAX_AGE_ERROR)
         {
-            // The upstream has told this process otherwise since.
+            // The upstream has announced otherwise to this process since then.
             self.version = report.version.saturating_add(1);
             self.report_until = now.after(END_REPORT_SPAN);
             return;
@@ -291,7 +296,7 @@
         }
     }
 
-    /// Takes in a newer view; a process that becomes a sender begins at a time.
+    /// Applies the rank of a newer view; a process that becomes a sender starts at `from`.
     pub(crate) fn set_rank(&mut self, from: Time, rank: impl FnOnce() -> Option<(usize, usize)>) {
         if let Some(pacer) = &mut self.pacer {
             pacer.rank = rank();
@@ -299,13 +304,13 @@
         }
     }
 
-    /// Tells whether a request may be sent.
+    /// Returns whether a request may be sent.
     pub(crate) fn admits(&self, now: Time) -> bool {
         self.pacer.is_none_or(|pacer| pacer.admits(now, self.announced_at))
     }
 
-    /// Tells whether a request that was given the upstream at a time may still be sent. One that
-    /// was given it before the limit was known here counts from now on.
+    /// Returns whether a request that was assigned to the upstream at `started` may still be sent.
+    /// If that was before the limit was known here, the request is counted now.
     pub(crate) fn admits_started(&mut self, now: Time, started: Time) -> bool {
         if self.pacer.is_none_or(|pacer| pacer.since <= started) {
             return true;
@@ -324,21 +329,21 @@
         }
     }
 
-    /// Notes that there is a request for the upstream's service.
+    /// Records a request for the upstream's service.
     pub(crate) fn record_demand(&mut self, now: Time) {
         if let Some(pacer) = &mut self.pacer {
             pacer.record_demand(now);
         }
     }
 
-    /// Returns how long it takes until this process may send; nothing if there is no limit, or
-    /// others send.
+    /// Returns the time until this process may send; `None` if there is no limit, or if it is not a
+    /// sender.
     pub(crate) fn time_until_admitted(&self, now: Time) -> Option<Duration> {
         let pacer = self.pacer.as_ref()?;
         pacer.bucket.map(|bucket| bucket.wait(now, pacer.share()))
     }
 
-    /// Makes a note for other processes, if there is anything that they should know.
+    /// Returns a report for other processes, if they need one.
     pub(crate) fn report(&self, now: Time, upstream: u32, process: u32) -> Option<LimitReport> {
         let is_reported = self.pacer.is_some() || now < self.report_until;
         let age_ms = u32::try_from(now.since(self.announced_at).as_millis()).unwrap_or(u32::MAX);
@@ -353,7 +358,7 @@
     }
 }
 
-/// Returns where this process stands among those that may send to an upstream.
+/// Returns the rank of this VM among those that may send to an upstream, and their number.
 pub(crate) fn sender_rank(senders: &Senders, upstream: u64) -> Option<(usize, usize)> {
     senders.rank(upstream).map(|rank| (rank, senders.count()))
 }
--- a/crates/badgerfield-core/src/upstream_table/announcements.rs
+++ b/crates/badgerfield-core/src/upstream_table/announcements.rs
@@ -1,4 +1,4 @@
-//! What the process of an upstream has said of itself in its answers.
+//! What the process of an upstream announces about itself in its answers.
 
 use std::time::Duration;
 
@@ -7,27 +7,27 @@
 use crate::ids::{Service, UpstreamId};
 use crate::rate_limit::KnownLimit;
 
-/// What one process of an upstream has said of itself; another one under its id has said nothing.
+/// The announcements of one process of an upstream; they are reset when the upstream restarts.
 #[derive(Debug, Default)]
 pub(super) struct Announcements {
-    /// How many requests a second it takes from all processes, and which of them are this one's.
+    /// The rate limit for all processes together, and the share of this process.
     pub(super) limit: KnownLimit,
     /// Whether it is about to leave.
     pub(super) is_leaving: bool,
-    /// Until when it wants nothing from this process.
+    /// Until when it asked this process for no requests.
     pub(super) back_off_until: Time,
-    /// Whether it has said something that cannot be read.
+    /// Whether it has sent an announcement that cannot be parsed.
     is_unreadable: bool,
 }
 
 impl Announcements {
-    /// Tells whether it may get a request of this process.
+    /// Returns whether this process may send it a request.
     pub(super) fn admits(&self, now: Time) -> bool {
         self.back_off_until <= now && self.limit.admits(now)
     }
 
-    /// Returns how long it takes until it may get a request of this process; nothing if that is
-    /// now, or not known.
+    /// Returns the time until this process may send it a request; `None` if that is now, or not
+    /// known.
     pub(super) fn time_until_admitted(&self, now: Time) -> Option<Duration> {
         let back_off = Some(self.back_off_until.since(now)).filter(|back_off| !back_off.is_zero());
         back_off.max(self.limit.time_until_admitted(now))
@@ -35,8 +35,8 @@
 }
 
 impl UpstreamTable {
-    /// Takes in that an upstream has turned a request away and wants nothing from this process for
-    /// a span. One that it asked for before is not cut short.
+    /// Records that an upstream rejected a request and asked this process for a back-off. A shorter
+    /// one does not cut an earlier one short.
     pub fn record_back_off(&mut self, now: Time, id: &UpstreamId, span: Duration) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             let until = now.after(span);
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Returns when the first upstream of a service may get a request of this process again, if
-    /// all of them have asked for rest or have a limit.
+    /// Returns the time until the first upstream of a service admits a request of this process
+    /// again, if all of them have asked for a back-off or have a rate limit.
     #[must_use]
     pub fn time_until_admitted(&self, now: Time, service: &Service) -> Option<Duration> {
         let usable =
@@ -60,16 +60,16 @@
         announced.into_iter().filter_map(|announced| announced.time_until_admitted(now)).min()
     }
 
-    /// Takes in that an upstream has said that it is about to leave; tells whether that is news.
-    /// Its process takes that back no more, whatever the list says.
+    /// Records that an upstream announced that it is about to leave; returns whether this is new.
+    /// The same process cannot revoke this, whatever the list says.
     pub fn record_leaving(&mut self, id: &UpstreamId) -> bool {
         let upstream = self.upstreams.get_mut(id);
         upstream
             .is_some_and(|upstream| !std::mem::replace(&mut upstream.announced.is_leaving, true))
     }
 
-    /// Notes that an upstream has said something of itself that cannot be read; tells whether that
-    /// is the first time.
+    /// Records that an upstream sent an announcement that cannot be parsed; returns whether it is
+    /// the first.
     pub fn record_unreadable(&mut self, id: &UpstreamId) -> bool {
         let upstream = self.upstreams.get_mut(id);
         upstream
--- a/crates/badgerfield-core/src/upstream_table/canary.rs
+++ b/crates/badgerfield-core/src/upstream_table/canary.rs
@@ -1,10 +1,10 @@
-//! Which version of a service a request may go to.
+//! Limits the requests that each version of a service gets.
 //!
-//! While a version is rolled out, each process keeps to the rule by counting its own requests,
-//! so that the bound needs no message: every request that goes to the service adds the allowed
-//! share to a credit of its route, and one that goes to the target takes one off. Credits begin
-//! at random parts of a request, so that the processes of a fleet give the share together, and
-//! not each its first request at the same time.
+//! During a rollout each process enforces the rule by counting its own requests, so that the bound
+//! needs no messages. Every request to the service adds the allowed share to a credit of its route,
+//! and a request to the target takes one off. Credits start at a random fraction of a request, so
+//! that the processes of a fleet reach the share together, instead of each sending its first
+//! request at the same time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,33 +17,33 @@
 use crate::ids::{Service, SoftwareVersion};
 use crate::rollout::{Allowance, RolloutRule};
 
-/// For how long a version gets nothing that is new to a service which other versions serve.
-/// The order to roll it out and the list of upstreams come by different watches; a process that
-/// is in touch hears of either within a few seconds.
+/// How long a version that is new to a service gets no requests while other versions serve. The
+/// rollout order and the list of upstreams arrive by different watches; a connected process
+/// receives either within a few seconds.
 const ORDER_DELAY: Duration = Duration::from_secs(10);
-/// The most requests that a route may owe the target: it evens out how chains of prompt parts
-/// come, and is little beside the dozens that a fleet is usually allowed.
+/// The maximum credit of a route, in requests. It evens out the uneven arrival of prompt prefixes,
+/// and is small beside the dozens of requests that a fleet is usually allowed.
 const MAX_CREDIT: f64 = 3.0;
-/// The least number of upstreams of the target that get requests, so that one which fails by
-/// itself can be told from its version.
+/// The minimum number of target upstreams that get requests, so that a single faulty upstream can
+/// be told from a faulty version.
 const MIN_TARGET_UPSTREAMS: usize = 2;
-/// How many values a random draw is cut down to: far more than a share in hundredths needs.
+/// The number of distinct values of a random fraction: far more than a share in hundredths needs.
 const FRACTION_STEPS: u32 = 1 << 16;
 
-/// What a version may get.
+/// The access of a version to requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum VersionAccess {
-    /// Whatever comes.
+    /// Any request.
     Unrestricted,
-    /// Its share.
+    /// The share of requests that the rule allows.
     Limited,
-    /// Nothing while another version serves.
+    /// None while another version serves.
     Delayed,
-    /// Nothing.
+    /// None.
     Blocked,
 }
 
-/// How many requests of this process went to a service since an order was learned.
+/// How many requests this process has sent to a service since it received the order.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SentCounts {
     /// To the version that is rolled out.
@@ -52,38 +52,38 @@
     pub all: u64,
 }
 
-/// A rule, and what was seen since.
+/// A rollout rule in force.
 #[derive(Debug)]
 struct ActiveRule {
     rule: RolloutRule,
-    /// Whether the list has named an upstream of another version while the rule was known.
-    /// Until then there is nothing to move from: the target serves, whatever the rule says.
-    /// From then on it gets no more than that, also when all others have gone: requests that
-    /// are refused can come back, those that a bad version answered cannot.
+    /// Whether the list has named an upstream of another version while the rule was known. Until
+    /// then the target serves whatever the rule says, since there is no version to roll out from.
+    /// After that the target gets no more than its rule allows, even when all others are gone: a
+    /// refused request can be repeated, a bad answer cannot be taken back.
     has_others: bool,
 }
 
 /// The versions of one service.
 #[derive(Debug, Default)]
 struct ServiceVersions {
-    /// Whether upstreams are listed that name no version; they count as another one.
+    /// Whether any listed upstream names no version; these count as another version.
     has_unnamed: bool,
     rules: Vec<ActiveRule>,
-    /// By route, how many requests the target may get.
+    /// The requests that the target may get, by route.
     credits: BTreeMap<String, f64>,
     sent: SentCounts,
-    /// The versions that the list names, and until when each is held.
+    /// The versions that the list names, and until when each is delayed.
     versions: BTreeMap<SoftwareVersion, Time>,
 }
 
-/// How many upstreams of each version the list names, by service.
+/// The number of listed upstreams of each version, by service.
 pub(super) type VersionsByService<'a> = BTreeMap<&'a Service, VersionCounts<'a>>;
 
-/// How many upstreams of one service name which version.
+/// The number of listed upstreams of each version of one service.
 #[derive(Debug, Default)]
 pub(super) struct VersionCounts<'a> {
     pub(super) named: BTreeMap<&'a SoftwareVersion, usize>,
-    /// Those that name none.
+    /// The upstreams that name no version.
     pub(super) unnamed: usize,
 }
 
@@ -94,7 +94,7 @@
 }
 
 impl Canary {
-    /// Puts rules in force, and no others; returns those that are new or differ.
+    /// Replaces the rules in force; returns those that are new or have changed.
     pub(super) fn set_rules(&mut self, rules: Vec<RolloutRule>) -> Vec<RolloutRule> {
         let mut next: BTreeMap<Service, Vec<RolloutRule>> = BTreeMap::new();
         for rule in rules {
@@ -110,7 +110,7 @@
         changed
     }
 
-    /// Takes in which versions the list names.
+    /// Records the versions that the list names.
     pub(super) fn record_versions(&mut self, now: Time, listed: &VersionsByService<'_>) {
         self.services
             .retain(|name, versions| listed.contains_key(name) || !versions.rules.is_empty());
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Returns what an upstream may get as far as its version says.
+    /// Returns which requests the version of an upstream may get.
     pub(super) fn access(&self, now: Time, upstream: &Upstream) -> VersionAccess {
         let versions = self.active_service(&upstream.info.service);
         versions.map_or(VersionAccess::Unrestricted, |versions| {
@@ -132,18 +132,19 @@
         })
     }
 
-    /// Leaves those of some upstreams that a request may go to by their versions; `serves_freely`
-    /// tells whether a version that waits for no order has usable upstreams, be they fit or not.
+    /// Returns those of the `eligible` upstreams that a request may go to by their versions.
+    /// `has_unrestricted` returns whether a version with unrestricted access has usable upstreams,
+    /// eligible or not.
     pub(super) fn filter_by_version<'a>(
         &self,
         now: Time,
         criteria: &UpstreamCriteria<'_>,
-        fit: Vec<&'a Upstream>,
+        eligible: Vec<&'a Upstream>,
         has_unrestricted: impl FnOnce() -> bool,
     ) -> Vec<&'a Upstream> {
         match self.active_service(criteria.service) {
-            Some(versions) => versions.filter_by_version(now, criteria, fit, has_unrestricted),
-            None => fit,
+            Some(versions) => versions.filter_by_version(now, criteria, eligible, has_unrestricted),
+            None => eligible,
         }
     }
 
@@ -153,8 +154,8 @@
         Some(&first.rule.target)
     }
 
-    /// Notes that a request goes to an upstream of a version; `is_open` tells whether the
-    /// target could have taken it.
+    /// Records that a request is sent to an upstream of a version; `target_available` is whether
+    /// the target could have taken it.
     pub(super) fn record_sent(
         &mut self,
         criteria: &UpstreamCriteria<'_>,
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Takes back what was charged for a request that reached no upstream.
+    /// Undoes `record_sent` for a request that reached no upstream.
     pub(super) fn undo_sent(
         &mut self,
         service: &Service,
@@ -178,14 +179,15 @@
         }
     }
 
-    /// Returns the rules in force, with what this process gave by each.
+    /// Returns the rules in force, with the requests that this process has sent to the service of
+    /// each.
     pub(super) fn rules(&self) -> impl Iterator<Item = (&RolloutRule, SentCounts)> {
         let services = self.services.values();
         services
             .flat_map(|versions| versions.rules.iter().map(|active| (&active.rule, versions.sent)))
     }
 
-    /// Tells whether the versions of a service count at present.
+    /// Returns whether the versions of a service make a difference at present.
     pub(super) fn has_versions(&self, service: &Service) -> bool {
         self.active_service(service).is_some()
     }
@@ -215,7 +217,7 @@
             next.push(ActiveRule { rule, has_others });
         }
         self.rules = next;
-        // What one order left over is not the next one's to give.
+        // A new order starts without the remaining credits of the previous one.
         if newest(&self.rules) != before {
             self.credits.clear();
             self.sent = SentCounts::default();
@@ -223,9 +225,9 @@
         changed
     }
 
-    /// Takes in which versions the list names. Of a service that is new here, the one with the
-    /// most upstreams is known already: a process that starts while a version is rolled out
-    /// cannot tell otherwise which that is.
+    /// Records the versions that the list names. If the service is new here, the version with the
+    /// most upstreams counts as established: a process that starts during a rollout has no other
+    /// way to tell which one that is.
     fn record_versions(&mut self, now: Time, listed: &VersionCounts<'_>) {
         let VersionCounts { named: listed, unnamed } = listed;
         self.versions.retain(|version, _| listed.contains_key(version));
@@ -268,7 +270,7 @@
         if is_delayed { VersionAccess::Delayed } else { access }
     }
 
-    /// Returns the version that gets a share, and that, from 0 to 1.
+    /// Returns the version that is limited to a share, and that share from 0 to 1.
     fn target_share(&self) -> Option<(&SoftwareVersion, f64)> {
         self.rules.iter().find_map(|ActiveRule { rule, .. }| match rule.allowance {
             Allowance::Share(share) => Some((&rule.target, as_fraction(share))),
@@ -280,12 +282,12 @@
         &self,
         now: Time,
         criteria: &UpstreamCriteria<'_>,
-        fit: Vec<&'a Upstream>,
+        eligible: Vec<&'a Upstream>,
         has_unrestricted: impl FnOnce() -> bool,
     ) -> Vec<&'a Upstream> {
         let mut free = Vec::new();
         let (mut limited, mut delayed) = (Vec::new(), Vec::new());
-        for upstream in fit {
+        for upstream in eligible {
             match self.access(now, upstream.info.version.as_ref()) {
                 VersionAccess::Unrestricted => free.push(upstream),
                 VersionAccess::Limited => limited.push(upstream),
@@ -309,10 +311,10 @@
         }
     }
 
-    /// Tells whether a request is one of those that the target gets.
+    /// Returns whether a request is one of those that go to the target.
     ///
-    /// Those of the same chains of prompt parts go there as far as that makes up the share, so
-    /// that its upstreams read few prompts anew; the more the route owes, the more chains.
+    /// Requests with the same prompt prefixes go to the target as far as they make up the share, so
+    /// that its upstreams read few prefixes anew. A larger credit admits more prefixes.
     fn goes_to_target(
         &self,
         criteria: &UpstreamCriteria<'_>,
@@ -323,16 +325,16 @@
         if credit < 1.0 {
             return false;
         }
-        // A request that failed at one version is not tried out on the other.
+        // A request that failed at one version does not become a trial request of the other.
         if !criteria.tried.is_empty() {
             return criteria.resumed_version == Some(target);
         }
-        let Some(chain) = shared_parts(criteria.parts).last() else {
+        let Some(prefix) = shared_parts(criteria.parts).last() else {
             return true;
         };
-        let chain_fraction =
-            random_fraction(xxh3_64_with_seed(&chain.id.to_be_bytes(), seed_of(target)));
-        credit >= MAX_CREDIT || chain_fraction < share * credit
+        let prefix_fraction =
+            random_fraction(xxh3_64_with_seed(&prefix.id.to_be_bytes(), seed_of(target)));
+        credit >= MAX_CREDIT || prefix_fraction < share * credit
     }
 
     fn credit(&self, criteria: &UpstreamCriteria<'_>) -> f64 {
@@ -356,7 +358,8 @@
             return;
         };
         let is_target_request = version == Some(target);
-        // What the target could not take is not made up for: all processes would at once.
+        // Requests that the target could not take add no credit: otherwise all processes would
+        // catch up at the same time.
         let more = if target_available || is_target_request { share } else { 0.0 };
         let taken = if is_target_request { 1.0 } else { 0.0 };
         let credit = (self.credit(criteria) + more - taken).min(MAX_CREDIT);
@@ -385,8 +388,8 @@
     }
 }
 
-/// Leaves as many upstreams of the target as make each about as loaded as one of the others,
-/// since a version may be bad under load only. All processes take the same ones, by rank.
+/// Selects as many target upstreams as give each about the load of one of the others, since a
+/// version may be bad under load only. All processes select the same ones, by rank.
 fn select_target_upstreams(
     mut limited: Vec<&Upstream>,
     share: f64,
@@ -394,7 +397,8 @@
 ) -> Vec<&Upstream> {
     let others = f64::from(u32::try_from(others).unwrap_or(u32::MAX));
     let criteria = (share * others / (1.0 - share)).round();
-    // Places among long and short prompts go by the seed itself.
+    // The seed is hashed again, since the seed alone determines the position of an engine among
+    // long and short prompts.
     limited.sort_by_key(|upstream| xxh3_64_with_seed(&upstream.seed.to_be_bytes(), 1));
     let fits = |n: usize| f64::from(u32::try_from(n).unwrap_or(u32::MAX)) < criteria;
     let count = (0..limited.len()).take_while(|n| *n < MIN_TARGET_UPSTREAMS || fits(*n)).count();
@@ -402,7 +406,7 @@
     limited
 }
 
-/// Leaves the upstreams of a version, or all if there is none.
+/// Returns the upstreams of a version, or all if there are none of it.
 fn prefer_version<'a>(pool: Vec<&'a Upstream>, version: &SoftwareVersion) -> Vec<&'a Upstream> {
     let has = |upstream: &&&Upstream| upstream.info.version.as_ref() == Some(version);
     let same: Vec<_> = pool.iter().filter(has).copied().collect();
@@ -413,12 +417,12 @@
     xxh3_64_with_seed(target.as_str().as_bytes(), 0)
 }
 
-/// Returns a share as a part from 0 to 1.
+/// Converts a share to a fraction from 0 to 1.
 fn as_fraction(share: Percent) -> f64 {
     f64::from(u32::try_from(u64::from(share)).unwrap_or(100)) / 100.0
 }
 
-/// Turns random bits into a part from 0 to below 1.
+/// Converts random bits to a fraction from 0 to below 1.
 fn random_fraction(bits: u64) -> f64 {
     f64::from(u32::try_from(bits % u64::from(FRACTION_STEPS)).unwrap_or(0))
         / f64::from(FRACTION_STEPS)
--- a/crates/badgerfield-core/src/upstream_table/choice.rs
+++ b/crates/badgerfield-core/src/upstream_table/choice.rs
@@ -1,7 +1,9 @@
 //! The choice of an upstream for one request.
 //!
-//! The candidates are those that may get the request at all; among them the one wins at which
-//! the first part of the answer is expected soonest.
+//! The candidates are the upstreams that may get the request at all. The one with the lowest cost
+//! is chosen, that is, the one where the first part of the answer is expected soonest. Requests
+//! whose prompts share a prefix go to one preferred upstream, which rendezvous hashing makes the
+//! same on all VMs, so that the prefix is read and cached once.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -13,19 +15,19 @@
 use crate::overload;
 use crate::queueing_delay;
 
-/// Within what a chain of prompt parts has one upstream that all VMs prefer for it.
+/// The scope within which a shared prefix has one preferred upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Scope {
-    /// In the whole fleet.
+    /// One in the whole fleet.
     Fleet,
-    /// In each region.
+    /// One in each region.
     Region,
-    /// In each failure domain.
+    /// One in each failure domain.
     Domain,
 }
 
 impl UpstreamTable {
-    /// Chooses an upstream for a request, or none if none can take it.
+    /// Chooses an upstream for a request; returns `None` if no upstream can take it.
     #[must_use]
     pub fn choose(&self, now: Time, criteria: &UpstreamCriteria<'_>) -> Option<ChosenUpstream> {
         let pool = self.candidates(now, criteria);
@@ -33,17 +35,17 @@
         let params = CostParams::new(mix, criteria);
         let ordinary =
             queueing_delay::ordinary(pool.iter().map(|u| u.queueing_delay.millis(now)).collect());
-        let own: Vec<_> = pool.iter().copied().filter(|u| params.is_in_group(u)).collect();
-        let homes = home_upstreams(
-            if own.is_empty() { &pool } else { &own },
+        let in_group: Vec<_> = pool.iter().copied().filter(|u| params.is_in_group(u)).collect();
+        let preferred = preferred_upstreams(
+            if in_group.is_empty() { &pool } else { &in_group },
             criteria.parts,
             self.scope(&params, criteria),
         );
         let mut best: Option<(&Upstream, f64)> = None;
         let mut runner_up: Option<(&Upstream, f64)> = None;
         let cost_of = |upstream: &Upstream| {
-            let is_home = homes.contains(&&upstream.info.id);
-            let mut cost = upstream.cost(now, criteria, &params, is_home);
+            let is_preferred = preferred.contains(&&upstream.info.id);
+            let mut cost = upstream.cost(now, criteria, &params, is_preferred);
             cost += self.distance_costs.cost(upstream.distance, criteria.bytes);
             if criteria.parts.is_empty() {
                 cost += overload::wait_cost(
@@ -64,11 +66,11 @@
                 runner_up = Some((upstream, cost));
             }
         }
-        let alike = criteria.rendezvous_key.and_then(|number| choose_alike(&pool, number));
-        let (upstream, cost) = alike.map(|u| (u, cost_of(u))).or(best)?;
-        let is_home = homes.contains(&&upstream.info.id);
+        let by_key = criteria.rendezvous_key.and_then(|key| choose_by_rendezvous(&pool, key));
+        let (upstream, cost) = by_key.map(|u| (u, cost_of(u))).or(best)?;
+        let is_preferred = preferred.contains(&&upstream.info.id);
         Some(ChosenUpstream {
-            uncached_tokens: upstream.uncached_tokens(now, criteria.parts, is_home),
+            uncached_tokens: upstream.uncached_tokens(now, criteria.parts, is_preferred),
             queueing_delay: upstream.queueing_delay.millis(now),
             group: params.division.map(|(_, group)| (group, params.is_in_group(upstream))),
             id: upstream.info.id.clone(),
@@ -87,11 +89,11 @@
         })
     }
 
-    /// Returns within what a request's chain of shared parts has one home.
+    /// Returns the scope within which the shared prefix of a request has one preferred upstream.
     ///
-    /// Where it costs more to leave a domain or region than to read the chain, each has a home
-    /// of its own; where reading costs more, one home serves them all, and its memory is
-    /// not spent twice.
+    /// If it costs more to leave a domain or region than to read the prefix, each domain or region
+    /// has its own. If reading costs more, one upstream serves the whole fleet, and the prefix
+    /// takes up cache memory only once.
     fn scope(&self, params: &CostParams, criteria: &UpstreamCriteria<'_>) -> Scope {
         let read = params.read_ms(shared_parts(criteria.parts));
         if read < self.distance_costs.cost(Distance::SameRegion, criteria.bytes) {
@@ -107,7 +109,7 @@
     fn candidates(&self, now: Time, criteria: &UpstreamCriteria<'_>) -> Vec<&Upstream> {
         let limits_cold = self.slow_start.warm_up(criteria.service).is_some();
         let share = self.slow_start.sender_share(criteria.service);
-        let fit: Vec<_> = self
+        let eligible: Vec<_> = self
             .upstreams
             .values()
             .filter(|u| u.info.service == *criteria.service)
@@ -119,32 +121,32 @@
             .filter(|u| u.running < criteria.max_connections)
             .collect();
         let has_unrestricted = || self.has_unrestricted(now, criteria.service);
-        let fit = self.canary.filter_by_version(now, criteria, fit, has_unrestricted);
-        let available: Vec<_> = fit.iter().copied().filter(|u| u.avoid_until <= now).collect();
-        // When most rest, the fault is likely elsewhere, and one of them may serve.
-        if available.is_empty() { fit } else { available }
+        let eligible = self.canary.filter_by_version(now, criteria, eligible, has_unrestricted);
+        let available: Vec<_> = eligible.iter().copied().filter(|u| u.avoid_until <= now).collect();
+        // If all of them failed recently, the fault is probably elsewhere, and one may still serve.
+        if available.is_empty() { eligible } else { available }
     }
 }
 
-/// Tells whether an upstream lies where a request may be served.
+/// Returns whether the residency of a request allows the region of an upstream.
 fn is_residency_allowed(upstream: &Upstream, criteria: &UpstreamCriteria<'_>) -> bool {
     let bound = criteria.residency;
     !bound.is_restricted() || bound.allows(upstream.region.as_ref())
 }
 
-/// Returns the upstreams that all VMs prefer for a chain of shared parts, one in each scope.
-fn home_upstreams<'a>(
+/// Returns the preferred upstream for a shared prefix in each scope; all VMs compute the same ones.
+fn preferred_upstreams<'a>(
     pool: &[&'a Upstream],
     parts: &[PromptPart],
     scope: Scope,
 ) -> Vec<&'a UpstreamId> {
-    let Some(chain) = shared_parts(parts).last() else {
+    let Some(prefix) = shared_parts(parts).last() else {
         return Vec::new();
     };
     let mut best: Vec<(&Upstream, u64)> = Vec::new();
     for upstream in pool {
-        let weight = xxh3_64_with_seed(&chain.id.to_be_bytes(), upstream.seed);
-        match best.iter_mut().find(|(other, _)| shares_home(scope, other, upstream)) {
+        let weight = xxh3_64_with_seed(&prefix.id.to_be_bytes(), upstream.seed);
+        match best.iter_mut().find(|(other, _)| is_same_scope(scope, other, upstream)) {
             Some(known) if known.1 < weight => *known = (upstream, weight),
             Some(_) => {}
             None => best.push((upstream, weight)),
@@ -153,16 +155,16 @@
     best.into_iter().map(|(upstream, _)| &upstream.info.id).collect()
 }
 
-/// Returns the upstream that all VMs of a region choose for a number, of those in their region if
-/// there are any.
-fn choose_alike<'a>(pool: &[&'a Upstream], number: u64) -> Option<&'a Upstream> {
-    let weight = |u: &&&Upstream| xxh3_64_with_seed(&number.to_be_bytes(), u.seed);
+/// Returns the upstream with the highest rendezvous weight for a key. All VMs of a region choose
+/// the same one. Upstreams of their own region take precedence.
+fn choose_by_rendezvous<'a>(pool: &[&'a Upstream], key: u64) -> Option<&'a Upstream> {
+    let weight = |u: &&&Upstream| xxh3_64_with_seed(&key.to_be_bytes(), u.seed);
     let near = pool.iter().filter(|u| u.distance < Distance::OtherRegion).max_by_key(weight);
     near.or_else(|| pool.iter().max_by_key(weight)).copied()
 }
 
-/// Tells whether two upstreams are within the same scope of homes.
-fn shares_home(scope: Scope, one: &Upstream, other: &Upstream) -> bool {
+/// Returns whether two upstreams lie in the same scope.
+fn is_same_scope(scope: Scope, one: &Upstream, other: &Upstream) -> bool {
     match scope {
         Scope::Fleet => true,
         Scope::Region => one.region == other.region,
@@ -170,7 +172,7 @@
     }
 }
 
-/// Tells why a request leaves its region for an upstream, if it does.
+/// Returns why a request leaves its region for an upstream, if it does.
 fn crossing_reason(pool: &[&Upstream], chosen: &Upstream) -> Option<CrossingReason> {
     if chosen.distance < Distance::OtherRegion {
         return None;
--- a/crates/badgerfield-core/src/upstream_table/limits.rs
+++ b/crates/badgerfield-core/src/upstream_table/limits.rs
@@ -1,4 +1,4 @@
-//! The limits that upstreams name, in the table of upstreams.
+//! The rate limits that upstreams announce, in the table of upstreams.
 
 use std::time::Duration;
 
@@ -9,22 +9,22 @@
 use crate::ids::{Service, UpstreamId};
 use crate::rate_limit::{LimitReport, MAX_REPORTS, RateLimit, sender_rank};
 
-/// The least time between two messages about limits to each neighbour.
+/// The minimum time between two reports of limits.
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A limit that has changed.
+/// A changed rate limit.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LimitChange {
-    /// The upstream that names it.
+    /// The upstream that announced it.
     pub upstream: UpstreamId,
-    /// The limit; nothing if it names none.
+    /// The limit now in force; `None` if the limit has ended.
     pub limit: Option<RateLimit>,
-    /// The one before.
+    /// The previous limit.
     pub before: Option<RateLimit>,
 }
 
 impl UpstreamTable {
-    /// Takes in which limit an upstream names in an answer, if any; returns what has changed.
+    /// Records the limit that an upstream announces in an answer, if any; returns the change.
     pub fn record_limit(
         &mut self,
         now: Time,
@@ -39,7 +39,7 @@
         change_of(upstream, before)
     }
 
-    /// Takes in what another process tells of limits; returns what has changed.
+    /// Applies limits that another process reported; returns the changes.
     pub fn apply_limit_reports(&mut self, now: Time, reports: &[LimitReport]) -> Vec<LimitChange> {
         let senders = self.slow_start.senders();
         let mut changes = Vec::new();
@@ -57,8 +57,8 @@
         changes
     }
 
-    /// Returns what other processes should be told of limits now, another few at each turn where
-    /// there are many.
+    /// Returns the limits to report to other processes now; if there are more than fit into one
+    /// report, each report takes the next ones.
     pub fn limit_reports(&mut self, now: Time) -> Vec<LimitReport> {
         if !is_due(now, self.limits_reported_at, REPORT_INTERVAL) {
             return Vec::new();
@@ -74,7 +74,7 @@
         all.iter().cycle().skip(start).take(all.len().min(MAX_REPORTS)).copied().collect()
     }
 
-    /// Notes that there is a request for a service, whose upstreams may have limits.
+    /// Records a request for a service, whose upstreams may have limits.
     pub fn record_request(&mut self, now: Time, service: &Service) {
         if !self.has_limits {
             return;
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Tells whether a request that was given an upstream at a time may still be sent there.
+    /// Returns whether a request that was assigned to an upstream at `started` may still be sent
+    /// there.
     pub fn can_still_send(&mut self, now: Time, id: &UpstreamId, started: Time) -> bool {
         let upstream = self.upstreams.get_mut(id);
         upstream.is_none_or(|upstream| {
@@ -93,7 +94,7 @@
         })
     }
 
-    /// Returns how many upstreams have a limit.
+    /// Returns the number of upstreams with a limit.
     #[must_use]
     pub fn limited_count(&self) -> usize {
         let listed = self.upstreams.values().filter(|u| u.removed_at.is_none());
--- a/crates/badgerfield-core/src/upstream_table/list.rs
+++ b/crates/badgerfield-core/src/upstream_table/list.rs
@@ -1,7 +1,8 @@
-//! What the platform's list says of upstreams, and what processes tell each other of it.
+//! Applies the platform's list of upstreams, and exchanges it with other processes.
 //!
-//! An entry never steps back, whoever tells it. Of the whole list a process knows up to which
-//! revision it has heard of every change; differences start from there.
+//! An entry never goes back to an older state, whichever process sends it. A process also knows the
+//! revision up to which it has seen every change of the list; differences between processes start
+//! from there.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,11 +13,11 @@
 use crate::ids::{Service, UpstreamId};
 use crate::upstream_list::{ListVersion, UpstreamEntry, UpstreamList, UpstreamListChanges};
 
-/// How long an upstream is remembered after its entry is gone.
+/// How long an upstream is kept after its entry was removed.
 const REMOVED_RETENTION: Duration = Duration::from_secs(30);
 
 impl UpstreamTable {
-    /// Takes in the platform's list, unless it is older than the last one.
+    /// Applies the platform's list, unless it is older than the last one.
     ///
     /// Returns the upstreams that were added, changed or removed.
     pub fn apply_list(&mut self, now: Time, list: UpstreamList) -> Vec<UpstreamId> {
@@ -24,7 +25,7 @@
             return Vec::new();
         }
         if self.revision == 0 {
-            // What went before this process knew any list is not remembered here.
+            // This process has no record of entries that were removed before its first list.
             self.forgotten_revision = list.revision;
         }
         let present: BTreeSet<_> = list.entries.iter().map(|u| u.info.id.clone()).collect();
@@ -34,7 +35,7 @@
         self.apply_changes(now, UpstreamListChanges { revision, written, gone })
     }
 
-    /// Takes in changes of the platform's list; an entry never steps back.
+    /// Applies changes of the platform's list; an entry never goes back to an older state.
     ///
     /// Returns the upstreams that were added, changed or removed.
     pub fn apply_changes(&mut self, now: Time, changes: UpstreamListChanges) -> Vec<UpstreamId> {
@@ -65,7 +66,7 @@
         changed
     }
 
-    /// Drops upstreams whose entries went long ago.
+    /// Drops upstreams whose entries were removed long ago.
     fn forget(&mut self, now: Time) {
         let forgotten_revision = &mut self.forgotten_revision;
         self.upstreams.retain(|_, u| {
@@ -78,10 +79,10 @@
         });
     }
 
-    /// Gives each upstream its place among those of its service, by which engines are divided.
+    /// Assigns each upstream its position among those of its service, by which engines are divided.
     ///
-    /// All processes order them alike, so that they divide alike; one that comes or goes moves
-    /// the others little.
+    /// All processes sort them the same way and so arrive at the same division; an upstream that is
+    /// added or removed shifts the others little.
     fn assign_positions(&mut self) {
         let mut orders: BTreeMap<Service, Vec<(u64, UpstreamId)>> = BTreeMap::new();
         for upstream in
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Takes in an entry that was written; returns its upstream if that is news.
+    /// Applies a written entry; returns its upstream if the entry changed.
     fn write(&mut self, now: Time, entry: UpstreamEntry) -> Option<UpstreamId> {
         let UpstreamEntry { revision, info, warm_in } = entry;
         let id = info.id.clone();
@@ -120,7 +121,7 @@
             known.reset_process();
             self.restarted.push(id.clone());
         }
-        // An entry that was read before says no more about how long it is cold.
+        // An entry that was applied before has no new information about the remaining cold time.
         let is_newer = revision > known.revision;
         let turned = is_newer && known.apply_warm_in(now, &self.slow_start, revision, warm_in);
         let is_change = turned || known.info != info || known.removed_at.is_some();
@@ -136,20 +137,19 @@
         is_change.then_some(id)
     }
 
-    /// Takes the upstreams that have started again under the id that they had: connections to
-    /// them lead to a process that is gone.
+    /// Takes the upstreams that restarted under the same id: connections to them lead to a process
+    /// that no longer exists.
     pub fn take_restarted(&mut self) -> Vec<UpstreamId> {
         std::mem::take(&mut self.restarted)
     }
 
-    /// Tells whether an entry was still there, and was not written after it is said to
-    /// have gone.
+    /// Returns whether an entry was still present, and was not written after its removal.
     fn is_new_removal(&self, (id, revision): &(UpstreamId, u64)) -> bool {
         let known = self.upstreams.get(id);
         known.is_some_and(|known| known.removed_at.is_none() && known.revision <= *revision)
     }
 
-    /// Takes in that the list is as it was up to a revision.
+    /// Records that the list has no further changes up to a revision.
     pub fn confirm_revision(&mut self, now: Time, revision: u64) {
         if revision > self.revision {
             self.revision = revision;
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Returns how much of the list is known here.
+    /// Returns the version of the list in this process.
     #[must_use]
     pub fn list_version(&self) -> ListVersion {
         let listed = self.upstreams.values().filter(|u| u.removed_at.is_none());
@@ -165,7 +165,7 @@
         ListVersion { revision: self.revision, digest }
     }
 
-    /// Returns the whole list as it is known here.
+    /// Returns the full list as this process knows it.
     #[must_use]
     pub fn list(&self, now: Time) -> UpstreamList {
         let listed = self.upstreams.values().filter(|u| u.removed_at.is_none());
@@ -173,9 +173,10 @@
         UpstreamList { revision: self.revision, entries }
     }
 
-    /// Returns what is known of some upstreams, for processes that may know less.
+    /// Returns the entries or removals of some upstreams, for processes that may lack them.
     ///
-    /// It does not tell of other changes, so it names no revision of the list.
+    /// The changes carry no revision of the list, since they do not include changes of other
+    /// upstreams.
     #[must_use]
     pub fn changes_of(&self, now: Time, ids: &[UpstreamId]) -> UpstreamListChanges {
         let mut changes = UpstreamListChanges::default();
@@ -189,8 +190,8 @@
         changes
     }
 
-    /// Returns what has changed since a revision, for processes that know every change up to it;
-    /// nothing if what went since then is not remembered any more.
+    /// Returns the changes after a revision, for processes that have seen every change up to it;
+    /// `None` if removals since then are no longer recorded.
     #[must_use]
     pub fn changes_since(&self, now: Time, since: u64) -> Option<UpstreamListChanges> {
         if since < self.forgotten_revision {
@@ -201,35 +202,36 @@
         Some(self.changes_of(now, &ids))
     }
 
-    /// Takes in changes that another process told, with its mark: whoever knows every change up
-    /// to `since` knows, with these, every change up to the mark.
+    /// Applies changes that another process sent, together with its list version. A process that
+    /// has seen every change up to `since` has, with these, seen every change up to that version.
     ///
-    /// Returns the upstreams for which that was news, and what is still lacking.
+    /// Returns the upstreams that changed and the part of the list that is still missing.
     pub fn apply_update(
         &mut self,
         now: Time,
         changes: UpstreamListChanges,
         since: u64,
-        mark: ListVersion,
+        version: ListVersion,
     ) -> (Vec<UpstreamId>, ListGap) {
-        let told = changes.written.iter().map(|entry| entry.revision);
-        let newest =
-            told.chain(changes.gone.iter().map(|gone| gone.1)).fold(mark.revision, u64::max);
+        let written_revisions = changes.written.iter().map(|entry| entry.revision);
+        let newest = written_revisions
+            .chain(changes.gone.iter().map(|gone| gone.1))
+            .fold(version.revision, u64::max);
         let changed = self.apply_changes(now, UpstreamListChanges { revision: 0, ..changes });
         if self.revision < since {
-            let lacking =
-                if self.revision < mark.revision { ListGap::Changes } else { ListGap::Nothing };
-            return (changed, lacking);
+            let gap =
+                if self.revision < version.revision { ListGap::Changes } else { ListGap::Nothing };
+            return (changed, gap);
         }
-        self.confirm_revision(now, mark.revision);
-        // One that knows more than was told cannot be compared.
-        let knows_more = self.revision > mark.revision
+        self.confirm_revision(now, version.revision);
+        // If this process has seen newer changes than the sender, the digests cannot be compared.
+        let knows_more = self.revision > version.revision
             || self.upstreams.values().any(|upstream| upstream.changed_revision > newest);
-        let differs = !knows_more && self.list_version().digest != mark.digest;
+        let differs = !knows_more && self.list_version().digest != version.digest;
         (changed, if differs { ListGap::FullList } else { ListGap::Nothing })
     }
 
-    /// Returns the services of which every entry goes at once.
+    /// Returns the services of which all entries are removed at once.
     fn lapsed_services(&self, gone: &[(UpstreamId, u64)]) -> BTreeSet<Service> {
         let gone: BTreeSet<_> = gone.iter().map(|(id, _)| id).collect();
         let mut counts: BTreeMap<&Service, (usize, usize)> = BTreeMap::new();
--- a/crates/badgerfield-core/src/upstream_table/mod.rs
+++ b/crates/badgerfield-core/src/upstream_table/mod.rs
@@ -1,12 +1,13 @@
-//! The table of upstreams that routes lead to, and the choice among them.
+//! The table of the upstreams that routes lead to, and the choice among them.
 //!
-//! The platform's list says which upstreams there are and which are leaving; an upstream may also
-//! say in its answers that it leaves, rests or has a limit (`statements`); and what this VM saw of
-//! each says how it is doing. A request goes where its first part of the
-//! answer is expected soonest: prompt parts that the upstream has read before need not
-//! be read again, and work under way delays it. Upstreams of an evacuated failure domain get
-//! nothing; those that are cold get little ([`crate::warm_up`]), and those that name a limit no more
-//! than that ([`crate::rate_limit`]).
+//! The platform's list names the upstreams and those that are leaving. An upstream may also
+//! announce in its answers that it is leaving, that it needs a back-off or that it has a rate limit
+//! (`announcements`). Each process also records the outcomes and delays that it observes itself. A
+//! request goes to the upstream where the first part of the answer is expected soonest: prompt
+//! parts that the upstream has cached need not be read again, and running requests add delay.
+//! Upstreams of an evacuated failure domain get no requests. Cold upstreams get few
+//! ([`crate::warm_up`]), and upstreams that announce a rate limit get no more than it allows
+//! ([`crate::rate_limit`]).
 
 mod announcements;
 mod canary;
@@ -41,103 +42,103 @@
 pub use self::canary::SentCounts;
 pub use self::limits::LimitChange;
 
-/// How long after it was taken back a domain's upstreams may be silent about having turned
-/// cold: the platform's upstreams write their entries anew every 1.2 s.
+/// How long after a domain is restored the entries of its upstreams may still not say that these
+/// are cold: the platform's upstreams rewrite their entries every 1.2 s.
 const MAX_ENTRY_DELAY: Duration = Duration::from_millis(1500);
-/// From how many engines on a service is divided between long and short prompts.
+/// The number of engines from which a service is divided between long and short prompts.
 ///
-/// Measured by docs/POLICY.md: 140 engines serve better when they are divided, 18 serve worse,
-/// since few engines in a group even out less and each move of the border costs prompts that
-/// were read before. Where between them it turns was not measured.
+/// With 140 engines a division serves better (docs/POLICY.md). With 18 it serves worse: few engines
+/// per group even out load less, and each move of the boundary loses cached prompts.
 const MIN_DIVIDED_ENGINES: usize = 32;
 
-/// A part of a prompt that requests may share.
+/// A part of a prompt that several requests may have in common.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptPart {
-    /// The part's name.
+    /// The id of the part.
     pub id: u64,
     /// Its length in tokens.
     pub tokens: u64,
 }
 
-/// How one try at an upstream ended, as far as it tells about the upstream.
+/// The outcome of one attempt at an upstream, as far as it says anything about the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It answered.
+    /// The upstream answered.
     Answered,
-    /// It is full.
+    /// The upstream rejected the request because it is full.
     Full,
-    /// It failed, broke off or said nothing.
+    /// The upstream failed, broke off its answer or did not answer.
     Failed,
-    /// The caller left, which tells nothing.
+    /// The caller disconnected first, so the state of the upstream is unknown.
     Unknown,
 }
 
-/// What a request wants of an upstream.
+/// The criteria by which an upstream is chosen for a request.
 #[derive(Debug, Clone, Copy)]
 pub struct UpstreamCriteria<'a> {
     /// The service.
     pub service: &'a Service,
-    /// The route that the request came on.
+    /// The route on which the request arrived.
     pub route: &'a str,
-    /// The parts of the prompt, in order; empty for plain calls.
+    /// The parts of the prompt, in order; empty for requests without a prompt.
     pub parts: &'a [PromptPart],
-    /// How many bytes cross between this process and the upstream, both ways together.
+    /// The bytes transferred between this process and the upstream, in both directions together.
     pub bytes: u64,
     /// The regions in which the request may be served.
     pub residency: &'a Residency,
-    /// The upstreams that the request was sent to already.
+    /// The upstreams to which the request was sent before.
     pub tried: &'a [UpstreamId],
-    /// The version that began the stream which the request goes on with, if it does.
+    /// The version that began the stream, if the request resumes one.
     pub resumed_version: Option<&'a SoftwareVersion>,
-    /// How many connections this VM may have to one upstream.
+    /// The maximum number of connections from this VM to one upstream.
     pub max_connections: u32,
-    /// A random number, to tell equal upstreams apart.
+    /// A random number that breaks ties between equal upstreams.
     pub random: u64,
-    /// A number by which all VMs choose the same upstream, whatever it costs: for a request at
-    /// which an upstream has ended. Sent again through several VMs, it ends one more at the
-    /// most, and two that were at the same crash are not soon at another together.
+    /// A key by which all VMs choose the same upstream, whatever the cost, for a request under
+    /// which an upstream has crashed. If the request is sent again through several VMs, at most one
+    /// more upstream crashes, and two requests that were suspects of the same crash are unlikely to
+    /// meet at another upstream soon.
     pub rendezvous_key: Option<u64>,
 }
 
-/// The upstream that was chosen.
+/// The chosen upstream.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChosenUpstream {
-    /// The upstream.
+    /// The id of the upstream.
     pub id: UpstreamId,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Stands for its process: one that starts again under the id has another.
+    /// Identifies its process: an upstream that restarts under the same id has another value.
     pub process: u32,
-    /// The version of its software, where the service has several.
+    /// The version of its software, if the service has several.
     pub version: Option<SoftwareVersion>,
     /// The expected delay in milliseconds.
     pub cost: f64,
-    /// The prompt tokens that it is expected to read.
+    /// The number of prompt tokens that the upstream is expected to read.
     pub uncached_tokens: u64,
-    /// How long requests wait there at present beyond reading, in milliseconds.
+    /// The present queueing delay at the upstream, in milliseconds.
     pub queueing_delay: f64,
-    /// The group of the request, where engines are divided, and whether the upstream is
-    /// among those that take it.
+    /// The prompt group of the request and whether the upstream belongs to it, if the engines of
+    /// the service are divided.
     pub group: Option<(PromptGroup, bool)>,
-    /// How far it is.
+    /// The distance to the upstream.
     pub distance: Distance,
-    /// Why the request leaves its region, if it does.
+    /// The reason why the request leaves its region, if it does.
     pub crossing: Option<CrossingReason>,
-    /// How many upstreams were weighed.
+    /// The number of candidates that were compared.
     pub candidates: usize,
-    /// The upstream that nearly won, with its expected delay.
+    /// The candidate with the second lowest cost, and its cost in milliseconds.
     pub runner_up: Option<(UpstreamId, f64)>,
 }
 
-/// What a process lacks of the list of upstreams after another one has told it something.
+/// The part of the list of upstreams that a process lacks after an update from another process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListGap {
-    /// Nothing that the other one knows.
+    /// No part that the sender has.
     Nothing,
-    /// Changes before those that it was told.
+    /// Changes before those in the update.
     Changes,
-    /// It knows of every change, and its list is another one all the same.
+    /// The full list: this process has seen every change, yet its list differs from the sender's.
     FullList,
 }
 
@@ -146,49 +147,49 @@
 pub struct UpstreamTable {
     revision: u64,
     updated_at: Option<Time>,
-    /// The last revision at which an upstream went that is not remembered any more.
+    /// The highest revision of an upstream that was dropped from the table after its removal.
     forgotten_revision: u64,
     upstreams: BTreeMap<UpstreamId, Upstream>,
-    /// Upstreams that have started again, of which nobody was told yet.
+    /// Restarted upstreams that no caller of `take_restarted` has received yet.
     restarted: Vec<UpstreamId>,
-    /// What was seen of the requests of each service.
+    /// The observed mix of requests, by service.
     request_mixes: BTreeMap<Service, RequestMix>,
     /// The failure domains that operators have evacuated.
     evacuated: BTreeSet<Domain>,
-    /// Which failure domain lies in which region.
+    /// The region of each failure domain.
     regions: RegionMap,
-    /// Where this process stands, and what distance costs it.
+    /// The location of this process, and the costs of distance from it.
     location: Location,
     distance_costs: DistanceCosts,
     slow_start: SlowStart,
     canary: Canary,
-    /// The turn of the rules of roll-outs in force.
+    /// The sequence number of the rollout rules in force.
     rules_sequence: u64,
-    /// How requests go at services that are rolled out.
+    /// The outcomes of requests at services with a rollout.
     tallies: Tallies,
-    /// The services, without engines, that requests of this process went to.
+    /// The services without engines to which this process has sent requests.
     plain_services: BTreeSet<Service>,
-    /// Whether any upstream has named a limit.
+    /// Whether any upstream has announced a rate limit.
     has_limits: bool,
-    /// When others were told of limits last, and with which note the next turn begins.
+    /// When limits were last reported, and the index of the first one in the next report.
     limits_reported_at: Option<Time>,
     limits_offset: usize,
 }
 
 impl UpstreamTable {
-    /// Returns the revision of the list in force, and when it was learned.
+    /// Returns the revision of the list in force and when it was applied or confirmed.
     #[must_use]
     pub fn last_update(&self) -> (u64, Option<Time>) {
         (self.revision, self.updated_at)
     }
 
-    /// Sets which failure domain lies in which region.
+    /// Sets the region of each failure domain.
     pub fn set_regions(&mut self, regions: RegionMap) {
         self.regions = regions;
         self.update_locations();
     }
 
-    /// Sets where this process stands, and what distance costs it.
+    /// Sets the location of this process and the costs of distance from it.
     pub fn set_location(&mut self, location: Location, distance_costs: DistanceCosts) {
         (self.location, self.distance_costs) = (location, distance_costs);
         self.update_locations();
@@ -200,23 +201,23 @@
         }
     }
 
-    /// Returns which failure domain lies in which region.
+    /// Returns the region of each failure domain.
     #[must_use]
     pub fn regions(&self) -> &RegionMap {
         &self.regions
     }
 
-    /// Sets the fleet's bound on what cold upstreams get, and how many VMs send to each.
+    /// Sets the fleet's bound on requests to cold upstreams, and how many VMs send to each.
     pub fn set_warm_up_bound(&mut self, bound: Option<WarmUpBound>, senders: usize) {
         self.slow_start.set_bound(bound, senders);
     }
 
-    /// Sets how the upstreams of each service start.
+    /// Sets how the upstreams of each service warm up.
     pub fn set_warm_ups(&mut self, warm_ups: BTreeMap<Service, WarmUp>) {
         self.slow_start.set_warm_ups(warm_ups);
     }
 
-    /// Takes in who may send to cold upstreams by the view in force.
+    /// Applies the order of senders that follows from the view in force.
     pub fn set_senders(&mut self, now: Time, senders: Senders) {
         self.slow_start.set_senders(senders);
         for upstream in self.upstreams.values_mut() {
@@ -224,10 +225,10 @@
         }
     }
 
-    /// Takes in that domains were evacuated or taken back; returns the upstreams concerned.
+    /// Applies evacuations and restorations of domains; returns the affected upstreams.
     ///
-    /// Those of a domain that was taken back count as just started, unless they have written
-    /// since how it is.
+    /// Upstreams of a restored domain count as just started, unless their entries were written
+    /// after the restoration.
     pub fn apply_evacuations(&mut self, now: Time, changes: &[DomainChange]) -> Vec<UpstreamId> {
         let mut affected = Vec::new();
         for change in changes {
@@ -252,8 +253,8 @@
         affected
     }
 
-    /// Returns how many upstreams get nothing since their domain is evacuated, and how many
-    /// are cold.
+    /// Returns the number of upstreams that get no requests because their domain is evacuated, and
+    /// the number of cold ones.
     #[must_use]
     pub fn restricted_counts(&self, now: Time) -> (usize, usize) {
         let listed = || self.upstreams.values().filter(|u| u.removed_at.is_none());
@@ -263,7 +264,8 @@
         (evacuated, listed().filter(is_cold).count())
     }
 
-    /// Returns when the first cold upstream of a service is warm, if requests may wait for one.
+    /// Returns the time until the first cold upstream of a service is warm; `None` if none is cold
+    /// or the service does not need to warm up.
     #[must_use]
     pub fn time_until_warm(&self, now: Time, service: &Service) -> Option<Duration> {
         self.slow_start.warm_up(service)?;
@@ -272,13 +274,13 @@
         usable.map(|u| u.time_until_warm(now)).filter(|span| !span.is_zero()).min()
     }
 
-    /// Notes that a request for an engine came on a route.
+    /// Records a request for an engine that arrived on a route.
     pub fn record_arrival(&mut self, now: Time, service: &Service, route: &str, size: PromptSize) {
         self.request_mixes.entry(service.clone()).or_default().record_arrival(now, route, size);
     }
 
-    /// Returns what the requests of this process need of the engines of each service that
-    /// has enough engines to divide.
+    /// Returns the demand of this process on the engines of each service that has enough engines to
+    /// divide.
     pub fn engine_demand(&mut self, now: Time) -> Vec<EngineDemand> {
         let upstreams = &self.upstreams;
         let mut demand = Vec::new();
@@ -295,9 +297,9 @@
         demand
     }
 
-    /// Divides the engines of each service by what all processes need.
+    /// Divides the engines of each service by the demand of all processes.
     ///
-    /// Returns the services that are divided anew.
+    /// Returns the services whose division changed.
     pub fn divide_engines(&mut self, demand: &[EngineDemand]) -> Vec<(Service, EngineDivision)> {
         let services: BTreeSet<_> =
             self.upstreams.values().map(|u| u.info.service.clone()).collect();
@@ -306,22 +308,22 @@
             let number = service_number(&service);
             let demand = demand.iter().find(|demand| demand.service == number);
             let mix = self.request_mixes.entry(service.clone()).or_default();
-            // A service that nobody has needs of is divided no more.
+            // Without any demand the service is no longer divided.
             let division = mix.divide(&demand.copied().unwrap_or_default());
             changed.extend(division.map(|division| (service, division)));
         }
         changed
     }
 
-    /// Notes how a request went that an engine answered whole.
+    /// Records the timing of a request that an engine answered completely.
     pub fn record_timing(&mut self, service: &Service, route: &str, seen: &ObservedTiming) {
         if let Some(mix) = self.request_mixes.get_mut(service) {
             mix.record_timing(route, seen);
         }
     }
 
-    /// Notes how long a request has waited for the first event of its answer, be it there or
-    /// not, at an engine that was expected to read so many tokens first.
+    /// Records how long a request has waited for the first event of its answer, whether or not that
+    /// has arrived, at an engine that was expected to read `uncached` tokens first.
     pub fn record_first_event_wait(
         &mut self,
         now: Time,
@@ -340,8 +342,8 @@
         upstream.queueing_delay.observe(now, span.saturating_sub(reading));
     }
 
-    /// Notes how long a request took at a plain upstream, or counts for that was turned away
-    /// there.
+    /// Records the response time of a request at an upstream without a prompt to read, or the time
+    /// that a rejected request counts for.
     pub fn record_response_time(&mut self, now: Time, id: &UpstreamId, span: Duration) {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
@@ -352,8 +354,8 @@
         }
     }
 
-    /// Returns the upstreams with a lag that other processes should know of, another few at
-    /// each turn where there are many.
+    /// Returns the queueing delays to report to other processes; if there are more than fit into
+    /// one report, each round takes the next ones.
     #[must_use]
     pub fn delay_reports(&self, now: Time, round: usize) -> Vec<DelayReport> {
         let report = |u: &Upstream| {
@@ -369,7 +371,7 @@
             .collect()
     }
 
-    /// Takes in what another process knows of lags.
+    /// Applies queueing delays that another process reported.
     pub fn apply_delay_reports(&mut self, now: Time, reports: &[DelayReport]) {
         for upstream in self.upstreams.values_mut() {
             let number = upstream.short_id();
@@ -379,7 +381,7 @@
         }
     }
 
-    /// Notes that a request goes to an upstream.
+    /// Records that a request is sent to an upstream.
     pub fn start_request(&mut self, now: Time, id: &UpstreamId, parts: &[PromptPart]) {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
@@ -388,7 +390,7 @@
         upstream.start_request(now, share, parts);
     }
 
-    /// Notes how a request at an upstream ended.
+    /// Records the outcome of a request at an upstream.
     pub fn end_request(&mut self, now: Time, id: &UpstreamId, outcome: AttemptOutcome) {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
@@ -397,13 +399,13 @@
         upstream.record_outcome(now, outcome);
     }
 
-    /// Tells whether any upstream of a service may be used.
+    /// Returns whether any upstream of a service is usable.
     #[must_use]
     pub fn serves(&self, now: Time, service: &Service) -> bool {
         self.upstreams.values().any(|u| u.info.service == *service && u.is_usable(now))
     }
 
-    /// Tells whether an upstream may still get requests.
+    /// Returns whether an upstream may still get requests.
     #[must_use]
     pub fn is_usable(&self, now: Time, id: &UpstreamId) -> bool {
         let Some(upstream) = self.upstreams.get(id).filter(|u| u.is_usable(now)) else {
@@ -416,19 +418,19 @@
         }
     }
 
-    /// Tells whether the list still names a process of an upstream.
+    /// Returns whether the table still has this process of an upstream.
     #[must_use]
     pub fn is_current_process(&self, id: &UpstreamId, process: u32) -> bool {
         self.upstreams.get(id).is_some_and(|upstream| upstream.process == process)
     }
 
-    /// Returns how many upstreams the list names.
+    /// Returns the number of listed upstreams.
     #[must_use]
     pub fn len(&self) -> usize {
         self.upstreams.values().filter(|u| u.removed_at.is_none()).count()
     }
 
-    /// Tells whether the list names no upstream.
+    /// Returns whether no upstream is listed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
--- a/crates/badgerfield-core/src/upstream_table/rollout.rs
+++ b/crates/badgerfield-core/src/upstream_table/rollout.rs
@@ -1,4 +1,4 @@
-//! What the table of upstreams knows of services that are rolled out, for other parts.
+//! Rollout rules, counts and tallies in the table of upstreams.
 
 use std::time::Duration;
 
@@ -12,13 +12,14 @@
 use crate::rollout::{Allowance, RolloutRule, RolloutRules, RolloutTally};
 
 impl UpstreamTable {
-    /// Puts rules in force, and no others; returns those that are new or differ.
+    /// Replaces the rules in force; returns those that are new or have changed.
     pub fn set_rollout_rules(&mut self, rules: Vec<RolloutRule>) -> Vec<RolloutRule> {
         self.tallies.set_rules(&rules);
         self.canary.set_rules(rules)
     }
 
-    /// Puts a set of rules in force, unless a newer one is; returns those that are news.
+    /// Puts a set of rules in force, unless a newer set is; returns those that are new or have
+    /// changed.
     pub fn apply_rule_set(&mut self, set: RolloutRules) -> Vec<RolloutRule> {
         if set.sequence <= self.rules_sequence {
             return Vec::new();
@@ -27,13 +28,14 @@
         self.set_rollout_rules(set.rules)
     }
 
-    /// Returns the rules in force, with how many requests of this process went by each.
+    /// Returns the rules in force, with the requests that this process has sent to the service of
+    /// each.
     #[must_use]
     pub fn rollout_rules(&self) -> Vec<(RolloutRule, SentCounts)> {
         self.canary.rules().map(|(rule, sent)| (rule.clone(), sent)).collect()
     }
 
-    /// Counts a request that goes to an upstream among those of the versions of its service.
+    /// Counts a request that is sent to an upstream, for the shares of the versions of its service.
     pub fn record_sent(&mut self, now: Time, criteria: &UpstreamCriteria<'_>, id: &UpstreamId) {
         let version = self.upstreams.get(id).and_then(|upstream| upstream.info.version.as_ref());
         let Some(target) = self.canary.target(criteria.service) else {
@@ -53,7 +55,7 @@
         self.canary.record_sent(criteria, version, target_available);
     }
 
-    /// Takes back that a request went to an upstream: nothing of it got there.
+    /// Undoes `record_sent` for a request of which nothing reached the upstream.
     pub fn undo_sent(&mut self, id: &UpstreamId, route: &str) {
         let Some(upstream) = self.upstreams.get(id) else {
             return;
@@ -62,11 +64,12 @@
         self.canary.undo_sent(&info.service, route, info.version.as_ref());
     }
 
-    /// Notes that the first part of an answer (of a plain one, the whole) has come, so long
-    /// after the request was sent to an upstream that was expected to read so many tokens first.
+    /// Records that the first part of an answer (the whole answer, if it is not streamed) arrived
+    /// `wait` after the request was sent to an upstream that was expected to read `uncached` tokens
+    /// first.
     ///
-    /// Returns how it came, and whether it is a bad answer of the target; nothing where nobody
-    /// asks.
+    /// Returns the speed of the answer, and whether it is a bad answer of the target; `None` if the
+    /// service has no rollout.
     pub fn record_answer(
         &mut self,
         id: &UpstreamId,
@@ -81,8 +84,8 @@
         })
     }
 
-    /// Notes that an answer did not come or broke off; `came` is how its first part came, if it
-    /// did. Returns whether it is a bad answer of the target.
+    /// Records that an answer did not come or broke off; `first_part` is the speed of its first
+    /// part, if that arrived. Returns whether it is a bad answer of the target.
     pub fn record_failure(
         &mut self,
         id: &UpstreamId,
@@ -96,9 +99,8 @@
         is_target.unwrap_or(false)
     }
 
-    /// Notes that a request was given up, so long after it was sent and before anything came
-    /// of it; it counts if it had come late anyway. Returns whether it is a bad answer of the
-    /// target.
+    /// Records that a request was abandoned `wait` after it was sent, before any part of the answer
+    /// arrived. It counts if it was late already. Returns whether it is a bad answer of the target.
     pub fn record_abandoned(
         &mut self,
         id: &UpstreamId,
@@ -113,7 +115,7 @@
         late.unwrap_or(false)
     }
 
-    /// Returns how requests of this process went at services that are rolled out.
+    /// Returns the outcomes of requests of this process at services with a rollout.
     #[must_use]
     pub fn rollout_tallies(&self, now: Time) -> Vec<RolloutTally> {
         let mut tallies = Vec::new();
@@ -125,20 +127,21 @@
             let others = listed().filter(|u| !is_target(u.info.version.as_ref()));
             let running = others.fold(0_u32, |sum, u| sum.saturating_add(u.running));
             let ready = u32::try_from(ready).unwrap_or(u32::MAX);
-            let moved = rule.allowance == Allowance::All;
-            tallies.push(tally.snapshot(rule, ready, running, moved));
+            let is_complete = rule.allowance == Allowance::All;
+            tallies.push(tally.snapshot(rule, ready, running, is_complete));
         }
         tallies
     }
 
-    /// Tells whether an upstream serves whose version is free to get requests.
+    /// Returns whether a service has a usable upstream whose version has unrestricted access.
     pub(super) fn has_unrestricted(&self, now: Time, service: &Service) -> bool {
         let usable = self.upstreams.values().filter(|u| u.info.service == *service);
         let mut usable = usable.filter(|u| u.is_usable(now));
         usable.any(|u| self.canary.access(now, u) == VersionAccess::Unrestricted)
     }
 
-    /// Takes in which versions there are. What is known before the whole list tells nothing.
+    /// Updates the versions that the list names. Entries that arrive before the first full list are
+    /// ignored, since they do not show which versions there are.
     pub(super) fn update_versions(&mut self, now: Time) {
         if self.revision == 0 {
             return;
@@ -154,7 +157,7 @@
         self.canary.record_versions(now, &listed);
     }
 
-    /// Returns how long an upstream is expected to read so many tokens.
+    /// Returns how long an upstream is expected to take to read so many tokens.
     fn read_time(&self, id: &UpstreamId, uncached: u64) -> Duration {
         if uncached == 0 {
             return Duration::ZERO;
@@ -166,7 +169,8 @@
         )
     }
 
-    /// Hands a tally what is known of an upstream; nothing where its service has none.
+    /// Calls `update` with the tally of an upstream's service; returns `None` if the service has
+    /// none.
     fn with_tally<T>(
         &mut self,
         id: &UpstreamId,
--- a/crates/badgerfield-core/src/upstream_table/slow_start.rs
+++ b/crates/badgerfield-core/src/upstream_table/slow_start.rs
@@ -1,18 +1,18 @@
-//! Which services have upstreams that start slowly, and who may send to them meanwhile.
+//! Which services need a slow start, and which processes may send to their cold upstreams.
 
 use std::collections::BTreeMap;
 
 use crate::ids::Service;
 use crate::warm_up::{SenderShare, Senders, WarmUp, WarmUpBound};
 
-/// What the table of upstreams needs to know to spare cold ones.
+/// The settings and the senders that limit requests to cold upstreams.
 #[derive(Debug, Default)]
 pub(super) struct SlowStart {
     warm_ups: BTreeMap<Service, WarmUp>,
-    /// The fleet's bound; where there is none, nothing is spared.
+    /// The fleet's bound; without one, cold upstreams are not limited.
     bound: Option<WarmUpBound>,
     senders: Senders,
-    /// How many VMs may send to one cold upstream.
+    /// The number of VMs that may send to one cold upstream.
     sender_count: usize,
 }
 
@@ -30,23 +30,23 @@
         self.senders = senders;
     }
 
-    /// Returns the order in which processes may send to upstreams that take few requests.
+    /// Returns the order in which VMs may send to upstreams that take few requests.
     pub(super) fn senders(&self) -> &Senders {
         &self.senders
     }
 
-    /// Tells whether this process may send to an upstream while it is cold.
+    /// Returns whether this process may send to an upstream while it is cold.
     pub(super) fn is_sender(&self, upstream: u64) -> bool {
         self.senders.rank(upstream).is_some_and(|rank| rank < self.sender_count)
     }
 
-    /// Returns how the upstreams of a service start, if they have to be spared.
+    /// Returns how the upstreams of a service warm up, if requests to cold ones are limited.
     pub(super) fn warm_up(&self, service: &Service) -> Option<WarmUp> {
         self.bound?;
         self.warm_ups.get(service).copied()
     }
 
-    /// Returns what one sender may send to a cold upstream of a service.
+    /// Returns the share of one sender at a cold upstream of a service.
     pub(super) fn sender_share(&self, service: &Service) -> Option<SenderShare> {
         SenderShare::of(&self.warm_up(service)?, &self.bound?, self.sender_count)
     }
--- a/crates/badgerfield-core/src/upstream_table/upstream.rs
+++ b/crates/badgerfield-core/src/upstream_table/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream of the table: what the list says of it, and what this VM saw of it.
+//! One upstream of the table: its entry in the list, and what this process observed.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -18,102 +18,104 @@
 use crate::upstream_table::slow_start::SlowStart;
 use crate::warm_up::{Bucket, HOLD_OFF, SenderShare};
 
-/// The expected delay by each request under way at an engine, in milliseconds.
+/// The expected delay from each running request at an engine, in milliseconds.
 const RUNNING_REQUEST_COST_MS: f64 = 1.5;
-/// The expected delay by each call under way at a plain service, in milliseconds.
+/// The expected delay from each running request at a plain service, in milliseconds.
 const RUNNING_CALL_COST_MS: f64 = 30.0;
-/// How long a read prompt part is taken to stay in an engine's memory.
+/// How long an engine is expected to keep a prompt part in its cache after reading it.
 const PART_RETENTION: Duration = Duration::from_secs(120);
-/// How many prompt parts are remembered for each upstream.
+/// The number of recorded prompt parts above which parts that are due to be evicted early are
+/// dropped.
 const MAX_PARTS: usize = 4096;
-/// After how many failures in a row an upstream rests.
+/// The number of consecutive failures from which an upstream is avoided for a while.
 const FAILURES_BEFORE_BACK_OFF: u32 = 2;
-/// How long an upstream rests after failures.
+/// How long an upstream is avoided after the first such failure; each further one adds as much.
 const FAILURE_BACK_OFF: Duration = Duration::from_secs(2);
-/// The longest that an upstream rests.
+/// The maximum time for which an upstream is avoided after failures.
 const MAX_FAILURE_BACK_OFF: Duration = Duration::from_secs(8);
-/// The weight of one outcome in the failing share of an upstream.
+/// The weight of one outcome in the average shares of failed and rejected requests.
 const OUTCOME_WEIGHT: f64 = 0.15;
-/// What a request that was turned away counts in the share of these: it was not lost, and may
-/// still be served elsewhere.
+/// What a rejected request counts in the share of rejected ones. It counts less than a failed
+/// request, since it was not lost and may still be served elsewhere.
 const REJECTED_OUTCOME: f64 = 0.5;
-/// The expected delay by a failing share of one, in milliseconds.
+/// The expected delay at a share of failures of one, in milliseconds.
 const FAILURE_COST_MS: f64 = 2000.0;
-/// After how long the share of requests that were turned away as too many counts half. An
-/// upstream that is avoided shows nothing new; crowds on the users' sheets last 3 to 9 s.
+/// The half-life of the share of rejected requests. No new outcomes are observed at an upstream
+/// that is avoided, and crowds on the users' sheets last 3 to 9 s.
 const REJECTED_HALF_LIFE: Duration = Duration::from_secs(3);
-/// After how long the share of requests that failed counts half: what fails a part of its
-/// requests is seldom mended soon, and each that is sent to find out may be lost.
+/// The half-life of the share of failed requests. It is longer, since a fault that fails some of
+/// the requests is seldom repaired soon, and each request that probes for this may be lost.
 const FAILED_HALF_LIFE: Duration = Duration::from_secs(15);
-/// How long an upstream may still be used whose entry vanished together with those of all
-/// others of its service.
+/// How long an upstream remains usable after its entry vanished together with those of all other
+/// upstreams of its service.
 const LAPSE_GRACE: Duration = Duration::from_millis(1300);
 
-/// One upstream, with what this VM saw of it.
+/// One upstream, with the observations of this process.
 #[derive(Debug)]
 pub(super) struct Upstream {
     pub(super) info: ListedUpstream,
-    /// The revision of the list at which it was written or went last.
+    /// The revision of the list at which its entry was last written or removed.
     pub(super) revision: u64,
-    /// The revision up to which all that it says was known. Upstreams write their entries anew
-    /// every second, and what says nothing new is not told to others.
+    /// The revision at which its entry last changed. Upstreams rewrite their entries every second,
+    /// and entries that are rewritten without a change are not sent to other processes.
     pub(super) changed_revision: u64,
-    /// Stands for what the list says of it. Lists are compared with each piece of news: to
-    /// reckon it anew for 3,000 upstreams each time took a tenth of a small VM's processor.
+    /// The digest of its entry. Lists are compared with each update: recomputing the digests of
+    /// 3,000 upstreams each time took a tenth of a small VM's processor.
     pub(super) digest: u64,
-    /// Stands for its process in messages: one that starts again has another.
+    /// Identifies its process in messages: an upstream that restarts has another value.
     pub(super) process: u32,
     pub(super) seed: u64,
-    /// Where it stands among the upstreams of its service, from 0 to 1.
+    /// Its position among the upstreams of its service, from 0 to 1.
     pub(super) position: f64,
     pub(super) running: u32,
-    /// When its entry was found gone, if it has not come back since.
+    /// When its entry was found to be gone, if it has not reappeared since.
     pub(super) removed_at: Option<Time>,
-    /// Whether all entries of its service vanished at once, as they do when the platform
-    /// lets leases lapse; upstreams that leave do so one after the other.
+    /// Whether all entries of its service vanished at once, as when the platform lets leases lapse;
+    /// upstreams that leave do so one by one.
     pub(super) leases_lapsed: bool,
-    /// The share of requests that failed there, and of those that it turned away.
+    /// The shares of failed and of rejected requests, as of `outcome_at`.
     failed_share: f64,
     rejected_share: f64,
-    /// When it was seen last how a request ended there.
+    /// When an outcome was last recorded.
     outcome_at: Time,
     pub(super) consecutive_failures: u32,
     pub(super) avoid_until: Time,
     pub(super) parts: HashMap<u64, Time>,
-    /// How long requests wait there beyond what their prompts take to read.
+    /// The queueing delay at the upstream.
     pub(super) queueing_delay: Lag,
     /// Whether operators have evacuated its failure domain.
     pub(super) evacuated: bool,
-    /// Its region, if it is known.
+    /// Its region, if known.
     pub(super) region: Option<Region>,
-    /// How far it is from this process.
+    /// Its distance from this process.
     pub(super) distance: Distance,
-    /// Until when and how it is spared, while it is cold.
+    /// How long it is cold and what it may get meanwhile.
     cold: Option<ColdState>,
-    /// What its process has said of itself in its answers.
+    /// What its process has announced in its answers.
     pub(super) announced: Announcements,
 }
 
-/// How an upstream is spared that is not warm yet.
+/// The state of an upstream that is not warm yet.
 #[derive(Debug, Clone, Copy)]
 struct ColdState {
     until: Time,
-    /// The platform's revision at which it was said to be cold; only what was written later
-    /// may say that it is warm.
+    /// The revision at which the upstream was recorded as cold; only an entry that is written later
+    /// can mark it as warm.
     since_revision: u64,
-    /// What this process may send, if it is among the senders.
+    /// The requests that this process may send, if it is a sender.
     bucket: Option<Bucket>,
 }
 
-/// What the costs of upstreams are reckoned with, for one request.
+/// The parameters from which the costs of upstreams are computed for one request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CostParams {
     /// The time to read a prompt token, in milliseconds.
     read_ms: f64,
     /// How the engines are divided, and the group of the request.
     pub(super) division: Option<(EngineDivision, PromptGroup)>,
-    /// What it costs to send the request among those of the other group, in milliseconds:
-    /// as much as a long prompt takes to read, since one of the two waits for that.
+    /// The cost of sending the request to an engine of the other group, in milliseconds. It is the
+    /// time to read a long prompt, since either the request or a long prompt behind it waits that
+    /// long.
     other_group_ms: f64,
 }
 
@@ -130,7 +132,7 @@
         Self { read_ms, division, other_group_ms }
     }
 
-    /// Returns how long an engine reads parts of a prompt, in milliseconds.
+    /// Returns how long an engine takes to read parts of a prompt, in milliseconds.
     pub(super) fn read_ms(&self, parts: &[PromptPart]) -> f64 {
         float(parts.iter().map(|part| part.tokens).sum()) * self.read_ms
     }
@@ -170,16 +172,16 @@
         }
     }
 
-    /// Tells whether an entry speaks of another process than the one that is known here, under the
-    /// same id.
+    /// Returns whether an entry belongs to another process than the recorded one, under the same
+    /// id.
     pub(super) fn is_other_process(&self, info: &ListedUpstream) -> bool {
         let is_later =
             self.info.started_at.zip(info.started_at).is_some_and(|(known, told)| known != told);
         is_later || self.info.address != info.address
     }
 
-    /// Forgets what was seen of an earlier process under its id: a new one has read no prompts,
-    /// owes no answers and may be well where the earlier one failed.
+    /// Resets the observations of the previous process: a new process has cached no prompts, has no
+    /// outstanding requests and may work where the previous one failed.
     pub(super) fn reset_process(&mut self) {
         self.failed_share = 0.0;
         self.rejected_share = 0.0;
@@ -191,7 +193,7 @@
         self.announced = Announcements::default();
     }
 
-    /// Returns what the platform's list says of it, for other processes.
+    /// Returns its list entry, for other processes.
     pub(super) fn entry(&self, now: Time) -> UpstreamEntry {
         UpstreamEntry {
             revision: self.revision,
@@ -200,19 +202,19 @@
         }
     }
 
-    /// Takes in where it and this process stand.
+    /// Updates its region and its distance from this process.
     pub(super) fn update_location(&mut self, own: &Location, regions: &RegionMap) {
         self.region = regions.region(&self.info.domain).cloned();
         self.distance = own.distance(&self.info.domain, regions);
     }
 
-    /// Returns the number that stands for the upstream in messages.
+    /// Returns the number that identifies the upstream in messages.
     pub(super) fn short_id(&self) -> u32 {
         let [a, b, c, d, ..] = self.seed.to_be_bytes();
         u32::from_be_bytes([a, b, c, d])
     }
 
-    /// Takes in what an entry says of it.
+    /// Replaces its list entry.
     pub(super) fn set_info(&mut self, info: ListedUpstream) {
         self.digest = digest_of(&info);
         self.process = process_id(&info);
@@ -238,8 +240,8 @@
         !self.time_until_warm(now).is_zero()
     }
 
-    /// Takes in what an entry of the list says about how long it stays cold; returns whether
-    /// it has turned cold or warm.
+    /// Applies the remaining cold time from a list entry; returns whether the upstream turned cold
+    /// or warm.
     pub(super) fn apply_warm_in(
         &mut self,
         now: Time,
@@ -259,7 +261,7 @@
         true
     }
 
-    /// Counts it as cold until a time, which the platform said at a revision.
+    /// Marks it as cold until a time, as of a revision of the platform's store.
     pub(super) fn mark_cold(
         &mut self,
         now: Time,
@@ -275,8 +277,8 @@
         self.cold = Some(ColdState { until, since_revision: revision, bucket });
     }
 
-    /// Lets it be sent to by the senders of another view; one that has become a sender waits until
-    /// the others have learned of it.
+    /// Applies the senders of a new view. A process that becomes a sender waits for [`HOLD_OFF`]
+    /// until the others have received the view.
     pub(super) fn apply_senders(&mut self, now: Time, slow_start: &SlowStart) {
         let from = now.after(HOLD_OFF);
         let seed = self.seed;
@@ -288,8 +290,8 @@
         cold.bucket = is_sender.then(|| cold.bucket.unwrap_or_else(|| Bucket::new(from)));
     }
 
-    /// Tells whether a request may be sent there as far as its start allows; `share` is what
-    /// each sender may send while it is cold.
+    /// Returns whether the warm-up of the upstream allows another request; `share` is the share of
+    /// each sender while the upstream is cold.
     pub(super) fn has_cold_capacity(&self, now: Time, share: Option<SenderShare>) -> bool {
         let Some(cold) = self.cold.filter(|cold| cold.until > now) else {
             return true;
@@ -298,7 +300,7 @@
         bucket.is_some_and(|(bucket, share)| bucket.may_send(now, share))
     }
 
-    /// Notes that a request goes there.
+    /// Records that a request is sent to the upstream.
     pub(super) fn start_request(
         &mut self,
         now: Time,
@@ -325,7 +327,7 @@
         now: Time,
         criteria: &UpstreamCriteria<'_>,
         params: &CostParams,
-        is_home: bool,
+        is_preferred: bool,
     ) -> f64 {
         let jitter =
             f64::from(u32::try_from((self.seed ^ criteria.random) % 1000).unwrap_or(0)) / 1e3;
@@ -335,19 +337,25 @@
         if criteria.parts.is_empty() {
             return running * RUNNING_CALL_COST_MS + failing + jitter;
         }
-        let read = float(self.uncached_tokens(now, criteria.parts, is_home)) * params.read_ms;
+        let read = float(self.uncached_tokens(now, criteria.parts, is_preferred)) * params.read_ms;
         let apart = if params.is_in_group(self) { 0.0 } else { params.other_group_ms };
         read + apart + running * RUNNING_REQUEST_COST_MS + failing + jitter
     }
 
-    /// Returns how many tokens of a prompt's shared parts it is expected to read.
-    pub(super) fn uncached_tokens(&self, now: Time, parts: &[PromptPart], is_home: bool) -> u64 {
+    /// Returns how many tokens of a prompt's shared parts the upstream is expected to read.
+    pub(super) fn uncached_tokens(
+        &self,
+        now: Time,
+        parts: &[PromptPart],
+        is_preferred: bool,
+    ) -> u64 {
         let mut uncached = 0;
         let mut known = true;
         for part in shared_parts(parts) {
             let fresh = self.parts.get(&part.id).is_some_and(|at| now.since(*at) < PART_RETENTION);
-            // All VMs send a chain home, so what another VM sent there is known too.
-            known &= fresh || is_home;
+            // All VMs send a prefix to its preferred upstream, so it is assumed to have cached
+            // parts that other VMs sent.
+            known &= fresh || is_preferred;
             if !known {
                 uncached += part.tokens;
             }
@@ -355,8 +363,7 @@
         uncached
     }
 
-    /// Returns the shares of requests that failed and that were turned away, as far as they
-    /// still count.
+    /// Returns the shares of failed and of rejected requests, decayed to the present.
     fn failure_shares(&self, now: Time) -> (f64, f64) {
         let age = now.since(self.outcome_at).as_secs_f64();
         let left = |half: Duration| (-age / half.as_secs_f64()).exp2();
@@ -388,7 +395,7 @@
     }
 }
 
-/// Returns the number that stands for the process that an entry names.
+/// Returns the number that identifies the process of an entry.
 fn process_id(info: &ListedUpstream) -> u32 {
     let text = format!("{} {}", info.address, info.started_at.unwrap_or_default());
     let [a, b, c, d, ..] = xxh3_64(text.as_bytes()).to_be_bytes();
