--- a/crates/badgerfield-core/src/rate_limit.rs
+++ b/crates/badgerfield-core/src/rate_limit.rs
@@ -79,14 +79,14 @@
     }
 
     /// Returns how many of `members` processes may send.
-    fn senders(self, members: usize) -> u32 {
+    fn sender_count(self, members: usize) -> u32 {
         let members = u32::try_from(members).unwrap_or(u32::MAX).max(1);
-        let wanted = MIN_SENDERS + (self.rate() / RATE_PER_SENDER).floor();
-        if wanted >= f64::from(members) {
+        let count = MIN_SENDERS + (self.rate() / RATE_PER_SENDER).floor();
+        if count >= f64::from(members) {
             return members;
         }
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "within range")]
-        let senders = wanted as u32;
+        let senders = count as u32;
         senders
     }
 
@@ -154,7 +154,8 @@
     rank: Option<(usize, usize)>,
     /// The requests that it may send, if it is a sender.
     bucket: Option<Bucket>,
-    /// The span in which it had requests for the upstream, without a long pause.
+    /// The span in which it had requests for the upstream, without a pause of
+    /// [`MIN_PROBE_DELAY`] or longer.
     demand: Option<(Time, Time)>,
     /// When it last sent a probe to the upstream, without being a sender.
     probed_at: Time,
@@ -168,18 +169,18 @@
         pacer
     }
 
-    fn senders(&self) -> u32 {
-        self.limit.senders(self.rank.map_or(1, |(_, members)| members))
+    fn sender_count(&self) -> u32 {
+        self.limit.sender_count(self.rank.map_or(1, |(_, members)| members))
     }
 
     fn share(&self) -> SenderShare {
-        self.limit.share(self.senders())
+        self.limit.share(self.sender_count())
     }
 
     /// Decides by rank whether this process is a sender; a new sender starts at `from` with an
     /// empty bucket.
     fn choose_role(&mut self, from: Time) {
-        let senders = usize::try_from(self.senders()).unwrap_or(usize::MAX);
+        let senders = usize::try_from(self.sender_count()).unwrap_or(usize::MAX);
         let is_sender = self.rank.is_some_and(|(rank, _)| rank < senders);
         self.bucket = is_sender.then(|| self.bucket.unwrap_or_else(|| Bucket::new(from)));
     }
@@ -191,7 +192,7 @@
         let interval = self.share().rate.recip();
         let min_delay = MIN_PROBE_DELAY.as_secs_f64().max(PROBE_INTERVALS * interval);
         let position = f64::from(u32::try_from(rank).unwrap_or(u32::MAX)) + 1.0;
-        let factor = 1.0 + (position / f64::from(self.senders())).log2();
+        let factor = 1.0 + (position / f64::from(self.sender_count())).log2();
         Duration::try_from_secs_f64(min_delay * factor).ok()
     }
 
@@ -262,16 +263,18 @@
             return;
         }
         let age = Duration::from_millis(report.age_ms.into());
-        let at = Time(now.0.saturating_sub(age));
+        let announced_at = Time(now.0.saturating_sub(age));
         if differs
-            && self.answered_at.is_some_and(|answered_at| answered_at.since(at) > MAX_AGE_ERROR)
+            && self
+                .answered_at
+                .is_some_and(|answered_at| answered_at.since(announced_at) > MAX_AGE_ERROR)
         {
             // The upstream has announced otherwise to this process since then.
             self.version = report.version.saturating_add(1);
             self.report_until = now.after(END_REPORT_SPAN);
             return;
         }
-        (self.version, self.announced_at) = (report.version, at);
+        (self.version, self.announced_at) = (report.version, announced_at);
         self.set(now, limit, rank);
     }
 
--- a/crates/badgerfield-core/src/upstream_table/canary.rs
+++ b/crates/badgerfield-core/src/upstream_table/canary.rs
@@ -32,7 +32,7 @@
 
 /// The access of a version to requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum VersionAccess {
+pub(super) enum Access {
     /// Any request.
     Unrestricted,
     /// The share of requests that the rule allows.
@@ -125,9 +125,9 @@
     }
 
     /// Returns which requests the version of an upstream may get.
-    pub(super) fn access(&self, now: Time, upstream: &Upstream) -> VersionAccess {
+    pub(super) fn access(&self, now: Time, upstream: &Upstream) -> Access {
         let versions = self.active_service(&upstream.info.service);
-        versions.map_or(VersionAccess::Unrestricted, |versions| {
+        versions.map_or(Access::Unrestricted, |versions| {
             versions.access(now, upstream.info.version.as_ref())
         })
     }
@@ -193,9 +193,9 @@
     }
 
     fn active_service(&self, service: &Service) -> Option<&ServiceVersions> {
-        let versions = self.services.get(service)?;
-        let kind_count = versions.versions.len() + usize::from(versions.has_unnamed);
-        (!versions.rules.is_empty() || kind_count > 1).then_some(versions)
+        let known = self.services.get(service)?;
+        let kind_count = known.versions.len() + usize::from(known.has_unnamed);
+        (!known.rules.is_empty() || kind_count > 1).then_some(known)
     }
 }
 
@@ -232,9 +232,9 @@
         let VersionCounts { named: listed, unnamed } = listed;
         self.versions.retain(|version, _| listed.contains_key(version));
         self.has_unnamed = *unnamed > 0;
-        let most = listed.iter().rev().max_by_key(|(_, count)| **count);
-        let most = most.filter(|(_, count)| *count >= unnamed).map(|(version, _)| *version);
-        let established = if self.versions.is_empty() { most } else { None };
+        let largest = listed.iter().rev().max_by_key(|(_, count)| **count);
+        let largest = largest.filter(|(_, count)| *count >= unnamed).map(|(version, _)| *version);
+        let established = if self.versions.is_empty() { largest } else { None };
         for version in listed.keys().copied() {
             if self.versions.contains_key(version) {
                 continue;
@@ -248,26 +248,22 @@
         }
     }
 
-    fn access(&self, now: Time, version: Option<&SoftwareVersion>) -> VersionAccess {
+    fn access(&self, now: Time, version: Option<&SoftwareVersion>) -> Access {
         let mut is_named = false;
-        let mut access = VersionAccess::Unrestricted;
+        let mut access = Access::Unrestricted;
         for active in &self.rules {
             let is_target = version == Some(&active.rule.target);
             is_named |= is_target;
             match active.rule.allowance {
-                Allowance::Nothing if is_target && active.has_others => {
-                    return VersionAccess::Blocked;
-                }
-                Allowance::Share(_) if is_target && active.has_others => {
-                    access = VersionAccess::Limited
-                }
-                Allowance::All if !is_target => return VersionAccess::Blocked,
+                Allowance::Nothing if is_target && active.has_others => return Access::Blocked,
+                Allowance::Share(_) if is_target && active.has_others => access = Access::Limited,
+                Allowance::All if !is_target => return Access::Blocked,
                 Allowance::Nothing | Allowance::Share(_) | Allowance::All => {}
             }
         }
         let until = version.and_then(|version| self.versions.get(version));
         let is_delayed = !is_named && until.is_some_and(|until| *until > now);
-        if is_delayed { VersionAccess::Delayed } else { access }
+        if is_delayed { Access::Delayed } else { access }
     }
 
     /// Returns the version that is limited to a share, and that share from 0 to 1.
@@ -285,17 +281,18 @@
         eligible: Vec<&'a Upstream>,
         has_unrestricted: impl FnOnce() -> bool,
     ) -> Vec<&'a Upstream> {
-        let mut free = Vec::new();
+        let mut unrestricted = Vec::new();
         let (mut limited, mut delayed) = (Vec::new(), Vec::new());
         for upstream in eligible {
             match self.access(now, upstream.info.version.as_ref()) {
-                VersionAccess::Unrestricted => free.push(upstream),
-                VersionAccess::Limited => limited.push(upstream),
-                VersionAccess::Delayed => delayed.push(upstream),
-                VersionAccess::Blocked => {}
+                Access::Unrestricted => unrestricted.push(upstream),
+                Access::Limited => limited.push(upstream),
+                Access::Delayed => delayed.push(upstream),
+                Access::Blocked => {}
             }
         }
-        let others = if free.is_empty() && !has_unrestricted() { delayed } else { free };
+        let others =
+            if unrestricted.is_empty() && !has_unrestricted() { delayed } else { unrestricted };
         if let Some((target, share)) = self.target_share().filter(|_| !limited.is_empty())
             && self.goes_to_target(criteria, target, share)
         {
@@ -338,8 +335,8 @@
     }
 
     fn credit(&self, criteria: &UpstreamCriteria<'_>) -> f64 {
-        let begun = self.credits.get(criteria.route).copied();
-        begun.unwrap_or_else(|| random_fraction(criteria.random))
+        let stored = self.credits.get(criteria.route).copied();
+        stored.unwrap_or_else(|| random_fraction(criteria.random))
     }
 
     fn record_sent(
@@ -396,11 +393,11 @@
     others: usize,
 ) -> Vec<&Upstream> {
     let others = f64::from(u32::try_from(others).unwrap_or(u32::MAX));
-    let criteria = (share * others / (1.0 - share)).round();
+    let target_count = (share * others / (1.0 - share)).round();
     // The seed is hashed again, since the seed alone determines the position of an engine among
     // long and short prompts.
     limited.sort_by_key(|upstream| xxh3_64_with_seed(&upstream.seed.to_be_bytes(), 1));
-    let fits = |n: usize| f64::from(u32::try_from(n).unwrap_or(u32::MAX)) < criteria;
+    let fits = |n: usize| f64::from(u32::try_from(n).unwrap_or(u32::MAX)) < target_count;
     let count = (0..limited.len()).take_while(|n| *n < MIN_TARGET_UPSTREAMS || fits(*n)).count();
     limited.truncate(count);
     limited
@@ -408,8 +405,8 @@
 
 /// Returns the upstreams of a version, or all if there are none of it.
 fn prefer_version<'a>(pool: Vec<&'a Upstream>, version: &SoftwareVersion) -> Vec<&'a Upstream> {
-    let has = |upstream: &&&Upstream| upstream.info.version.as_ref() == Some(version);
-    let same: Vec<_> = pool.iter().filter(has).copied().collect();
+    let matches = |upstream: &&&Upstream| upstream.info.version.as_ref() == Some(version);
+    let same: Vec<_> = pool.iter().filter(matches).copied().collect();
     if same.is_empty() { pool } else { same }
 }
 
--- a/crates/badgerfield-core/src/upstream_table/limits.rs
+++ b/crates/badgerfield-core/src/upstream_table/limits.rs
@@ -36,7 +36,7 @@
         let (before, seed) = (upstream.announced.limit.limit(), upstream.seed);
         upstream.announced.limit.record(now, limit, || sender_rank(senders, seed));
         self.has_limits |= limit.is_some();
-        change_of(upstream, before)
+        limit_change(upstream, before)
     }
 
     /// Applies limits that another process reported; returns the changes.
@@ -44,15 +44,15 @@
         let senders = self.slow_start.senders();
         let mut changes = Vec::new();
         for upstream in self.upstreams.values_mut() {
-            let number = upstream.short_id();
-            let report = reports.iter().find(|report| report.upstream == number);
+            let short_id = upstream.short_id();
+            let report = reports.iter().find(|report| report.upstream == short_id);
             let Some(report) = report.filter(|report| report.process == upstream.process) else {
                 continue;
             };
             let (before, seed) = (upstream.announced.limit.limit(), upstream.seed);
             upstream.announced.limit.apply_report(now, report, || sender_rank(senders, seed));
             self.has_limits |= report.limit.is_some();
-            changes.extend(change_of(upstream, before));
+            changes.extend(limit_change(upstream, before));
         }
         changes
     }
@@ -102,7 +102,7 @@
     }
 }
 
-fn change_of(upstream: &Upstream, before: Option<RateLimit>) -> Option<LimitChange> {
+fn limit_change(upstream: &Upstream, before: Option<RateLimit>) -> Option<LimitChange> {
     let limit = upstream.announced.limit.limit();
     let id = || upstream.info.id.clone();
     (before != limit).then(|| LimitChange { upstream: id(), limit, before })
--- a/crates/badgerfield-core/src/upstream_table/list.rs
+++ b/crates/badgerfield-core/src/upstream_table/list.rs
@@ -26,9 +26,9 @@
         }
         if self.revision == 0 {
             // This process has no record of entries that were removed before its first list.
-            self.forgotten_revision = list.revision;
+            self.dropped_revision = list.revision;
         }
-        let present: BTreeSet<_> = list.entries.iter().map(|u| u.info.id.clone()).collect();
+        let present: BTreeSet<_> = list.entries.iter().map(|entry| entry.info.id.clone()).collect();
         let missing = self.upstreams.keys().filter(|id| !present.contains(*id));
         let gone = missing.map(|id| (id.clone(), list.revision)).collect();
         let (revision, written) = (list.revision, list.entries);
@@ -45,7 +45,7 @@
             self.updated_at = Some(now);
         }
         let mut changed: Vec<_> =
-            written.into_iter().filter_map(|entry| self.write(now, entry)).collect();
+            written.into_iter().filter_map(|entry| self.apply_entry(now, entry)).collect();
         let gone: Vec<_> = gone.into_iter().filter(|gone| self.is_new_removal(gone)).collect();
         let lapsed = self.lapsed_services(&gone);
         for (id, revision) in gone {
@@ -58,7 +58,7 @@
             upstream.changed_revision = revision;
             changed.push(id);
         }
-        self.forget(now);
+        self.drop_removed(now);
         if !changed.is_empty() {
             self.assign_positions();
             self.update_versions(now);
@@ -67,15 +67,15 @@
     }
 
     /// Drops upstreams whose entries were removed long ago.
-    fn forget(&mut self, now: Time) {
-        let forgotten_revision = &mut self.forgotten_revision;
+    fn drop_removed(&mut self, now: Time) {
+        let dropped_revision = &mut self.dropped_revision;
         self.upstreams.retain(|_, u| {
-            let stays =
+            let is_kept =
                 u.running > 0 || u.removed_at.is_none_or(|at| now.since(at) < REMOVED_RETENTION);
-            if !stays {
-                *forgotten_revision = u.changed_revision.max(*forgotten_revision);
+            if !is_kept {
+                *dropped_revision = u.changed_revision.max(*dropped_revision);
             }
-            stays
+            is_kept
         });
     }
 
@@ -84,17 +84,17 @@
     /// All processes sort them the same way and so arrive at the same division; an upstream that is
     /// added or removed shifts the others little.
     fn assign_positions(&mut self) {
-        let mut orders: BTreeMap<Service, Vec<(u64, UpstreamId)>> = BTreeMap::new();
+        let mut by_service: BTreeMap<Service, Vec<(u64, UpstreamId)>> = BTreeMap::new();
         for upstream in
             self.upstreams.values().filter(|u| u.removed_at.is_none() && !u.info.leaving)
         {
-            let order = orders.entry(upstream.info.service.clone()).or_default();
-            order.push((upstream.seed, upstream.info.id.clone()));
+            let sorted = by_service.entry(upstream.info.service.clone()).or_default();
+            sorted.push((upstream.seed, upstream.info.id.clone()));
         }
-        for order in orders.values_mut() {
-            order.sort_unstable();
-            let count = f64::from(u32::try_from(order.len()).unwrap_or(u32::MAX));
-            for (n, (_, id)) in (0_u32..).zip(order.iter()) {
+        for sorted in by_service.values_mut() {
+            sorted.sort_unstable();
+            let count = f64::from(u32::try_from(sorted.len()).unwrap_or(u32::MAX));
+            for (n, (_, id)) in (0_u32..).zip(sorted.iter()) {
                 if let Some(upstream) = self.upstreams.get_mut(id) {
                     upstream.position = (f64::from(n) + 0.5) / count;
                 }
@@ -103,7 +103,7 @@
     }
 
     /// Applies a written entry; returns its upstream if the entry changed.
-    fn write(&mut self, now: Time, entry: UpstreamEntry) -> Option<UpstreamId> {
+    fn apply_entry(&mut self, now: Time, entry: UpstreamEntry) -> Option<UpstreamId> {
         let UpstreamEntry { revision, info, warm_in } = entry;
         let id = info.id.clone();
         let Some(known) = self.upstreams.get_mut(&id) else {
@@ -123,8 +123,9 @@
         }
         // An entry that was applied before has no new information about the remaining cold time.
         let is_newer = revision > known.revision;
-        let turned = is_newer && known.apply_warm_in(now, &self.slow_start, revision, warm_in);
-        let is_change = turned || known.info != info || known.removed_at.is_some();
+        let cold_changed =
+            is_newer && known.apply_warm_in(now, &self.slow_start, revision, warm_in);
+        let is_change = cold_changed || known.info != info || known.removed_at.is_some();
         known.revision = revision;
         if is_change {
             known.changed_revision = revision;
@@ -194,7 +195,7 @@
     /// `None` if removals since then are no longer recorded.
     #[must_use]
     pub fn changes_since(&self, now: Time, since: u64) -> Option<UpstreamListChanges> {
-        if since < self.forgotten_revision {
+        if since < self.dropped_revision {
             return None;
         }
         let newer = self.upstreams.iter().filter(|(_, u)| u.changed_revision > since);
@@ -225,9 +226,9 @@
         }
         self.confirm_revision(now, version.revision);
         // If this process has seen newer changes than the sender, the digests cannot be compared.
-        let knows_more = self.revision > version.revision
+        let has_newer = self.revision > version.revision
             || self.upstreams.values().any(|upstream| upstream.changed_revision > newest);
-        let differs = !knows_more && self.list_version().digest != version.digest;
+        let differs = !has_newer && self.list_version().digest != version.digest;
         (changed, if differs { ListGap::FullList } else { ListGap::Nothing })
     }
 
@@ -243,8 +244,8 @@
             *listed += 1;
             *missing += usize::from(gone.contains(id));
         }
-        let all =
+        let lapsed =
             counts.into_iter().filter(|(_, (listed, missing))| *listed > 1 && listed == missing);
-        all.map(|(service, _)| service.clone()).collect()
+        lapsed.map(|(service, _)| service.clone()).collect()
     }
 }
--- a/crates/badgerfield-core/src/upstream_table/mod.rs
+++ b/crates/badgerfield-core/src/upstream_table/mod.rs
@@ -22,7 +22,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use self::canary::{Canary, VersionAccess};
+use self::canary::{Access, Canary};
 use self::slow_start::SlowStart;
 use self::upstream::Upstream;
 use crate::amount::Time;
@@ -148,7 +148,7 @@
     revision: u64,
     updated_at: Option<Time>,
     /// The highest revision of an upstream that was dropped from the table after its removal.
-    forgotten_revision: u64,
+    dropped_revision: u64,
     upstreams: BTreeMap<UpstreamId, Upstream>,
     /// Restarted upstreams that no caller of `take_restarted` has received yet.
     restarted: Vec<UpstreamId>,
@@ -167,7 +167,7 @@
     rules_sequence: u64,
     /// The outcomes of requests at services with a rollout.
     tallies: Tallies,
-    /// The services without engines to which this process has sent requests.
+    /// The services without engines (plain services) to which this process has sent requests.
     plain_services: BTreeSet<Service>,
     /// Whether any upstream has announced a rate limit.
     has_limits: bool,
@@ -316,9 +316,9 @@
     }
 
     /// Records the timing of a request that an engine answered completely.
-    pub fn record_timing(&mut self, service: &Service, route: &str, seen: &ObservedTiming) {
+    pub fn record_timing(&mut self, service: &Service, route: &str, timing: &ObservedTiming) {
         if let Some(mix) = self.request_mixes.get_mut(service) {
-            mix.record_timing(route, seen);
+            mix.record_timing(route, timing);
         }
     }
 
@@ -328,7 +328,7 @@
         &mut self,
         now: Time,
         id: &UpstreamId,
-        span: Duration,
+        wait: Duration,
         uncached: u64,
     ) {
         let Some(upstream) = self.upstreams.get_mut(id) else {
@@ -338,17 +338,17 @@
             .request_mixes
             .get(&upstream.info.service)
             .map_or(READ_MS_PRIOR, RequestMix::ms_per_token);
-        let reading = Duration::from_secs_f64(float(uncached) * read_ms / 1e3);
-        upstream.queueing_delay.observe(now, span.saturating_sub(reading));
+        let read_time = Duration::from_secs_f64(float(uncached) * read_ms / 1e3);
+        upstream.queueing_delay.observe(now, wait.saturating_sub(read_time));
     }
 
-    /// Records the response time of a request at an upstream without a prompt to read, or the time
-    /// that a rejected request counts for.
-    pub fn record_response_time(&mut self, now: Time, id: &UpstreamId, span: Duration) {
+    /// Records the response time of a request at an upstream of a plain service; a rejected request
+    /// is recorded with the time that it counts for.
+    pub fn record_response_time(&mut self, now: Time, id: &UpstreamId, elapsed: Duration) {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
-        upstream.queueing_delay.observe(now, span);
+        upstream.queueing_delay.observe(now, elapsed);
         if !self.plain_services.contains(&upstream.info.service) {
             self.plain_services.insert(upstream.info.service.clone());
         }
@@ -374,8 +374,8 @@
     /// Applies queueing delays that another process reported.
     pub fn apply_delay_reports(&mut self, now: Time, reports: &[DelayReport]) {
         for upstream in self.upstreams.values_mut() {
-            let number = upstream.short_id();
-            if let Some(report) = reports.iter().find(|report| report.upstream == number) {
+            let short_id = upstream.short_id();
+            if let Some(report) = reports.iter().find(|report| report.upstream == short_id) {
                 upstream.queueing_delay.hear(now, *report);
             }
         }
@@ -412,9 +412,9 @@
             return false;
         };
         match self.canary.access(now, upstream) {
-            VersionAccess::Unrestricted | VersionAccess::Limited => true,
-            VersionAccess::Delayed => !self.has_unrestricted(now, &upstream.info.service),
-            VersionAccess::Blocked => false,
+            Access::Unrestricted | Access::Limited => true,
+            Access::Delayed => !self.has_unrestricted(now, &upstream.info.service),
+            Access::Blocked => false,
         }
     }
 
--- a/crates/badgerfield-core/src/upstream_table/rollout.rs
+++ b/crates/badgerfield-core/src/upstream_table/rollout.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::canary::{SentCounts, VersionAccess, VersionsByService};
+use super::canary::{Access, SentCounts, VersionsByService};
 use super::upstream::Upstream;
 use super::{UpstreamCriteria, UpstreamTable};
 use crate::amount::Time;
@@ -137,7 +137,7 @@
     pub(super) fn has_unrestricted(&self, now: Time, service: &Service) -> bool {
         let usable = self.upstreams.values().filter(|u| u.info.service == *service);
         let mut usable = usable.filter(|u| u.is_usable(now));
-        usable.any(|u| self.canary.access(now, u) == VersionAccess::Unrestricted)
+        usable.any(|u| self.canary.access(now, u) == Access::Unrestricted)
     }
 
     /// Updates the versions that the list names. Entries that arrive before the first full list are
--- a/crates/badgerfield-core/src/upstream_table/upstream.rs
+++ b/crates/badgerfield-core/src/upstream_table/upstream.rs
@@ -24,8 +24,7 @@
 const RUNNING_CALL_COST_MS: f64 = 30.0;
 /// How long an engine is expected to keep a prompt part in its cache after reading it.
 const PART_RETENTION: Duration = Duration::from_secs(120);
-/// The number of recorded prompt parts above which parts that are due to be evicted early are
-/// dropped.
+/// The number of prompt parts recorded for an upstream beyond which older ones are dropped early.
 const MAX_PARTS: usize = 4096;
 /// The number of consecutive failures from which an upstream is avoided for a while.
 const FAILURES_BEFORE_BACK_OFF: u32 = 2;
@@ -110,7 +109,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CostParams {
     /// The time to read a prompt token, in milliseconds.
-    read_ms: f64,
+    ms_per_token: f64,
     /// How the engines are divided, and the group of the request.
     pub(super) division: Option<(EngineDivision, PromptGroup)>,
     /// The cost of sending the request to an engine of the other group, in milliseconds. It is the
@@ -122,19 +121,19 @@
 impl CostParams {
     pub(super) fn new(mix: Option<&RequestMix>, criteria: &UpstreamCriteria<'_>) -> Self {
         let prompt = float(criteria.parts.iter().map(|part| part.tokens).sum());
-        let read_ms = mix.map_or(READ_MS_PRIOR, RequestMix::ms_per_token);
+        let ms_per_token = mix.map_or(READ_MS_PRIOR, RequestMix::ms_per_token);
         let division = mix.and_then(RequestMix::division).map(|division| {
-            let usual = mix.and_then(|mix| mix.prompt(criteria.route)).unwrap_or(prompt);
-            (division, division.group(usual))
+            let typical_tokens = mix.and_then(|mix| mix.prompt(criteria.route)).unwrap_or(prompt);
+            (division, division.group(typical_tokens))
         });
         let other_group_ms =
-            division.map_or(0.0, |(division, _)| division.long_threshold * read_ms);
-        Self { read_ms, division, other_group_ms }
+            division.map_or(0.0, |(division, _)| division.long_threshold * ms_per_token);
+        Self { ms_per_token, division, other_group_ms }
     }
 
     /// Returns how long an engine takes to read parts of a prompt, in milliseconds.
     pub(super) fn read_ms(&self, parts: &[PromptPart]) -> f64 {
-        float(parts.iter().map(|part| part.tokens).sum()) * self.read_ms
+        float(parts.iter().map(|part| part.tokens).sum()) * self.ms_per_token
     }
 
     pub(super) fn is_in_group(&self, upstream: &Upstream) -> bool {
@@ -175,13 +174,16 @@
     /// Returns whether an entry belongs to another process than the recorded one, under the same
     /// id.
     pub(super) fn is_other_process(&self, info: &ListedUpstream) -> bool {
-        let is_later =
-            self.info.started_at.zip(info.started_at).is_some_and(|(known, told)| known != told);
-        is_later || self.info.address != info.address
+        let is_restarted = self
+            .info
+            .started_at
+            .zip(info.started_at)
+            .is_some_and(|(known, listed)| known != listed);
+        is_restarted || self.info.address != info.address
     }
 
     /// Resets the observations of the previous process: a new process has cached no prompts, has no
-    /// outstanding requests and may work where the previous one failed.
+    /// backlog and may work where the previous one failed.
     pub(super) fn reset_process(&mut self) {
         self.failed_share = 0.0;
         self.rejected_share = 0.0;
@@ -249,12 +251,12 @@
         revision: u64,
         warm_in: Duration,
     ) -> bool {
-        let was = self.is_cold(now);
+        let was_cold = self.is_cold(now);
         if !warm_in.is_zero() {
             self.mark_cold(now, slow_start, revision, now.after(warm_in));
-            return !was;
+            return !was_cold;
         }
-        if !was || self.cold.is_some_and(|cold| cold.since_revision >= revision) {
+        if !was_cold || self.cold.is_some_and(|cold| cold.since_revision >= revision) {
             return false;
         }
         self.cold = None;
@@ -331,15 +333,16 @@
     ) -> f64 {
         let jitter =
             f64::from(u32::try_from((self.seed ^ criteria.random) % 1000).unwrap_or(0)) / 1e3;
-        let (failed, full) = self.failure_shares(now);
-        let failing = (failed + full) * FAILURE_COST_MS;
+        let (failed, rejected) = self.failure_shares(now);
+        let failure_cost = (failed + rejected) * FAILURE_COST_MS;
         let running = f64::from(self.running);
         if criteria.parts.is_empty() {
-            return running * RUNNING_CALL_COST_MS + failing + jitter;
+            return running * RUNNING_CALL_COST_MS + failure_cost + jitter;
         }
-        let read = float(self.uncached_tokens(now, criteria.parts, is_preferred)) * params.read_ms;
-        let apart = if params.is_in_group(self) { 0.0 } else { params.other_group_ms };
-        read + apart + running * RUNNING_REQUEST_COST_MS + failing + jitter
+        let read =
+            float(self.uncached_tokens(now, criteria.parts, is_preferred)) * params.ms_per_token;
+        let group_cost = if params.is_in_group(self) { 0.0 } else { params.other_group_ms };
+        read + group_cost + running * RUNNING_REQUEST_COST_MS + failure_cost + jitter
     }
 
     /// Returns how many tokens of a prompt's shared parts the upstream is expected to read.
@@ -352,10 +355,11 @@
         let mut uncached = 0;
         let mut known = true;
         for part in shared_parts(parts) {
-            let fresh = self.parts.get(&part.id).is_some_and(|at| now.since(*at) < PART_RETENTION);
+            let is_cached =
+                self.parts.get(&part.id).is_some_and(|at| now.since(*at) < PART_RETENTION);
             // All VMs send a prefix to its preferred upstream, so it is assumed to have cached
             // parts that other VMs sent.
-            known &= fresh || is_preferred;
+            known &= is_cached || is_preferred;
             if !known {
                 uncached += part.tokens;
             }
@@ -366,12 +370,15 @@
     /// Returns the shares of failed and of rejected requests, decayed to the present.
     fn failure_shares(&self, now: Time) -> (f64, f64) {
         let age = now.since(self.outcome_at).as_secs_f64();
-        let left = |half: Duration| (-age / half.as_secs_f64()).exp2();
-        (self.failed_share * left(FAILED_HALF_LIFE), self.rejected_share * left(REJECTED_HALF_LIFE))
+        let decay = |half_life: Duration| (-age / half_life.as_secs_f64()).exp2();
+        (
+            self.failed_share * decay(FAILED_HALF_LIFE),
+            self.rejected_share * decay(REJECTED_HALF_LIFE),
+        )
     }
 
     pub(super) fn record_outcome(&mut self, now: Time, outcome: AttemptOutcome) {
-        let (failed, full) = match outcome {
+        let (failed, rejected) = match outcome {
             AttemptOutcome::Answered => (0.0, 0.0),
             AttemptOutcome::Failed => (1.0, 0.0),
             AttemptOutcome::Full => (0.0, REJECTED_OUTCOME),
@@ -379,7 +386,7 @@
         };
         let known = self.failure_shares(now);
         self.failed_share = known.0 + (failed - known.0) * OUTCOME_WEIGHT;
-        self.rejected_share = known.1 + (full - known.1) * OUTCOME_WEIGHT;
+        self.rejected_share = known.1 + (rejected - known.1) * OUTCOME_WEIGHT;
         self.outcome_at = now;
         if outcome == AttemptOutcome::Answered {
             self.consecutive_failures = 0;
@@ -387,10 +394,10 @@
         }
         self.consecutive_failures += 1;
         if self.consecutive_failures >= FAILURES_BEFORE_BACK_OFF {
-            let rest = FAILURE_BACK_OFF
+            let back_off = FAILURE_BACK_OFF
                 .saturating_mul(self.consecutive_failures - FAILURES_BEFORE_BACK_OFF + 1)
                 .min(MAX_FAILURE_BACK_OFF);
-            self.avoid_until = now.after(rest);
+            self.avoid_until = now.after(back_off);
         }
     }
 }
