--- a/crates/badgerfield-core/tests/canary.rs
+++ b/crates/badgerfield-core/tests/canary.rs
@@ -1,4 +1,4 @@
-//! Which version of a service requests go to while one is rolled out.
+//! Tests of the versions that get requests during a rollout.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -18,7 +18,7 @@
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// When the two versions have both been known for long.
+/// A time at which both versions have been listed for long enough.
 const LATER: Time = Time::from_millis(60_000);
 
 fn service() -> Service {
@@ -43,11 +43,11 @@
     UpstreamEntry { revision: 1, info, warm_in: Duration::ZERO }
 }
 
-/// Returns a table with so many upstreams of each version; the old ones were there first.
+/// Returns a table with so many upstreams of each version; the old ones were listed first.
 fn table(old: usize, new: usize) -> UpstreamTable {
     let mut table = UpstreamTable::default();
-    let replicas = (1..=old).map(|n| entry("v1", n)).collect();
-    table.apply_list(Time::default(), UpstreamList { revision: 1, entries: replicas });
+    let entries = (1..=old).map(|n| entry("v1", n)).collect();
+    table.apply_list(Time::default(), UpstreamList { revision: 1, entries });
     table.apply_changes(Time::default(), added(2, (1..=new).map(|n| entry("v2", n)).collect()));
     table
 }
@@ -64,35 +64,45 @@
     Allowance::Share(Percent::new(percent).expect("a share"))
 }
 
-/// Sends a request and returns its upstream; it ends at once.
-fn send(table: &mut UpstreamTable, now: Time, wanted: &UpstreamCriteria<'_>) -> Option<UpstreamId> {
-    let id = table.choose(now, wanted)?.id;
-    table.start_request(now, &id, wanted.parts);
-    table.record_sent(now, wanted, &id);
+/// Sends a request that is answered at once; returns its upstream.
+fn send(
+    table: &mut UpstreamTable,
+    now: Time,
+    criteria: &UpstreamCriteria<'_>,
+) -> Option<UpstreamId> {
+    let id = table.choose(now, criteria)?.id;
+    table.start_request(now, &id, criteria.parts);
+    table.record_sent(now, criteria, &id);
     table.end_request(now, &id, AttemptOutcome::Answered);
     Some(id)
 }
 
-struct Ask {
+struct TestRequest {
     service: Service,
     route: &'static str,
     parts: Vec<PromptPart>,
     tried: Vec<UpstreamId>,
-    resumes: Option<SoftwareVersion>,
+    resumed_version: Option<SoftwareVersion>,
 }
 
-impl Ask {
-    fn on(route: &'static str) -> Self {
-        Self { service: service(), route, parts: Vec::new(), tried: Vec::new(), resumes: None }
+impl TestRequest {
+    fn on_route(route: &'static str) -> Self {
+        Self {
+            service: service(),
+            route,
+            parts: Vec::new(),
+            tried: Vec::new(),
+            resumed_version: None,
+        }
     }
 
-    fn chain(mut self, chain: u64) -> Self {
+    fn with_prefix(mut self, prefix: u64) -> Self {
         let part = |id| PromptPart { id, tokens: 500 };
-        self.parts = vec![part(chain), part(1_000_000 + chain)];
+        self.parts = vec![part(prefix), part(1_000_000 + prefix)];
         self
     }
 
-    fn wanted(&self, draw: u64) -> UpstreamCriteria<'_> {
+    fn criteria(&self, random: u64) -> UpstreamCriteria<'_> {
         UpstreamCriteria {
             service: &self.service,
             route: self.route,
@@ -100,9 +110,9 @@
             bytes: 0,
             residency: &EVERYWHERE,
             tried: &self.tried,
-            resumed_version: self.resumes.as_ref(),
+            resumed_version: self.resumed_version.as_ref(),
             max_connections: 1000,
-            random: draw,
+            random,
             rendezvous_key: None,
         }
     }
@@ -112,28 +122,29 @@
     id.as_str().starts_with("v2")
 }
 
-/// Sends so many plain requests; returns how many went to each version.
-fn counts(table: &mut UpstreamTable, now: Time, requests: usize) -> (usize, usize) {
+/// Sends so many requests without a prompt; returns how many went to each version.
+fn count_by_version(table: &mut UpstreamTable, now: Time, requests: usize) -> (usize, usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
-    let ask = Ask::on("r");
+    let request = TestRequest::on_route("r");
     let ids: Vec<_> =
-        (0..requests).filter_map(|_| send(table, now, &ask.wanted(rng.next_u64()))).collect();
+        (0..requests).filter_map(|_| send(table, now, &request.criteria(rng.next_u64()))).collect();
     let new = ids.iter().filter(|id| is_new(id)).count();
     (ids.len() - new, new)
 }
 
 #[test]
-fn many_processes_that_see_few_requests_give_the_share_together() {
-    // Red with credits that begin at none (0 of 1,896 requests) and at a whole one (331).
+fn many_processes_with_few_requests_reach_the_share_together() {
+    // Credits must start at a random fraction. If they start at zero, the target gets 0 of 1,896
+    // requests. If they start at a whole request, it gets 331.
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let (mut all, mut new) = (0, 0);
     for _ in 0..72 {
         let mut table = table(60, 60);
         table.set_rollout_rules(vec![rule("v2", share(9))]);
         for route in ["a", "b", "c", "d", "e"] {
-            let ask = Ask::on(route);
+            let request = TestRequest::on_route(route);
             for _ in 0..rng.random_range(0..12) {
-                let id = send(&mut table, LATER, &ask.wanted(rng.next_u64()));
+                let id = send(&mut table, LATER, &request.criteria(rng.next_u64()));
                 all += 1;
                 new += usize::from(id.as_ref().is_some_and(is_new));
             }
@@ -145,14 +156,14 @@
 }
 
 #[test]
-fn each_route_gets_its_share_whatever_the_others_do() {
+fn each_route_gets_its_share_independently_of_the_others() {
     let mut table = table(60, 60);
     table.set_rollout_rules(vec![rule("v2", share(5))]);
     let mut rng = ChaCha8Rng::seed_from_u64(2);
     let mut new: BTreeMap<&str, usize> = BTreeMap::new();
     for n in 0..10_500 {
         let route = if n % 21 == 0 { "rare" } else { "often" };
-        let id = send(&mut table, LATER, &Ask::on(route).wanted(rng.next_u64()));
+        let id = send(&mut table, LATER, &TestRequest::on_route(route).criteria(rng.next_u64()));
         *new.entry(route).or_default() += usize::from(id.as_ref().is_some_and(is_new));
     }
     assert!((24..=26).contains(&new["rare"]), "{new:?}");
@@ -167,52 +178,54 @@
         table.set_rollout_rules(vec![rule("v2", share(percent))]);
         let mut new = 0;
         for all in 1..=3000_u64 {
-            // Chains come in bursts, some very often.
-            let ask = Ask::on("r").chain(rng.random_range(0..40) * rng.random_range(0..3));
-            let id = send(&mut table, LATER, &ask.wanted(rng.next_u64()));
+            // Requests with the same prefix come in bursts, and some prefixes are much more
+            // frequent.
+            let request = TestRequest::on_route("r")
+                .with_prefix(rng.random_range(0..40) * rng.random_range(0..3));
+            let id = send(&mut table, LATER, &request.criteria(rng.next_u64()));
             new += u64::from(id.as_ref().is_some_and(is_new));
-            assert!(new * 100 <= all * percent + 100, "{new} of {all} with {percent} in 100");
+            assert!(new * 100 <= all * percent + 100, "{new} of {all} with {percent}%");
         }
-        assert!(new * 100 + 400 >= 3000 * percent, "{new} of 3000 with {percent} in 100");
+        assert!(new * 100 + 400 >= 3000 * percent, "{new} of 3000 with {percent}%");
     }
 }
 
 #[test]
-fn a_version_that_may_get_nothing_gets_nothing_also_when_all_others_are_gone() {
+fn a_blocked_version_gets_nothing_when_all_others_are_gone() {
     let mut table = table(3, 3);
     table.set_rollout_rules(vec![rule("v2", Allowance::Nothing)]);
-    assert_eq!(counts(&mut table, LATER, 300), (300, 0));
+    assert_eq!(count_by_version(&mut table, LATER, 300), (300, 0));
     let gone = (1..=3).map(|n| (entry("v1", n).info.id, 3)).collect();
     table.apply_changes(LATER, UpstreamListChanges { revision: 3, written: Vec::new(), gone });
     let now = LATER.after(Duration::from_secs(40));
-    assert_eq!(counts(&mut table, now, 10), (0, 0));
+    assert_eq!(count_by_version(&mut table, now, 10), (0, 0));
 }
 
 #[test]
-fn a_service_that_has_the_target_only_is_served() {
+fn a_service_with_only_the_target_is_served() {
     for allowance in [Allowance::Nothing, share(5), Allowance::All] {
         let mut table = UpstreamTable::default();
-        let replicas = (1..=3).map(|n| entry("v2", n)).collect();
-        table.apply_list(Time::default(), UpstreamList { revision: 1, entries: replicas });
+        let entries = (1..=3).map(|n| entry("v2", n)).collect();
+        table.apply_list(Time::default(), UpstreamList { revision: 1, entries });
         table.set_rollout_rules(vec![rule("v2", allowance)]);
-        assert_eq!(counts(&mut table, Time::default(), 50), (0, 50), "{allowance:?}");
+        assert_eq!(count_by_version(&mut table, Time::default(), 50), (0, 50), "{allowance:?}");
     }
 }
 
 #[test]
-fn once_all_move_the_other_versions_get_nothing_more() {
+fn other_versions_get_nothing_once_all_requests_go_to_the_target() {
     let mut table = table(3, 3);
     let old: UpstreamId = entry("v1", 1).info.id;
     assert!(table.is_usable(LATER, &old));
     table.set_rollout_rules(vec![rule("v2", Allowance::All)]);
-    assert_eq!(counts(&mut table, LATER, 300), (0, 300));
-    // A request that was on its way there is checked once more before it is sent.
+    assert_eq!(count_by_version(&mut table, LATER, 300), (0, 300));
+    // A request that was assigned earlier is checked once more before it is sent.
     assert!(!table.is_usable(LATER, &old));
-    // Nor do they when the target is gone: they may stop at any moment.
+    // The other versions get nothing even when the target is gone, since they may stop at any time.
     let gone = (1..=3).map(|n| (entry("v2", n).info.id, 3)).collect();
     table.apply_changes(LATER, UpstreamListChanges { revision: 3, written: Vec::new(), gone });
     let now = LATER.after(Duration::from_secs(3));
-    assert_eq!(counts(&mut table, now, 10), (0, 0));
+    assert_eq!(count_by_version(&mut table, now, 10), (0, 0));
 }
 
 #[test]
@@ -226,12 +239,12 @@
 }
 
 #[test]
-fn a_version_that_no_order_names_waits_until_one_would_have_been_heard_of() {
+fn a_new_version_without_an_order_is_delayed() {
     let mut table = table(3, 3);
     let soon = Time::from_millis(3000);
-    assert_eq!(counts(&mut table, soon, 300), (300, 0));
+    assert_eq!(count_by_version(&mut table, soon, 300), (300, 0));
     assert!(!table.is_usable(soon, &entry("v2", 1).info.id));
-    let (old, new) = counts(&mut table, LATER, 300);
+    let (old, new) = count_by_version(&mut table, LATER, 300);
     assert!(old > 50 && new > 50, "{old} and {new}");
 }
 
@@ -246,103 +259,106 @@
         entry
     };
     table.apply_changes(soon, added(3, (1..=3).map(leaves).collect()));
-    assert_eq!(counts(&mut table, soon, 100), (0, 100));
+    assert_eq!(count_by_version(&mut table, soon, 100), (0, 100));
     assert!(table.is_usable(soon, &entry("v2", 1).info.id));
 }
 
 #[test]
-fn who_starts_while_a_version_is_tried_gives_it_nothing_before_hearing_of_the_order() {
+fn a_process_started_during_a_rollout_delays_the_target_until_the_order() {
     let mut table = UpstreamTable::default();
-    // Red where versions are ordinary at once (125 of 300). Changes that others tell come
-    // first, and then the list.
+    // If new versions had access at once, the target would get 125 of 300 requests. Changes from
+    // other processes arrive first, and then the full list.
     table.apply_changes(Time::default(), added(0, vec![entry("v2", 1)]));
-    let replicas = (1..=5).map(|n| entry("v1", n)).chain((1..=4).map(|n| entry("v2", n)));
-    let list = UpstreamList { revision: 2, entries: replicas.collect() };
+    let entries = (1..=5).map(|n| entry("v1", n)).chain((1..=4).map(|n| entry("v2", n)));
+    let list = UpstreamList { revision: 2, entries: entries.collect() };
     table.apply_list(Time::default(), list);
-    assert_eq!(counts(&mut table, Time::from_millis(500), 300), (300, 0));
+    assert_eq!(count_by_version(&mut table, Time::from_millis(500), 300), (300, 0));
 }
 
 #[test]
-fn requests_of_the_same_chains_go_to_the_target() {
+fn requests_with_the_same_prefixes_go_to_the_target() {
     let mut table = table(60, 60);
     table.set_rollout_rules(vec![rule("v2", share(10))]);
     let mut rng = ChaCha8Rng::seed_from_u64(4);
-    let mut chains: BTreeMap<u64, usize> = BTreeMap::new();
+    let mut prefixes: BTreeMap<u64, usize> = BTreeMap::new();
     let mut new = 0;
     for _ in 0..20_000 {
-        let chain = rng.random_range(0..200);
-        let ask = Ask::on("r").chain(chain);
-        let id = send(&mut table, LATER, &ask.wanted(rng.next_u64()));
+        let prefix = rng.random_range(0..200);
+        let request = TestRequest::on_route("r").with_prefix(prefix);
+        let id = send(&mut table, LATER, &request.criteria(rng.next_u64()));
         if id.as_ref().is_some_and(is_new) {
-            *chains.entry(chain).or_default() += 1;
+            *prefixes.entry(prefix).or_default() += 1;
             new += 1;
         }
     }
-    // Red where any chain may go: 388 of 2,000 requests are in the 25 commonest of 200 chains.
-    let mut most: Vec<_> = chains.values().copied().collect();
+    // If any prefix may go to the target, only 388 of 2,000 requests are in the 25 most frequent of
+    // 200 prefixes.
+    let mut most: Vec<_> = prefixes.values().copied().collect();
     most.sort_unstable_by_key(|count| std::cmp::Reverse(*count));
     let first: usize = most.iter().take(25).sum();
-    assert!(first * 10 >= new * 8, "{first} of {new} in 25 of {} chains", chains.len());
+    assert!(first * 10 >= new * 8, "{first} of {new} in 25 of {} prefixes", prefixes.len());
 }
 
 #[test]
-fn the_target_is_tried_at_a_few_upstreams_the_same_ones_everywhere() {
-    // 9 in 100 of what 60 upstreams get make six about as loaded.
+fn all_processes_send_to_the_same_few_target_upstreams() {
+    // With 9% of the requests of 60 upstreams, six target upstreams have about the same load as the
+    // others.
     let new_ids = |table: &mut UpstreamTable, seed: u64| -> BTreeSet<UpstreamId> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let ask = Ask::on("r");
-        let sent = (0..5000).filter_map(|_| send(table, LATER, &ask.wanted(rng.next_u64())));
+        let request = TestRequest::on_route("r");
+        let sent = (0..5000).filter_map(|_| send(table, LATER, &request.criteria(rng.next_u64())));
         sent.filter(is_new).collect()
     };
-    let (mut here, mut there) = (table(60, 60), table(60, 60));
-    for table in [&mut here, &mut there] {
+    let (mut local, mut remote) = (table(60, 60), table(60, 60));
+    for table in [&mut local, &mut remote] {
         table.set_rollout_rules(vec![rule("v2", share(9))]);
     }
-    let first = new_ids(&mut here, 1);
+    let first = new_ids(&mut local, 1);
     assert_eq!(first.len(), 6, "{first:?}");
-    assert_eq!(first, new_ids(&mut there, 2));
-    // One that rests is replaced.
+    assert_eq!(first, new_ids(&mut remote, 2));
+    // An upstream that is avoided after failures is replaced.
     let failing = first.first().expect("there are six").clone();
     for _ in 0..3 {
-        here.start_request(LATER, &failing, &[]);
-        here.end_request(LATER, &failing, AttemptOutcome::Failed);
+        local.start_request(LATER, &failing, &[]);
+        local.end_request(LATER, &failing, AttemptOutcome::Failed);
     }
-    let second = new_ids(&mut here, 3);
+    let second = new_ids(&mut local, 3);
     assert_eq!(second.len(), 6, "{second:?}");
     assert!(!second.contains(&failing), "{second:?}");
     assert_eq!(second.intersection(&first).count(), 5);
-    // Where few are needed there are two, to tell one that fails by itself.
+    // Where fewer would do, there are still two, so that a single faulty upstream can be told from
+    // a faulty version.
     let mut small = table(7, 7);
     small.set_rollout_rules(vec![rule("v2", share(9))]);
     assert_eq!(new_ids(&mut small, 4).len(), 2);
 }
 
 #[test]
-fn a_repeat_counts_and_is_not_tried_out_on_the_target() {
+fn a_retry_adds_credit_but_does_not_go_to_the_target() {
     let mut table = table(10, 10);
     table.set_rollout_rules(vec![rule("v2", share(10))]);
     let mut rng = ChaCha8Rng::seed_from_u64(6);
-    let mut repeat = Ask::on("r");
-    repeat.tried = vec![entry("v1", 1).info.id];
+    let mut retry = TestRequest::on_route("r");
+    retry.tried = vec![entry("v1", 1).info.id];
     for _ in 0..100 {
-        let id = send(&mut table, LATER, &repeat.wanted(rng.next_u64())).expect("an upstream");
+        let id = send(&mut table, LATER, &retry.criteria(rng.next_u64())).expect("an upstream");
         assert!(!is_new(&id), "{id}");
     }
-    // What they added to the share goes to others.
-    assert!(counts(&mut table, LATER, 10).1 >= 3);
+    // The credit that the retries added goes to other requests.
+    assert!(count_by_version(&mut table, LATER, 10).1 >= 3);
 }
 
 #[test]
-fn a_stream_goes_on_at_the_version_that_began_it_where_that_may_take_it() {
+fn a_stream_resumes_at_its_version_if_that_is_allowed() {
     let mut table = table(10, 10);
     table.set_rollout_rules(vec![rule("v2", share(50))]);
-    let resumed = |table: &mut UpstreamTable, from: &str, draw| {
-        let mut ask = Ask::on("r");
-        ask.tried = vec![entry(from, 1).info.id];
-        ask.resumes = Some(version(from));
-        send(table, LATER, &ask.wanted(draw)).expect("an upstream")
+    let resumed = |table: &mut UpstreamTable, from: &str, random| {
+        let mut request = TestRequest::on_route("r");
+        request.tried = vec![entry(from, 1).info.id];
+        request.resumed_version = Some(version(from));
+        send(table, LATER, &request.criteria(random)).expect("an upstream")
     };
-    counts(&mut table, LATER, 9);
+    count_by_version(&mut table, LATER, 9);
     let new = (0..20).filter(|n| is_new(&resumed(&mut table, "v2", n * 7919))).count();
     assert!((9..=12).contains(&new), "{new} of 20 with a share of a half");
     for n in 0..20 {
@@ -353,27 +369,27 @@
 }
 
 #[test]
-fn what_reached_no_upstream_counts_neither_way() {
+fn requests_that_reached_no_upstream_do_not_count() {
     let mut table = table(10, 10);
     table.set_rollout_rules(vec![rule("v2", share(10))]);
-    let ask = Ask::on("r");
-    for draw in 0..1000 {
-        let wanted = ask.wanted(draw);
-        let id = table.choose(LATER, &wanted).expect("an upstream").id;
+    let request = TestRequest::on_route("r");
+    for random in 0..1000 {
+        let criteria = request.criteria(random);
+        let id = table.choose(LATER, &criteria).expect("an upstream").id;
         table.start_request(LATER, &id, &[]);
-        table.record_sent(LATER, &wanted, &id);
+        table.record_sent(LATER, &criteria, &id);
         table.end_request(LATER, &id, AttemptOutcome::Unknown);
         table.undo_sent(&id, "r");
     }
-    let (_, given) = table.rollout_rules()[0].clone();
-    assert_eq!((given.all, given.target), (0, 0));
-    assert!(counts(&mut table, LATER, 9).1 <= 1);
+    let (_, sent) = table.rollout_rules()[0].clone();
+    assert_eq!((sent.all, sent.target), (0, 0));
+    assert!(count_by_version(&mut table, LATER, 9).1 <= 1);
 }
 
 #[test]
-fn what_the_target_could_not_take_is_not_made_up_for_at_once() {
-    // A fleet whose new upstreams turn warm at one moment would send them a burst: red with
-    // credits that grow meanwhile (3 of 5).
+fn requests_that_the_target_could_not_take_add_no_credit() {
+    // If credits grew while the target is unavailable, a fleet whose new upstreams become available
+    // at the same time would send them a burst: 3 of the next 5 requests.
     let mut table = table(10, 0);
     let listed = |revision, leaving| {
         let mut entry = entry("v2", 1);
@@ -383,15 +399,15 @@
     };
     table.apply_changes(Time::default(), listed(2, true));
     table.set_rollout_rules(vec![rule("v2", share(10))]);
-    assert_eq!(counts(&mut table, LATER, 1000), (1000, 0));
+    assert_eq!(count_by_version(&mut table, LATER, 1000), (1000, 0));
     table.apply_changes(LATER, listed(3, false));
-    let c = counts(&mut table, LATER, 5).1;
-    assert!(c <= 1, "{c} of 5");
-    assert!(counts(&mut table, LATER, 100).1 >= 9);
+    let new = count_by_version(&mut table, LATER, 5).1;
+    assert!(new <= 1, "{new} of 5");
+    assert!(count_by_version(&mut table, LATER, 100).1 >= 9);
 }
 
 #[test]
-fn an_evacuated_domain_and_the_share_hold_together() {
+fn an_evacuation_and_the_share_are_both_kept() {
     let mut table = table(10, 0);
     let domain = |n: usize| {
         let mut entry = entry("v2", n);
@@ -408,9 +424,10 @@
     table.apply_evacuations(LATER, &[evacuated]);
     table.set_rollout_rules(vec![rule("v2", share(10))]);
     let mut rng = ChaCha8Rng::seed_from_u64(9);
-    let ask = Ask::on("r");
-    let sent: Vec<_> =
-        (0..1000).filter_map(|_| send(&mut table, LATER, &ask.wanted(rng.next_u64()))).collect();
+    let request = TestRequest::on_route("r");
+    let sent: Vec<_> = (0..1000)
+        .filter_map(|_| send(&mut table, LATER, &request.criteria(rng.next_u64())))
+        .collect();
     let new: BTreeSet<_> = sent.iter().filter(|id| is_new(id)).map(UpstreamId::as_str).collect();
     assert_eq!(new, BTreeSet::from(["v2-3", "v2-4"]));
     let count = sent.iter().filter(|id| is_new(id)).count();
@@ -418,8 +435,8 @@
 }
 
 #[test]
-fn cold_upstreams_and_the_share_hold_together() {
-    // Two cold upstreams bear 5 requests a second each; a share of a half would be 250.
+fn the_warm_up_limit_and_the_share_are_both_kept() {
+    // Two cold upstreams take 5 requests a second each; a share of a half would be 250.
     let bound = WarmUpBound { overshoot: 1.5, extra_requests: 5.0 };
     let slow = WarmUp { span: Duration::from_secs(20), interval: Duration::from_millis(200) };
     let mut table = table(10, 0);
@@ -431,46 +448,46 @@
     table.apply_changes(Time::default(), added(2, (1..=2).map(cold).collect()));
     table.set_rollout_rules(vec![rule("v2", share(50))]);
     let mut rng = ChaCha8Rng::seed_from_u64(10);
-    let ask = Ask::on("r");
+    let request = TestRequest::on_route("r");
     let mut new = 0_u64;
     for n in 0..1000 {
         let now = LATER.after(Duration::from_millis(2 * n));
-        let id = send(&mut table, now, &ask.wanted(rng.next_u64())).expect("an upstream");
+        let id = send(&mut table, now, &request.criteria(rng.next_u64())).expect("an upstream");
         new += u64::from(is_new(&id));
     }
-    // Two seconds of 12.5 requests at each, by the bound, and what a bucket holds.
+    // The bound allows 12.5 requests a second at each for two seconds, and the content of a bucket.
     assert!((5..=50).contains(&new), "{new}");
-    // What they could not take is not made up for.
+    // Requests that the cold upstreams could not take add no credit.
     let warm = |n| UpstreamEntry { revision: 4, ..entry("v2", n) };
     let now = LATER.after(Duration::from_secs(3));
     table.apply_changes(now, added(4, (1..=2).map(warm).collect()));
-    let next = counts(&mut table, now, 20).1;
+    let next = count_by_version(&mut table, now, 20).1;
     assert!(next <= 12, "{next} of 20");
 }
 
 #[test]
-fn a_new_order_does_not_get_what_the_last_one_left_over() {
+fn a_new_order_starts_without_credit_of_the_last_one() {
     let mut table = table(10, 10);
     table.set_rollout_rules(vec![rule("v2", share(10))]);
-    counts(&mut table, LATER, 100);
+    count_by_version(&mut table, LATER, 100);
     let next = RolloutRule { revision: 8, ..rule("v1", share(10)) };
-    let news = table.set_rollout_rules(vec![next.clone()]);
-    assert_eq!(news, vec![next.clone()]);
+    let changed = table.set_rollout_rules(vec![next.clone()]);
+    assert_eq!(changed, vec![next.clone()]);
     assert_eq!(table.set_rollout_rules(vec![next]), Vec::new());
-    let (old, new) = counts(&mut table, LATER, 100);
+    let (old, new) = count_by_version(&mut table, LATER, 100);
     assert!((9..=11).contains(&old), "{old} and {new}");
 }
 
 #[test]
-fn versions_of_earlier_orders_that_are_refused_get_nothing_beside_the_next() {
+fn rejected_versions_get_nothing_beside_the_next_target() {
     let mut table = table(5, 5);
     table.apply_changes(Time::default(), added(3, (1..=5).map(|n| entry("v3", n)).collect()));
     table.set_rollout_rules(vec![rule("v2", Allowance::Nothing), rule("v3", share(10))]);
     let mut rng = ChaCha8Rng::seed_from_u64(8);
-    let ask = Ask::on("r");
+    let request = TestRequest::on_route("r");
     let mut seen: BTreeMap<String, usize> = BTreeMap::new();
     for _ in 0..1000 {
-        let id = send(&mut table, LATER, &ask.wanted(rng.next_u64())).expect("an upstream");
+        let id = send(&mut table, LATER, &request.criteria(rng.next_u64())).expect("an upstream");
         *seen.entry(id.as_str()[..2].to_owned()).or_default() += 1;
     }
     assert_eq!(seen.get("v2"), None, "{seen:?}");
@@ -482,16 +499,17 @@
     let (mut with, mut without) = (table(10, 0), table(10, 0));
     with.set_rollout_rules(vec![rule("v2", share(5))]);
     with.set_rollout_rules(Vec::new());
-    for draw in 0..200 {
-        let ask = Ask::on("r").chain(draw % 7);
-        let wanted = ask.wanted(draw * 7919);
-        assert_eq!(send(&mut with, LATER, &wanted), send(&mut without, LATER, &wanted));
+    for random in 0..200 {
+        let request = TestRequest::on_route("r").with_prefix(random % 7);
+        let criteria = request.criteria(random * 7919);
+        assert_eq!(send(&mut with, LATER, &criteria), send(&mut without, LATER, &criteria));
     }
 }
 
 #[test]
 fn upstreams_that_name_no_version_count_as_another() {
-    // A target beside them was taken for the only version, and got its full part of the requests.
+    // Upstreams without a version were ignored: the target beside them was taken for the only
+    // version and got requests without a limit.
     let mut table = UpstreamTable::default();
     let unnamed = (1..=4).map(|n| {
         let UpstreamEntry { revision, info, warm_in } = entry("old", n);
@@ -501,9 +519,9 @@
     table.apply_changes(Time::default(), added(2, (1..=4).map(|n| entry("v2", n)).collect()));
     for allowance in [Allowance::Nothing, share(10)] {
         table.set_rollout_rules(vec![rule("v2", allowance)]);
-        let ask = Ask::on("r");
-        let sent =
-            (0..200).filter_map(|n| send(&mut table, Time::from_millis(n), &ask.wanted(n * 7919)));
+        let request = TestRequest::on_route("r");
+        let sent = (0..200)
+            .filter_map(|n| send(&mut table, Time::from_millis(n), &request.criteria(n * 7919)));
         let new = sent.filter(is_new).count();
         assert!(new <= 21, "{allowance:?}: {new} of 200");
         assert!(allowance != Allowance::Nothing || new == 0, "{new} of 200");
@@ -511,28 +529,31 @@
 }
 
 #[test]
-fn rules_that_are_carried_out_late_do_not_come_back() {
-    // Two threads: one made the share, the other the end of it, and the share was put last.
+fn older_rules_that_are_applied_late_are_ignored() {
+    // Two threads applied rules out of order: the older rule with the share came after the rule that
+    // ended it, so that the target got requests again.
     let mut table = table(4, 4);
-    let ruled =
-        |turn, allowance| RolloutRules { sequence: turn, rules: vec![rule("v2", allowance)] };
-    table.apply_rule_set(ruled(2, Allowance::Nothing));
-    assert!(table.apply_rule_set(ruled(1, share(50))).is_empty());
-    let ask = Ask::on("r");
-    let sent =
-        (0..200).filter_map(|n| send(&mut table, Time::from_millis(n), &ask.wanted(n * 7919)));
+    let rules = |sequence, allowance| RolloutRules { sequence, rules: vec![rule("v2", allowance)] };
+    table.apply_rule_set(rules(2, Allowance::Nothing));
+    assert!(table.apply_rule_set(rules(1, share(50))).is_empty());
+    let request = TestRequest::on_route("r");
+    let sent = (0..200)
+        .filter_map(|n| send(&mut table, Time::from_millis(n), &request.criteria(n * 7919)));
     assert_eq!(sent.filter(is_new).count(), 0);
 }
 
 #[test]
-fn a_version_that_waits_for_an_order_gets_nothing_while_all_others_rest() {
+fn a_delayed_version_gets_nothing_while_all_others_back_off() {
     let mut table = table(2, 2);
     let now = Time::from_millis(10);
     for n in 1..=2 {
         let id = format!("v1-{n}").parse().expect("the name is valid");
         table.record_back_off(now, &id, Duration::from_secs(1));
     }
-    assert_eq!(send(&mut table, now, &Ask::on("chat").wanted(1)), None);
-    let over = Time::from_millis(1010);
-    assert!(send(&mut table, over, &Ask::on("chat").wanted(1)).is_some_and(|id| !is_new(&id)));
+    assert_eq!(send(&mut table, now, &TestRequest::on_route("chat").criteria(1)), None);
+    let later = Time::from_millis(1010);
+    assert!(
+        send(&mut table, later, &TestRequest::on_route("chat").criteria(1))
+            .is_some_and(|id| !is_new(&id))
+    );
 }
--- a/crates/badgerfield-core/tests/replicas.rs
+++ b/crates/badgerfield-core/tests/replicas.rs
@@ -1,4 +1,4 @@
-//! The table of upstreams: who gets requests, and who must not.
+//! Tests of the table of upstreams: which upstreams get requests, and which must not.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -39,9 +39,9 @@
     UpstreamEntry { revision, info, warm_in: Duration::ZERO }
 }
 
-fn list(revision: u64, replicas: Vec<ListedUpstream>) -> UpstreamList {
+fn list(revision: u64, upstreams: Vec<ListedUpstream>) -> UpstreamList {
     let entry = |info| entry(revision, info);
-    UpstreamList { revision, entries: replicas.into_iter().map(entry).collect() }
+    UpstreamList { revision, entries: upstreams.into_iter().map(entry).collect() }
 }
 
 fn table(count: usize) -> UpstreamTable {
@@ -50,9 +50,14 @@
     table
 }
 
-fn choose(table: &UpstreamTable, now: Time, parts: &[PromptPart], draw: u64) -> Option<UpstreamId> {
+fn choose(
+    table: &UpstreamTable,
+    now: Time,
+    parts: &[PromptPart],
+    random: u64,
+) -> Option<UpstreamId> {
     let service = service("pool");
-    let wanted = UpstreamCriteria {
+    let criteria = UpstreamCriteria {
         service: &service,
         route: "r",
         parts,
@@ -61,15 +66,15 @@
         tried: &[],
         resumed_version: None,
         max_connections: 4,
-        random: draw,
+        random,
         rendezvous_key: None,
     };
-    table.choose(now, &wanted).map(|chosen| chosen.id)
+    table.choose(now, &criteria).map(|chosen| chosen.id)
 }
 
-/// Returns everybody who is chosen over many draws.
-fn chosen(table: &UpstreamTable, now: Time) -> BTreeSet<UpstreamId> {
-    (0..500).filter_map(|draw| choose(table, now, &[], draw * 7919)).collect()
+/// Returns the upstreams that are chosen for many random numbers.
+fn chosen_ids(table: &UpstreamTable, now: Time) -> BTreeSet<UpstreamId> {
+    (0..500).filter_map(|random| choose(table, now, &[], random * 7919)).collect()
 }
 
 fn at(millis: u64) -> Time {
@@ -77,61 +82,62 @@
 }
 
 #[test]
-fn who_leaves_gets_nothing() {
+fn a_leaving_upstream_gets_no_requests() {
     let mut table = table(3);
-    assert_eq!(chosen(&table, at(0)).len(), 3);
+    assert_eq!(chosen_ids(&table, at(0)).len(), 3);
     table.apply_list(at(10), list(2, vec![info(1, true), info(2, false), info(3, false)]));
-    assert_eq!(chosen(&table, at(10)), BTreeSet::from([id(2), id(3)]));
+    assert_eq!(chosen_ids(&table, at(10)), BTreeSet::from([id(2), id(3)]));
 }
 
 #[test]
-fn an_older_list_brings_nobody_back() {
+fn an_older_list_restores_no_upstream() {
     let mut table = table(2);
     table.apply_list(at(10), list(5, vec![info(1, true), info(2, false)]));
     table.apply_list(at(20), list(4, vec![info(1, false), info(2, false)]));
-    assert_eq!(chosen(&table, at(20)), BTreeSet::from([id(2)]));
+    assert_eq!(chosen_ids(&table, at(20)), BTreeSet::from([id(2)]));
 }
 
 #[test]
-fn entries_that_vanish_one_by_one_are_gone_at_once() {
-    // Seen as a broken DRAIN rule: of three entries two had vanished within two seconds,
-    // which was taken for a lapse of all leases.
+fn upstreams_that_vanish_one_by_one_get_no_requests() {
+    // The entries of upstreams that leave vanish one by one. When two of three had vanished within
+    // two seconds, this was taken for a lapse of all leases, and upstreams that had left got
+    // requests (a violation of the DRAIN rule).
     let mut table = table(3);
     table.apply_list(at(10), list(2, vec![info(2, false), info(3, false)]));
     table.apply_list(at(900), list(3, vec![info(3, false)]));
-    assert_eq!(chosen(&table, at(900)), BTreeSet::from([id(3)]));
+    assert_eq!(chosen_ids(&table, at(900)), BTreeSet::from([id(3)]));
     table.apply_list(at(1000), list(4, Vec::new()));
-    assert_eq!(chosen(&table, at(1000)), BTreeSet::new());
+    assert_eq!(chosen_ids(&table, at(1000)), BTreeSet::new());
 }
 
 #[test]
-fn entries_that_vanish_all_at_once_may_be_used_for_a_moment() {
+fn upstreams_that_vanish_together_stay_usable_briefly() {
     let mut table = table(3);
     table.apply_list(at(10), list(2, Vec::new()));
-    assert_eq!(chosen(&table, at(500)).len(), 3);
-    assert_eq!(chosen(&table, at(2000)), BTreeSet::new());
+    assert_eq!(chosen_ids(&table, at(500)).len(), 3);
+    assert_eq!(chosen_ids(&table, at(2000)), BTreeSet::new());
     table.apply_list(at(2100), list(3, vec![info(2, false)]));
-    assert_eq!(chosen(&table, at(2100)), BTreeSet::from([id(2)]));
+    assert_eq!(chosen_ids(&table, at(2100)), BTreeSet::from([id(2)]));
 }
 
 #[test]
-fn who_fails_rests_and_comes_back() {
+fn a_failing_upstream_is_avoided_for_a_while() {
     let mut table = table(2);
     for _ in 0..3 {
         table.start_request(at(0), &id(1), &[]);
         table.end_request(at(0), &id(1), AttemptOutcome::Failed);
     }
-    assert_eq!(chosen(&table, at(1)), BTreeSet::from([id(2)]));
+    assert_eq!(chosen_ids(&table, at(1)), BTreeSet::from([id(2)]));
     for _ in 0..40 {
         table.start_request(at(9000), &id(1), &[]);
         table.end_request(at(9000), &id(1), AttemptOutcome::Answered);
     }
     table.start_request(at(9000), &id(2), &[]);
-    assert_eq!(chosen(&table, at(9000)), BTreeSet::from([id(1)]));
+    assert_eq!(chosen_ids(&table, at(9000)), BTreeSet::from([id(1)]));
 }
 
 #[test]
-fn nobody_gets_more_connections_than_allowed() {
+fn no_upstream_exceeds_the_connection_limit() {
     let mut table = table(1);
     for _ in 0..4 {
         assert_eq!(choose(&table, at(0), &[], 1), Some(id(1)));
@@ -143,27 +149,27 @@
 }
 
 #[test]
-fn requests_that_share_parts_meet_at_one_upstream_on_every_vm() {
-    let (here, there) = (table(8), table(8));
-    for chain in 0..50 {
-        let own = |n: u64| PromptPart { id: 9000 + n, tokens: 500 };
-        let part = PromptPart { id: chain, tokens: 5000 };
-        let one = choose(&here, at(0), &[part, own(1)], 3);
-        let two = choose(&there, at(0), &[part, own(2)], 99);
-        assert_eq!(one, two, "chain {chain}");
+fn all_vms_prefer_the_same_upstream_for_a_shared_prefix() {
+    let (local, remote) = (table(8), table(8));
+    for prefix in 0..50 {
+        let unshared = |n: u64| PromptPart { id: 9000 + n, tokens: 500 };
+        let part = PromptPart { id: prefix, tokens: 5000 };
+        let one = choose(&local, at(0), &[part, unshared(1)], 3);
+        let two = choose(&remote, at(0), &[part, unshared(2)], 99);
+        assert_eq!(one, two, "prefix {prefix}");
     }
 }
 
 #[test]
-fn a_loaded_home_gives_way_when_reading_again_is_cheaper() {
+fn a_loaded_preferred_upstream_is_left_when_reading_again_is_cheaper() {
     let mut table = table(4);
     let parts = [PromptPart { id: 1, tokens: 200 }, PromptPart { id: 2, tokens: 10 }];
-    let home = choose(&table, at(0), &parts, 0).expect("somebody serves");
+    let preferred = choose(&table, at(0), &parts, 0).expect("an upstream is chosen");
     let service = service("pool");
     for _ in 0..50 {
-        table.start_request(at(0), &home, &parts);
+        table.start_request(at(0), &preferred, &parts);
     }
-    let wanted = UpstreamCriteria {
+    let criteria = UpstreamCriteria {
         service: &service,
         route: "r",
         parts: &parts,
@@ -175,14 +181,14 @@
         random: 0,
         rendezvous_key: None,
     };
-    let other = table.choose(at(1), &wanted).expect("somebody serves").id;
-    assert_ne!(other, home);
+    let other = table.choose(at(1), &criteria).expect("an upstream is chosen").id;
+    assert_ne!(other, preferred);
     let table_age = table.last_update().1.map(|t| at(1).since(t));
     assert_eq!(table_age, Some(Duration::from_millis(1)));
 }
 
 #[test]
-fn an_entry_never_steps_back() {
+fn an_entry_never_goes_back_to_an_older_state() {
     let mut table = table(2);
     // The list was read while the upstream began to leave: its entry is newer than the list.
     table.apply_list(
@@ -192,18 +198,18 @@
             entries: vec![entry(8, info(1, true)), entry(4, info(2, false))],
         },
     );
-    // The watch goes on from the revision of the list, and tells an older state first.
+    // The watch continues from the revision of the list and delivers an older state first.
     let older = UpstreamListChanges {
         revision: 7,
         written: vec![entry(6, info(1, false))],
         gone: Vec::new(),
     };
     assert!(table.apply_changes(at(20), older).is_empty());
-    assert_eq!(chosen(&table, at(20)), BTreeSet::from([id(2)]));
+    assert_eq!(chosen_ids(&table, at(20)), BTreeSet::from([id(2)]));
 }
 
 #[test]
-fn an_entry_written_after_a_late_word_of_its_end_stays() {
+fn a_late_removal_does_not_remove_a_newer_entry() {
     let mut table = table(2);
     let rewritten = UpstreamListChanges {
         revision: 9,
@@ -213,7 +219,7 @@
     table.apply_changes(at(10), rewritten);
     let late = UpstreamListChanges { revision: 8, written: Vec::new(), gone: vec![(id(1), 8)] };
     assert!(table.apply_changes(at(20), late).is_empty());
-    assert_eq!(chosen(&table, at(20)), BTreeSet::from([id(1), id(2)]));
+    assert_eq!(chosen_ids(&table, at(20)), BTreeSet::from([id(1), id(2)]));
 }
 
 #[test]
@@ -225,36 +231,36 @@
         gone: vec![(id(2), 2)],
     };
     assert_eq!(table.apply_changes(at(10), leaving), vec![id(1), id(2)]);
-    assert_eq!(chosen(&table, at(10)), BTreeSet::from([id(3)]));
+    assert_eq!(chosen_ids(&table, at(10)), BTreeSet::from([id(3)]));
 }
 
 #[test]
 fn equal_lists_have_equal_digests_and_others_do_not() {
-    let (mut here, there) = (table(3), table(3));
-    assert_eq!(here.list_version(), there.list_version());
+    let (mut local, remote) = (table(3), table(3));
+    assert_eq!(local.list_version(), remote.list_version());
     let leaving = UpstreamListChanges {
         revision: 2,
         written: vec![entry(2, info(1, true))],
         gone: Vec::new(),
     };
-    let news = here.apply_changes(at(10), leaving);
-    assert_ne!(here.list_version().digest, there.list_version().digest);
-    // What one passes on makes the other's list the same, but says nothing of its age.
-    let mut there = there;
-    there.apply_changes(at(20), here.changes_of(at(20), &news));
-    assert_eq!(here.list_version().digest, there.list_version().digest);
-    assert_eq!(there.list_version().revision, 1);
-    there.confirm_revision(at(30), 2);
-    assert_eq!(here.list_version(), there.list_version());
+    let changed = local.apply_changes(at(10), leaving);
+    assert_ne!(local.list_version().digest, remote.list_version().digest);
+    // Passing on changes makes the lists equal, but does not confirm the revision.
+    let mut remote = remote;
+    remote.apply_changes(at(20), local.changes_of(at(20), &changed));
+    assert_eq!(local.list_version().digest, remote.list_version().digest);
+    assert_eq!(remote.list_version().revision, 1);
+    remote.confirm_revision(at(30), 2);
+    assert_eq!(local.list_version(), remote.list_version());
 }
 
 #[test]
-fn a_whole_list_of_another_process_brings_its_end_of_an_upstream() {
-    let (mut here, mut there) = (table(3), table(3));
+fn a_full_list_of_another_process_removes_missing_upstreams() {
+    let (mut local, mut remote) = (table(3), table(3));
     let gone = UpstreamListChanges { revision: 5, written: Vec::new(), gone: vec![(id(2), 5)] };
-    there.apply_changes(at(10), gone);
-    assert_eq!(here.apply_list(at(20), there.list(at(20))), vec![id(2)]);
-    assert_eq!(chosen(&here, at(20)), BTreeSet::from([id(1), id(3)]));
+    remote.apply_changes(at(10), gone);
+    assert_eq!(local.apply_list(at(20), remote.list(at(20))), vec![id(2)]);
+    assert_eq!(chosen_ids(&local, at(20)), BTreeSet::from([id(1), id(3)]));
 }
 
 #[test]
@@ -271,8 +277,8 @@
                 );
             }
         }
-        let needs = table.engine_demand(at(1000));
-        table.divide_engines(&needs).len()
+        let demand = table.engine_demand(at(1000));
+        table.divide_engines(&demand).len()
     });
     assert_eq!(divided, [0, 1]);
 }
@@ -290,14 +296,14 @@
             );
         }
     }
-    let needs = table.engine_demand(at(2000));
-    table.divide_engines(&needs);
+    let demand = table.engine_demand(at(2000));
+    table.divide_engines(&demand);
     let service = service("pool");
     let taken = [("long", 9000), ("short", 800)].map(|(route, tokens)| {
         let mut taken = BTreeSet::new();
         for id in 0..200 {
             let parts = [PromptPart { id, tokens }, PromptPart { id: 1000 + id, tokens: 100 }];
-            let wanted = UpstreamCriteria {
+            let criteria = UpstreamCriteria {
                 service: &service,
                 route,
                 parts: &parts,
@@ -309,31 +315,32 @@
                 random: id * 7919,
                 rendezvous_key: None,
             };
-            taken.extend(table.choose(at(2000), &wanted).map(|chosen| chosen.id));
+            taken.extend(table.choose(at(2000), &criteria).map(|chosen| chosen.id));
         }
         taken
     });
-    assert!(taken[0].is_disjoint(&taken[1]), "some engines take both");
+    assert!(taken[0].is_disjoint(&taken[1]), "some engines are in both groups");
     assert!(taken.iter().all(|taken| taken.len() >= 9), "{taken:?}");
 }
 
 #[test]
-fn what_changed_since_a_revision_leads_to_the_same_list() {
+fn changes_since_a_revision_lead_to_the_same_list() {
     let mut ahead = table(40);
     let mut behind = table(40);
     let since = behind.list_version().revision;
     let written = vec![entry(5, info(3, true)), entry(6, info(41, false))];
     let gone = vec![(id(7), 8)];
     ahead.apply_changes(at(10), UpstreamListChanges { revision: 9, written, gone });
-    let changes = ahead.changes_since(at(20), since).expect("nothing was forgotten");
+    let changes = ahead.changes_since(at(20), since).expect("no removal was dropped");
     assert_eq!((changes.written.len(), changes.gone.len()), (2, 1), "{changes:?}");
     behind.apply_changes(at(20), changes);
     assert_eq!(behind.list_version().digest, ahead.list_version().digest);
 }
 
 #[test]
-fn what_went_too_long_ago_is_not_left_out_of_a_difference() {
-    // A difference without the one that went would leave it in the other's list for good.
+fn changes_that_lack_a_dropped_removal_are_not_returned() {
+    // Changes that lack a removal would leave the removed upstream in the other process's list for
+    // good.
     let mut ahead = table(3);
     ahead.apply_changes(
         at(10),
@@ -346,101 +353,103 @@
     );
     assert_eq!(ahead.changes_since(at(40_000), 1), None);
     assert!(ahead.changes_since(at(40_000), 9).is_some());
-    let mut young = UpstreamTable::default();
-    young.apply_list(at(0), list(30, vec![info(1, false)]));
-    assert_eq!(young.changes_since(at(10), 20), None, "it never knew what went before 30");
+    let mut late = UpstreamTable::default();
+    late.apply_list(at(0), list(30, vec![info(1, false)]));
+    assert_eq!(late.changes_since(at(10), 20), None, "removals before revision 30 are unknown");
 }
 
 #[test]
-fn who_knows_enough_before_news_knows_as_much_after_it_whatever_else_it_has_heard() {
-    let mut teller = table(5);
-    let mut here = table(5);
-    // Something newer came first from elsewhere, so that the lists never are the same.
-    here.apply_changes(
+fn an_update_confirms_its_revision_despite_newer_entries_from_elsewhere() {
+    let mut sender = table(5);
+    let mut local = table(5);
+    // A newer entry arrived first from another process, so the lists never become equal.
+    local.apply_changes(
         at(5),
         UpstreamListChanges { written: vec![entry(9, info(4, true))], ..Default::default() },
     );
-    teller.apply_changes(
+    sender.apply_changes(
         at(10),
         UpstreamListChanges { revision: 6, written: vec![entry(5, info(3, true))], gone: vec![] },
     );
-    let changes = teller.changes_since(at(10), 1).expect("nothing was forgotten");
-    let (news, lacking) = here.apply_update(at(20), changes, 1, teller.list_version());
-    assert_eq!((news, lacking), (vec![id(3)], ListGap::Nothing));
-    assert_eq!(here.last_update(), (6, Some(at(20))));
+    let changes = sender.changes_since(at(10), 1).expect("no removal was dropped");
+    let (changed, gap) = local.apply_update(at(20), changes, 1, sender.list_version());
+    assert_eq!((changed, gap), (vec![id(3)], ListGap::Nothing));
+    assert_eq!(local.last_update(), (6, Some(at(20))));
 }
 
 #[test]
-fn news_after_a_gap_is_used_and_does_not_count_as_all() {
-    let mut teller = table(5);
-    let mut here = table(5);
-    teller.apply_changes(
+fn an_update_after_a_gap_is_applied_and_the_gap_is_reported() {
+    let mut sender = table(5);
+    let mut local = table(5);
+    sender.apply_changes(
         at(10),
         UpstreamListChanges { revision: 6, written: vec![entry(5, info(3, true))], gone: vec![] },
     );
-    teller.apply_changes(
+    sender.apply_changes(
         at(11),
         UpstreamListChanges { revision: 8, written: vec![entry(7, info(2, true))], gone: vec![] },
     );
-    let changes = teller.changes_since(at(11), 6).expect("nothing was forgotten");
-    let (news, lacking) = here.apply_update(at(20), changes, 6, teller.list_version());
-    assert_eq!((news, lacking), (vec![id(2)], ListGap::Changes));
-    assert_eq!(here.last_update().0, 1, "it has not heard of upstream 3");
-    // What it asks for then closes the gap.
-    let changes = teller.changes_since(at(30), 1).expect("nothing was forgotten");
-    assert_eq!(here.apply_update(at(30), changes, 1, teller.list_version()).1, ListGap::Nothing);
-    assert_eq!(here.list_version(), teller.list_version());
+    let changes = sender.changes_since(at(11), 6).expect("no removal was dropped");
+    let (changed, gap) = local.apply_update(at(20), changes, 6, sender.list_version());
+    assert_eq!((changed, gap), (vec![id(2)], ListGap::Changes));
+    assert_eq!(local.last_update().0, 1, "the change of upstream 3 is missing");
+    // The changes that it then fetches close the gap.
+    let changes = sender.changes_since(at(30), 1).expect("no removal was dropped");
+    assert_eq!(local.apply_update(at(30), changes, 1, sender.list_version()).1, ListGap::Nothing);
+    assert_eq!(local.list_version(), sender.list_version());
 }
 
 #[test]
-fn a_list_that_is_wrong_in_what_is_old_is_found_out() {
-    let mut teller = table(5);
-    let mut here = table(4);
-    teller.apply_changes(at(10), UpstreamListChanges { revision: 6, ..Default::default() });
-    let (_, lacking) =
-        here.apply_update(at(20), UpstreamListChanges::default(), 1, teller.list_version());
-    assert_eq!(lacking, ListGap::FullList);
+fn a_list_that_differs_in_an_old_entry_is_detected() {
+    let mut sender = table(5);
+    let mut local = table(4);
+    sender.apply_changes(at(10), UpstreamListChanges { revision: 6, ..Default::default() });
+    let (_, gap) =
+        local.apply_update(at(20), UpstreamListChanges::default(), 1, sender.list_version());
+    assert_eq!(gap, ListGap::FullList);
 }
 
 #[test]
-fn entries_that_are_written_anew_and_say_nothing_new_are_not_told() {
-    // Upstreams write their entries each second; of 3,000 these would be most of what is told.
+fn entries_rewritten_without_a_change_are_not_sent() {
+    // Upstreams rewrite their entries each second. With 3,000 upstreams these would make up most of
+    // the changes sent.
     let mut table = table(3);
     let again = vec![entry(8, info(1, false)), entry(9, info(2, true))];
     table.apply_changes(at(10), UpstreamListChanges { revision: 9, written: again, gone: vec![] });
-    let changes = table.changes_since(at(20), 1).expect("nothing was forgotten");
-    let told: Vec<_> = changes.written.iter().map(|entry| entry.info.id.clone()).collect();
-    assert_eq!(told, vec![id(2)]);
+    let changes = table.changes_since(at(20), 1).expect("no removal was dropped");
+    let sent: Vec<_> = changes.written.iter().map(|entry| entry.info.id.clone()).collect();
+    assert_eq!(sent, vec![id(2)]);
 }
 
 #[test]
-fn who_heard_of_one_upstream_before_any_list_tells_no_difference_that_it_cannot_know() {
-    let mut young = UpstreamTable::default();
+fn an_update_before_the_first_list_does_not_extend_the_known_changes() {
+    let mut late = UpstreamTable::default();
     let first =
         UpstreamListChanges { written: vec![entry(25, info(1, false))], ..Default::default() };
-    young.apply_update(at(0), first, 24, ListVersion { revision: 26, digest: 1 });
-    young.apply_list(at(10), list(30, vec![info(1, false), info(2, false)]));
-    assert_eq!(young.changes_since(at(20), 20), None);
+    late.apply_update(at(0), first, 24, ListVersion { revision: 26, digest: 1 });
+    late.apply_list(at(10), list(30, vec![info(1, false), info(2, false)]));
+    assert_eq!(late.changes_since(at(20), 20), None);
 }
 
-fn started(n: usize, born: u64) -> ListedUpstream {
-    ListedUpstream { started_at: Some(born), ..info(n, false) }
+fn started(n: usize, started_at: u64) -> ListedUpstream {
+    ListedUpstream { started_at: Some(started_at), ..info(n, false) }
 }
 
 #[test]
-fn an_upstream_that_starts_again_under_its_id_is_taken_for_a_new_one() {
-    // Nothing read when an upstream had started: one that crashed and came back under its id was
-    // left alone for up to 8 s for failures of the process that was gone, was sent prompts for
-    // parts that it had no more, and got requests on connections that led nowhere.
+fn an_upstream_that_restarts_under_its_id_counts_as_new() {
+    // The start time of an upstream was ignored. An upstream that crashed and came back under its
+    // id was avoided for up to 8 s because of failures of the previous process, got prompts whose
+    // prefixes it no longer had in its cache, and got requests on connections to the process that
+    // was gone.
     let mut table = table(0);
     table.apply_list(at(0), list(1, vec![started(1, 1_000), started(2, 1_000)]));
-    let chain = [PromptPart { id: 7, tokens: 5000 }, PromptPart { id: 8, tokens: 10 }];
-    table.start_request(at(0), &id(1), &chain);
+    let prefix = [PromptPart { id: 7, tokens: 5000 }, PromptPart { id: 8, tokens: 10 }];
+    table.start_request(at(0), &id(1), &prefix);
     for _ in 0..4 {
         table.start_request(at(0), &id(1), &[]);
         table.end_request(at(0), &id(1), AttemptOutcome::Failed);
     }
-    assert_eq!(chosen(&table, at(1)), BTreeSet::from([id(2)]));
+    assert_eq!(chosen_ids(&table, at(1)), BTreeSet::from([id(2)]));
     let same = UpstreamListChanges {
         revision: 2,
         written: vec![entry(2, started(1, 1_000))],
@@ -448,7 +457,7 @@
     };
     table.apply_changes(at(2), same);
     assert!(table.take_restarted().is_empty());
-    assert_eq!(chosen(&table, at(2)), BTreeSet::from([id(2)]));
+    assert_eq!(chosen_ids(&table, at(2)), BTreeSet::from([id(2)]));
     let again = UpstreamListChanges {
         revision: 3,
         written: vec![entry(3, started(1, 5_000))],
@@ -457,5 +466,8 @@
     assert_eq!(table.apply_changes(at(3), again), [id(1)]);
     assert_eq!(table.take_restarted(), [id(1)]);
     table.end_request(at(3), &id(1), AttemptOutcome::Unknown);
-    assert!(chosen(&table, at(4)).contains(&id(1)), "it rests for failures of another process");
+    assert!(
+        chosen_ids(&table, at(4)).contains(&id(1)),
+        "avoided for failures of the previous process"
+    );
 }
--- a/crates/badgerfield-core/tests/request_limits.rs
+++ b/crates/badgerfield-core/tests/request_limits.rs
@@ -1,4 +1,4 @@
-//! What a fleet sends to an upstream that names a limit.
+//! Tests of the requests that a fleet sends to an upstream with a rate limit.
 
 use std::time::Duration;
 
@@ -13,21 +13,21 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// How long the steps of the emulation are, in milliseconds.
-const STEP: u64 = 50;
-/// How often a VM tells its neighbours of limits, in milliseconds.
-const TELL_EVERY: u64 = 400;
-/// From when on a limit binds, after it was named first, in milliseconds.
-const BINDS_AFTER: u64 = 3000;
-/// How long before a request arrives its VM must have had an answer that names the limit, in
-/// milliseconds.
-const TOLD_BEFORE: u64 = 500;
-/// The span in which requests count, in milliseconds.
-const SPAN: u64 = 4000;
-/// The most that an answer, a message and a newer view take to arrive, in milliseconds.
-const ANSWER: u64 = 300;
-const MESSAGE: u64 = 100;
-const VIEW: u64 = 900;
+/// The length of a step of the simulation, in milliseconds.
+const STEP_MS: u64 = 50;
+/// How often a VM sends reports of limits to its neighbours, in milliseconds.
+const REPORT_INTERVAL_MS: u64 = 400;
+/// How long after its first announcement a limit takes effect, in milliseconds.
+const GRACE_MS: u64 = 3000;
+/// How long before the arrival of a request its VM must have received an answer with the limit for
+/// the request to count, in milliseconds.
+const NOTICE_MS: u64 = 500;
+/// The window in which requests are counted, in milliseconds.
+const WINDOW_MS: u64 = 4000;
+/// The maximum delays of an answer, a message and a newer view, in milliseconds.
+const MAX_ANSWER_MS: u64 = 300;
+const MAX_MESSAGE_MS: u64 = 100;
+const MAX_VIEW_MS: u64 = 900;
 
 fn service() -> Service {
     "pool".parse().expect("the name is valid")
@@ -61,15 +61,15 @@
         warm_in: Duration::ZERO,
     };
     let mut table = UpstreamTable::default();
-    let replicas = (0..upstreams).map(entry).collect();
-    table.apply_list(Time::default(), UpstreamList { revision: 1, entries: replicas });
+    let entries = (0..upstreams).map(entry).collect();
+    table.apply_list(Time::default(), UpstreamList { revision: 1, entries });
     table
 }
 
-fn choose(table: &mut UpstreamTable, now: Time, draw: u64) -> Option<UpstreamId> {
+fn choose(table: &mut UpstreamTable, now: Time, random: u64) -> Option<UpstreamId> {
     let service = service();
     table.record_request(now, &service);
-    let wanted = UpstreamCriteria {
+    let criteria = UpstreamCriteria {
         service: &service,
         route: "r",
         parts: &[],
@@ -78,35 +78,35 @@
         tried: &[],
         resumed_version: None,
         max_connections: 100,
-        random: draw,
+        random,
         rendezvous_key: None,
     };
-    let id = table.choose(now, &wanted)?.id;
+    let id = table.choose(now, &criteria)?.id;
     table.start_request(now, &id, &[]);
     Some(id)
 }
 
-/// VMs before one upstream.
+/// VMs that send to one upstream.
 struct Fleet {
     rng: ChaCha8Rng,
     now: u64,
     tables: Vec<UpstreamTable>,
-    /// Which VMs have requests.
-    wants: Vec<bool>,
-    /// Which VMs are members.
-    active: Vec<bool>,
-    /// When a VM learns of which members.
+    /// Whether each VM has requests.
+    has_requests: Vec<bool>,
+    /// Whether each VM is a member.
+    is_member: Vec<bool>,
+    /// Views under way: arrival time, VM and members.
     views: Vec<(u64, usize, Vec<bool>)>,
-    /// When which VM gets an answer to a request.
+    /// Answers under way: arrival time and VM.
     answers: Vec<(u64, usize)>,
-    /// What a VM gets told, and when.
-    notes: Vec<(u64, usize, Vec<LimitReport>)>,
-    /// When each VM had its first answer that names the limit.
-    told: Vec<Option<u64>>,
-    /// What the upstream names.
+    /// Reports under way: arrival time, VM and limits.
+    reports: Vec<(u64, usize, Vec<LimitReport>)>,
+    /// When each VM first received an answer with the limit.
+    limit_seen_at: Vec<Option<u64>>,
+    /// The limit that the upstream announces.
     limit: Option<f64>,
-    /// When requests of which VM arrived.
-    arrived: Vec<(u64, usize)>,
+    /// Requests at the upstream: arrival time and VM.
+    arrivals: Vec<(u64, usize)>,
 }
 
 impl Fleet {
@@ -115,51 +115,51 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
             tables: (0..vms).map(|_| table(1)).collect(),
-            wants: vec![true; vms],
-            active: vec![true; vms],
+            has_requests: vec![true; vms],
+            is_member: vec![true; vms],
             views: Vec::new(),
             answers: Vec::new(),
-            notes: Vec::new(),
-            told: vec![None; vms],
+            reports: Vec::new(),
+            limit_seen_at: vec![None; vms],
             limit: None,
-            arrived: Vec::new(),
+            arrivals: Vec::new(),
         };
         for me in 0..vms {
-            fleet.learn_view(me, &vec![true; vms]);
+            fleet.apply_view(me, &vec![true; vms]);
         }
         fleet
     }
 
-    fn learn_view(&mut self, me: usize, active: &[bool]) {
+    fn apply_view(&mut self, me: usize, active: &[bool]) {
         let members: Vec<_> = (0..active.len()).filter(|n| active[*n]).map(vm).collect();
         let now = Time::from_millis(self.now);
         self.tables[me].set_senders(now, Senders::new(&vm(me), &members));
     }
 
-    /// A VM leaves the view, or comes back as a new process.
+    /// Removes a VM from the view, or adds it again with a new process.
     fn change_view(&mut self) {
-        let who = self.rng.random_range(0..self.tables.len());
-        self.active[who] = !self.active[who];
-        if self.active[who] {
-            self.tables[who] = table(1);
-            self.told[who] = None;
+        let changed = self.rng.random_range(0..self.tables.len());
+        self.is_member[changed] = !self.is_member[changed];
+        if self.is_member[changed] {
+            self.tables[changed] = table(1);
+            self.limit_seen_at[changed] = None;
         }
         for me in 0..self.tables.len() {
-            let at = self.now + self.rng.random_range(0..VIEW);
-            self.views.push((at, me, self.active.clone()));
+            let at = self.now + self.rng.random_range(0..MAX_VIEW_MS);
+            self.views.push((at, me, self.is_member.clone()));
         }
     }
 
     fn run(&mut self, millis: u64, view_every: Option<u64>) {
         let until = self.now + millis;
         while self.now < until {
-            self.now += STEP;
+            self.now += STEP_MS;
             if view_every.is_some_and(|every| self.now.is_multiple_of(every)) {
                 self.change_view();
             }
             self.deliver();
             self.send();
-            self.tell();
+            self.send_reports();
         }
     }
 
@@ -167,88 +167,96 @@
         let now = self.now;
         let views: Vec<_> = self.views.extract_if(.., |(at, ..)| *at <= now).collect();
         for (_, me, active) in views {
-            self.learn_view(me, &active);
+            self.apply_view(me, &active);
         }
         let time = Time::from_millis(now);
         for (_, me) in self.answers.extract_if(.., |(at, _)| *at <= now) {
             self.tables[me].record_limit(time, &upstream(0), self.limit.map(limit));
             self.tables[me].end_request(time, &upstream(0), AttemptOutcome::Answered);
             if self.limit.is_some() {
-                self.told[me].get_or_insert(now);
+                self.limit_seen_at[me].get_or_insert(now);
             }
         }
-        for (_, me, notes) in self.notes.extract_if(.., |(at, ..)| *at <= now) {
-            self.tables[me].apply_limit_reports(time, &notes);
+        for (_, me, reports) in self.reports.extract_if(.., |(at, ..)| *at <= now) {
+            self.tables[me].apply_limit_reports(time, &reports);
         }
     }
 
     fn send(&mut self) {
         let now = Time::from_millis(self.now);
         for me in 0..self.tables.len() {
-            if !self.wants[me] || !self.active[me] {
+            if !self.has_requests[me] || !self.is_member[me] {
                 continue;
             }
             if choose(&mut self.tables[me], now, self.rng.random()).is_some() {
-                let arrives = self.now + self.rng.random_range(0..ANSWER);
-                self.arrived.push((arrives, me));
-                self.answers.push((arrives + self.rng.random_range(0..ANSWER), me));
+                let arrives = self.now + self.rng.random_range(0..MAX_ANSWER_MS);
+                self.arrivals.push((arrives, me));
+                self.answers.push((arrives + self.rng.random_range(0..MAX_ANSWER_MS), me));
             }
         }
     }
 
-    fn tell(&mut self) {
+    fn send_reports(&mut self) {
         let count = self.tables.len();
         for me in 0..count {
-            let phase = u64::try_from(me).expect("few") * STEP % TELL_EVERY;
-            if !self.active[me] || !(self.now + phase).is_multiple_of(TELL_EVERY) {
+            let offset = u64::try_from(me).expect("the number fits") * STEP_MS % REPORT_INTERVAL_MS;
+            if !self.is_member[me] || !(self.now + offset).is_multiple_of(REPORT_INTERVAL_MS) {
                 continue;
             }
-            let notes = self.tables[me].limit_reports(Time::from_millis(self.now));
-            if notes.is_empty() {
+            let reports = self.tables[me].limit_reports(Time::from_millis(self.now));
+            if reports.is_empty() {
                 continue;
             }
             let steps = (0..8).map(|n| 1 << n).filter(|step| *step < count);
             for step in steps {
-                let at = self.now + self.rng.random_range(0..MESSAGE);
-                self.notes.push((at, (me + step) % count, notes.clone()));
+                let at = self.now + self.rng.random_range(0..MAX_MESSAGE_MS);
+                self.reports.push((at, (me + step) % count, reports.clone()));
             }
         }
     }
 
-    /// Returns the most requests in any span of four seconds from a time on, of VMs that had been
-    /// told half a second before.
-    fn most(&self, from: u64) -> usize {
-        let was_told =
-            |at: u64, me: usize| self.told[me].is_some_and(|told| told + TOLD_BEFORE <= at);
-        let counted = self.arrived.iter().filter(|(at, me)| *at >= from && was_told(*at, *me));
+    /// Returns the maximum number of requests in any four seconds after `from`, of VMs that had
+    /// received the limit at least half a second before.
+    fn max_in_window(&self, from: u64) -> usize {
+        let knew_limit = |at: u64, me: usize| {
+            self.limit_seen_at[me].is_some_and(|seen_at| seen_at + NOTICE_MS <= at)
+        };
+        let counted = self.arrivals.iter().filter(|(at, me)| *at >= from && knew_limit(*at, *me));
         let mut times: Vec<_> = counted.map(|(at, _)| *at).collect();
         times.sort_unstable();
-        let within = |n: usize| times[n..].iter().take_while(|at| **at < times[n] + SPAN).count();
+        let within =
+            |n: usize| times[n..].iter().take_while(|at| **at < times[n] + WINDOW_MS).count();
         (0..times.len()).map(within).max().unwrap_or(0)
     }
 
-    fn arrived_since(&self, from: u64) -> usize {
-        self.arrived.iter().filter(|(at, _)| *at >= from).count()
+    fn arrivals_since(&self, from: u64) -> usize {
+        self.arrivals.iter().filter(|(at, _)| *at >= from).count()
     }
 }
 
-fn allowed(rate: f64) -> f64 {
+fn max_requests(rate: f64) -> f64 {
     rate * 1.5 * 4.0 + 5.0
 }
 
-fn expect_kept(vms: usize, rate: f64, wanting: f64, seed: u64, view_every: Option<u64>) {
+fn assert_limit_kept(
+    vms: usize,
+    rate: f64,
+    busy_fraction: f64,
+    seed: u64,
+    view_every: Option<u64>,
+) {
     let mut fleet = Fleet::new(vms, seed);
     for me in 0..vms {
-        fleet.wants[me] = fleet.rng.random_bool(wanting);
+        fleet.has_requests[me] = fleet.rng.random_bool(busy_fraction);
     }
     fleet.run(1000, None);
-    let named = fleet.now;
+    let announced_at = fleet.now;
     fleet.limit = Some(rate);
     fleet.run(30_000, view_every);
-    let most = fleet.most(named + BINDS_AFTER);
-    let allowed = allowed(rate);
+    let most = fleet.max_in_window(announced_at + GRACE_MS);
+    let allowed = max_requests(rate);
     assert!(
-        f64::from(u32::try_from(most).expect("few")) <= allowed,
+        f64::from(u32::try_from(most).expect("the number fits")) <= allowed,
         "{vms} VMs, {rate} a second, seed {seed}: {most} of {allowed}"
     );
 }
@@ -260,20 +268,20 @@
     fn no_fleet_sends_more_than_the_limit_while_its_views_change(
         vms in 1_usize..=30,
         rate in prop_oneof![0.0..2.0, 2.0..20.0],
-        wanting in 0.02..=1.0,
+        busy_fraction in 0.02..=1.0,
         seed: u64,
         every in 1_u64..8,
     ) {
-        expect_kept(vms, rate, wanting, seed, Some(every * 1000));
+        assert_limit_kept(vms, rate, busy_fraction, seed, Some(every * 1000));
     }
 }
 
 #[test]
 fn a_fleet_of_300_sends_no_more_than_the_limit() {
     for (n, rate) in [0.2, 0.4, 1.1, 5.0, 20.0].into_iter().enumerate() {
-        for wanting in [0.05, 1.0] {
-            let seed = u64::try_from(n).expect("few");
-            expect_kept(300, rate, wanting, seed, Some(6000));
+        for busy_fraction in [0.05, 1.0] {
+            let seed = u64::try_from(n).expect("the number fits");
+            assert_limit_kept(300, rate, busy_fraction, seed, Some(6000));
         }
     }
 }
@@ -286,8 +294,8 @@
         fleet.run(5000, None);
         let from = fleet.now;
         fleet.run(40_000, None);
-        let used = fleet.arrived_since(from);
-        let part = f64::from(u32::try_from(used).expect("few")) / (rate * 40.0);
+        let used = fleet.arrivals_since(from);
+        let part = f64::from(u32::try_from(used).expect("the number fits")) / (rate * 40.0);
         assert!((0.6..=1.2).contains(&part), "{vms} VMs, {rate} a second: {part}");
     }
 }
@@ -317,12 +325,12 @@
         fleet.limit = Some(0.0);
         fleet.run(3000, None);
         let only = fleet.rng.random_range(0..300);
-        fleet.wants = (0..300).map(|me| me == only).collect();
+        fleet.has_requests = (0..300).map(|me| me == only).collect();
         fleet.limit = None;
         fleet.run(2000, None);
         let from = fleet.now;
         fleet.run(400_000, None);
-        assert!(fleet.arrived_since(from) > 100, "seed {seed}: VM {only} sends nothing");
+        assert!(fleet.arrivals_since(from) > 100, "seed {seed}: VM {only} sends nothing");
     }
 }
 
@@ -331,39 +339,41 @@
     let mut table = table(1);
     table.set_senders(Time::default(), Senders::new(&vm(0), &[vm(0)]));
     let at = Time::from_millis;
-    let begun = at(1000);
-    assert!(table.can_still_send(at(1100), &upstream(0), begun));
+    let started = at(1000);
+    assert!(table.can_still_send(at(1100), &upstream(0), started));
     table.record_limit(at(1200), &upstream(0), Some(limit(1.0)));
-    assert!(!table.can_still_send(at(1300), &upstream(0), begun), "nothing may be sent yet");
-    assert!(table.can_still_send(at(2300), &upstream(0), begun));
-    assert!(!table.can_still_send(at(2300), &upstream(0), begun), "the permit is taken");
+    assert!(!table.can_still_send(at(1300), &upstream(0), started), "nothing may be sent yet");
+    assert!(table.can_still_send(at(2300), &upstream(0), started));
+    assert!(!table.can_still_send(at(2300), &upstream(0), started), "the permit was used already");
 }
 
 #[test]
-fn a_process_that_stood_still_or_is_in_no_view_sends_no_crowd() {
+fn a_process_that_was_suspended_or_is_in_no_view_sends_no_burst() {
     let at = Time::from_millis;
-    let mut awake = table(1);
-    awake.set_senders(Time::default(), Senders::new(&vm(0), &[vm(0), vm(1)]));
-    let mut alone = table(1);
-    for table in [&mut awake, &mut alone] {
+    let mut suspended = table(1);
+    suspended.set_senders(Time::default(), Senders::new(&vm(0), &[vm(0), vm(1)]));
+    let mut outside = table(1);
+    for table in [&mut suspended, &mut outside] {
         table.record_limit(at(1000), &upstream(0), Some(limit(2.0)));
     }
-    let sent = (0..100).filter(|draw| choose(&mut awake, at(600_000), *draw).is_some()).count();
+    let sent =
+        (0..100).filter(|random| choose(&mut suspended, at(600_000), *random).is_some()).count();
     assert_eq!(sent, 1);
-    let sent = (0..100).filter(|draw| choose(&mut alone, at(600_000), *draw).is_some()).count();
+    let sent =
+        (0..100).filter(|random| choose(&mut outside, at(600_000), *random).is_some()).count();
     assert_eq!(sent, 0);
 }
 
 #[test]
-fn a_limit_that_others_tell_is_the_one_that_was_heard() {
+fn a_reported_limit_equals_the_announced_one() {
     let at = Time::from_millis;
     let (mut one, mut other) = (table(1), table(1));
     for table in [&mut one, &mut other] {
         table.record_limit(at(1000), &upstream(0), Some(limit(1.234_567_8)));
     }
     one.record_limit(at(2000), &upstream(0), Some(limit(1.234_567_8)));
-    let notes = one.limit_reports(at(2000));
-    assert_eq!(other.apply_limit_reports(at(2100), &notes), [], "nothing has changed");
+    let reports = one.limit_reports(at(2000));
+    assert_eq!(other.apply_limit_reports(at(2100), &reports), [], "nothing has changed");
 }
 
 #[test]
@@ -374,15 +384,15 @@
         fleet.limit = Some(rate);
         fleet.run(4000, None);
         let from = fleet.now;
-        for turn in 0..20 {
-            let members: Vec<_> = (0..30).map(|me| me % 2 == turn % 2).collect();
+        for round in 0..20 {
+            let members: Vec<_> = (0..30).map(|me| me % 2 == round % 2).collect();
             for me in 0..30 {
-                let at = fleet.now + fleet.rng.random_range(0..VIEW);
+                let at = fleet.now + fleet.rng.random_range(0..MAX_VIEW_MS);
                 fleet.views.push((at, me, members.clone()));
             }
             fleet.run(1000, None);
         }
-        let most = f64::from(u32::try_from(fleet.most(from)).expect("few"));
-        assert!(most <= allowed(rate), "seed {seed}: {most}");
+        let most = f64::from(u32::try_from(fleet.max_in_window(from)).expect("the number fits"));
+        assert!(most <= max_requests(rate), "seed {seed}: {most}");
     }
 }
