--- a/crates/badgerfield-core/src/upstream_table/canary.rs
+++ b/crates/badgerfield-core/src/upstream_table/canary.rs
@@ -322,7 +322,7 @@
         if credit < 1.0 {
             return false;
         }
-        // A request that failed at one version does not become a trial request of the other.
+        // A retry does not go to the target, unless it resumes a stream that the target began.
         if !criteria.tried.is_empty() {
             return criteria.resumed_version == Some(target);
         }
--- a/crates/badgerfield-core/src/upstream_table/list.rs
+++ b/crates/badgerfield-core/src/upstream_table/list.rs
@@ -44,7 +44,7 @@
             self.revision = revision;
             self.updated_at = Some(now);
         }
-        let mut changed: Vec<_> =
+        let mut affected: Vec<_> =
             written.into_iter().filter_map(|entry| self.apply_entry(now, entry)).collect();
         let gone: Vec<_> = gone.into_iter().filter(|gone| self.is_new_removal(gone)).collect();
         let lapsed = self.lapsed_services(&gone);
@@ -56,14 +56,14 @@
             upstream.leases_lapsed = lapsed.contains(&upstream.info.service);
             upstream.revision = revision;
             upstream.changed_revision = revision;
-            changed.push(id);
+            affected.push(id);
         }
         self.drop_removed(now);
-        if !changed.is_empty() {
+        if !affected.is_empty() {
             self.assign_positions();
             self.update_versions(now);
         }
-        changed
+        affected
     }
 
     /// Drops upstreams whose entries were removed long ago.
@@ -218,18 +218,18 @@
         let newest = written_revisions
             .chain(changes.gone.iter().map(|gone| gone.1))
             .fold(version.revision, u64::max);
-        let changed = self.apply_changes(now, UpstreamListChanges { revision: 0, ..changes });
+        let affected = self.apply_changes(now, UpstreamListChanges { revision: 0, ..changes });
         if self.revision < since {
             let gap =
                 if self.revision < version.revision { ListGap::Changes } else { ListGap::Nothing };
-            return (changed, gap);
+            return (affected, gap);
         }
         self.confirm_revision(now, version.revision);
         // If this process has seen newer changes than the sender, the digests cannot be compared.
         let has_newer = self.revision > version.revision
             || self.upstreams.values().any(|upstream| upstream.changed_revision > newest);
         let differs = !has_newer && self.list_version().digest != version.digest;
-        (changed, if differs { ListGap::FullList } else { ListGap::Nothing })
+        (affected, if differs { ListGap::FullList } else { ListGap::Nothing })
     }
 
     /// Returns the services of which all entries are removed at once.
--- a/crates/badgerfield-core/src/upstream_table/mod.rs
+++ b/crates/badgerfield-core/src/upstream_table/mod.rs
@@ -42,8 +42,8 @@
 pub use self::canary::SentCounts;
 pub use self::limits::LimitChange;
 
-/// How long after a domain is restored the entries of its upstreams may still not say that these
-/// are cold: the platform's upstreams rewrite their entries every 1.2 s.
+/// The maximum delay until the entries of a restored domain's upstreams say that these are cold:
+/// the platform's upstreams rewrite their entries every 1.2 s.
 const MAX_ENTRY_DELAY: Duration = Duration::from_millis(1500);
 /// The number of engines from which a service is divided between long and short prompts.
 ///
@@ -60,7 +60,7 @@
     pub tokens: u64,
 }
 
-/// The outcome of one attempt at an upstream, as far as it says anything about the upstream.
+/// The outcome of one attempt at an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// The upstream answered.
@@ -131,10 +131,10 @@
     pub runner_up: Option<(UpstreamId, f64)>,
 }
 
-/// The part of the list of upstreams that a process lacks after an update from another process.
+/// What this process still lacks of the list of upstreams after an update from another process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListGap {
-    /// No part that the sender has.
+    /// Nothing that the sender knows of.
     Nothing,
     /// Changes before those in the update.
     Changes,
--- a/crates/badgerfield-core/src/upstream_table/upstream.rs
+++ b/crates/badgerfield-core/src/upstream_table/upstream.rs
@@ -39,8 +39,8 @@
 const REJECTED_OUTCOME: f64 = 0.5;
 /// The expected delay at a share of failures of one, in milliseconds.
 const FAILURE_COST_MS: f64 = 2000.0;
-/// The half-life of the share of rejected requests. No new outcomes are observed at an upstream
-/// that is avoided, and crowds on the users' sheets last 3 to 9 s.
+/// The half-life of the share of rejected requests. The share decays because an upstream that is
+/// avoided yields no new outcomes; overloads on the users' sheets last 3 to 9 s.
 const REJECTED_HALF_LIFE: Duration = Duration::from_secs(3);
 /// The half-life of the share of failed requests. It is longer, since a fault that fails some of
 /// the requests is seldom repaired soon, and each request that probes for this may be lost.
@@ -112,9 +112,9 @@
     ms_per_token: f64,
     /// How the engines are divided, and the group of the request.
     pub(super) division: Option<(EngineDivision, PromptGroup)>,
-    /// The cost of sending the request to an engine of the other group, in milliseconds. It is the
-    /// time to read a long prompt, since either the request or a long prompt behind it waits that
-    /// long.
+    /// The cost of sending the request to an engine of the other group, in milliseconds. Either the
+    /// request waits until a long prompt is read, or a request with a short prompt waits for this
+    /// one, so the cost is the time to read a long prompt.
     other_group_ms: f64,
 }
 
