--- a/crates/badgerfield-core/src/rate_limit.rs
+++ b/crates/badgerfield-core/src/rate_limit.rs
@@ -7,10 +7,11 @@
 //! in force and which have ended, since a process that sends no requests gets no answer that says
 //! so.
 //!
-//! The senders may have no requests to send while another process has. So a process that has had no
-//! news of a limit for a while, and has had requests for the upstream all that time, sends one as a
-//! probe. Its delay grows with its rank: the processes probe one after the other, and the answer to
-//! the first probe is known to the others before the next one probes.
+//! The senders may have no requests to send while another process has. So a process that has
+//! received no announcement or report of a limit for a while, and has had requests for the upstream
+//! all that time, sends one as a probe. Its delay grows with its rank: the processes probe one
+//! after the other, and the answer to the first probe is known to the others before the next one
+//! probes.
 
 use std::fmt::{self, Display, Formatter};
 use std::str::FromStr;
@@ -31,8 +32,8 @@
 /// The minimum rate of a fleet in requests a second, whatever the limit: only an answer shows that
 /// a limit has ended.
 const MIN_RATE: f64 = 0.1;
-/// The minimum delay without news of a limit after which the first process that is not a sender
-/// probes the upstream.
+/// The minimum delay, without an announcement or report of the limit, after which the first process
+/// that is not a sender probes the upstream.
 const MIN_PROBE_DELAY: Duration = Duration::from_secs(6);
 /// The minimum of that delay as a multiple of the interval between two requests of one sender.
 const PROBE_INTERVALS: f64 = 2.0;
@@ -185,8 +186,8 @@
         self.bucket = is_sender.then(|| self.bucket.unwrap_or_else(|| Bucket::new(from)));
     }
 
-    /// Returns how long this process waits for news before it probes the upstream, if it is not a
-    /// sender.
+    /// Returns how long this process waits for an announcement or report before it probes the
+    /// upstream, if it is not a sender.
     fn probe_delay(&self) -> Option<Duration> {
         let (rank, _) = self.rank?;
         let interval = self.share().rate.recip();
--- a/crates/badgerfield-core/src/upstream_table/mod.rs
+++ b/crates/badgerfield-core/src/upstream_table/mod.rs
@@ -47,8 +47,8 @@
 const MAX_ENTRY_DELAY: Duration = Duration::from_millis(1500);
 /// The number of engines from which a service is divided between long and short prompts.
 ///
-/// With 140 engines a division serves better (docs/POLICY.md). With 18 it serves worse: few engines
-/// per group even out load less, and each move of the boundary loses cached prompts.
+/// A division improves the service of 140 engines (docs/POLICY.md) and worsens that of 18: few
+/// engines per group even out less load, and each move of the boundary loses cached prompts.
 const MIN_DIVIDED_ENGINES: usize = 32;
 
 /// A part of a prompt that several requests may have in common.
