--- a/crates/badgerfield-core/src/rate_limit.rs
+++ b/crates/badgerfield-core/src/rate_limit.rs
@@ -1,15 +1,17 @@
-//! Limits on requests that upstreams name, and how a fleet keeps them.
+//! Rate limits that upstreams announce, and how a fleet keeps them.
 //!
-//! An upstream in need names in its answers how many requests a second it takes from all processes
-//! together. No process can count what the others send, so a few send to it, chosen by rank over
-//! the view, each at its own part of the limit; all others leave it alone from when they know of
-//! the limit. Processes tell each other which limits are in force, and which have ended: one that
-//! sends nothing gets no answer that says so.
+//! An overloaded upstream announces in its answers how many requests a second it takes from all
+//! processes together. No process can count the requests of the others, so only a few processes
+//! send to it. They are chosen by rank over the view, and each has its own share of the limit. All
+//! others stop sending once they know of the limit. Processes report to each other which limits are
+//! in force and which have ended, since a process that sends no requests gets no answer that says
+//! so.
 //!
-//! The senders may have nothing to send while another process has. So a process that has heard
-//! nothing of a limit for a while, and has requests for the upstream all that time, tries one. How
-//! long it waits grows with its rank, so that they try one after the other, and the answer to the
-//! first is known to the others before the next one tries.
+//! The senders may have no requests to send while another process has. So a process that has
+//! received no announcement or report of a limit for a while, and has had requests for the upstream
+//! all that time, sends one as a probe. Its delay grows with its rank: the processes probe one
+//! after the other, and the answer to the first probe is known to the others before the next one
+//! probes.
 
 use std::fmt::{self, Display, Formatter};
 use std::str::FromStr;
@@ -21,50 +23,51 @@
 use crate::amount::Time;
 use crate::warm_up::{Bucket, SenderShare, Senders};
 
-/// The senders to an upstream whose limit is small.
-const LEAST_SENDERS: f64 = 2.0;
-/// How many requests a second of a limit bring one more sender.
+/// The number of senders to an upstream with a small limit.
+const MIN_SENDERS: f64 = 2.0;
+/// The requests a second of a limit that add one more sender.
 const RATE_PER_SENDER: f64 = 2.0;
-/// How many requests one sender may send at once, as the span in which it may send as many.
-const BURST: Duration = Duration::from_millis(250);
-/// The least rate at which a fleet sends, in requests a second, whatever the limit: only an answer
-/// tells that a limit has ended.
-const LEAST_RATE: f64 = 0.1;
-/// How long the first process that is no sender waits at the least for news of a limit before it
-/// tries the upstream itself.
-const SILENCE: Duration = Duration::from_secs(6);
-/// How many times the span between two requests of one sender it waits at the least.
-const SILENT_TURNS: f64 = 2.0;
-/// For how long processes tell that a limit has ended.
-const TELL_ENDED: Duration = Duration::from_secs(20);
-/// By how much the age of a note may be off: it grows old on its way.
-const AGE_ERROR: Duration = Duration::from_secs(1);
-/// How many limits a message tells of.
-pub(crate) const MAX_NOTES: usize = 8;
-/// The units of a limit in a request a second.
-const UNITS: f64 = 1000.0;
-
-/// Why a limit cannot be used.
+/// The burst of one sender, as the span of its rate that it may send at once.
+const BURST_SPAN: Duration = Duration::from_millis(250);
+/// The minimum rate of a fleet in requests a second, whatever the limit: only an answer shows that
+/// a limit has ended.
+const MIN_RATE: f64 = 0.1;
+/// The minimum delay, without an announcement or report of the limit, after which the first process
+/// that is not a sender probes the upstream.
+const MIN_PROBE_DELAY: Duration = Duration::from_secs(6);
+/// The minimum of that delay as a multiple of the interval between two requests of one sender.
+const PROBE_INTERVALS: f64 = 2.0;
+/// How long processes report that a limit has ended.
+const END_REPORT_SPAN: Duration = Duration::from_secs(20);
+/// The maximum error of the age of a report: the time in transit is not included.
+const MAX_AGE_ERROR: Duration = Duration::from_secs(1);
+/// The maximum number of limits in a message.
+pub(crate) const MAX_REPORTS: usize = 8;
+/// The units of a limit that make up one request a second.
+const UNITS_PER_REQUEST: f64 = 1000.0;
+
+/// The error for text or numbers that are not a valid limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("expected a decimal number of requests a second, such as 1.5")]
 pub struct InvalidLimit;
 
-/// How many requests a second an upstream takes from all processes together, in thousandths; all
-/// processes that hear of it have the same one.
+/// The number of requests a second that an upstream takes from all processes together, in
+/// thousandths, so that all processes that receive it have exactly the same value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RateLimit(u32);
 
 impl RateLimit {
-    /// Makes a limit of so many requests a second; one beyond four millions counts as that.
+    /// Creates a limit of `rate` requests a second; a rate above the maximum of four million is
+    /// lowered to that.
     ///
     /// # Errors
     ///
-    /// Refuses what is negative or not finite.
+    /// Returns an error if the rate is negative or not finite.
     pub fn per_second(rate: f64) -> Result<Self, InvalidLimit> {
         if !rate.is_finite() || rate < 0.0 {
             return Err(InvalidLimit);
         }
-        let units = (rate * UNITS).round().min(f64::from(u32::MAX));
+        let units = (rate * UNITS_PER_REQUEST).round().min(f64::from(u32::MAX));
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "within range")]
         let units = units as u32;
         Ok(Self(units))
@@ -73,25 +76,25 @@
     /// Returns the requests a second.
     #[must_use]
     pub fn rate(self) -> f64 {
-        f64::from(self.0) / UNITS
+        f64::from(self.0) / UNITS_PER_REQUEST
     }
 
-    /// Returns how many of so many processes may send.
-    fn senders(self, members: usize) -> u32 {
+    /// Returns how many of `members` processes may send.
+    fn sender_count(self, members: usize) -> u32 {
         let members = u32::try_from(members).unwrap_or(u32::MAX).max(1);
-        let wanted = LEAST_SENDERS + (self.rate() / RATE_PER_SENDER).floor();
-        if wanted >= f64::from(members) {
+        let count = MIN_SENDERS + (self.rate() / RATE_PER_SENDER).floor();
+        if count >= f64::from(members) {
             return members;
         }
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "within range")]
-        let senders = wanted as u32;
+        let senders = count as u32;
         senders
     }
 
-    /// Returns what each of so many senders may send.
+    /// Returns the share of each of `senders` processes.
     fn share(self, senders: u32) -> SenderShare {
-        let rate = self.rate().max(LEAST_RATE) / f64::from(senders);
-        SenderShare { rate, burst: (rate * BURST.as_secs_f64()).max(1.0) }
+        let rate = self.rate().max(MIN_RATE) / f64::from(senders);
+        SenderShare { rate, burst: (rate * BURST_SPAN.as_secs_f64()).max(1.0) }
     }
 }
 
@@ -109,112 +112,116 @@
     }
 }
 
-/// What one process tells another of the limit of an upstream.
+/// A report to other processes of the limit of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitReport {
-    /// Stands for the upstream.
+    /// Identifies the upstream.
     pub upstream: u32,
-    /// Stands for its process: one that starts again has named no limit.
+    /// Identifies its process: an upstream that restarts has announced no limit.
     pub process: u32,
-    /// Grows with each statement of the upstream that is heard by one who knows of the last.
+    /// The version of the announcement: one more than the last version known to the process that
+    /// received it.
     pub version: u32,
-    /// The limit; nothing if it names none any more.
+    /// The limit; `None` if it has ended.
     pub limit: Option<RateLimit>,
-    /// How long ago the upstream said so, in milliseconds.
+    /// The age of the announcement in milliseconds.
     pub age_ms: u32,
 }
 
-/// What is known of the limit of one upstream.
+/// What this process knows of the limit of one upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) struct KnownLimit {
-    /// The limit in force, and what this process may send.
+    /// The limit in force, and the requests that this process may send.
     pacer: Option<Pacer>,
-    /// The number of the last statement of the upstream that is known, whoever heard it; 0 before
-    /// the first. Times of several processes cannot be ordered.
+    /// The version of the last known announcement of the upstream, whichever process received it; 0
+    /// before the first. Versions are needed because times of different processes cannot be
+    /// ordered.
     version: u32,
-    /// When the upstream made that statement.
-    said: Time,
-    /// When it made the last one in an answer to this process.
-    heard: Option<Time>,
-    /// Until when others are told that a limit has ended.
-    tell_until: Time,
+    /// When the upstream made that announcement.
+    announced_at: Time,
+    /// When an answer to this process last announced a limit, or the lack of one.
+    answered_at: Option<Time>,
+    /// Until when the end of a limit is reported to others.
+    report_until: Time,
 }
 
-/// What one process may send to an upstream with a limit.
+/// The limit in force at an upstream, and the requests that one process may send there.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Pacer {
     limit: RateLimit,
-    /// From when on this process keeps to it.
+    /// From when on this process keeps to the limit.
     since: Time,
-    /// How many VMs come before this one, and how many there are; nothing outside the view.
-    place: Option<(usize, usize)>,
-    /// What it may send, if it is a sender.
+    /// The rank of this VM and the number of VMs; `None` outside the view.
+    rank: Option<(usize, usize)>,
+    /// The requests that it may send, if it is a sender.
     bucket: Option<Bucket>,
-    /// From when to when it had requests for the upstream, without a long pause.
-    wanted: Option<(Time, Time)>,
-    /// When it tried the upstream last without being a sender.
-    tried: Time,
+    /// The span in which it had requests for the upstream, without a pause of
+    /// [`MIN_PROBE_DELAY`] or longer.
+    demand: Option<(Time, Time)>,
+    /// When it last sent a probe to the upstream, without being a sender.
+    probed_at: Time,
 }
 
 impl Pacer {
-    fn new(limit: RateLimit, now: Time, place: Option<(usize, usize)>) -> Self {
-        let wanted = None;
-        let mut pacer = Self { limit, since: now, place, bucket: None, wanted, tried: now };
+    fn new(limit: RateLimit, now: Time, rank: Option<(usize, usize)>) -> Self {
+        let demand = None;
+        let mut pacer = Self { limit, since: now, rank, bucket: None, demand, probed_at: now };
         pacer.choose_role(now);
         pacer
     }
 
-    fn senders(&self) -> u32 {
-        self.limit.senders(self.place.map_or(1, |(_, members)| members))
+    fn sender_count(&self) -> u32 {
+        self.limit.sender_count(self.rank.map_or(1, |(_, members)| members))
     }
 
     fn share(&self) -> SenderShare {
-        self.limit.share(self.senders())
+        self.limit.share(self.sender_count())
     }
 
-    /// Makes this process a sender or none; a new one begins at a time, with nothing to send.
+    /// Decides by rank whether this process is a sender; a new sender starts at `from` with an
+    /// empty bucket.
     fn choose_role(&mut self, from: Time) {
-        let senders = usize::try_from(self.senders()).unwrap_or(usize::MAX);
-        let is_sender = self.place.is_some_and(|(rank, _)| rank < senders);
+        let senders = usize::try_from(self.sender_count()).unwrap_or(usize::MAX);
+        let is_sender = self.rank.is_some_and(|(rank, _)| rank < senders);
         self.bucket = is_sender.then(|| self.bucket.unwrap_or_else(|| Bucket::new(from)));
     }
 
-    /// Returns how long this process waits for news before it tries the upstream, if it is no
-    /// sender.
-    fn patience(&self) -> Option<Duration> {
-        let (rank, _) = self.place?;
-        let turn = self.share().rate.recip();
-        let least = SILENCE.as_secs_f64().max(SILENT_TURNS * turn);
-        let place = f64::from(u32::try_from(rank).unwrap_or(u32::MAX)) + 1.0;
-        let turns = 1.0 + (place / f64::from(self.senders())).log2();
-        Duration::try_from_secs_f64(least * turns).ok()
+    /// Returns how long this process waits for an announcement or report before it probes the
+    /// upstream, if it is not a sender.
+    fn probe_delay(&self) -> Option<Duration> {
+        let (rank, _) = self.rank?;
+        let interval = self.share().rate.recip();
+        let min_delay = MIN_PROBE_DELAY.as_secs_f64().max(PROBE_INTERVALS * interval);
+        let position = f64::from(u32::try_from(rank).unwrap_or(u32::MAX)) + 1.0;
+        let factor = 1.0 + (position / f64::from(self.sender_count())).log2();
+        Duration::try_from_secs_f64(min_delay * factor).ok()
     }
 
-    fn may_try(&self, now: Time, said: Time) -> bool {
-        let Some(((from, _), patience)) = self.wanted.zip(self.patience()) else {
+    fn can_probe(&self, now: Time, announced_at: Time) -> bool {
+        let Some(((from, _), probe_delay)) = self.demand.zip(self.probe_delay()) else {
             return false;
         };
-        now.since(from.max(said).max(self.tried)) >= patience
+        now.since(from.max(announced_at).max(self.probed_at)) >= probe_delay
     }
 
-    fn admits(&self, now: Time, said: Time) -> bool {
+    fn admits(&self, now: Time, announced_at: Time) -> bool {
         match &self.bucket {
             Some(bucket) => bucket.may_send(now, self.share()),
-            None => self.may_try(now, said),
+            None => self.can_probe(now, announced_at),
         }
     }
 
-    fn take(&mut self, now: Time) {
+    fn record_sent(&mut self, now: Time) {
         let share = self.share();
         match &mut self.bucket {
             Some(bucket) => bucket.take(now, share),
-            None => self.tried = now,
+            None => self.probed_at = now,
         }
     }
 
-    fn want(&mut self, now: Time) {
-        let kept = self.wanted.filter(|(_, last)| now.since(*last) < SILENCE);
-        self.wanted = Some((kept.map_or(now, |(from, _)| from), now));
+    fn record_demand(&mut self, now: Time) {
+        let kept = self.demand.filter(|(_, last)| now.since(*last) < MIN_PROBE_DELAY);
+        self.demand = Some((kept.map_or(now, |(from, _)| from), now));
     }
 }
 
@@ -224,55 +231,59 @@
         self.pacer.map(|pacer| pacer.limit)
     }
 
-    /// Takes in what the upstream says in an answer to this process.
-    pub(crate) fn hear(
+    /// Records the limit that the upstream announces in an answer to this process, if any.
+    pub(crate) fn record(
         &mut self,
         now: Time,
         limit: Option<RateLimit>,
-        place: impl FnOnce() -> Option<(usize, usize)>,
+        rank: impl FnOnce() -> Option<(usize, usize)>,
     ) {
         if self.pacer.is_none() && limit.is_none() {
-            self.heard = Some(now);
+            self.answered_at = Some(now);
             return;
         }
         self.version = self.version.saturating_add(1);
-        (self.said, self.heard) = (now, Some(now));
-        self.put(now, limit, place);
+        (self.announced_at, self.answered_at) = (now, Some(now));
+        self.set(now, limit, rank);
     }
 
-    /// Takes in what another process tells, if that is newer.
-    pub(crate) fn learn(
+    /// Applies a report of another process, if it is newer.
+    pub(crate) fn apply_report(
         &mut self,
         now: Time,
-        note: &LimitReport,
-        place: impl FnOnce() -> Option<(usize, usize)>,
+        report: &LimitReport,
+        rank: impl FnOnce() -> Option<(usize, usize)>,
     ) {
-        let limit = note.limit;
+        let limit = report.limit;
         let differs = limit.is_some() != self.pacer.is_some();
-        if note.version <= self.version {
+        if report.version <= self.version {
             if differs {
-                // The sender has missed what is known here.
-                self.tell_until = now.after(TELL_ENDED);
+                // The reporting process has missed an announcement that is known here.
+                self.report_until = now.after(END_REPORT_SPAN);
             }
             return;
         }
-        let age = Duration::from_millis(note.age_ms.into());
-        let at = Time(now.0.saturating_sub(age));
-        if differs && self.heard.is_some_and(|heard| heard.since(at) > AGE_ERROR) {
-            // The upstream has told this process otherwise since.
-            self.version = note.version.saturating_add(1);
-            self.tell_until = now.after(TELL_ENDED);
+        let age = Duration::from_millis(report.age_ms.into());
+        let announced_at = Time(now.0.saturating_sub(age));
+        if differs
+            && self
+                .answered_at
+                .is_some_and(|answered_at| answered_at.since(announced_at) > MAX_AGE_ERROR)
+        {
+            // The upstream has announced otherwise to this process since then.
+            self.version = report.version.saturating_add(1);
+            self.report_until = now.after(END_REPORT_SPAN);
             return;
         }
-        (self.version, self.said) = (note.version, at);
-        self.put(now, limit, place);
+        (self.version, self.announced_at) = (report.version, announced_at);
+        self.set(now, limit, rank);
     }
 
-    fn put(
+    fn set(
         &mut self,
         now: Time,
         limit: Option<RateLimit>,
-        place: impl FnOnce() -> Option<(usize, usize)>,
+        rank: impl FnOnce() -> Option<(usize, usize)>,
     ) {
         match (limit, &mut self.pacer) {
             (Some(limit), Some(pacer)) if pacer.limit == limit => {}
@@ -280,76 +291,78 @@
                 pacer.limit = limit;
                 pacer.choose_role(now);
             }
-            (Some(limit), None) => self.pacer = Some(Pacer::new(limit, now, place())),
+            (Some(limit), None) => self.pacer = Some(Pacer::new(limit, now, rank())),
             (None, Some(_)) => {
                 self.pacer = None;
-                self.tell_until = now.after(TELL_ENDED);
+                self.report_until = now.after(END_REPORT_SPAN);
             }
             (None, None) => {}
         }
     }
 
-    /// Takes in a newer view; a process that becomes a sender begins at a time.
-    pub(crate) fn change_place(
-        &mut self,
-        from: Time,
-        place: impl FnOnce() -> Option<(usize, usize)>,
-    ) {
+    /// Applies the rank of a newer view; a process that becomes a sender starts at `from`.
+    pub(crate) fn set_rank(&mut self, from: Time, rank: impl FnOnce() -> Option<(usize, usize)>) {
         if let Some(pacer) = &mut self.pacer {
-            pacer.place = place();
+            pacer.rank = rank();
             pacer.choose_role(from);
         }
     }
 
-    /// Tells whether a request may be sent.
+    /// Returns whether a request may be sent.
     pub(crate) fn admits(&self, now: Time) -> bool {
-        self.pacer.is_none_or(|pacer| pacer.admits(now, self.said))
+        self.pacer.is_none_or(|pacer| pacer.admits(now, self.announced_at))
     }
 
-    /// Tells whether a request that was given the upstream at a time may still be sent. One that
-    /// was given it before the limit was known here counts from now on.
-    pub(crate) fn admits_begun(&mut self, now: Time, begun: Time) -> bool {
-        if self.pacer.is_none_or(|pacer| pacer.since <= begun) {
+    /// Returns whether a request that was assigned to the upstream at `started` may still be sent.
+    /// If that was before the limit was known here, the request is counted now.
+    pub(crate) fn admits_started(&mut self, now: Time, started: Time) -> bool {
+        if self.pacer.is_none_or(|pacer| pacer.since <= started) {
             return true;
         }
         let admitted = self.admits(now);
         if admitted {
-            self.take(now);
+            self.record_sent(now);
         }
         admitted
     }
 
     /// Counts a request that is sent.
-    pub(crate) fn take(&mut self, now: Time) {
+    pub(crate) fn record_sent(&mut self, now: Time) {
         if let Some(pacer) = &mut self.pacer {
-            pacer.take(now);
+            pacer.record_sent(now);
         }
     }
 
-    /// Notes that there is a request for the upstream's service.
-    pub(crate) fn want(&mut self, now: Time) {
+    /// Records a request for the upstream's service.
+    pub(crate) fn record_demand(&mut self, now: Time) {
         if let Some(pacer) = &mut self.pacer {
-            pacer.want(now);
+            pacer.record_demand(now);
         }
     }
 
-    /// Returns how long it takes until this process may send; nothing if there is no limit, or
-    /// others send.
-    pub(crate) fn wait(&self, now: Time) -> Option<Duration> {
+    /// Returns the time until this process may send; `None` if there is no limit, or if it is not a
+    /// sender.
+    pub(crate) fn time_until_admitted(&self, now: Time) -> Option<Duration> {
         let pacer = self.pacer.as_ref()?;
         pacer.bucket.map(|bucket| bucket.wait(now, pacer.share()))
     }
 
-    /// Makes a note for other processes, if there is anything that they should know.
-    pub(crate) fn note(&self, now: Time, upstream: u32, process: u32) -> Option<LimitReport> {
-        let is_told = self.pacer.is_some() || now < self.tell_until;
-        let age_ms = u32::try_from(now.since(self.said).as_millis()).unwrap_or(u32::MAX);
+    /// Returns a report for other processes, if they need one.
+    pub(crate) fn report(&self, now: Time, upstream: u32, process: u32) -> Option<LimitReport> {
+        let is_reported = self.pacer.is_some() || now < self.report_until;
+        let age_ms = u32::try_from(now.since(self.announced_at).as_millis()).unwrap_or(u32::MAX);
         let limit = self.limit();
-        is_told.then_some(LimitReport { upstream, process, version: self.version, limit, age_ms })
+        is_reported.then_some(LimitReport {
+            upstream,
+            process,
+            version: self.version,
+            limit,
+            age_ms,
+        })
     }
 }
 
-/// Returns where this process stands among those that may send to an upstream.
-pub(crate) fn place(senders: &Senders, upstream: u64) -> Option<(usize, usize)> {
+/// Returns the rank of this VM among those that may send to an upstream, and their number.
+pub(crate) fn sender_rank(senders: &Senders, upstream: u64) -> Option<(usize, usize)> {
     senders.rank(upstream).map(|rank| (rank, senders.count()))
 }
