--- a/crates/badgerfield-core/src/holdings/answers.rs
+++ b/crates/badgerfield-core/src/holdings/ledger_replies.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::Holdings;
-use super::holding::Life;
+use super::holding::HoldingState;
 use crate::amount::{Time, Tokens};
 use crate::event::{Command, LogEntry, Outbox, is_due};
 use crate::ids::{BudgetId, Period};
@@ -11,17 +11,17 @@
 use crate::seal::sealed_part;
 
 /// How long an unconfirmed change waits before it is sent again.
-const RESEND: Duration = Duration::from_secs(1);
+const RESEND_INTERVAL: Duration = Duration::from_secs(1);
 /// The same while a request waits for it.
-const URGENT_RESEND: Duration = Duration::from_millis(500);
+const URGENT_RESEND_INTERVAL: Duration = Duration::from_millis(500);
 /// How many members are asked to write a change before the platform counts as away.
-const WRITERS: u32 = 3;
+const MAX_WRITERS: u32 = 3;
 
 impl Holdings {
     /// Takes the changes that are due to be sent to the ledger.
     pub fn take_due_ops(&mut self, now: Time) -> Vec<(LedgerOp, u32)> {
         let mut ops = Vec::new();
-        let clock = self.maker.sealing.as_ref().map(|sealing| sealing.clock);
+        let clock = self.local.sealing.as_ref().map(|sealing| sealing.clock);
         for id in &self.busy {
             let Some(holding) = self.table.get_mut(id) else {
                 continue;
@@ -30,19 +30,19 @@
                 continue;
             };
             let waits = !op.need.is_zero();
-            let resend = if waits { URGENT_RESEND } else { RESEND };
+            let resend = if waits { URGENT_RESEND_INTERVAL } else { RESEND_INTERVAL };
             if !is_due(now, *sent, resend) {
                 continue;
             }
-            if let Some(clock) = clock.filter(|_| holding.tries > 0) {
-                holding.restamp(now, clock);
+            if let Some(clock) = clock.filter(|_| holding.op_attempts > 0) {
+                holding.restamp_seal(now, clock);
             }
             let Some((op, sent)) = &mut holding.op else {
                 continue;
             };
             *sent = Some(now);
-            ops.push((op.clone(), holding.tries));
-            holding.tries += 1;
+            ops.push((op.clone(), holding.op_attempts));
+            holding.op_attempts += 1;
         }
         ops
     }
@@ -71,25 +71,25 @@
                 plan,
                 orphaned_seals: orphans,
             } => {
-                let mine = holding.op.as_ref().is_some_and(|(op, _)| op.seq == *seq);
-                if !mine {
+                let is_current = holding.op.as_ref().is_some_and(|(op, _)| op.seq == *seq);
+                if !is_current {
                     return;
                 }
                 if !left.is_zero() {
-                    holding.forget_refusals();
+                    holding.clear_refusals();
                 }
                 let op = holding.op.take().map(|(op, _)| op);
                 let closed = op.as_ref().is_some_and(|op| op.close);
                 let need = op.as_ref().map_or(Tokens::ZERO, |op| op.need);
-                let told = op.as_ref().map_or(Tokens::ZERO, |op| op.held);
-                holding.known = told.saturating_add(*granted);
-                let promised = holding.promises.is_said();
-                let shut = if promised { sealed_part(*granted, need) } else { Tokens::ZERO };
-                holding.answered(now, shut, granted.saturating_sub(shut));
-                holding.left = Some(*left);
-                if let Some(sealing) = self.maker.sealing.as_mut() {
-                    sealing.heard = Some(now);
-                    holding.orphans.clone_from(orphans);
+                let reported = op.as_ref().map_or(Tokens::ZERO, |op| op.held);
+                holding.ledger_held = reported.saturating_add(*granted);
+                let promised = holding.promises.has_pending();
+                let sealed = if promised { sealed_part(*granted, need) } else { Tokens::ZERO };
+                holding.confirm_op(now, sealed, granted.saturating_sub(sealed));
+                holding.remaining = Some(*left);
+                if let Some(sealing) = self.local.sealing.as_mut() {
+                    sealing.last_reply = Some(now);
+                    holding.orphaned_seals.clone_from(orphans);
                 }
                 out.push(Command::Log(LogEntry::LedgerApplied {
                     budget: budget.clone(),
@@ -100,45 +100,45 @@
                     sealed: holding.sealed,
                     promised,
                     reserved: holding.reserved,
-                    moving: self.transfers.under_way(budget),
-                    took: holding.drawn_at.map_or(Duration::ZERO, |at| now.since(at)),
+                    moving: self.transfers.in_transit(budget),
+                    took: holding.last_op_at.map_or(Duration::ZERO, |at| now.since(at)),
                     plan: *plan,
                     rate: holding.meter.rate(now),
                 }));
-                holding.down = false;
+                holding.store_down = false;
                 holding.plan = *plan;
-                holding.others.clone_from(others);
+                holding.other_holders.clone_from(others);
                 if closed {
-                    holding.life = Life::Closed;
+                    holding.state = HoldingState::Closed;
                 }
             }
             // The new period's template is on its way; what was held is void.
             LedgerReply::Ended { .. } => {
                 holding.op = None;
                 holding.free = Tokens::ZERO;
-                holding.left = Some(Tokens::ZERO);
+                holding.remaining = Some(Tokens::ZERO);
             }
             LedgerReply::UnknownHolder { seq } => {
-                let mine = holding.op.as_ref().is_some_and(|(op, _)| op.seq == *seq);
-                if mine {
+                let is_current = holding.op.as_ref().is_some_and(|(op, _)| op.seq == *seq);
+                if is_current {
                     holding.op = None;
-                    holding.left = Some(Tokens::ZERO);
+                    holding.remaining = Some(Tokens::ZERO);
                 }
             }
             LedgerReply::StoreUnavailable => {
                 // Another member may reach the platform.
-                let again = holding.op.as_mut().filter(|_| holding.tries < WRITERS);
+                let again = holding.op.as_mut().filter(|_| holding.op_attempts < MAX_WRITERS);
                 match again {
                     Some((_, sent)) => *sent = None,
-                    None => holding.down = true,
+                    None => holding.store_down = true,
                 }
             }
         }
-        self.touched.insert(budget.clone());
+        self.changed.insert(budget.clone());
         self.serve_waiters(now, budget);
         if *reply == LedgerReply::StoreUnavailable {
             self.skip_ledger(now, budget, out);
         }
-        self.next_search(now, budget, out);
+        self.advance_search(now, budget, out);
     }
 }
--- a/crates/badgerfield-core/src/holdings/lending.rs
+++ b/crates/badgerfield-core/src/holdings/lending.rs
@@ -4,8 +4,8 @@
 
 use super::holding::{Holding, Search};
 use super::search::next_lender;
-use super::waiting::{Queued, Waiter, Wanter};
-use super::{COME_BACK, Holdings};
+use super::waiting::{QueueOutcome, Requester, Waiter};
+use super::{Holdings, RETRY_AFTER};
 use crate::amount::{Time, Tokens};
 use crate::event::{Command, LogEntry, Outbox, is_due};
 use crate::ids::{BudgetId, Incarnation, Period};
@@ -15,12 +15,12 @@
 use crate::refusal::{Cause, Refusal};
 
 /// How long a borrower's ask may wait at its lender.
-const WAIT: Duration = Duration::from_millis(1200);
+const BORROWER_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// How often a busy borrower asks for what it keeps at hand, until it has it.
-const ASK_AHEAD: Duration = Duration::from_millis(300);
+const PREFETCH_INTERVAL: Duration = Duration::from_millis(300);
 /// A borrower gets at most one part in so many of what is free beyond what it needs.
-const AHEAD_PART: u64 = 2;
+const EXTRA_DIVISOR: u64 = 2;
 
 /// What became of a borrower's ask.
 #[derive(Debug)]
@@ -36,8 +36,8 @@
 
 impl Holdings {
     /// Ranks the lenders anew, and with them what this process holds or borrows.
-    pub(super) fn rank_lenders(&mut self, out: &mut Outbox) {
-        if self.maker.sealing.is_none() {
+    pub(super) fn update_lenders(&mut self, out: &mut Outbox) {
+        if self.local.sealing.is_none() {
             return;
         }
         self.lenders = Lenders::of(&self.view, &self.region);
@@ -46,45 +46,49 @@
             let part = self.lenders.part(budget, self.me);
             changed |= part.lenders.is_empty() != holding.lenders.is_empty();
             holding.lenders = part.lenders;
-            holding.stands_in = part.stands_in;
+            holding.is_backup = part.stands_in;
         }
         if changed {
-            let held = self.table.values().filter(|holding| !holding.borrows()).count();
+            let held = self.table.values().filter(|holding| !holding.is_borrower()).count();
             let borrowed = self.table.len() - held;
             out.push(Command::Log(LogEntry::Lending { epoch: self.view.epoch, held, borrowed }));
         }
     }
 
     /// Asks a lender for the next moments' tokens before a request has to wait for them.
-    pub(super) fn borrow_ahead(&mut self, now: Time, budget: &BudgetId, out: &mut Outbox) {
+    pub(super) fn prefetch_tokens(&mut self, now: Time, budget: &BudgetId, out: &mut Outbox) {
         let Some(holding) = self.table.get_mut(budget) else {
             return;
         };
-        let keep = holding.at_hand(now, self.pacing.policy.prefetch_span);
+        let keep = holding.prefetch_target(now, self.pacing.policy.prefetch_span);
         let has_enough = holding.free >= keep.part(1, 2).max(Tokens(1));
-        if has_enough || self.leaving.closes() || holding.search.is_some() || !holding.borrows() {
+        if has_enough
+            || self.leaving.is_closing()
+            || holding.search.is_some()
+            || !holding.is_borrower()
+        {
             return;
         }
-        let Some(to) = next_lender(holding, &self.view, &self.mute, now, &[]) else {
+        let Some(to) = next_lender(holding, &self.view, &self.silent_lenders, now, &[]) else {
             return;
         };
-        let ahead = holding.ask_ahead(now, self.pacing.policy.prefetch_span);
-        if ahead.is_zero() {
+        let prefetch = holding.start_prefetch(now, self.pacing.policy.prefetch_span);
+        if prefetch.is_zero() {
             return;
         }
-        let need = holding.largest;
-        let ahead = ahead.saturating_sub(need);
-        holding.coming.ask(now, to, need, ahead);
+        let need = holding.largest_request;
+        let prefetch = prefetch.saturating_sub(need);
+        holding.pending_loans.record_request(now, to, need, prefetch);
         let (budget, period) = (budget.clone(), holding.terms.period);
-        out.send(to, Message::TokenRequest(TokenRequest { budget, period, need, extra: ahead }));
+        out.send(to, Message::TokenRequest(TokenRequest { budget, period, need, extra: prefetch }));
     }
 
     /// Tells what this process has of the budgets that it borrows and that are busy here.
-    pub(super) fn tell_at_hand(&self, now: Time, out: &mut Outbox) {
-        let under_way = self.transfers.all_under_way();
-        for (budget, holding) in self.table.iter().filter(|(_, holding)| holding.borrows()) {
+    pub(super) fn log_prefetched(&self, now: Time, out: &mut Outbox) {
+        let under_way = self.transfers.all_in_transit();
+        for (budget, holding) in self.table.iter().filter(|(_, holding)| holding.is_borrower()) {
             let moving = under_way.get(budget).copied().unwrap_or_default();
-            let keep = holding.at_hand(now, self.pacing.policy.prefetch_span);
+            let keep = holding.prefetch_target(now, self.pacing.policy.prefetch_span);
             if keep.is_zero() && moving.is_zero() {
                 continue;
             }
@@ -100,60 +104,66 @@
     }
 
     /// Lends to a borrower, now or when the ledger has answered.
-    pub(super) fn lend(
+    pub(super) fn handle_loan_request(
         &mut self,
         now: Time,
         from: Incarnation,
-        ask: &TokenRequest,
+        request: &TokenRequest,
         out: &mut Outbox,
     ) {
-        let Some(holding) = self.table.get_mut(&ask.budget) else {
+        let Some(holding) = self.table.get_mut(&request.budget) else {
             return;
         };
-        let need = ask.need;
+        let need = request.need;
         let lends_ahead = matches!(holding.plan, HoldingPlan::Share(_));
-        holding.largest = holding.largest.max(need);
-        if holding.ready() < need {
+        holding.largest_request = holding.largest_request.max(need);
+        if holding.available() < need {
             holding.unseal_due(now);
         }
-        let waiter = Waiter { wanter: Wanter::Borrower(from), need, until: now.after(WAIT) };
+        let waiter = Waiter {
+            requester: Requester::Borrower(from),
+            need,
+            deadline: now.after(BORROWER_TIMEOUT),
+        };
         if holding.lend(now, need) {
-            let spare = holding.spare().part(1, AHEAD_PART);
-            let ahead = if lends_ahead { ask.extra.min(spare) } else { Tokens::ZERO };
-            holding.lend(now, ahead);
-            let waiter = Waiter { need: need.saturating_add(ahead), ..waiter };
-            self.decide(&ask.budget, vec![waiter], None);
+            let spare = holding.spare().part(1, EXTRA_DIVISOR);
+            let prefetch = if lends_ahead { request.extra.min(spare) } else { Tokens::ZERO };
+            holding.lend(now, prefetch);
+            let waiter = Waiter { need: need.saturating_add(prefetch), ..waiter };
+            self.answer_waiters(&request.budget, vec![waiter], None);
         } else {
-            match holding.queue(now, waiter) {
-                Queued::Refused(refusal) => self.decide(&ask.budget, vec![waiter], Some(refusal)),
-                Queued::WaitsOn => {
-                    self.busy.insert(ask.budget.clone());
+            match holding.enqueue(now, waiter) {
+                QueueOutcome::Refused(refusal) => {
+                    self.answer_waiters(&request.budget, vec![waiter], Some(refusal))
+                }
+                QueueOutcome::Waiting => {
+                    self.busy.insert(request.budget.clone());
                 }
-                Queued::Searches => self.pursue(now, &ask.budget, out),
+                QueueOutcome::Searching => self.start_search(now, &request.budget, out),
             }
         }
-        self.touched.insert(ask.budget.clone());
+        self.changed.insert(request.budget.clone());
     }
 
     /// Sends what became of borrowers' asks.
     pub(super) fn answer_borrowers(&mut self, now: Time, out: &mut Outbox) {
-        for answer in std::mem::take(&mut self.answers) {
+        for answer in std::mem::take(&mut self.borrower_answers) {
             let BorrowerAnswer { to, budget, period, amount, refusal } = answer;
             let Some(refusal) = refusal else {
                 let holding = self.table.get(&budget);
                 let has_more = holding.is_some_and(|holding| holding.has_more(now));
-                self.transfers.give(now, to, &budget, period, (amount, has_more), out);
+                self.transfers.send_new(now, to, &budget, period, (amount, has_more), out);
                 continue;
             };
             let spent = refusal.cause == Cause::BudgetSpent;
-            let after = refusal.retry_after.unwrap_or(COME_BACK);
+            let after = refusal.retry_after.unwrap_or(RETRY_AFTER);
             let lack = if spent { NoTokensReason::Spent } else { NoTokensReason::Reserved(after) };
             out.send(to, Message::NoTokens { budget, period, need: amount, reason: lack });
         }
     }
 
     /// Asks a lender that has just lent something for what others do not bring.
-    pub(super) fn ask_rest(
+    pub(super) fn request_remaining(
         &mut self,
         now: Time,
         from: Incarnation,
@@ -163,10 +173,10 @@
         let Some(holding) = self.table.get_mut(budget) else {
             return;
         };
-        let asks =
-            matches!(&holding.search, Some(Search::Lender { asked, .. }) if asked.contains(&from));
-        if asks && holding.borrows() {
-            holding.ask_uncovered(now, budget, from, 0, out);
+        let is_asked =
+            matches!(&holding.search, Some(Search::Lender { tried, .. }) if tried.contains(&from));
+        if is_asked && holding.is_borrower() {
+            holding.request_uncovered(now, budget, from, 0, out);
         }
     }
 
@@ -180,16 +190,16 @@
         let Some(holding) = self.table.get(budget) else {
             return false;
         };
-        let Some(Search::Lender { asked, .. }) = &holding.search else {
+        let Some(Search::Lender { tried, .. }) = &holding.search else {
             return false;
         };
-        holding.borrows() && asked.contains(&from) && lack != NoTokensReason::NotHolder
+        holding.is_borrower() && tried.contains(&from) && lack != NoTokensReason::NotHolder
     }
 
     /// Refuses requests as the lender did: it has looked for tokens everywhere.
     ///
     /// Those that need less than what was refused have asks of their own under way.
-    pub(super) fn refuse_borrowing(
+    pub(super) fn apply_lender_refusal(
         &mut self,
         now: Time,
         budget: &BudgetId,
@@ -202,7 +212,7 @@
                 Refusal::not_run(Cause::BudgetHeld).with_retry_after(after)
             }
             NoTokensReason::NotHolder => {
-                Refusal::not_run(Cause::BudgetHeld).with_retry_after(COME_BACK)
+                Refusal::not_run(Cause::BudgetHeld).with_retry_after(RETRY_AFTER)
             }
         };
         self.refuse_waiters(now, budget, need, refusal);
@@ -212,18 +222,21 @@
 impl Holding {
     /// Returns what a borrower asks its lender for beside a need, to keep at hand; nothing while
     /// that is on its way, or it would pile up there as long as answers are slow.
-    pub(super) fn ask_ahead(&mut self, now: Time, span: Duration) -> Tokens {
-        let keep = self.at_hand(now, span);
-        if keep.is_zero() || self.coming.has_ahead(now) || !is_due(now, self.asked, ASK_AHEAD) {
+    pub(super) fn start_prefetch(&mut self, now: Time, span: Duration) -> Tokens {
+        let keep = self.prefetch_target(now, span);
+        if keep.is_zero()
+            || self.pending_loans.has_prefetch(now)
+            || !is_due(now, self.prefetched_at, PREFETCH_INTERVAL)
+        {
             return Tokens::ZERO;
         }
-        self.asked = Some(now);
+        self.prefetched_at = Some(now);
         keep
     }
 
     /// Asks a lender for each waiting request that what is on its way does not cover, and for
     /// the first few in any case.
-    pub(super) fn ask_uncovered(
+    pub(super) fn request_uncovered(
         &mut self,
         now: Time,
         budget: &BudgetId,
@@ -231,31 +244,31 @@
         least: usize,
         out: &mut Outbox,
     ) {
-        let covered = self.ready().saturating_add(self.coming.sum(now));
+        let covered = self.available().saturating_add(self.pending_loans.total(now));
         let mut wanted = Tokens::ZERO;
         for (n, waiter) in self.waiters.iter().enumerate() {
             wanted = wanted.saturating_add(waiter.need);
             if wanted <= covered && n >= least {
                 continue;
             }
-            let (need, ahead) = (waiter.need, Tokens::ZERO);
-            self.coming.ask(now, to, need, ahead);
+            let (need, prefetch) = (waiter.need, Tokens::ZERO);
+            self.pending_loans.record_request(now, to, need, prefetch);
             let (budget, period) = (budget.clone(), self.terms.period);
             out.send(
                 to,
-                Message::TokenRequest(TokenRequest { budget, period, need, extra: ahead }),
+                Message::TokenRequest(TokenRequest { budget, period, need, extra: prefetch }),
             );
         }
     }
 
     /// Takes out what a borrower needs, if there is enough.
     pub(super) fn lend(&mut self, now: Time, need: Tokens) -> bool {
-        if self.ready() < need {
+        if self.available() < need {
             return false;
         }
         self.take(need);
-        self.lent = Some(now);
-        self.giving.lend(now, need);
+        self.lent_at = Some(now);
+        self.returns.record_lent(now, need);
         self.used_at = now;
         // What borrowers need is demand here; they count none of their own.
         self.meter.count(now, need);
--- a/crates/badgerfield-core/src/holdings/mod.rs
+++ b/crates/badgerfield-core/src/holdings/mod.rs
@@ -4,30 +4,30 @@
 //! free, the process asks its bank for what it parked, then the ledger, then other
 //! holders, and refuses only when all of them have nothing.
 
-mod answers;
-mod bank;
-mod coming;
 mod demand;
-mod giving;
 mod holding;
+mod ledger_replies;
 mod lending;
-mod opening;
 mod parking;
 mod peers;
+mod pending_loans;
 mod promises;
 mod requests;
+mod return_stats;
 mod search;
 mod transfer;
+mod unsealing;
 mod views;
 mod waiting;
+mod witness;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 
-use self::bank::Bank;
-use self::holding::{Holding, Maker, Sealing, Search};
+use self::holding::{Holding, LocalHolder, Sealing, Search};
 use self::transfer::Transfers;
+use self::witness::Witness;
 use crate::amount::{Percent, Time, Tokens};
 use crate::event::{Outbox, is_due};
 use crate::ids::{BudgetId, Incarnation, Period, Region, RunId, TemplateVersion, VmId};
@@ -39,7 +39,7 @@
 use crate::view::View;
 
 /// When to come back if the rest of a budget is reserved.
-const COME_BACK: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// What came of a wish to set tokens aside.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -94,7 +94,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Leaving {
     /// It is not.
-    Stays,
+    Active,
     /// It still serves those who ask it, and gives back what they do not need.
     Retiring,
     /// Nobody asks it any more.
@@ -102,7 +102,7 @@
 }
 
 impl Leaving {
-    fn closes(self) -> bool {
+    fn is_closing(self) -> bool {
         self == Self::Closing
     }
 }
@@ -111,20 +111,20 @@
 #[derive(Debug)]
 pub struct Holdings {
     me: Incarnation,
-    maker: Maker,
+    local: LocalHolder,
     region: Region,
     pacing: Pacing,
     /// The version of the templates whose budgets were all opened.
     pub(crate) opened_version: Option<TemplateVersion>,
     table: BTreeMap<BudgetId, Holding>,
     transfers: Transfers,
-    bank: Bank,
+    witness: Witness,
     view: Arc<View>,
     lenders: Lenders,
     /// Lenders that did not answer, and when they were asked.
-    mute: BTreeMap<Incarnation, Time>,
+    silent_lenders: BTreeMap<Incarnation, Time>,
     /// What became of borrowers' asks, to be sent.
-    answers: Vec<lending::BorrowerAnswer>,
+    borrower_answers: Vec<lending::BorrowerAnswer>,
     /// Whether this process has been in a view. Before that it does not know who lends and who
     /// writes the ledger, and would write for itself beside all others that start.
     joined: bool,
@@ -132,10 +132,10 @@
     leaving: Leaving,
     decisions: Vec<ReserveDecision>,
     /// Holdings that changed and are to be looked at.
-    touched: BTreeSet<BudgetId>,
+    changed: BTreeSet<BudgetId>,
     /// Holdings that wait for an answer.
     busy: BTreeSet<BudgetId>,
-    checked: Option<Time>,
+    checked_at: Option<Time>,
     excess: Tokens,
 }
 
@@ -143,35 +143,38 @@
     /// Makes an empty set of rights.
     #[must_use]
     pub fn new(me: Incarnation, vm: VmId, region: Region, pacing: Pacing) -> Self {
-        let sealing =
-            pacing.seal_holdings.then(|| Sealing { vm, clock: FleetClock::default(), heard: None });
+        let sealing = pacing.seal_holdings.then(|| Sealing {
+            vm,
+            clock: FleetClock::default(),
+            last_reply: None,
+        });
         Self {
             me,
-            maker: Maker { me, sealing },
+            local: LocalHolder { me, sealing },
             region,
             pacing,
             opened_version: None,
             table: BTreeMap::new(),
             transfers: Transfers::default(),
-            bank: Bank::default(),
+            witness: Witness::default(),
             view: Arc::default(),
             lenders: Lenders::default(),
-            mute: BTreeMap::new(),
-            answers: Vec::new(),
+            silent_lenders: BTreeMap::new(),
+            borrower_answers: Vec::new(),
             joined: false,
             removed: false,
-            leaving: Leaving::Stays,
+            leaving: Leaving::Active,
             decisions: Vec::new(),
-            touched: BTreeSet::new(),
+            changed: BTreeSet::new(),
             busy: BTreeSet::new(),
-            checked: None,
+            checked_at: None,
             excess: Tokens::ZERO,
         }
     }
 
     /// Takes in the fleet's time.
     pub(crate) fn set_clock(&mut self, clock: FleetClock) {
-        if let Some(sealing) = self.maker.sealing.as_mut() {
+        if let Some(sealing) = self.local.sealing.as_mut() {
             sealing.clock = clock;
         }
     }
@@ -184,25 +187,29 @@
     /// Returns the figures of one budget.
     #[must_use]
     pub fn balance(&self, budget: &BudgetId) -> HoldingBalance {
-        let moving = self.transfers.under_way(budget);
-        let banked = self.bank.total(budget);
+        let in_transit = self.transfers.in_transit(budget);
+        let witnessed = self.witness.total(budget);
         let Some(holding) = self.table.get(budget) else {
             return HoldingBalance {
-                in_transit: moving,
-                witnessed: banked,
+                in_transit: in_transit,
+                witnessed: witnessed,
                 ..HoldingBalance::default()
             };
         };
         HoldingBalance {
-            free: holding.ready(),
+            free: holding.available(),
             reserved: holding.reserved,
-            parked: holding.free.saturating_sub(holding.ready()),
-            sealed: holding.shut(),
-            returning_sealed: if holding.op.is_some() { holding.returning } else { Tokens::ZERO },
+            parked: holding.free.saturating_sub(holding.available()),
+            sealed: holding.sealed_total(),
+            returning_sealed: if holding.op.is_some() {
+                holding.returning_sealed
+            } else {
+                Tokens::ZERO
+            },
             op_pending: holding.op.is_some(),
-            returning_free: holding.back_under_way(),
-            in_transit: moving,
-            witnessed: banked,
+            returning_free: holding.returning_free(),
+            in_transit: in_transit,
+            witnessed: witnessed,
             billed: holding.billed,
             wasted: holding.wasted,
         }
@@ -227,7 +234,7 @@
             let mut holding = Holding::new(now, terms, hold, self.region.clone());
             let part = self.lenders.part(budget, self.me);
             holding.lenders = part.lenders;
-            holding.stands_in = part.stands_in;
+            holding.is_backup = part.stands_in;
             self.table.insert(budget.clone(), holding);
             return;
         };
@@ -239,19 +246,19 @@
             let waiters = std::mem::take(&mut holding.waiters);
             let hold = (spread, self.pacing.hold_ahead);
             let lenders = std::mem::take(&mut holding.lenders);
-            let stands_in = holding.stands_in;
+            let is_backup = holding.is_backup;
             *holding = Holding::new(now, terms, hold, self.region.clone());
             holding.lenders = lenders;
-            holding.stands_in = stands_in;
+            holding.is_backup = is_backup;
             // Whoever waits is served from the new period, and the search starts anew.
             holding.search = (!waiters.is_empty()).then_some(Search::Ledger { since: now });
             holding.waiters = waiters;
-            self.touched.insert(budget.clone());
+            self.changed.insert(budget.clone());
             return;
         }
         // What is held of a lowered budget goes back, so that the ledger shares it out anew.
-        holding.recall |= terms.limit < holding.terms.limit;
-        holding.left = None;
+        holding.return_all |= terms.limit < holding.terms.limit;
+        holding.remaining = None;
         holding.plan = HoldingPlan::Share(Tokens::MAX);
         holding.terms = terms;
     }
@@ -264,30 +271,30 @@
 
     /// Does what is due: reports, parks, gives back, and ends searches.
     pub fn tick(&mut self, now: Time, out: &mut Outbox) {
-        self.transfers.tick(now, out);
-        if is_due(now, self.checked, Duration::from_secs(1)) {
-            self.checked = Some(now);
-            self.touched.extend(self.table.keys().cloned());
-            self.tell_at_hand(now, out);
+        self.transfers.resend_due(now, out);
+        if is_due(now, self.checked_at, Duration::from_secs(1)) {
+            self.checked_at = Some(now);
+            self.changed.extend(self.table.keys().cloned());
+            self.log_prefetched(now, out);
         }
         for id in self.busy.clone() {
             if self.lenders.is_empty() {
                 // Sealed tokens come free with time alone; borrowers turn to another lender instead.
                 self.serve_waiters(now, &id);
             }
-            self.time_out(now, &id, out);
-            self.touched.insert(id);
+            self.handle_timeouts(now, &id, out);
+            self.changed.insert(id);
         }
         self.process_changed(now, out);
     }
 
     /// Looks again at every holding that changed.
     pub fn process_changed(&mut self, now: Time, out: &mut Outbox) {
-        for id in std::mem::take(&mut self.touched) {
+        for id in std::mem::take(&mut self.changed) {
             self.plan_op(now, &id);
             self.plan_park(now, &id);
-            self.pay_owed(now, &id, out);
-            self.pass_on(now, &id, out);
+            self.answer_deferred(now, &id, out);
+            self.forward_spare(now, &id, out);
             let busy = self.table.get(&id).is_some_and(Holding::is_busy);
             if busy {
                 self.busy.insert(id);
--- a/crates/badgerfield-core/src/holdings/requests.rs
+++ b/crates/badgerfield-core/src/holdings/requests.rs
@@ -1,6 +1,6 @@
 //! What requests do to holdings: set tokens aside, wait for them, and settle.
 
-use super::waiting::{Queued, Waiter, Wanter};
+use super::waiting::{QueueOutcome, Requester, Waiter};
 use super::{Holdings, ReserveDecision, ReserveOutcome};
 use crate::amount::{Time, Tokens};
 use crate::event::Outbox;
@@ -16,34 +16,34 @@
         waiter: (RunId, Tokens, Time),
         out: &mut Outbox,
     ) -> ReserveOutcome {
-        let (run, need, until) = waiter;
+        let (run, need, deadline) = waiter;
         let Some(holding) = self.table.get_mut(budget) else {
             return ReserveOutcome::Refused(Refusal::not_run(Cause::BudgetSpent));
         };
-        holding.largest = holding.largest.max(need);
+        holding.largest_request = holding.largest_request.max(need);
         if self.lenders.is_empty() {
             // Where a few hold for all, what each holds is many requests' worth by its rate alone.
-            holding.requests.count(now, need);
+            holding.request_sizes.record(now, need);
         }
-        if holding.ready() < need && self.maker.sealing.is_some() {
+        if holding.available() < need && self.local.sealing.is_some() {
             holding.unseal_due(now);
         }
         if need > holding.terms.limit {
             return ReserveOutcome::Refused(Refusal::not_run(Cause::BudgetSpent));
         }
-        if holding.set_aside(now, need) {
+        if holding.reserve(now, need) {
             let period = holding.terms.period;
-            self.touched.insert(budget.clone());
-            self.borrow_ahead(now, budget, out);
+            self.changed.insert(budget.clone());
+            self.prefetch_tokens(now, budget, out);
             return ReserveOutcome::Reserved(period);
         }
-        let waiter = Waiter { wanter: Wanter::Run(run), need, until };
-        match holding.queue(now, waiter) {
-            Queued::Refused(refusal) => return ReserveOutcome::Refused(refusal),
-            Queued::WaitsOn => {
+        let waiter = Waiter { requester: Requester::Run(run), need, deadline };
+        match holding.enqueue(now, waiter) {
+            QueueOutcome::Refused(refusal) => return ReserveOutcome::Refused(refusal),
+            QueueOutcome::Waiting => {
                 self.busy.insert(budget.clone());
             }
-            Queued::Searches => self.pursue(now, budget, out),
+            QueueOutcome::Searching => self.start_search(now, budget, out),
         }
         ReserveOutcome::Waiting
     }
@@ -54,7 +54,7 @@
             return false;
         };
         let before = holding.waiters.len();
-        holding.waiters.retain(|w| w.wanter != Wanter::Run(run));
+        holding.waiters.retain(|w| w.requester != Requester::Run(run));
         before != holding.waiters.len()
     }
 
@@ -80,10 +80,10 @@
         holding.free = holding.free.saturating_add(rest);
         // An upstream that ignores its limit eats into what is held.
         holding.write_off(excess);
-        holding.giving.come_back(rest);
+        holding.returns.record_returned(rest);
         holding.meter.count(now, used);
         holding.used_at = now;
-        self.touched.insert(budget.clone());
+        self.changed.insert(budget.clone());
         self.serve_waiters(now, budget);
     }
 
--- a/crates/badgerfield-core/src/holdings/transfer.rs
+++ b/crates/badgerfield-core/src/holdings/transfer.rs
@@ -14,20 +14,20 @@
 
 /// After how long an unacknowledged transfer is sent again at the earliest; each time it waits
 /// twice as long. Sent at one pace, those to a VM with a full link were most of what filled it.
-const RESEND: Duration = Duration::from_millis(300);
+const MIN_RESEND: Duration = Duration::from_millis(300);
 /// The longest of these waits; a silent process leaves the view after 20 s.
 const MAX_RESEND: Duration = Duration::from_secs(8);
 /// How many times as long as its last acknowledgement took a process is waited for.
-const PATIENCE: u32 = 2;
+const RESEND_FACTOR: u32 = 2;
 
 /// Transfers under way, and those received.
 #[derive(Debug, Default)]
 pub(crate) struct Transfers {
-    next: HashMap<Incarnation, u64>,
+    next_seq: HashMap<Incarnation, u64>,
     sent: BTreeMap<(Incarnation, u64), Sent>,
-    seen: HashMap<Incarnation, Seen>,
+    received: HashMap<Incarnation, Received>,
     /// How long each process took to acknowledge last.
-    took: HashMap<Incarnation, Duration>,
+    ack_times: HashMap<Incarnation, Duration>,
 }
 
 #[derive(Debug)]
@@ -37,27 +37,27 @@
     amount: Tokens,
     has_more: bool,
     /// When it was sent first and last.
-    first: Time,
-    at: Time,
+    first_sent: Time,
+    last_sent: Time,
     /// How long it waits before it is sent again.
     wait: Duration,
 }
 
 impl Sent {
     fn is_due(&self, now: Time) -> bool {
-        now.since(self.at) >= self.wait
+        now.since(self.last_sent) >= self.wait
     }
 }
 
 #[derive(Debug, Default)]
-struct Seen {
-    floor: u64,
+struct Received {
+    acked_seq: u64,
     above: BTreeSet<u64>,
 }
 
 impl Transfers {
     /// Sends tokens that the giver has already deducted, and says whether it may have more later.
-    pub(crate) fn give(
+    pub(crate) fn send_new(
         &mut self,
         now: Time,
         to: Incarnation,
@@ -66,48 +66,49 @@
         (amount, has_more): (Tokens, bool),
         out: &mut Outbox,
     ) {
-        let next = self.next.entry(to).or_insert(0);
+        let next = self.next_seq.entry(to).or_insert(0);
         *next += 1;
         let seq = *next;
-        let took = self.took.get(&to).copied().unwrap_or_default();
-        let wait = took.saturating_mul(PATIENCE).clamp(RESEND, MAX_RESEND);
+        let ack_times = self.ack_times.get(&to).copied().unwrap_or_default();
+        let wait = ack_times.saturating_mul(RESEND_FACTOR).clamp(MIN_RESEND, MAX_RESEND);
         let budget = budget.clone();
-        let sent = Sent { budget, period, amount, has_more, first: now, at: now, wait };
+        let sent = Sent { budget, period, amount, has_more, first_sent: now, last_sent: now, wait };
         self.sent.insert((to, seq), sent);
         self.send(to, seq, out);
     }
 
     /// Notes an acknowledgement.
-    pub(crate) fn acknowledged(&mut self, now: Time, from: Incarnation, seq: u64) {
+    pub(crate) fn record_ack(&mut self, now: Time, from: Incarnation, seq: u64) {
         if let Some(sent) = self.sent.remove(&(from, seq)) {
-            self.took.insert(from, now.since(sent.first));
+            self.ack_times.insert(from, now.since(sent.first_sent));
         }
     }
 
     /// Tells whether a transfer is new, and remembers it.
-    pub(crate) fn is_new(&mut self, from: Incarnation, transfer: &Transfer) -> bool {
-        let seen = self.seen.entry(from).or_default();
-        if transfer.seq <= seen.floor || !seen.above.insert(transfer.seq) {
+    pub(crate) fn record_received(&mut self, from: Incarnation, transfer: &Transfer) -> bool {
+        let received = self.received.entry(from).or_default();
+        if transfer.seq <= received.acked_seq || !received.above.insert(transfer.seq) {
             return false;
         }
-        seen.floor = seen.floor.max(transfer.acked_seq);
-        seen.above = seen.above.split_off(&(seen.floor + 1));
+        received.acked_seq = received.acked_seq.max(transfer.acked_seq);
+        received.above = received.above.split_off(&(received.acked_seq + 1));
         true
     }
 
     /// Sends again what is due.
-    pub(crate) fn tick(&mut self, now: Time, out: &mut Outbox) {
+    pub(crate) fn resend_due(&mut self, now: Time, out: &mut Outbox) {
         let mut due = Vec::new();
-        let mut before = None;
+        let mut previous = None;
         for ((to, seq), sent) in &mut self.sent {
             // The first to a process shows whether anything gets there; what came after it is
             // most likely on its way, too.
-            let is_first = before.replace(*to) != Some(*to);
-            let is_due = if is_first { sent.is_due(now) } else { now.since(sent.at) >= MAX_RESEND };
+            let is_first = previous.replace(*to) != Some(*to);
+            let is_due =
+                if is_first { sent.is_due(now) } else { now.since(sent.last_sent) >= MAX_RESEND };
             if !is_due {
                 continue;
             }
-            sent.at = now;
+            sent.last_sent = now;
             sent.wait = sent.wait.saturating_mul(2).min(MAX_RESEND);
             due.push((*to, *seq));
         }
@@ -119,27 +120,27 @@
     /// Gives up transfers to processes that were removed.
     ///
     /// Their tokens are lost: the receiver may have counted them.
-    pub(crate) fn adopt(&mut self, view: &View) {
+    pub(crate) fn apply_view(&mut self, view: &View) {
         self.sent.retain(|(to, _), _| view.has(*to));
-        self.seen.retain(|from, _| view.has(*from));
-        self.took.retain(|to, _| view.has(*to));
+        self.received.retain(|from, _| view.has(*from));
+        self.ack_times.retain(|to, _| view.has(*to));
     }
 
     /// Returns how many tokens are under way.
-    pub(crate) fn under_way(&self, budget: &BudgetId) -> Tokens {
+    pub(crate) fn in_transit(&self, budget: &BudgetId) -> Tokens {
         self.sent.values().filter(|s| &s.budget == budget).map(|s| s.amount).sum()
     }
 
     /// Tells whether a process has left a transfer of a budget unacknowledged for longer than
     /// messages take as a rule.
-    pub(crate) fn is_late(&self, now: Time, to: Incarnation, budget: &BudgetId) -> bool {
+    pub(crate) fn is_ack_overdue(&self, now: Time, to: Incarnation, budget: &BudgetId) -> bool {
         let sent = self.sent.range((to, 0)..=(to, u64::MAX)).map(|(_, sent)| sent);
         let mut sent = sent.filter(|sent| sent.budget == *budget);
-        sent.any(|sent| now.since(sent.first) >= RESEND)
+        sent.any(|sent| now.since(sent.first_sent) >= MIN_RESEND)
     }
 
     /// Returns how many tokens of each budget are under way.
-    pub(crate) fn all_under_way(&self) -> BTreeMap<BudgetId, Tokens> {
+    pub(crate) fn all_in_transit(&self) -> BTreeMap<BudgetId, Tokens> {
         let mut sums: BTreeMap<BudgetId, Tokens> = BTreeMap::new();
         for sent in self.sent.values() {
             let sum = sums.entry(sent.budget.clone()).or_default();
@@ -149,7 +150,7 @@
     }
 
     /// Tells whether everything is acknowledged.
-    pub(crate) fn is_done(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.sent.is_empty()
     }
 
@@ -158,10 +159,10 @@
             return;
         };
         let first = self.sent.range((to, 0)..=(to, u64::MAX)).next();
-        let floor = first.map_or(0, |((_, seq), _)| seq - 1);
+        let acked = first.map_or(0, |((_, seq), _)| seq - 1);
         let transfer = Transfer {
             seq,
-            acked_seq: floor,
+            acked_seq: acked,
             budget: sent.budget.clone(),
             period: sent.period,
             amount: sent.amount,
--- a/crates/badgerfield-core/src/holdings/views.rs
+++ b/crates/badgerfield-core/src/holdings/views.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::holding::{Holding, Life};
+use super::holding::{Holding, HoldingState};
 use super::{Holdings, Leaving};
 use crate::amount::Time;
 use crate::event::{Command, LogEntry, Outbox};
@@ -18,42 +18,42 @@
         self.removed |= self.view.has(self.me) && !view.has(self.me);
         self.view = Arc::clone(view);
         self.joined |= view.has(self.me);
-        self.transfers.adopt(view);
+        self.transfers.apply_view(view);
         if self.removed {
-            self.lose_parked();
-            self.bank.adopt(view, self.me);
+            self.write_off_parked();
+            self.witness.apply_view(view, self.me);
             return;
         }
-        for inherited in self.bank.adopt(view, self.me) {
+        for inherited in self.witness.apply_view(view, self.me) {
             let Some(holding) = self.table.get_mut(&inherited.budget) else {
                 continue;
             };
             if holding.terms.period != inherited.period {
                 continue;
             }
-            if self.maker.sealing.is_some() {
+            if self.local.sealing.is_some() {
                 // Its successor may give back a part of it, so the ledger decides.
                 let (holder, amount) = (inherited.owner, inherited.amount);
-                holding.untouched.push(WitnessReport { holder, amount });
+                holding.witness_reports.push(WitnessReport { holder, amount });
                 let (budget, epoch) = (inherited.budget.clone(), view.epoch);
                 out.push(Command::Log(LogEntry::ParkedReturned { budget, holder, amount, epoch }));
             } else {
                 holding.free = holding.free.saturating_add(inherited.amount);
             }
-            self.touched.insert(inherited.budget);
+            self.changed.insert(inherited.budget);
         }
         self.reclaim_parked();
-        self.rank_lenders(out);
+        self.update_lenders(out);
         for id in self.table.keys().cloned().collect::<Vec<_>>() {
-            self.touched.insert(id.clone());
+            self.changed.insert(id.clone());
             self.serve_waiters(now, &id);
-            self.drop_gone(&id);
+            self.drop_removed_peers(&id);
             if let Some(holding) = self.table.get_mut(&id) {
-                holding.coming.keep(|lender| view.has(lender));
+                holding.pending_loans.retain_lenders(|lender| view.has(lender));
             }
-            self.leave_gone_lender(now, &id, out);
-            self.start_waiting_search(now, &id, out);
-            self.next_search(now, &id, out);
+            self.replace_removed_lender(now, &id, out);
+            self.resume_search(now, &id, out);
+            self.advance_search(now, &id, out);
         }
     }
 
@@ -65,13 +65,13 @@
         if !self.lenders.is_empty() {
             self.leaving = Leaving::Retiring;
         }
-        self.touched.extend(self.table.keys().cloned());
+        self.changed.extend(self.table.keys().cloned());
     }
 
     /// Starts giving everything back.
     pub fn close(&mut self) {
         self.leaving = Leaving::Closing;
-        self.touched.extend(self.table.keys().cloned());
+        self.changed.extend(self.table.keys().cloned());
     }
 
     /// Tells whether everything is given back and nothing is parked here.
@@ -79,11 +79,11 @@
     pub fn is_closed(&self) -> bool {
         let is_done = |h: &Holding| {
             let is_empty = h.seq == 0 && h.unspent().is_zero();
-            let is_over = h.life == Life::Closed || is_empty || h.is_witnessed();
-            h.untouched.is_empty() && is_over
+            let is_over = h.state == HoldingState::Closed || is_empty || h.is_fully_parked();
+            h.witness_reports.is_empty() && is_over
         };
         let closed = self.table.values().all(is_done);
-        closed && self.transfers.is_done() && self.bank.is_empty()
+        closed && self.transfers.is_empty() && self.witness.is_empty()
     }
 
     /// Hands what is left to another process, for when the platform cannot take it back.
@@ -98,15 +98,15 @@
             return;
         };
         for (id, holding) in &mut self.table {
-            if self.maker.sealing.is_some() {
+            if self.local.sealing.is_some() {
                 holding.unseal_due(now);
             }
-            if holding.ready().is_zero() {
+            if holding.available().is_zero() {
                 continue;
             }
             let amount = holding.take(holding.free);
             let gift = (amount, holding.has_more(now));
-            self.transfers.give(now, to, id, holding.terms.period, gift, out);
+            self.transfers.send_new(now, to, id, holding.terms.period, gift, out);
         }
     }
 }
--- a/crates/badgerfield-core/src/holdings/bank.rs
+++ b/crates/badgerfield-core/src/holdings/witness.rs
@@ -14,12 +14,12 @@
 
 /// What others have parked here.
 #[derive(Debug, Default)]
-pub(crate) struct Bank {
-    owners: BTreeMap<Incarnation, BTreeMap<BudgetId, Deposit>>,
+pub(crate) struct Witness {
+    owners: BTreeMap<Incarnation, BTreeMap<BudgetId, ParkedAmount>>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Deposit {
+struct ParkedAmount {
     period: Period,
     seq: u64,
     total: Tokens,
@@ -34,39 +34,39 @@
     pub(crate) amount: Tokens,
 }
 
-impl Bank {
+impl Witness {
     /// Sets a parked amount; tells whether to acknowledge it.
-    pub(crate) fn set(&mut self, view: &View, owner: Incarnation, item: &ParkItem) -> bool {
+    pub(crate) fn record(&mut self, view: &View, owner: Incarnation, item: &ParkItem) -> bool {
         // Once removed, an owner may neither add nor take back.
         if !view.has(owner) {
             return false;
         }
-        let deposits = self.owners.entry(owner).or_default();
-        let new = Deposit { period: item.period, seq: item.seq, total: item.total };
-        let Some(old) = deposits.get_mut(&item.budget) else {
-            deposits.insert(item.budget.clone(), new);
+        let amounts = self.owners.entry(owner).or_default();
+        let new = ParkedAmount { period: item.period, seq: item.seq, total: item.total };
+        let Some(old) = amounts.get_mut(&item.budget) else {
+            amounts.insert(item.budget.clone(), new);
             return true;
         };
-        let rank = |d: &Deposit| (d.period, d.seq);
-        if rank(&new) > rank(old) {
+        let order = |d: &ParkedAmount| (d.period, d.seq);
+        if order(&new) > order(old) {
             *old = new;
         }
-        rank(&new) >= rank(old)
+        order(&new) >= order(old)
     }
 
     /// Takes over what removed owners had parked.
-    pub(crate) fn adopt(&mut self, view: &View, me: Incarnation) -> Vec<Inherited> {
+    pub(crate) fn apply_view(&mut self, view: &View, me: Incarnation) -> Vec<Inherited> {
         let mut inherited = Vec::new();
         if !view.has(me) {
             self.owners.clear();
             return inherited;
         }
-        self.owners.retain(|owner, deposits| {
+        self.owners.retain(|owner, amounts| {
             if view.has(*owner) {
                 return true;
             }
-            for (budget, deposit) in std::mem::take(deposits) {
-                let (period, amount) = (deposit.period, deposit.total);
+            for (budget, parked) in std::mem::take(amounts) {
+                let (period, amount) = (parked.period, parked.total);
                 inherited.push(Inherited { owner: *owner, budget, period, amount });
             }
             false
@@ -81,7 +81,7 @@
 
     /// Returns what is parked here of one budget.
     pub(crate) fn total(&self, budget: &BudgetId) -> Tokens {
-        let deposits = self.owners.values().filter_map(|d| d.get(budget));
-        deposits.map(|d| d.total).sum()
+        let amounts = self.owners.values().filter_map(|d| d.get(budget));
+        amounts.map(|d| d.total).sum()
     }
 }
