--- a/crates/badgerfield-core/src/holdings/demand.rs
+++ b/crates/badgerfield-core/src/holdings/demand.rs
@@ -1,34 +1,35 @@
-//! The demand that a holder tells the ledger, by which it gets its share.
+//! The demand that a holder reports to the ledger, which determines its share.
 
 use std::time::Duration;
 
 use super::holding::Holding;
 use crate::amount::{Time, TokenRate, Tokens};
 
-/// How many requests of the usual size a holder counts on in the time for which it holds ahead, once
-/// it was asked of late: a share by its rate alone is less than one request at a VM that is seldom
-/// asked, and what is sealed of it comes free only at the pace of that rate.
+/// How many requests of average size a recently used holder plans for within its horizon. At a VM
+/// with rare requests, a share by rate alone is less than one request, and sealed tokens become
+/// free only at that rate.
 const MIN_REQUESTS: u64 = 4;
-/// How many requests of the usual size are left unsealed, if they are no more than half of a holding.
+/// How many requests of average size are left unsealed, up to half of a holding.
 const UNSEALED_REQUESTS: u64 = 2;
-/// How many requests for each holder the ledger has left while holders keep more than their rates
-/// alone ask for: what all keep is lost with the power of all, and a low budget cannot spare it.
+/// Holders plan for more than their rates only while the ledger has this many requests' worth left
+/// for each holder. Tokens that holders keep are lost when all VMs lose power at once, and a low
+/// budget cannot spare them.
 const PLENTY_REQUESTS: u64 = 16;
-/// For how long after a request a holder counts on more.
+/// How long after a request a holder plans for [`MIN_REQUESTS`].
 const RECENT_SPAN: Duration = Duration::from_secs(20);
-/// Each request counts for one part in so many of the usual size.
+/// The weight of each request in the average size is one `AVERAGE_DIVISOR`-th.
 const AVERAGE_DIVISOR: u64 = 8;
 
-/// What a holder knows of the requests that it was asked for.
+/// The sizes of the requests that a holder has received.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct RequestSizes {
-    /// The most that a request costs, as a moving average.
+    /// The moving average of the most tokens that a request can cost.
     average: Tokens,
     last_at: Option<Time>,
 }
 
 impl RequestSizes {
-    /// Counts a request.
+    /// Records a request.
     pub(super) fn record(&mut self, now: Time, need: Tokens) {
         let first = self.last_at.is_none();
         let older = self.average.saturating_sub(self.average.part(1, AVERAGE_DIVISOR));
@@ -37,7 +38,7 @@
         self.last_at = Some(now);
     }
 
-    /// Returns the least demand to count on, if so much time is held ahead.
+    /// Returns the lowest demand to plan for with this horizon.
     fn min_rate(&self, now: Time, horizon: Duration) -> TokenRate {
         let is_late = self.last_at.is_none_or(|last_at| now.since(last_at) >= RECENT_SPAN);
         let millis = u64::try_from(horizon.as_millis()).unwrap_or(u64::MAX);
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Returns what is left unsealed in any case, for the next requests.
+    /// Returns how many tokens to leave unsealed at least, for the next requests.
     pub(super) fn min_unsealed(&self) -> Tokens {
         if !self.has_plenty() {
             return Tokens::ZERO;
@@ -68,7 +69,8 @@
         next.min(self.unspent().part(1, 2))
     }
 
-    /// Tells whether what every holder keeps for its next requests is little beside what is left.
+    /// Returns whether the tokens that all holders keep for their next requests are few compared
+    /// with those left in the ledger.
     fn has_plenty(&self) -> bool {
         let holders = u64::try_from(self.other_holders.len()).unwrap_or(u64::MAX).saturating_add(1);
         let each = self.request_sizes.average.part(PLENTY_REQUESTS, 1);
--- a/crates/badgerfield-core/src/holdings/holding.rs
+++ b/crates/badgerfield-core/src/holdings/holding.rs
@@ -1,4 +1,4 @@
-//! One holding: what a process may spend of one budget in one period.
+//! The tokens that a process may spend of one budget in one period.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -16,168 +16,170 @@
 use crate::refusal::Refusal;
 use crate::seal::{FleetClock, Orphan, Seal, SealClaim, falls_ms};
 
-/// How much demand, in time, a holding keeps ready to spend; the rest is parked.
+/// How much demand, in time, a holding keeps available; the rest is parked.
 const WORKING_SPAN: Duration = Duration::from_secs(1);
 
-/// After how long without use a holding is given back.
+/// A holding that no request has used for this long is returned to the ledger.
 const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// How much demand, in time, is left unsealed: sealed tokens come free as fast as they are used
-/// as a rule, and the rest is for a report that was due and for what comes in clumps.
+/// How much demand, in time, is left unsealed. Sealed tokens normally become free at the rate at
+/// which they are used; this reserve covers a late report and bursts of requests.
 const UNSEALED_SPAN: Duration = Duration::from_millis(2000);
-/// A holding is balanced anew when it is off by one part in so many of what is to be open.
+/// A holding is rebalanced when its unsealed amount differs from the target by more than one
+/// `MARGIN_DIVISOR`-th of the target.
 const MARGIN_DIVISOR: u64 = 8;
-/// The most of a holding that is left unsealed, in hundredths.
+/// The largest part of a holding that is left unsealed.
 const MAX_UNSEALED_PERCENT: u64 = 40;
-/// After how long without the platform's word nothing is promised.
+/// Held tokens are promised to the ledger only if the ledger has answered within this time.
 const MAX_REPLY_AGE: Duration = Duration::from_millis(1100);
 
-/// A borrower is busy when it may need so many large requests' tokens while it waits for a
-/// lender.
+/// A borrower is busy if its demand during the prefetch span is at least one `BUSY_DIVISOR`-th of
+/// its largest request.
 const BUSY_DIVISOR: u64 = 4;
-/// A holding is topped up when it lacks one part in so many of its share.
+/// A holding is topped up when it lacks at least one `TOP_UP_DIVISOR`-th of its share.
 const TOP_UP_DIVISOR: u64 = 4;
 
-/// What a process needs for sealing tokens.
+/// The data with which a process seals tokens.
 #[derive(Debug)]
 pub(crate) struct Sealing {
     pub(crate) vm: VmId,
     pub(crate) clock: FleetClock,
-    /// When the ledger last answered a change.
+    /// When the ledger last answered an operation.
     pub(crate) last_reply: Option<Time>,
 }
 
 impl Sealing {
-    /// Tells whether the platform is known to be there.
+    /// Returns whether the ledger has answered recently, which shows that the store is reachable.
     pub(super) fn is_store_reachable(&self, now: Time) -> bool {
         self.last_reply.is_some_and(|at| now.since(at) < MAX_REPLY_AGE)
     }
 }
 
 impl LocalHolder {
-    /// Tells whether the platform takes changes at present, as far as is known.
+    /// Returns whether the ledger has answered recently. Without sealing this is never known.
     pub(super) fn is_store_reachable(&self, now: Time) -> bool {
         self.sealing.as_ref().is_some_and(|sealing| sealing.is_store_reachable(now))
     }
 }
 
-/// Who makes changes for the ledger.
+/// This process as the author of ledger operations.
 #[derive(Debug)]
 pub(crate) struct LocalHolder {
     pub(crate) me: Incarnation,
-    /// Nothing if the process seals no tokens and parks them instead.
+    /// `None` if the process parks tokens instead of sealing them.
     pub(crate) sealing: Option<Sealing>,
 }
 
-/// Where the search for tokens stands.
+/// The state of a search for tokens.
 #[derive(Debug, Clone)]
 pub(crate) enum Search {
-    /// The bank was asked for what is parked there.
+    /// Waits for the witness to release parked tokens.
     Witness { since: Time },
-    /// A lender, or the holder that collects a low budget, was asked.
+    /// Waits for a lender, or for the collector of a low budget.
     Lender { since: Time, tried: Vec<Incarnation> },
-    /// The ledger was asked.
+    /// Waits for the ledger.
     Ledger { since: Time },
-    /// Other holders were asked, and these have not answered. Of those that have, one may come to
-    /// have so much.
+    /// Waits for the peers in `unanswered`. `max_available` is the most that one of the other peers
+    /// may have available later.
     Peers { since: Time, unanswered: BTreeSet<Incarnation>, max_available: Tokens },
 }
 
-/// What a witness knows to be untouched, as its owner sees it.
+/// The tokens that the witness has on record as unspent, as seen by their owner.
 ///
-/// It is a part of what is free and sealed together: whatever leaves the holding leaves at least
-/// so much, until the witness has acknowledged a smaller figure.
+/// They are part of the free and sealed tokens. The holding must retain at least this many until
+/// the witness has acknowledged a smaller amount.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Parked {
     pub(crate) witness: Option<Incarnation>,
     pub(crate) seq: u64,
-    /// What the bank has acknowledged.
+    /// The amount that the witness has acknowledged last.
     pub(crate) total: Tokens,
-    /// What the bank was told last, and when, if it has not acknowledged it.
+    /// The amount that the witness has not acknowledged yet, and when it was sent last.
     pub(crate) sent: Option<(Tokens, Option<Time>)>,
 }
 
-/// Where a holding is in its life.
+/// The state of a holding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HoldingState {
-    /// It serves requests.
+    /// Serves requests.
     Open,
-    /// Its process is stopping: it wants nothing more, and gives back what is not needed.
+    /// The process is stopping. The holding draws no more tokens and returns those it does not
+    /// need.
     Retiring,
-    /// The ledger knows that everything was given back.
+    /// The ledger has confirmed that all tokens were returned.
     Closed,
 }
 
-/// What a process may spend of one budget.
+/// The tokens that a process may spend of one budget.
 #[derive(Debug, Clone)]
 pub(crate) struct Holding {
     pub(crate) terms: BudgetTerms,
     pub(crate) region: Region,
     pub(crate) spread: Percent,
     pub(crate) horizon: Duration,
-    /// Neither set aside nor sealed. What a witness knows of it is not ready to spend.
+    /// Tokens that are neither reserved nor sealed. The parked part of them is not available.
     pub(crate) free: Tokens,
-    /// Set aside for running requests.
+    /// Tokens reserved for running requests.
     pub(crate) reserved: Tokens,
     pub(crate) billed: Tokens,
     pub(crate) wasted: Tokens,
     pub(crate) parked: Parked,
     pub(crate) seq: u64,
-    /// The change that the ledger has not confirmed, and when it was sent last.
+    /// The operation that the ledger has not confirmed, and when it was sent last.
     pub(crate) op: Option<(LedgerOp, Option<Time>)>,
     pub(crate) op_attempts: u32,
-    /// Whether the platform was down when it was last heard of.
+    /// Whether the ledger's last reply was that the store is unavailable.
     pub(crate) store_down: bool,
     pub(crate) last_op_at: Option<Time>,
     pub(crate) reported: (Tokens, Tokens),
-    /// What the ledger takes to be held here.
+    /// How many tokens the ledger has on record as held here.
     pub(crate) ledger_held: Tokens,
-    /// What the ledger had left, as far as it has said.
+    /// How many tokens the ledger had left when it replied last.
     pub(crate) remaining: Option<Tokens>,
     pub(crate) other_holders: Vec<Incarnation>,
-    /// How the ledger wants the budget held.
+    /// How the ledger wants this process to hold the budget.
     pub(crate) plan: HoldingPlan,
-    /// Whom this process borrows from; none if it holds rights of its own.
+    /// The lenders of this process; empty if it holds tokens of its own.
     pub(crate) lenders: Vec<Incarnation>,
-    /// Whether this process stands in for lenders that do not answer.
+    /// Whether this process is a backup lender.
     pub(crate) is_backup: bool,
-    /// What was set aside and lent, and what of it came back.
+    /// Tokens reserved and lent, and how many of them came back unused.
     pub(super) returns: ReturnStats,
-    /// When something was lent last.
+    /// When tokens were last lent.
     pub(crate) lent_at: Option<Time>,
-    /// When a lender was asked for what is to be kept at hand.
+    /// When a prefetch was last requested.
     pub(crate) prefetched_at: Option<Time>,
-    /// What lenders were asked for and have not answered.
+    /// Requests that lenders have not answered.
     pub(super) pending_loans: PendingLoans,
     pub(crate) waiters: VecDeque<Waiter>,
     pub(crate) search: Option<Search>,
-    /// Holders that asked for tokens while they were parked.
+    /// Requests from other holders that wait until the tokens here are no longer parked.
     pub(crate) deferred: Vec<(Incarnation, TokenRequest)>,
     pub(crate) used_at: Time,
     pub(crate) largest_request: Tokens,
     pub(crate) meter: RateMeter,
     pub(super) request_sizes: RequestSizes,
-    /// When something was passed on to the collector.
+    /// When tokens were last forwarded to a lender or to the collector.
     pub(crate) forwarded_at: Option<Time>,
-    /// Whether everything is to go back, because the budget was lowered.
+    /// Whether all tokens are to be returned because the limit of the budget was lowered.
     pub(crate) return_all: bool,
-    /// What is held and promised not to be touched.
+    /// Held tokens that are sealed.
     pub(crate) sealed: Tokens,
-    /// Sealed tokens that the change under way gives back; nobody touches them.
+    /// Sealed tokens that the pending operation returns. They must not be spent.
     pub(crate) returning_sealed: Tokens,
-    /// What the change under way unseals.
+    /// Tokens that the pending operation unseals.
     pub(crate) unsealing: Tokens,
-    /// What the ledger was promised of that.
+    /// The seals that the ledger may have on record.
     pub(super) promises: Promises,
-    /// Sealed tokens of earlier processes of this VM that were not looked at yet.
+    /// Sealed tokens of earlier processes of this VM that are not claimed yet.
     pub(crate) orphaned_seals: Vec<Orphan>,
-    /// What removed holders had left untouched, as their witness here knows.
+    /// Unspent tokens of removed holders whose witness was this process.
     pub(crate) witness_reports: Vec<WitnessReport>,
     pub(crate) state: HoldingState,
-    /// The last refusal, when it was made, and the least need that was refused.
+    /// The last refusal, when it was made, and the smallest need that was refused.
     pub(crate) last_refusal: Option<(Refusal, Time, Tokens)>,
-    /// When nobody had anything left, and from which need on nothing that runs could give
-    /// enough back.
+    /// When a search found that no holder had tokens left, and the smallest need that running
+    /// requests cannot cover by what they return.
     pub(crate) exhausted: Option<(Time, Tokens)>,
 }
 
@@ -235,28 +237,30 @@
         }
     }
 
-    /// Returns what is neither spent nor set aside, parked or not.
+    /// Returns the tokens that are neither spent nor reserved, parked or not.
     pub(crate) fn unspent(&self) -> Tokens {
         self.free.saturating_add(self.sealed_total())
     }
 
-    /// Returns what may leave this holding, free or sealed: the witness knows the rest.
+    /// Returns the free and sealed tokens that the witness has no record of. Only these may leave
+    /// the holding.
     pub(crate) fn unparked(&self) -> Tokens {
         self.unspent().saturating_sub(self.parked_amount())
     }
 
-    /// Returns what was free and goes back to the ledger with the change under way.
+    /// Returns the tokens of the pending operation that were free before they were returned.
     pub(crate) fn returning_free(&self) -> Tokens {
         let returned = self.op.as_ref().map_or(Tokens::ZERO, |(op, _)| op.returned);
         returned.saturating_sub(self.returning_sealed)
     }
 
-    /// Tells whether a witness knows of all that is left, so that this process may go.
+    /// Returns whether the witness has all remaining tokens on record, so that this process may
+    /// stop.
     pub(crate) fn is_fully_parked(&self) -> bool {
         let is_idle = self.reserved.is_zero() && self.waiters.is_empty();
         let has_witness = self.parked.witness.is_some() && self.parked.sent.is_none();
-        // What a change gives back, or tells of others, is known to nobody else until it is
-        // answered.
+        // Until the pending operation is answered, no other process knows of the tokens it returns
+        // or of its witness reports.
         let is_recorded = self
             .op
             .as_ref()
@@ -268,17 +272,17 @@
             && self.unparked().is_zero()
     }
 
-    /// Returns what may be spent at once.
+    /// Returns the tokens that can be spent at once.
     pub(crate) fn available(&self) -> Tokens {
         self.free.min(self.unparked())
     }
 
-    /// Returns what is sealed, or not unsealed yet.
+    /// Returns the tokens that are sealed or whose unsealing is not confirmed.
     pub(crate) fn sealed_total(&self) -> Tokens {
         self.sealed.saturating_add(self.unsealing)
     }
 
-    /// Drops what is parked, of what is sealed first.
+    /// Drops parked tokens, sealed ones first.
     pub(crate) fn drop_parked(&mut self) {
         let parked = self.parked_amount();
         deduct(parked, [&mut self.sealed, &mut self.free, &mut self.unsealing]);
@@ -286,31 +290,32 @@
         self.parked.sent = None;
     }
 
-    /// Writes off what an upstream served beyond what was set aside, of what is free first: what
-    /// is left over would be spent a second time.
+    /// Writes off tokens that an upstream used beyond a reservation, free ones first. Otherwise
+    /// they would be spent a second time.
     pub(crate) fn write_off(&mut self, excess: Tokens) {
         deduct(excess, [&mut self.free, &mut self.unsealing, &mut self.sealed]);
     }
 
-    /// Returns how much of what is sealed the ledger takes to be untouched.
+    /// Returns how many of the sealed tokens the ledger counts as unspent.
     fn promised(&self, now: Time) -> Tokens {
         let returning = if self.op.is_some() { self.returning_sealed } else { Tokens::ZERO };
         let confirmed = self.promises.confirmed(now).saturating_sub(returning);
         confirmed.max(self.promises.pending(now))
     }
 
-    /// Unseals what is promised no more.
+    /// Unseals the tokens whose seals have expired.
     pub(crate) fn unseal_due(&mut self, now: Time) {
         let due = self.sealed_total().saturating_sub(self.promised(now));
         deduct(due, [&mut self.unsealing, &mut self.sealed]);
         self.free = self.free.saturating_add(due);
     }
 
-    /// Takes in that the change under way was answered, with what it hands out sealed and open.
+    /// Applies the confirmation of the pending operation, which granted `sealed` and `free` tokens.
     pub(super) fn confirm_op(&mut self, now: Time, sealed: Tokens, free: Tokens) {
         self.promises.confirm(sealed);
         self.returning_sealed = Tokens::ZERO;
-        // What the change unsealed is free now, but for what its first sending promised.
+        // The unsealed tokens become free, except for those that the first sending of the operation
+        // promised.
         let unsealed = std::mem::take(&mut self.unsealing);
         self.sealed = self.sealed.saturating_add(unsealed).saturating_add(sealed);
         let due = self.sealed.saturating_sub(self.promised(now)).min(unsealed);
@@ -318,8 +323,8 @@
         self.free = self.free.saturating_add(free).saturating_add(due);
     }
 
-    /// Takes tokens out for giving back, of what is free first, then of what is sealed;
-    /// returns both parts.
+    /// Takes tokens out to return them to the ledger, free ones first, then sealed ones. Returns
+    /// both amounts.
     fn take_return(&mut self, amount: Tokens) -> (Tokens, Tokens) {
         let taken = self.take(amount);
         let more = amount.saturating_sub(taken).min(self.sealed).min(self.unparked());
@@ -327,7 +332,7 @@
         (taken, more)
     }
 
-    /// Seals what is beyond the needs of the next moments, or unseals what they lack.
+    /// Seals tokens beyond those needed soon, or unseals tokens if too few are free.
     fn rebalance(&mut self, now: Time) {
         let keep = self.total_need().saturating_add(self.unsealed_target(now));
         let margin = keep.part(1, MARGIN_DIVISOR);
@@ -345,8 +350,9 @@
         self.unsealing = self.unsealing.saturating_add(lack);
     }
 
-    /// Tells whether much less is held than the share that the ledger named, which has
-    /// more left: what the platform takes down with it must be held before.
+    /// Returns whether much less is held than the share named by the ledger while the ledger has
+    /// tokens left. The share must be drawn before the store fails, because requests need it during
+    /// the outage.
     pub(crate) fn is_below_share(&self) -> bool {
         let HoldingPlan::Share(share) = self.plan else {
             return false;
@@ -357,31 +363,32 @@
         has_more && !self.largest_request.is_zero() && lack >= least
     }
 
-    /// Tells whether more is free than is to be left unsealed.
+    /// Returns whether many more tokens are unsealed than needed.
     pub(crate) fn has_excess_unsealed(&self, now: Time) -> bool {
         let keep = self.total_need().saturating_add(self.unsealed_target(now));
         self.free > keep.saturating_add(keep.part(1, 2))
     }
 
-    /// Returns how much to leave unsealed: what requests may need before the ledger can
-    /// be told that more is unsealed, and until a seal is over.
+    /// Returns how many tokens to leave unsealed: as many as requests may need before the next
+    /// report to the ledger can unseal more, and before a seal expires.
     fn unsealed_target(&self, now: Time) -> Tokens {
         let demand = self.meter.rate(now).over(UNSEALED_SPAN);
-        // A request's worth is left open only where it is soon spent.
+        // One request's worth is left unsealed only where it will be spent soon.
         let is_soon_spent = demand.saturating_add(demand) >= self.largest_request;
         let open = if is_soon_spent { demand.max(self.largest_request) } else { demand };
         let open = open.min(self.unspent().part(MAX_UNSEALED_PERCENT, 100));
         open.max(self.min_unsealed())
     }
 
-    /// Says what is sealed, with a promise if the platform is known to be there.
+    /// Makes the seal of a new operation. Held tokens are promised only if the store is known to be
+    /// reachable.
     fn make_seal(&mut self, now: Time, sealing: &Sealing, close: bool) -> Seal {
         if !close {
             self.rebalance(now);
         }
         let at = sealing.clock.time_at(now);
-        // Where the platform may be away only what it will hand out is promised: what is
-        // held must stay in use.
+        // If the store may be unavailable, only the tokens that the operation grants are promised:
+        // requests must be able to use those already held.
         let is_reachable = at.is_some() && sealing.is_store_reachable(now);
         let amount = if is_reachable { self.sealed } else { Tokens::ZERO };
         match at {
@@ -396,10 +403,10 @@
         Seal { vm, amount, unsealed: unsealed, sealed_at: at, decay_ms: falls_ms(), claims }
     }
 
-    /// Says the promise of the change under way anew, because it is sent again.
+    /// Renews the seal of the pending operation before the operation is sent again.
     ///
-    /// What was held when the change was made may be in use by now, so only what the change
-    /// hands out is promised.
+    /// Tokens that were held when the operation was made may be in use by now, so only those that
+    /// the operation grants are promised.
     pub(crate) fn restamp_seal(&mut self, now: Time, clock: FleetClock) {
         let Some(seal) = self.op.as_mut().and_then(|(op, _)| op.seal.as_mut()) else {
             return;
@@ -411,23 +418,23 @@
         }
     }
 
-    /// Returns what is parked or on its way there.
+    /// Returns the parked tokens, including an amount that the witness has not acknowledged.
     pub(crate) fn parked_amount(&self) -> Tokens {
         let sent = self.parked.sent.map_or(Tokens::ZERO, |(total, _)| total);
         self.parked.total.max(sent)
     }
 
-    /// Returns what is ready beyond the needs of waiting requests.
+    /// Returns the available tokens beyond the needs of waiting requests.
     pub(crate) fn spare(&self) -> Tokens {
         self.available().saturating_sub(self.total_need())
     }
 
-    /// Returns what may be given back to the ledger now.
+    /// Returns the tokens that can be returned to the ledger now.
     pub(crate) fn returnable(&self) -> Tokens {
         self.spare().saturating_add(self.sealed_total()).min(self.unparked())
     }
 
-    /// Returns what is held beyond the share that the ledger named.
+    /// Returns the tokens held beyond the share named by the ledger.
     pub(crate) fn surplus(&self, now: Time) -> Tokens {
         let share = match self.plan {
             HoldingPlan::Share(share) | HoldingPlan::Collect(share) => share,
@@ -440,16 +447,16 @@
         self.unspent().saturating_sub(share).saturating_sub(self.total_need())
     }
 
-    /// Returns how much to keep ready to spend.
+    /// Returns how many tokens to keep available.
     pub(crate) fn working_target(&self, now: Time) -> Tokens {
         let demand = self.meter.rate(now).over(WORKING_SPAN);
-        // A request's worth is kept ready only where it is soon spent, since what is
-        // ready is lost when this process dies.
+        // One request's worth is kept available only where it will be spent soon, because available
+        // tokens are lost when this process crashes.
         let is_soon_spent = demand.saturating_add(demand) >= self.largest_request;
         if is_soon_spent { demand.max(self.largest_request) } else { demand }
     }
 
-    /// Returns how much a borrower keeps at hand for so long; nothing unless it is busy.
+    /// Returns how many tokens a borrower prefetches for the given span; zero unless it is busy.
     pub(crate) fn prefetch_target(&self, now: Time, span: Duration) -> Tokens {
         let demand = self.meter.rate(now).over(span);
         let is_busy =
@@ -457,60 +464,61 @@
         if is_busy && self.state == HoldingState::Open { demand } else { Tokens::ZERO }
     }
 
-    /// Tells whether this process borrows instead of holding rights of its own.
+    /// Returns whether this process borrows instead of holding tokens of its own.
     pub(crate) fn is_borrower(&self) -> bool {
         !self.lenders.is_empty()
     }
 
-    /// Tells whether this process may draw from the ledger for itself or for others.
+    /// Returns whether this process may draw from the ledger, as a holder or as a backup lender.
     pub(crate) fn can_draw(&self) -> bool {
         !self.is_borrower() || self.is_backup
     }
 
-    /// Returns how much may come to be free here, when requests here or at borrowers end.
+    /// Returns the most that may be available here after requests have returned unused tokens.
     pub(crate) fn max_available(&self, now: Time) -> Tokens {
         let pending_loans = self.returns.expected_returns(now, self.reserved);
         self.unspent().saturating_add(pending_loans)
     }
 
-    /// Tells whether so much may come to be free here in a while.
+    /// Returns whether this many tokens may become available here after requests have returned
+    /// unused tokens.
     pub(crate) fn can_give(&self, now: Time, need: Tokens) -> bool {
         self.max_available(now) >= need && self.expects_returns(now)
     }
 
-    /// Tells whether anything is left here, or may come back.
+    /// Returns whether tokens are left here or may be returned.
     pub(crate) fn has_more(&self, now: Time) -> bool {
         !self.unspent().is_zero() || self.expects_returns(now)
     }
 
-    /// Tells whether something may come back from requests here or at borrowers.
+    /// Returns whether requests, here or at borrowers, may return tokens.
     pub(crate) fn expects_returns(&self, now: Time) -> bool {
         !self.returns.expected_returns(now, self.reserved).is_zero()
     }
 
-    /// Tells whether the holding waits for somebody's answer.
+    /// Returns whether requests wait here, or an answer to this holding is outstanding.
     pub(crate) fn is_busy(&self) -> bool {
         let waits = !self.waiters.is_empty() || self.search.is_some();
         waits || self.op.is_some() || self.parked.sent.is_some()
     }
 
-    /// Tells whether no request has used the holding for a while.
+    /// Returns whether no request has used the holding for [`IDLE_TIMEOUT`].
     pub(crate) fn is_idle(&self, now: Time) -> bool {
         self.waiters.is_empty()
             && self.reserved.is_zero()
             && now.since(self.used_at) >= IDLE_TIMEOUT
     }
 
-    /// Takes tokens out of what is free, as many as there are; returns how many.
+    /// Takes up to `amount` available tokens out; returns how many.
     ///
-    /// Whatever leaves a holding leaves by this, so that nothing is made on the way.
+    /// Free tokens leave a holding only through this function, so that none can be spent twice.
     pub(crate) fn take(&mut self, amount: Tokens) -> Tokens {
         let taken = amount.min(self.available());
         self.free = self.free.saturating_sub(taken);
         taken
     }
 
-    /// Sets tokens aside if there are enough.
+    /// Reserves tokens if enough are available.
     pub(crate) fn reserve(&mut self, now: Time, need: Tokens) -> bool {
         if self.available() < need {
             return false;
@@ -522,7 +530,7 @@
         true
     }
 
-    /// Makes the next change for the ledger.
+    /// Makes the next ledger operation.
     pub(crate) fn make_op(
         &mut self,
         now: Time,
@@ -531,14 +539,14 @@
         returned: Tokens,
         close: bool,
     ) {
-        // What is given back is deducted before anyone is told.
+        // Returned tokens are deducted before the operation is sent.
         let (returned, returning) = self.take_return(returned);
         self.returning_sealed = returning;
         let seal = local.sealing.as_ref().map(|sealing| self.make_seal(now, sealing, close));
         let shortage =
             self.total_need().saturating_sub(self.available()).saturating_sub(self.unsealing);
         self.seq += 1;
-        // A holding that is not in use has no share.
+        // A holding that is not in use gets no share.
         let busy = !self.waiters.is_empty() || self.expects_returns(now);
         let unused = self.is_idle(now) || !busy;
         let least = if unused { TokenRate(0) } else { TokenRate(1) };
@@ -552,7 +560,7 @@
             seq: self.seq,
             need: shortage,
             returned: returned.saturating_add(returning),
-            // What a borrower has at hand is soon spent, and not held ahead.
+            // Prefetched tokens of a borrower are spent soon and are not held ahead of demand.
             held: if self.is_borrower() { Tokens::ZERO } else { self.unspent() },
             rate,
             request_size: self.largest_request,
@@ -573,7 +581,7 @@
     }
 }
 
-/// Takes an amount out of parts, of the first as much as it has.
+/// Deducts an amount from the parts in their order, from each as much as it has.
 fn deduct<const N: usize>(amount: Tokens, parts: [&mut Tokens; N]) {
     let mut rest = amount;
     for part in parts {
--- a/crates/badgerfield-core/src/holdings/ledger_replies.rs
+++ b/crates/badgerfield-core/src/holdings/ledger_replies.rs
@@ -1,4 +1,4 @@
-//! Changes for the ledger on their way, and what its answers change here.
+//! Pending ledger operations and the replies of the ledger.
 
 use std::time::Duration;
 
@@ -10,15 +10,15 @@
 use crate::ledger::{LedgerOp, LedgerReply};
 use crate::seal::sealed_part;
 
-/// How long an unconfirmed change waits before it is sent again.
+/// How long an unconfirmed operation waits before it is sent again.
 const RESEND_INTERVAL: Duration = Duration::from_secs(1);
-/// The same while a request waits for it.
+/// The same for an operation that a request waits for.
 const URGENT_RESEND_INTERVAL: Duration = Duration::from_millis(500);
-/// How many members are asked to write a change before the platform counts as away.
+/// How many members are asked to write an operation before the store counts as unavailable.
 const MAX_WRITERS: u32 = 3;
 
 impl Holdings {
-    /// Takes the changes that are due to be sent to the ledger.
+    /// Takes the operations that are due to be sent to the ledger.
     pub fn take_due_ops(&mut self, now: Time) -> Vec<(LedgerOp, u32)> {
         let mut ops = Vec::new();
         let clock = self.local.sealing.as_ref().map(|sealing| sealing.clock);
@@ -47,7 +47,7 @@
         ops
     }
 
-    /// Takes in what became of a change.
+    /// Applies the ledger's reply to an operation.
     pub fn apply_ledger_reply(
         &mut self,
         now: Time,
@@ -112,7 +112,7 @@
                     holding.state = HoldingState::Closed;
                 }
             }
-            // The new period's template is on its way; what was held is void.
+            // The template of the new period will arrive; tokens of the old one are void.
             LedgerReply::Ended { .. } => {
                 holding.op = None;
                 holding.free = Tokens::ZERO;
@@ -126,7 +126,7 @@
                 }
             }
             LedgerReply::StoreUnavailable => {
-                // Another member may reach the platform.
+                // Another member may reach the store.
                 let again = holding.op.as_mut().filter(|_| holding.op_attempts < MAX_WRITERS);
                 match again {
                     Some((_, sent)) => *sent = None,
--- a/crates/badgerfield-core/src/holdings/lending.rs
+++ b/crates/badgerfield-core/src/holdings/lending.rs
@@ -1,4 +1,4 @@
-//! Both sides of borrowing: what a lender answers, and what a borrower makes of it.
+//! Both sides of lending: answers to borrowers, and requests to lenders.
 
 use std::time::Duration;
 
@@ -14,28 +14,29 @@
 use crate::message::{Message, NoTokensReason, TokenRequest};
 use crate::refusal::{Cause, Refusal};
 
-/// How long a borrower's ask may wait at its lender.
+/// How long a borrower's request may wait at its lender.
 const BORROWER_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// How often a busy borrower asks for what it keeps at hand, until it has it.
+/// How often a busy borrower requests a prefetch until it has enough.
 const PREFETCH_INTERVAL: Duration = Duration::from_millis(300);
-/// A borrower gets at most one part in so many of what is free beyond what it needs.
+/// Beyond its need a borrower gets at most one `EXTRA_DIVISOR`-th of the spare tokens.
 const EXTRA_DIVISOR: u64 = 2;
 
-/// What became of a borrower's ask.
+/// The answer to a borrower's request.
 #[derive(Debug)]
 pub(crate) struct BorrowerAnswer {
     pub(crate) to: Incarnation,
     pub(crate) budget: BudgetId,
     pub(crate) period: Period,
-    /// What was taken out of the holding, or refused.
+    /// The amount that was taken out of the holding, or refused.
     pub(crate) amount: Tokens,
-    /// Nothing if the amount is lent.
+    /// Why the request is refused, or `None` if the amount is lent.
     pub(crate) refusal: Option<Refusal>,
 }
 
 impl Holdings {
-    /// Ranks the lenders anew, and with them what this process holds or borrows.
+    /// Updates the lenders of every budget, and with them which budgets this process holds or
+    /// borrows.
     pub(super) fn update_lenders(&mut self, out: &mut Outbox) {
         if self.local.sealing.is_none() {
             return;
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Asks a lender for the next moments' tokens before a request has to wait for them.
+    /// Asks a lender for the tokens of the next requests, so that these need not wait.
     pub(super) fn prefetch_tokens(&mut self, now: Time, budget: &BudgetId, out: &mut Outbox) {
         let Some(holding) = self.table.get_mut(budget) else {
             return;
@@ -83,7 +84,7 @@
         out.send(to, Message::TokenRequest(TokenRequest { budget, period, need, extra: prefetch }));
     }
 
-    /// Tells what this process has of the budgets that it borrows and that are busy here.
+    /// Logs the tokens held of budgets that this process borrows and that are busy here.
     pub(super) fn log_prefetched(&self, now: Time, out: &mut Outbox) {
         let under_way = self.transfers.all_in_transit();
         for (budget, holding) in self.table.iter().filter(|(_, holding)| holding.is_borrower()) {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Lends to a borrower, now or when the ledger has answered.
+    /// Lends to a borrower, at once or after the ledger has answered.
     pub(super) fn handle_loan_request(
         &mut self,
         now: Time,
@@ -145,7 +146,7 @@
         self.changed.insert(request.budget.clone());
     }
 
-    /// Sends what became of borrowers' asks.
+    /// Sends the answers to borrowers.
     pub(super) fn answer_borrowers(&mut self, now: Time, out: &mut Outbox) {
         for answer in std::mem::take(&mut self.borrower_answers) {
             let BorrowerAnswer { to, budget, period, amount, refusal } = answer;
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Asks a lender that has just lent something for what others do not bring.
+    /// Asks a lender that has just lent tokens for the needs that no pending request covers.
     pub(super) fn request_remaining(
         &mut self,
         now: Time,
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Tells whether a lender refused what this process wanted to borrow.
+    /// Returns whether a lender refused tokens that this process wanted to borrow.
     pub(super) fn is_refused_by_lender(
         &self,
         from: Incarnation,
@@ -196,9 +197,9 @@
         holding.is_borrower() && tried.contains(&from) && lack != NoTokensReason::NotHolder
     }
 
-    /// Refuses requests as the lender did: it has looked for tokens everywhere.
+    /// Refuses requests as the lender did, because the lender has already searched everywhere.
     ///
-    /// Those that need less than what was refused have asks of their own under way.
+    /// Requests that need less than the refused amount have requests of their own pending.
     pub(super) fn apply_lender_refusal(
         &mut self,
         now: Time,
@@ -220,8 +221,8 @@
 }
 
 impl Holding {
-    /// Returns what a borrower asks its lender for beside a need, to keep at hand; nothing while
-    /// that is on its way, or it would pile up there as long as answers are slow.
+    /// Returns how many tokens to prefetch with a request to a lender. It is zero while a prefetch
+    /// is pending: otherwise prefetched tokens would pile up here while answers are slow.
     pub(super) fn start_prefetch(&mut self, now: Time, span: Duration) -> Tokens {
         let keep = self.prefetch_target(now, span);
         if keep.is_zero()
@@ -234,8 +235,8 @@
         keep
     }
 
-    /// Asks a lender for each waiting request that what is on its way does not cover, and for
-    /// the first few in any case.
+    /// Asks a lender for each waiting request that is not covered by pending loans, and for the
+    /// first `least` requests in any case.
     pub(super) fn request_uncovered(
         &mut self,
         now: Time,
@@ -261,7 +262,7 @@
         }
     }
 
-    /// Takes out what a borrower needs, if there is enough.
+    /// Takes out the tokens that a borrower needs if enough are available.
     pub(super) fn lend(&mut self, now: Time, need: Tokens) -> bool {
         if self.available() < need {
             return false;
@@ -270,7 +271,7 @@
         self.lent_at = Some(now);
         self.returns.record_lent(now, need);
         self.used_at = now;
-        // What borrowers need is demand here; they count none of their own.
+        // Loans count as demand of the lender, because borrowers report no demand of their own.
         self.meter.count(now, need);
         true
     }
--- a/crates/badgerfield-core/src/holdings/mod.rs
+++ b/crates/badgerfield-core/src/holdings/mod.rs
@@ -1,8 +1,8 @@
-//! Holdings: the spending rights of this process, and how it gets and gives them.
+//! Holdings: the tokens that this process may spend, and how it gets and gives them.
 //!
-//! A request sets aside the most it can cost before it may run. When too little is
-//! free, the process asks its bank for what it parked, then the ledger, then other
-//! holders, and refuses only when all of them have nothing.
+//! Before a request may run, the most tokens it can cost are reserved. If too few are available,
+//! the process searches for more: at the witness of its parked tokens, then at the ledger, then at
+//! other holders. It refuses the request only when none of them has enough.
 
 mod demand;
 mod holding;
@@ -38,66 +38,67 @@
 use crate::seal::FleetClock;
 use crate::view::View;
 
-/// When to come back if the rest of a budget is reserved.
+/// Retry delay while the rest of a budget is reserved.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What came of a wish to set tokens aside.
+/// The outcome of a request to reserve tokens.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReserveOutcome {
-    /// They are set aside, out of what was held in this period.
+    /// The tokens are reserved, from the holding of this period.
     Reserved(Period),
-    /// The answer comes later.
+    /// The decision follows as a [`ReserveDecision`].
     Waiting,
-    /// There are none.
+    /// No tokens are available.
     Refused(Refusal),
 }
 
-/// The answer to a request that waited for tokens.
+/// The decision on a request that waited for tokens.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReserveDecision {
     /// The request.
     pub run: RunId,
     /// The period of the budget.
     pub period: Period,
-    /// Nothing if the tokens are set aside.
+    /// Why the request is refused, or `None` if the tokens are reserved.
     pub refusal: Option<Refusal>,
 }
 
-/// The figures of one budget at this process.
+/// The balance of one budget at this process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct HoldingBalance {
-    /// Ready to spend.
+    /// Tokens available at once.
     pub free: Tokens,
-    /// Set aside for running requests.
+    /// Tokens reserved for running requests.
     pub reserved: Tokens,
-    /// Not sealed, and only spent after a witness has been told.
+    /// Unsealed tokens that may be spent only after the witness has acknowledged a smaller parked
+    /// amount.
     pub parked: Tokens,
-    /// Promised not to be touched for a while.
+    /// Sealed tokens, which are not spent until the seal has expired.
     pub sealed: Tokens,
-    /// Promised before, and on the way back to the ledger.
+    /// Sealed tokens on their way back to the ledger.
     pub returning_sealed: Tokens,
-    /// Whether a change of the ledger is under way, so that what it hands out is not known here.
+    /// Whether a ledger operation is pending, whose granted tokens are not known here yet.
     pub op_pending: bool,
-    /// Not promised before, and on the way back to the ledger.
+    /// Unsealed tokens on their way back to the ledger.
     pub returning_free: Tokens,
-    /// On the way to other holders.
+    /// Tokens on their way to other holders.
     pub in_transit: Tokens,
-    /// Parked here by other processes.
+    /// Tokens that other processes have parked here.
     pub witnessed: Tokens,
-    /// Billed in this period.
+    /// Tokens billed in this period.
     pub billed: Tokens,
-    /// Used up without being billed in this period.
+    /// Tokens used in this period without being billed.
     pub wasted: Tokens,
 }
 
 /// Whether a process is about to stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Leaving {
-    /// It is not.
+    /// The process is not about to stop.
     Active,
-    /// It still serves those who ask it, and gives back what they do not need.
+    /// The process still serves requests, and returns the tokens they do not need.
     Retiring,
-    /// Nobody asks it any more.
+    /// The process receives no more requests.
     Closing,
 }
 
@@ -107,40 +108,41 @@
     }
 }
 
-/// The spending rights of this process.
+/// The holdings of this process.
 #[derive(Debug)]
 pub struct Holdings {
     me: Incarnation,
     local: LocalHolder,
     region: Region,
     pacing: Pacing,
-    /// The version of the templates whose budgets were all opened.
+    /// The version of the templates whose budgets have all been opened.
     pub(crate) opened_version: Option<TemplateVersion>,
     table: BTreeMap<BudgetId, Holding>,
     transfers: Transfers,
     witness: Witness,
     view: Arc<View>,
     lenders: Lenders,
-    /// Lenders that did not answer, and when they were asked.
+    /// Lenders that did not answer, and when that was noticed.
     silent_lenders: BTreeMap<Incarnation, Time>,
-    /// What became of borrowers' asks, to be sent.
+    /// Answers to borrowers that are not sent yet.
     borrower_answers: Vec<lending::BorrowerAnswer>,
-    /// Whether this process has been in a view. Before that it does not know who lends and who
-    /// writes the ledger, and would write for itself beside all others that start.
+    /// Whether this process has been in a view. Before that it does not know which members lend and
+    /// which of them writes the ledger: all processes that start at the same time would write it
+    /// concurrently.
     joined: bool,
     removed: bool,
     leaving: Leaving,
     decisions: Vec<ReserveDecision>,
-    /// Holdings that changed and are to be looked at.
+    /// Holdings that have changed and must be processed.
     changed: BTreeSet<BudgetId>,
-    /// Holdings that wait for an answer.
+    /// Holdings with waiting requests or outstanding answers.
     busy: BTreeSet<BudgetId>,
     checked_at: Option<Time>,
     excess: Tokens,
 }
 
 impl Holdings {
-    /// Makes an empty set of rights.
+    /// Makes an empty table of holdings.
     #[must_use]
     pub fn new(me: Incarnation, vm: VmId, region: Region, pacing: Pacing) -> Self {
         let sealing = pacing.seal_holdings.then(|| Sealing {
@@ -172,7 +174,7 @@
         }
     }
 
-    /// Takes in the fleet's time.
+    /// Sets the fleet clock.
     pub(crate) fn set_clock(&mut self, clock: FleetClock) {
         if let Some(sealing) = self.local.sealing.as_mut() {
             sealing.clock = clock;
@@ -184,7 +186,7 @@
         self.table.keys()
     }
 
-    /// Returns the figures of one budget.
+    /// Returns the balance of one budget.
     #[must_use]
     pub fn balance(&self, budget: &BudgetId) -> HoldingBalance {
         let in_transit = self.transfers.in_transit(budget);
@@ -215,13 +217,13 @@
         }
     }
 
-    /// Returns how many tokens upstreams served beyond what was set aside for them.
+    /// Returns how many tokens upstreams used beyond what was reserved for their requests.
     #[must_use]
     pub fn excess(&self) -> Tokens {
         self.excess
     }
 
-    /// Learns the terms of a budget; a new period starts with nothing in hand.
+    /// Updates the terms of a budget. A new period starts without tokens.
     pub fn update_terms(
         &mut self,
         now: Time,
@@ -250,26 +252,29 @@
             *holding = Holding::new(now, terms, hold, self.region.clone());
             holding.lenders = lenders;
             holding.is_backup = is_backup;
-            // Whoever waits is served from the new period, and the search starts anew.
+            // Waiting requests are served from the new period, so a new search starts at the
+            // ledger.
             holding.search = (!waiters.is_empty()).then_some(Search::Ledger { since: now });
             holding.waiters = waiters;
             self.changed.insert(budget.clone());
             return;
         }
-        // What is held of a lowered budget goes back, so that the ledger shares it out anew.
+        // If the limit is lowered, held tokens are returned so that the ledger can share them out
+        // again.
         holding.return_all |= terms.limit < holding.terms.limit;
         holding.remaining = None;
         holding.plan = HoldingPlan::Share(Tokens::MAX);
         holding.terms = terms;
     }
 
-    /// Returns the period of a budget in force here.
+    /// Returns the current period of a budget.
     #[must_use]
     pub fn period(&self, budget: &BudgetId) -> Option<Period> {
         self.table.get(budget).map(|h| h.terms.period)
     }
 
-    /// Does what is due: reports, parks, gives back, and ends searches.
+    /// Sends due reports, parked amounts, returns and resends, and ends searches that took too
+    /// long.
     pub fn tick(&mut self, now: Time, out: &mut Outbox) {
         self.transfers.resend_due(now, out);
         if is_due(now, self.checked_at, Duration::from_secs(1)) {
@@ -279,7 +284,8 @@
         }
         for id in self.busy.clone() {
             if self.lenders.is_empty() {
-                // Sealed tokens come free with time alone; borrowers turn to another lender instead.
+                // Sealed tokens become free as time passes, without any event. In a fleet with
+                // lenders, borrowers turn to another lender instead.
                 self.serve_waiters(now, &id);
             }
             self.handle_timeouts(now, &id, out);
@@ -288,7 +294,7 @@
         self.process_changed(now, out);
     }
 
-    /// Looks again at every holding that changed.
+    /// Processes every holding that has changed.
     pub fn process_changed(&mut self, now: Time, out: &mut Outbox) {
         for id in std::mem::take(&mut self.changed) {
             self.plan_op(now, &id);
--- a/crates/badgerfield-core/src/holdings/parking.rs
+++ b/crates/badgerfield-core/src/holdings/parking.rs
@@ -1,4 +1,4 @@
-//! What a holding does of its own accord: tells the ledger, parks, and passes on.
+//! Periodic work of a holding: reports to the ledger, parking, and forwarding to other holders.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,17 +13,17 @@
 use crate::message::{Message, ParkItem};
 use crate::view::MemberState;
 
-/// How often a parked amount is sent again.
+/// How often an unacknowledged parked amount is sent again.
 const PARK_RESEND_INTERVAL: Duration = Duration::from_millis(100);
-/// How often a borrower gives back what it does not need.
+/// How often a borrower returns tokens that it does not need.
 const RETURN_INTERVAL: Duration = Duration::from_millis(100);
-/// How many times what it keeps at hand a borrower may have before it gives the rest back.
+/// A borrower keeps at most this multiple of its prefetch target and returns the rest.
 const MAX_PREFETCH_FACTOR: u64 = 2;
-/// How often what is left over of a low budget is passed on.
+/// How often the rest of a low budget is forwarded to its collector.
 const FORWARD_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Holdings {
-    /// Decides whether the ledger is to be told something.
+    /// Makes a ledger operation if one is due.
     pub(super) fn plan_op(&mut self, now: Time, budget: &BudgetId) {
         let report = self.pacing.report_interval;
         let Some(holding) = self.table.get_mut(budget) else {
@@ -33,7 +33,8 @@
             return;
         }
         if !holding.witness_reports.is_empty() {
-            // What a removed holder left is missed by all until the ledger has it.
+            // No process can spend the unspent tokens of a removed holder until the ledger has the
+            // report.
             holding.make_op(now, budget, &self.local, Tokens::ZERO, false);
             return;
         }
@@ -63,21 +64,22 @@
             let all = holding.free.saturating_add(sealed_total);
             if ready && holding.seq + all.0 > 0 {
                 if holding.seq == 0 {
-                    // The first change registers the holder and gives nothing back.
+                    // The first operation registers the holder and returns nothing.
                     holding.make_op(now, budget, &self.local, Tokens::ZERO, false);
                     return;
                 }
                 holding.make_op(now, budget, &self.local, all, true);
             } else if holding.seq > 0 && !holding.returnable().is_zero() {
-                // What runs keeps its tokens; the rest goes back now, should this process
-                // be ended before its requests are.
+                // Running requests keep their tokens. The rest is returned now, in case this
+                // process is killed before its requests have ended.
                 let rest = holding.returnable();
                 holding.make_op(now, budget, &self.local, rest, false);
             }
             return;
         }
         if holding.seq == 0 && self.local.sealing.is_some() {
-            // The first change tells what earlier processes of this VM left sealed.
+            // The reply to the first operation names the tokens that earlier processes of this VM
+            // left sealed.
             holding.make_op(now, budget, &self.local, Tokens::ZERO, false);
             return;
         }
@@ -99,7 +101,7 @@
             holding.make_op(now, budget, &self.local, surplus, false);
             return;
         }
-        // A seal is said anew all the time, since it holds but for a moment.
+        // Seals are renewed with every report because they expire.
         let is_unreported = holding.reported != (holding.billed, holding.wasted);
         let seals = self.local.sealing.is_some() && self.pacing.policy.top_up;
         let unbalanced = seals && (holding.is_below_share() || holding.has_excess_unsealed(now));
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Gives back to the ledger what this process held before it began to borrow.
+    /// Returns to the ledger what this process held before it became a borrower.
     fn plan_return(&mut self, now: Time, budget: &BudgetId) {
         let report = self.pacing.report_interval;
         let Some(holding) = self.table.get_mut(budget) else {
@@ -131,8 +133,8 @@
         if !is_due(now, holding.last_op_at, report) {
             return;
         }
-        // What went to lenders is held there; the ledger hands out less while it takes it to
-        // be held here as well.
+        // Tokens forwarded to lenders are held there. The ledger grants less as long as it has them
+        // on record here as well.
         let is_stale = !holding.ledger_held.is_zero();
         if !sealed_total.is_zero() || !holding.orphaned_seals.is_empty() || is_stale {
             let back = if is_stale { sealed_total } else { holding.returnable() };
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Decides how much is to be parked, and with whom.
+    /// Decides how many tokens to park, and at which witness.
     pub(super) fn plan_park(&mut self, now: Time, budget: &BudgetId) {
         let report = self.pacing.report_interval;
         let Some(holding) = self.table.get_mut(budget) else {
@@ -149,8 +151,8 @@
         if holding.parked.sent.is_some() || self.removed {
             return;
         }
-        // Few hold a budget of a large fleet, and each much of it; in a small fleet that seals its
-        // tokens each holds little.
+        // In a large fleet each of the few holders of a budget holds much of it, so parking is
+        // worthwhile. In a small fleet that seals its tokens, each process holds little.
         let has_witness = self.local.sealing.is_none() || !self.lenders.is_empty();
         let witness = holding.parked.witness;
         let stays = witness
@@ -168,12 +170,13 @@
             || !stays
             || !holding.deferred.is_empty();
         let empty = empty || !has_witness || holding.is_borrower();
-        // The ledger takes back what a process that stops has; while it cannot, the witness
-        // keeps it, and tells the ledger when this process has gone.
+        // A process that stops returns its tokens to the ledger. While the store is unavailable it
+        // parks them, and the witness reports them to the ledger once this process has been
+        // removed.
         let leaves = self.leaving != Leaving::Active && self.local.sealing.is_some();
         let leaves_parked = leaves && has_witness && stays && !self.local.is_store_reachable(now);
-        // What is to be given back is unparked only when it can go at once: should this
-        // process die on the way, nobody else can spend it.
+        // Tokens to be returned are unparked only when they can be sent at once: if this process
+        // crashed in between, they would be lost.
         let ready = holding.op.is_none() && is_due(now, holding.last_op_at, report);
         let surplus = if ready { holding.surplus(now) } else { Tokens::ZERO };
         let keep = wanted.saturating_add(working);
@@ -184,7 +187,7 @@
         } else if empty || leaves {
             Tokens::ZERO
         } else if !surplus.is_zero() {
-            // What is to be given back is made free, and stays so.
+            // Tokens to be returned are unparked and stay free.
             total.saturating_sub(surplus.saturating_sub(holding.returnable()))
         } else if holding.available() < holding.free.min(wanted.saturating_add(half)) {
             total.saturating_sub(keep.saturating_sub(holding.available()))
@@ -193,8 +196,9 @@
         } else {
             total
         };
-        // An upstream that serves beyond its limit spends what the witness knows as untouched;
-        // should this process be removed, as much would be handed out a second time.
+        // An upstream that serves beyond its limit also spends tokens that the witness has on
+        // record as unspent. If this process were removed then, these tokens would be granted a
+        // second time.
         let target = target.min(holding.unspent());
         if target == total {
             if total.is_zero() && !stays && has_witness {
@@ -203,7 +207,7 @@
             }
             return;
         }
-        // What is parked is not spent from now on, before the bank is told.
+        // From now on the parked amount is not spent, even before the witness has received it.
         holding.parked.seq += 1;
         holding.parked.sent = Some((target, None));
     }
@@ -233,7 +237,7 @@
         }
     }
 
-    /// Answers holders that asked while everything was parked, once it is free.
+    /// Answers holders that asked while all tokens were parked, as soon as none is.
     pub(super) fn answer_deferred(&mut self, now: Time, budget: &BudgetId, out: &mut Outbox) {
         let Some(holding) = self.table.get_mut(budget) else {
             return;
@@ -246,7 +250,7 @@
         }
     }
 
-    /// Passes what is left over of a low budget on to the holder that collects it.
+    /// Forwards spare tokens: a borrower's to a lender, those of a low budget to its collector.
     pub(super) fn forward_spare(&mut self, now: Time, budget: &BudgetId, out: &mut Outbox) {
         let Some(holding) = self.table.get_mut(budget) else {
             return;
@@ -265,12 +269,14 @@
         };
         let waits = holding.search.is_some() || !holding.waiters.is_empty();
         let can_forward = !waits && (is_borrower || !self.leaving.is_closing());
-        // Two that take each other for the collector must not pass tokens to and fro.
+        // Two processes that take each other for the collector must not pass tokens back and forth
+        // all the time.
         let interval = if is_borrower { RETURN_INTERVAL } else { FORWARD_INTERVAL };
         if !can_forward || spare.is_zero() || !is_due(now, holding.forwarded_at, interval) {
             return;
         }
-        // What cannot leave this VM is of more use here, where the account's requests come.
+        // If transfers cannot leave this VM, the tokens are of more use here, where the account's
+        // requests arrive.
         if is_borrower && self.transfers.is_ack_overdue(now, to, budget) {
             return;
         }
@@ -280,7 +286,7 @@
         self.transfers.send_new(now, to, budget, holding.terms.period, offer, out);
     }
 
-    /// Takes parked amounts back whose bank was removed while this process stayed.
+    /// Reclaims parked amounts whose witness was removed while this process stayed.
     pub(super) fn reclaim_parked(&mut self) {
         for (id, holding) in &mut self.table {
             let Some(witness) = holding.parked.witness else {
@@ -296,7 +302,8 @@
         }
     }
 
-    /// Writes off parked amounts: this process was removed first, so they are the bank's.
+    /// Writes off parked amounts. This process was removed before the witness, so the tokens belong
+    /// to the witness.
     pub(super) fn write_off_parked(&mut self) {
         for holding in self.table.values_mut() {
             holding.drop_parked();
--- a/crates/badgerfield-core/src/holdings/peers.rs
+++ b/crates/badgerfield-core/src/holdings/peers.rs
@@ -1,4 +1,4 @@
-//! What other holders ask for, give, and park here.
+//! Messages from other holders: requests for tokens, transfers and parked amounts.
 
 use super::holding::HoldingState;
 use super::{Holdings, Leaving, RETRY_AFTER};
@@ -8,11 +8,11 @@
 use crate::ledger::HoldingPlan;
 use crate::message::{Message, NoTokensReason, ParkItem, TokenRequest, Transfer};
 
-/// How many times its need a holder may get at once, to ask less often.
+/// How many times its request a holder may get at once, so that it asks less often.
 const BATCH_FACTOR: u64 = 8;
 
 impl Holdings {
-    /// Answers a holder that asks for tokens.
+    /// Answers a token request of another holder.
     pub fn handle_token_request(
         &mut self,
         now: Time,
@@ -28,29 +28,29 @@
             need,
             reason: reason,
         };
-        // Whatever a removed process gets is lost when it ends.
+        // Tokens sent to a removed process are lost when it ends.
         let member = self.view.has(from);
         let known = self.table.get_mut(&budget).filter(|h| member && h.terms.period == period);
         let Some(holding) = known else {
             out.send(from, nothing(need, NoTokensReason::NotHolder));
             return;
         };
-        // Two that hold the same budget and both search answer each other at once: each would
-        // wait for the other otherwise, and neither could tell that nothing is left.
+        // If two holders of the same budget both search, they answer each other at once. Otherwise
+        // each would wait for the other, and neither could find out that nothing is left.
         let leaves = self.leaving != Leaving::Active;
         let from_holder = self.lenders.holds(&budget, from);
         if !self.lenders.is_empty() && holding.can_draw() && !leaves && !from_holder {
             self.handle_loan_request(now, from, request, out);
             return;
         }
-        // Of two that both lack tokens, the one with the lower number collects.
+        // If both lack tokens, the one with the lower incarnation keeps those it needs.
         let collects = matches!(holding.plan, HoldingPlan::Collect(_));
         if self.local.sealing.is_some() {
             holding.unseal_due(now);
         }
         let keep = if collects || self.me < from { holding.total_need() } else { Tokens::ZERO };
         let spare = holding.available().saturating_sub(keep);
-        // Who asks again and again gets more at once than what is ready for the next moment.
+        // A holder that asks repeatedly gets more at once than the tokens kept available here.
         let times = if collects || self.lenders.is_empty() { 1 } else { BATCH_FACTOR };
         let wish = need.saturating_add(request.extra);
         let batch = wish.part(times, 1);
@@ -75,13 +75,13 @@
         let more =
             if collects { Tokens::ZERO } else { spare.part(1, 4).min(wish.part(BATCH_FACTOR, 1)) };
         let amount = holding.take(wish.max(more).min(spare));
-        // Whoever gave the last it had must not be waited for.
+        // A holder that has given its last tokens must not be waited for.
         let rest = need.saturating_sub(amount);
         let has_more = spare > amount || holding.can_give(now, rest);
         self.transfers.send_new(now, from, &budget, period, (amount, has_more), out);
     }
 
-    /// Takes in the answer of a holder that has nothing to give.
+    /// Handles the answer of a holder that has no tokens to give.
     pub fn handle_no_tokens(
         &mut self,
         now: Time,
@@ -104,7 +104,7 @@
         self.advance_search(now, budget, out);
     }
 
-    /// Takes in tokens of another holder; tells whether to acknowledge them.
+    /// Applies a transfer from another holder. Returns whether to acknowledge it.
     pub fn receive_transfer(
         &mut self,
         now: Time,
@@ -112,7 +112,8 @@
         transfer: &Transfer,
         out: &mut Outbox,
     ) -> bool {
-        // A removed giver may have been counted before its record was dropped.
+        // If the sender was removed, the tokens may have been counted as its own before its record
+        // was dropped.
         if !self.view.has(from) {
             return false;
         }
@@ -126,8 +127,9 @@
         if new && transfer.period == holding.terms.period {
             holding.free = holding.free.saturating_add(transfer.amount);
             if holding.lent_at.is_some() && holding.search.is_none() {
-                // What a borrower gives back was lent before, and was no demand: counted as such
-                // it made lenders draw half of a budget for an account that used a tenth.
+                // Tokens returned by a borrower were counted as demand when they were lent, but
+                // were not used. Left in the demand, they made lenders draw half of a budget for an
+                // account that used a tenth.
                 holding.returns.record_returned(transfer.amount);
                 holding.meter.uncount(now, transfer.amount);
             }
@@ -136,7 +138,7 @@
             holding.pending_loans.record_answer(now, from);
             self.changed.insert(transfer.budget.clone());
             self.silent_lenders.remove(&from);
-            // How much more a giver has it does not say.
+            // A transfer does not say how many more tokens its sender has.
             let max_available = if transfer.has_more { Tokens::MAX } else { Tokens::ZERO };
             self.record_peer_answer(from, &transfer.budget, max_available);
             self.serve_waiters(now, &transfer.budget);
@@ -146,12 +148,12 @@
         true
     }
 
-    /// Notes that a transfer arrived.
+    /// Records that a transfer has arrived.
     pub fn confirm_transfer(&mut self, now: Time, from: Incarnation, seq: u64) {
         self.transfers.record_ack(now, from, seq);
     }
 
-    /// Keeps amounts that another holder parks here; returns what to acknowledge.
+    /// Records amounts that another holder parks here. Returns those to acknowledge.
     pub fn accept_parked(&mut self, from: Incarnation, items: &[ParkItem]) -> Vec<ParkItem> {
         let mut kept = Vec::new();
         for item in items {
@@ -162,7 +164,7 @@
         kept
     }
 
-    /// Takes in the bank's acknowledgement of parked amounts.
+    /// Applies the witness's acknowledgement of parked amounts.
     pub fn confirm_parked(
         &mut self,
         now: Time,
--- a/crates/badgerfield-core/src/holdings/pending_loans.rs
+++ b/crates/badgerfield-core/src/holdings/pending_loans.rs
@@ -1,8 +1,8 @@
-//! What a borrower has asked its lenders for and not been answered yet.
+//! Requests of a borrower that its lenders have not answered.
 //!
-//! Answers come within milliseconds as a rule, and after seconds where the link of the borrower's
-//! VM is full. What is on its way serves the requests that wait when it comes, so that it is not
-//! asked for again for those that came later, nor at another lender.
+//! Answers normally take milliseconds, but seconds where the link of the borrower's VM is full. The
+//! tokens of pending requests serve whichever requests wait when they arrive. They are not
+//! requested again for later requests, nor from another lender.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -10,18 +10,19 @@
 use crate::amount::{Time, Tokens};
 use crate::ids::Incarnation;
 
-/// The longest that a lender is waited for: packets wait for a second or two at a full link, each
-/// way, and a lender that is gone must not keep requests waiting for longer.
+/// The longest time to wait for a lender. At a full link packets are delayed by one to two seconds
+/// each way, but a lender that is gone must not keep requests waiting for longer.
 const MAX_ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// How many times as long as its last answer took a lender may take before another is asked.
+/// How long a lender may take before another is asked, as a multiple of the time that the last
+/// answer took.
 const TIMEOUT_FACTOR: u32 = 2;
-/// An answer that took no longer than this shows that the VM's link is not full: those that are
+/// An answer within this time shows that the VM's link is not full, so lenders that have been
 /// silent for longer are gone.
 const FAST_ANSWER: Duration = Duration::from_millis(300);
-/// How many asks of a lender are remembered.
+/// How many pending requests to a lender are recorded.
 const MAX_PENDING: usize = 256;
 
-/// What lenders were asked for.
+/// Pending requests to lenders.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PendingLoans {
     lenders: BTreeMap<Incarnation, LenderRequests>,
@@ -29,26 +30,26 @@
     last_answer_time: Duration,
 }
 
-/// One ask.
+/// One request to a lender.
 #[derive(Debug, Clone, Copy)]
 struct PendingLoan {
-    /// What a request needs.
+    /// The tokens that a waiting request needs.
     need: Tokens,
-    /// Whether more was asked for, to be kept at hand.
+    /// Whether tokens were prefetched with it.
     is_prefetch: bool,
     sent_at: Time,
 }
 
-/// The asks that a lender has not answered.
+/// The pending requests to one lender.
 #[derive(Debug, Clone, Default)]
 struct LenderRequests {
     pending: VecDeque<PendingLoan>,
-    /// Whether others were asked for the same since, because it was silent.
+    /// Whether other lenders have been asked for the same tokens because this one did not answer.
     is_silent: bool,
 }
 
 impl PendingLoans {
-    /// Notes that a lender is asked for what a request needs, and perhaps for more.
+    /// Records a request to a lender for `need` tokens and, if `extra` is not zero, for a prefetch.
     pub(super) fn record_request(
         &mut self,
         now: Time,
@@ -67,13 +68,13 @@
         });
     }
 
-    /// Tells whether what was asked for to be kept at hand may still come.
+    /// Returns whether a prefetch may still be answered.
     pub(super) fn has_prefetch(&self, now: Time) -> bool {
         let mut pending = self.lenders.values().flat_map(|requests| &requests.pending);
         pending.any(|loan| loan.is_prefetch && now.since(loan.sent_at) < MAX_ANSWER_TIMEOUT)
     }
 
-    /// Notes a lender's answer, be it tokens or that there are none.
+    /// Records an answer of a lender, whether it lends or refuses.
     pub(super) fn record_answer(&mut self, now: Time, lender: Incarnation) {
         let Some(requests) = self.lenders.get_mut(&lender) else {
             return;
@@ -83,34 +84,34 @@
             self.last_answer_time = now.since(loan.sent_at);
         }
         let is_fast = self.last_answer_time <= FAST_ANSWER;
-        // Those that stayed silent while another answers at once are gone.
+        // If one lender answers quickly, lenders that stay silent are gone.
         self.lenders.retain(|_, requests| {
             let is_gone = is_fast && requests.is_silent;
             !is_gone && !requests.pending.is_empty()
         });
     }
 
-    /// Notes that a lender is silent, so that others are asked for the same.
+    /// Records that a lender is silent and others are asked for the same tokens.
     pub(super) fn mark_silent(&mut self, lender: Incarnation) {
         if let Some(requests) = self.lenders.get_mut(&lender) {
             requests.is_silent = true;
         }
     }
 
-    /// Tells whether a lender was asked and has not answered.
+    /// Returns whether requests to a lender are pending.
     pub(super) fn has_pending(&self, lender: Incarnation) -> bool {
         self.lenders.contains_key(&lender)
     }
 
-    /// Forgets lenders that have left.
+    /// Drops lenders that have left the view.
     pub(super) fn retain_lenders(&mut self, is_member: impl Fn(Incarnation) -> bool) {
         self.lenders.retain(|lender, _| is_member(*lender));
     }
 
-    /// Returns how much may still come.
+    /// Returns how many requested tokens may still arrive.
     ///
-    /// One silent lender may be gone; where several are silent at once, it is the link of this VM
-    /// that is slow, and their answers are on their way.
+    /// A single silent lender may be gone. If several are silent at once, the link of this VM is
+    /// slow and their answers are on their way.
     pub(super) fn total(&mut self, now: Time) -> Tokens {
         for requests in self.lenders.values_mut() {
             requests
@@ -126,8 +127,8 @@
         recent.map(|loan| loan.need).sum()
     }
 
-    /// Returns how long to wait for a lender's answer, and at least so long: where all answers are
-    /// slow, asking others too would only bring the same tokens several times.
+    /// Returns how long to wait for a lender's answer, at least `least`. Where all answers are
+    /// slow, asking other lenders as well would only fetch the same tokens several times.
     pub(super) fn answer_timeout(&self, least: Duration) -> Duration {
         self.last_answer_time.saturating_mul(TIMEOUT_FACTOR).clamp(least, MAX_ANSWER_TIMEOUT)
     }
--- a/crates/badgerfield-core/src/holdings/promises.rs
+++ b/crates/badgerfield-core/src/holdings/promises.rs
@@ -1,15 +1,16 @@
-//! What a holder has promised the ledger not to touch, and how much of that still holds.
+//! Promises of a holder to the ledger that sealed tokens stay unspent, and how much of them still
+//! holds.
 
 use std::time::Duration;
 
 use crate::amount::{Time, Tokens};
 use crate::seal::{falls_after, promised};
 
-/// One promise, as the ledger may have it on record.
+/// A promise that the ledger may have on record.
 #[derive(Debug, Clone, Copy)]
 struct Promise {
     amount: Tokens,
-    /// When it was said.
+    /// When the promise was made.
     made_at: Time,
 }
 
@@ -18,7 +19,7 @@
         promised(self.amount, now.since(self.made_at))
     }
 
-    /// Returns after how long no more than so much of it is left.
+    /// Returns after how long at most `least` tokens of the promise remain.
     fn time_until(self, now: Time, least: Tokens) -> Duration {
         falls_after(self.amount, least).saturating_sub(now.since(self.made_at))
     }
@@ -26,39 +27,40 @@
 
 /// The promises that the ledger may have on record.
 ///
-/// While a change is under way nobody here knows which of its sendings the ledger has taken in, or
-/// whether it has the change before still: all of them are kept.
+/// While an operation is pending, this process does not know which of its sendings the ledger has
+/// applied, or whether the ledger still has the previous operation. Hence the promises of all of
+/// them are kept.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Promises {
-    /// Those of the last change that was answered.
+    /// The promises of the last operation that was answered.
     confirmed: Vec<Promise>,
-    /// Those of the change under way: of its first sending and of its last.
+    /// The promises of the pending operation: of its first and of its last sending.
     pending: Vec<Promise>,
 }
 
 impl Promises {
-    /// Notes the promise of a new change.
+    /// Records the promise of a new operation.
     pub(super) fn record_pending(&mut self, now: Time, amount: Tokens) {
         self.pending = vec![Promise { amount, made_at: now }];
     }
 
-    /// Notes that the change under way is sent again and promises only what it hands out.
+    /// Records that the pending operation is sent again, promising only the tokens that it grants.
     pub(super) fn record_resend(&mut self, now: Time) {
         self.pending.truncate(1);
         self.pending.push(Promise { amount: Tokens::ZERO, made_at: now });
     }
 
-    /// Notes that a new change promises nothing.
+    /// Records that a new operation promises nothing.
     pub(super) fn clear_pending(&mut self) {
         self.pending.clear();
     }
 
-    /// Tells whether the change under way promises what it hands out.
+    /// Returns whether the pending operation promises the tokens that it grants.
     pub(super) fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Notes that the change under way was answered, and how much of what it handed out is sealed.
+    /// Records that the pending operation was answered and granted `sealed` sealed tokens.
     pub(super) fn confirm(&mut self, sealed: Tokens) {
         self.confirmed = std::mem::take(&mut self.pending);
         for promise in &mut self.confirmed {
@@ -66,27 +68,27 @@
         }
     }
 
-    /// Returns how much must stay untouched of what is sealed and what the change under way gives
-    /// back of it, should the ledger have the change before.
+    /// Returns how many tokens must stay unspent if the ledger has the previous operation on
+    /// record. They include those that the pending operation returns.
     pub(super) fn confirmed(&self, now: Time) -> Tokens {
         max_remaining(&self.confirmed, now)
     }
 
-    /// Returns how much must stay untouched of what is sealed, should the ledger have the change
-    /// under way.
+    /// Returns how many sealed tokens must stay unspent if the ledger has the pending operation on
+    /// record.
     pub(super) fn pending(&self, now: Time) -> Tokens {
         max_remaining(&self.pending, now)
     }
 
-    /// Returns after how long no more than `sealed` must stay untouched, where the change under way
-    /// gives back `returning` of what was promised before.
+    /// Returns after how long at most `sealed` tokens must stay unspent if the pending operation
+    /// returns `returning` tokens that were promised before.
     pub(super) fn time_until(&self, now: Time, sealed: Tokens, returning: Tokens) -> Duration {
         let confirmed = time_until(&self.confirmed, now, sealed.saturating_add(returning));
         confirmed.max(time_until(&self.pending, now, sealed))
     }
 }
 
-/// Returns after how long none of the promises holds for more than so much.
+/// Returns after how long none of the promises covers more than `least` tokens.
 fn time_until(promises: &[Promise], now: Time, least: Tokens) -> Duration {
     promises.iter().map(|promise| promise.time_until(now, least)).max().unwrap_or_default()
 }
--- a/crates/badgerfield-core/src/holdings/requests.rs
+++ b/crates/badgerfield-core/src/holdings/requests.rs
@@ -1,4 +1,4 @@
-//! What requests do to holdings: set tokens aside, wait for them, and settle.
+//! Reservations of requests: reserving tokens, waiting for them, and settling.
 
 use super::waiting::{QueueOutcome, Requester, Waiter};
 use super::{Holdings, ReserveDecision, ReserveOutcome};
@@ -8,7 +8,7 @@
 use crate::refusal::{Cause, Refusal};
 
 impl Holdings {
-    /// Sets tokens aside for a request, now or later.
+    /// Reserves tokens for a request, at once or later.
     pub fn reserve(
         &mut self,
         now: Time,
@@ -22,7 +22,8 @@
         };
         holding.largest_request = holding.largest_request.max(need);
         if self.lenders.is_empty() {
-            // Where a few hold for all, what each holds is many requests' worth by its rate alone.
+            // Where a few processes hold the budget for all, their rate alone gives each of them
+            // enough for many requests.
             holding.request_sizes.record(now, need);
         }
         if holding.available() < need && self.local.sealing.is_some() {
@@ -48,7 +49,7 @@
         ReserveOutcome::Waiting
     }
 
-    /// Drops a request that waits for tokens; tells whether it waited.
+    /// Removes a request that waits for tokens. Returns whether it was waiting.
     pub fn cancel_request(&mut self, budget: &BudgetId, run: RunId) -> bool {
         let Some(holding) = self.table.get_mut(budget) else {
             return false;
@@ -58,7 +59,7 @@
         before != holding.waiters.len()
     }
 
-    /// Ends a reservation: what was not used is free again.
+    /// Ends a reservation. Unused tokens become free again.
     pub fn settle(
         &mut self,
         now: Time,
@@ -78,7 +79,7 @@
         holding.reserved = holding.reserved.saturating_sub(reserved);
         let rest = reserved.saturating_sub(used);
         holding.free = holding.free.saturating_add(rest);
-        // An upstream that ignores its limit eats into what is held.
+        // An upstream that ignores its token limit uses up other tokens of the holding.
         holding.write_off(excess);
         holding.returns.record_returned(rest);
         holding.meter.count(now, used);
@@ -87,7 +88,7 @@
         self.serve_waiters(now, budget);
     }
 
-    /// Counts a charge as billed, or as used up for a key that another process bills.
+    /// Counts a charge as billed, or as wasted if another process bills the key.
     pub fn record_charge(&mut self, budget: &BudgetId, period: Period, cost: Tokens, billed: bool) {
         let Some(holding) = self.table.get_mut(budget) else {
             return;
@@ -99,7 +100,7 @@
         *sum = sum.saturating_add(cost);
     }
 
-    /// Takes the answers to requests that waited.
+    /// Takes the decisions on requests that waited.
     pub fn take_decisions(&mut self) -> Vec<ReserveDecision> {
         std::mem::take(&mut self.decisions)
     }
--- a/crates/badgerfield-core/src/holdings/return_stats.rs
+++ b/crates/badgerfield-core/src/holdings/return_stats.rs
@@ -1,29 +1,29 @@
-//! What was set aside or lent, and what of it comes back: so a holder knows whether waiting for
-//! it can help a request that it has too little for.
+//! Statistics of tokens reserved or lent and of those returned unused. They show whether a request
+//! for which too few tokens are available can be served by waiting for returns.
 
 use std::time::Duration;
 
 use crate::amount::{Time, Tokens};
 
-/// For how long what was lent may come back: borrowers give back within moments what they do
-/// not use, and streams on the users' sheets last 0.5 to 3 s.
+/// How long after a loan its tokens may be returned. Borrowers return unused tokens soon after a
+/// request has ended, and streams on the users' sheets last 0.5 to 3 s.
 const LENT_WINDOW: Duration = Duration::from_secs(4);
 
-/// What a holding has given out.
+/// Counts of tokens issued and returned by a holding.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct ReturnStats {
-    /// All that was ever set aside or lent.
+    /// All tokens that were ever reserved or lent.
     issued: Tokens,
-    /// What of it came back unused.
+    /// How many of them came back unused.
     returned: Tokens,
-    /// What was lent of late, in two halves of [`LENT`].
+    /// Tokens lent recently, in the older and the newer half of [`LENT_WINDOW`].
     recent_lent: (Tokens, Tokens),
     /// When the newer half began.
     window_start: Time,
 }
 
 impl ReturnStats {
-    /// Counts tokens that are set aside for a request here.
+    /// Counts tokens reserved for a request here.
     pub(super) fn record_reserved(&mut self, amount: Tokens) {
         self.issued = self.issued.saturating_add(amount);
     }
@@ -45,9 +45,10 @@
         self.returned = self.returned.saturating_add(amount);
     }
 
-    /// Returns how much may come back soon, at the most, while so much is set aside here.
+    /// Returns how many tokens may be returned soon, given how many are reserved here.
     ///
-    /// A part of what is out comes back as a rule; before anything did, all of it may.
+    /// The estimate applies the share returned so far to the outstanding tokens. Before any were
+    /// returned, it is all outstanding tokens.
     pub(super) fn expected_returns(&self, now: Time, reserved: Tokens) -> Tokens {
         let lent = match now.since(self.window_start) {
             span if span >= LENT_WINDOW => Tokens::ZERO,
--- a/crates/badgerfield-core/src/holdings/search.rs
+++ b/crates/badgerfield-core/src/holdings/search.rs
@@ -1,4 +1,5 @@
-//! The search for tokens: the bank first, then the collector or the ledger, then others.
+//! The search for tokens: first at the witness, then at a lender or the collector, then at the
+//! ledger, and last at the peers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,26 +16,28 @@
 use crate::refusal::{Cause, Refusal};
 use crate::view::View;
 
-/// How long the ledger may take before other holders are asked.
+/// How long the ledger may take before peers are asked.
 const LEDGER_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long the bank may take before others are asked.
+/// How long the witness may take before the search moves on.
 const WITNESS_TIMEOUT: Duration = Duration::from_millis(150);
 /// How long the collector of a low budget may take before the ledger is asked.
 const COLLECTOR_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long a lender may take before another is asked; it may have to ask the ledger.
+/// How long a lender may take before the next one is asked. A lender may have to ask the ledger
+/// first.
 const LENDER_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long a lender is passed over that did not answer.
+/// How long a lender that did not answer is skipped.
 const SILENT_LENDER_SKIP: Duration = Duration::from_secs(2);
-/// How long other holders may take.
+/// How long peers may take.
 const PEER_TIMEOUT: Duration = Duration::from_millis(400);
-/// How many members are asked besides the holders that the ledger named.
+/// How many members are asked besides the holders named by the ledger.
 const MAX_EXTRA_PEERS: usize = 8;
-/// When to come back while the platform is away, or nothing is left of a budget: outages of
-/// the users' platform last 4 to 9 s, and a spent budget is raised now and then. A caller
-/// that came back after a second would only be refused again.
+/// Retry delay while the store is unavailable or a budget has nothing left. Outages of the users'
+/// platform last 4 to 9 s, and the limit of a spent budget is raised now and then. A caller that
+/// retried after one second would only be refused again.
 const LONG_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// The least time after which a caller is told to come back for sealed tokens.
+/// The shortest retry delay for requests that are refused while sealed tokens are expected to
+/// become free.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 impl Holdings {
@@ -64,7 +67,7 @@
         self.answer_waiters(budget, done, None);
     }
 
-    /// Tells those who waited what became of their wishes.
+    /// Records the decisions for waiting requests and borrowers.
     pub(super) fn answer_waiters(
         &mut self,
         budget: &BudgetId,
@@ -93,8 +96,8 @@
         }
     }
 
-    /// Refuses those who wait for so much or more, and whoever asks for as much within a
-    /// moment, but for those who may wait on.
+    /// Refuses waiting requests that need at least `need`, except those that may keep waiting.
+    /// Further requests of that size are refused at once for a short time.
     pub(super) fn refuse_waiters(
         &mut self,
         now: Time,
@@ -108,7 +111,8 @@
         let refused = holding.take_refused(now, need, &refusal);
         let least = refused.iter().map(|w| w.need).min();
         holding.last_refusal = least.map(|least| (refusal, now, least)).or(holding.last_refusal);
-        // Whoever still waits after a refusal of all waits for what comes back here.
+        // After a refusal of every size, the remaining requests wait for tokens returned here, so
+        // the search is over.
         if holding.waiters.is_empty() || need.is_zero() {
             holding.search = None;
         }
@@ -117,7 +121,7 @@
         self.serve_waiters(now, budget);
     }
 
-    /// Starts the search for tokens, or lets a running one see the new need.
+    /// Starts a search for tokens, or updates a running one for a new request.
     pub(super) fn start_search(&mut self, now: Time, budget: &BudgetId, out: &mut Outbox) {
         let joined = self.joined;
         let Some(holding) = self.table.get_mut(budget) else {
@@ -140,8 +144,8 @@
         self.send_parks(now, out);
     }
 
-    /// Asks a lender or the collector of a low budget, else the ledger, unless a search is
-    /// under way.
+    /// Asks a lender or the collector of a low budget, or else the ledger, unless another kind of
+    /// search is running.
     pub(super) fn search_elsewhere(&mut self, now: Time, budget: &BudgetId, out: &mut Outbox) {
         let Some(holding) = self.table.get_mut(budget) else {
             return;
@@ -175,8 +179,8 @@
                 if holding.op.is_none() {
                     holding.make_op(now, budget, &self.local, Tokens::ZERO, false);
                 }
-                // While the platform is away others are asked at once; the change is on
-                // its way beside that, should the platform be back.
+                // While the store is unavailable, peers are asked at once. The ledger operation is
+                // sent as well, in case the store is back.
                 if holding.store_down && self.local.sealing.is_some() {
                     self.query_peers(now, budget, out);
                 }
@@ -185,7 +189,8 @@
         }
     }
 
-    /// Unparks more for whoever waits, or turns elsewhere if that is not enough.
+    /// Unparks more tokens for waiting requests, or searches elsewhere if the parked ones do not
+    /// suffice.
     pub(super) fn after_witness(&mut self, now: Time, budget: &BudgetId, out: &mut Outbox) {
         self.plan_park(now, budget);
         let Some(holding) = self.table.get_mut(budget) else {
@@ -198,8 +203,8 @@
         self.search_elsewhere(now, budget, out);
     }
 
-    /// Turns to the next lender, or to the ledger, because the one that was asked has
-    /// nothing or does not answer.
+    /// Asks the next lender, or the ledger, after the previous lender had nothing or did not
+    /// answer.
     pub(super) fn try_next_lender(&mut self, now: Time, budget: &BudgetId, out: &mut Outbox) {
         let Some(holding) = self.table.get_mut(budget) else {
             return;
@@ -212,7 +217,7 @@
         if let Some(to) = next.filter(|_| holding.is_borrower()) {
             tried.push(to);
             holding.search = Some(Search::Lender { since: now, tried });
-            // One that was asked before has enough to answer.
+            // A lender with pending requests is asked only for needs that are not covered yet.
             let least = if holding.pending_loans.has_pending(to) { 0 } else { usize::MAX };
             holding.request_uncovered(now, budget, to, least, out);
             return;
@@ -228,14 +233,14 @@
         self.changed.insert(budget.clone());
     }
 
-    /// Refuses those who wait: no lender answers, nor any that stands in for them, and a
-    /// process that is neither does not draw from the ledger.
+    /// Refuses waiting requests: no lender or backup lender answers, and a process that is neither
+    /// does not draw from the ledger.
     fn refuse_without_lender(&mut self, now: Time, budget: &BudgetId) {
         let refusal = Refusal::not_run(Cause::BudgetHeld).with_retry_after(RETRY_AFTER);
         self.refuse_waiters(now, budget, Tokens::ZERO, refusal);
     }
 
-    /// Searches for those who came before this process had joined.
+    /// Starts a search for requests that arrived before this process had joined.
     pub(super) fn resume_search(&mut self, now: Time, budget: &BudgetId, out: &mut Outbox) {
         let holding = self.table.get(budget);
         if holding.is_some_and(|h| h.search.is_none() && !h.waiters.is_empty()) {
@@ -243,8 +248,8 @@
         }
     }
 
-    /// Asks another lender at once when the one that was asked has left the view: a process
-    /// that has started anew on its VM may have taken its place.
+    /// Asks another lender at once when the one asked last has left the view. A new process on the
+    /// same VM may have replaced it.
     pub(super) fn replace_removed_lender(
         &mut self,
         now: Time,
@@ -264,14 +269,14 @@
         }
     }
 
-    /// Moves a search on after an answer.
+    /// Takes the next step of a search after an answer.
     pub(super) fn advance_search(&mut self, now: Time, budget: &BudgetId, out: &mut Outbox) {
         let Some(holding) = self.table.get_mut(budget) else {
             return;
         };
         match &holding.search {
             Some(Search::Ledger { .. }) => {
-                // The change under way may not know of the need yet.
+                // The pending operation may have been made before the need arose.
                 let left = holding.remaining.unwrap_or_default();
                 if holding.op.is_some() {
                     return;
@@ -292,7 +297,7 @@
         }
     }
 
-    /// Turns to other holders because the platform does not answer.
+    /// Asks peers because the store is unavailable.
     pub(super) fn skip_ledger(&mut self, now: Time, budget: &BudgetId, out: &mut Outbox) {
         let search = self.table.get(budget).and_then(|h| h.search.as_ref());
         if matches!(search, Some(Search::Ledger { .. })) {
@@ -309,8 +314,9 @@
         unanswered.extend(ranked.iter().take(MAX_EXTRA_PEERS).map(|m| m.incarnation));
         unanswered.retain(|id| *id != self.me && self.view.has(*id));
         let lack = holding.total_need().saturating_sub(holding.available());
-        // A holder that cannot give all that is wanted may still serve one of those who wait. Where a
-        // few hold for all, each holds enough for many, and what they lack is asked for at once.
+        // A peer that cannot cover the total need may still serve one of the waiting requests.
+        // Where a few processes hold the budget for all, each holds enough for many requests, and
+        // the total is requested at once.
         let least = holding.waiters.iter().map(|w| w.need).min().unwrap_or_default();
         let least = least.saturating_sub(holding.available());
         let need = if self.lenders.is_empty() { least } else { lack };
@@ -330,7 +336,7 @@
         }
     }
 
-    /// Notes that a holder has answered, and may come to have so much.
+    /// Records that a peer has answered, and how many tokens it may have available later.
     pub(super) fn record_peer_answer(
         &mut self,
         from: Incarnation,
@@ -355,7 +361,7 @@
         }
     }
 
-    /// Refuses what could not be found: nobody has it.
+    /// Ends a search without success by refusing the waiting requests.
     pub(super) fn conclude_search(&mut self, now: Time, budget: &BudgetId) {
         let Some(holding) = self.table.get_mut(budget) else {
             return;
@@ -363,20 +369,20 @@
         let Some(Search::Peers { since, unanswered, max_available }) = &holding.search else {
             return;
         };
-        // The bank may answer yet; one that is gone never does.
+        // The witness may still answer. After `PEER_TIMEOUT` it counts as lost.
         if holding.parked.sent.is_some() && now.since(*since) < PEER_TIMEOUT {
             return;
         }
-        // The ledger was asked and may answer yet.
+        // The ledger was asked and may still answer.
         if holding.op.is_some() && !holding.store_down {
             holding.search = Some(Search::Ledger { since: now });
             return;
         }
         let (all_answered, max_available) = (unanswered.is_empty(), *max_available);
-        // A holder that has gone may have a successor that gives back what it had sealed.
+        // The successor of a removed holder may return the tokens that the holder had sealed.
         let has_removed = holding.other_holders.iter().any(|id| !self.view.has(*id));
         if all_answered && !has_removed && holding.op.is_none() {
-            // Small requests may be served by what comes back though large ones cannot.
+            // Returned tokens may serve small requests even if they cannot serve large ones.
             let max_available = holding.max_available(now).max(max_available);
             let least = max_available.saturating_add(Tokens(1));
             let needs = holding.waiters.iter().map(|w| w.need).filter(|need| *need >= least);
@@ -387,14 +393,15 @@
         self.refuse_remaining(now, budget);
     }
 
-    /// Refuses those who still wait, with when to come back.
+    /// Refuses the requests that still wait, with a retry delay.
     fn refuse_remaining(&mut self, now: Time, budget: &BudgetId) {
         let Some(holding) = self.table.get(budget).filter(|h| !h.waiters.is_empty()) else {
             return;
         };
         let is_spent = holding.remaining.is_some_and(Tokens::is_zero);
         let after = if holding.store_down || is_spent { LONG_RETRY_AFTER } else { RETRY_AFTER };
-        // Whoever is refused waits behind all that are not: it is told when its turn may come.
+        // A refused request would be served after all that still wait, so its retry delay covers
+        // the total need.
         let delay = holding.time_until_available(now, holding.total_need());
         let after = delay.map_or(after, |delay| delay.clamp(MIN_RETRY_AFTER, after));
         let refusal = Refusal::not_run(Cause::BudgetHeld).with_retry_after(after);
@@ -453,7 +460,7 @@
     }
 }
 
-/// Returns whom to ask next: a lender that answers, or the collector of a low budget.
+/// Returns the next process to ask: a lender that answers, or the collector of a low budget.
 pub(super) fn next_lender(
     holding: &Holding,
     view: &View,
--- a/crates/badgerfield-core/src/holdings/transfer.rs
+++ b/crates/badgerfield-core/src/holdings/transfer.rs
@@ -1,7 +1,7 @@
-//! Transfers: tokens that go from one holder to another without the platform.
+//! Transfers: tokens that go directly from one holder to another, without the store.
 //!
-//! The giver deducts first, then sends, and sends again until the receiver has
-//! acknowledged. The receiver counts each (giver, sequence number) once.
+//! The sender deducts the tokens first, then sends them, and resends until the receiver has
+//! acknowledged. The receiver counts each pair of sender and sequence number once.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -12,21 +12,21 @@
 use crate::message::{Message, Transfer};
 use crate::view::View;
 
-/// After how long an unacknowledged transfer is sent again at the earliest; each time it waits
-/// twice as long. Sent at one pace, those to a VM with a full link were most of what filled it.
+/// The shortest wait before an unacknowledged transfer is sent again. The wait doubles each time:
+/// with a constant interval, resent transfers made up most of the traffic on the full link of a VM.
 const MIN_RESEND: Duration = Duration::from_millis(300);
-/// The longest of these waits; a silent process leaves the view after 20 s.
+/// The longest such wait. A silent process leaves the view after 20 s.
 const MAX_RESEND: Duration = Duration::from_secs(8);
-/// How many times as long as its last acknowledgement took a process is waited for.
+/// The first wait is this multiple of the time that the last acknowledgement took.
 const RESEND_FACTOR: u32 = 2;
 
-/// Transfers under way, and those received.
+/// Transfers sent and not yet acknowledged, and those received.
 #[derive(Debug, Default)]
 pub(crate) struct Transfers {
     next_seq: HashMap<Incarnation, u64>,
     sent: BTreeMap<(Incarnation, u64), Sent>,
     received: HashMap<Incarnation, Received>,
-    /// How long each process took to acknowledge last.
+    /// How long the last acknowledgement of each process took.
     ack_times: HashMap<Incarnation, Duration>,
 }
 
@@ -36,10 +36,10 @@
     period: Period,
     amount: Tokens,
     has_more: bool,
-    /// When it was sent first and last.
+    /// When it was sent first, and when last.
     first_sent: Time,
     last_sent: Time,
-    /// How long it waits before it is sent again.
+    /// How long to wait before it is sent again.
     wait: Duration,
 }
 
@@ -56,7 +56,8 @@
 }
 
 impl Transfers {
-    /// Sends tokens that the giver has already deducted, and says whether it may have more later.
+    /// Sends tokens that the sender has already deducted. `has_more` tells the receiver whether the
+    /// sender may have more later.
     pub(crate) fn send_new(
         &mut self,
         now: Time,
@@ -77,14 +78,14 @@
         self.send(to, seq, out);
     }
 
-    /// Notes an acknowledgement.
+    /// Records an acknowledgement.
     pub(crate) fn record_ack(&mut self, now: Time, from: Incarnation, seq: u64) {
         if let Some(sent) = self.sent.remove(&(from, seq)) {
             self.ack_times.insert(from, now.since(sent.first_sent));
         }
     }
 
-    /// Tells whether a transfer is new, and remembers it.
+    /// Records a received transfer. Returns whether it is new.
     pub(crate) fn record_received(&mut self, from: Incarnation, transfer: &Transfer) -> bool {
         let received = self.received.entry(from).or_default();
         if transfer.seq <= received.acked_seq || !received.above.insert(transfer.seq) {
@@ -95,13 +96,14 @@
         true
     }
 
-    /// Sends again what is due.
+    /// Sends due transfers again.
     pub(crate) fn resend_due(&mut self, now: Time, out: &mut Outbox) {
         let mut due = Vec::new();
         let mut previous = None;
         for ((to, seq), sent) in &mut self.sent {
-            // The first to a process shows whether anything gets there; what came after it is
-            // most likely on its way, too.
+            // The first transfer to a process shows whether the process can be reached. Later ones
+            // are most likely on their way, too, so they are sent again only at the longest
+            // interval.
             let is_first = previous.replace(*to) != Some(*to);
             let is_due =
                 if is_first { sent.is_due(now) } else { now.since(sent.last_sent) >= MAX_RESEND };
@@ -117,29 +119,29 @@
         }
     }
 
-    /// Gives up transfers to processes that were removed.
+    /// Drops transfers to processes that were removed.
     ///
-    /// Their tokens are lost: the receiver may have counted them.
+    /// Their tokens are lost, because the receiver may have counted them.
     pub(crate) fn apply_view(&mut self, view: &View) {
         self.sent.retain(|(to, _), _| view.has(*to));
         self.received.retain(|from, _| view.has(*from));
         self.ack_times.retain(|to, _| view.has(*to));
     }
 
-    /// Returns how many tokens are under way.
+    /// Returns how many tokens of a budget are in transit.
     pub(crate) fn in_transit(&self, budget: &BudgetId) -> Tokens {
         self.sent.values().filter(|s| &s.budget == budget).map(|s| s.amount).sum()
     }
 
-    /// Tells whether a process has left a transfer of a budget unacknowledged for longer than
-    /// messages take as a rule.
+    /// Returns whether a transfer of a budget to a process has been unacknowledged for longer than
+    /// messages normally take.
     pub(crate) fn is_ack_overdue(&self, now: Time, to: Incarnation, budget: &BudgetId) -> bool {
         let sent = self.sent.range((to, 0)..=(to, u64::MAX)).map(|(_, sent)| sent);
         let mut sent = sent.filter(|sent| sent.budget == *budget);
         sent.any(|sent| now.since(sent.first_sent) >= MIN_RESEND)
     }
 
-    /// Returns how many tokens of each budget are under way.
+    /// Returns how many tokens of each budget are in transit.
     pub(crate) fn all_in_transit(&self) -> BTreeMap<BudgetId, Tokens> {
         let mut sums: BTreeMap<BudgetId, Tokens> = BTreeMap::new();
         for sent in self.sent.values() {
@@ -149,7 +151,7 @@
         sums
     }
 
-    /// Tells whether everything is acknowledged.
+    /// Returns whether all transfers are acknowledged.
     pub(crate) fn is_empty(&self) -> bool {
         self.sent.is_empty()
     }
--- a/crates/badgerfield-core/src/holdings/unsealing.rs
+++ b/crates/badgerfield-core/src/holdings/unsealing.rs
@@ -1,5 +1,5 @@
-//! When sealed tokens come free: who waits for them is neither refused before, nor told to come back
-//! long after.
+//! When sealed tokens become free. A request that waits for them is not refused before, and the
+//! retry delay of a refused request is no longer than needed.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 use crate::amount::{Time, Tokens};
 
 impl Holding {
-    /// Returns after how long so many tokens are ready, if only what is sealed here comes free until
-    /// then; nothing if there are not enough.
+    /// Returns after how long `need` tokens are available if only sealed tokens become free until
+    /// then, or `None` if the holding has too few.
     pub(super) fn time_until_available(&self, now: Time, need: Tokens) -> Option<Duration> {
         if self.available() >= need {
             return Some(Duration::ZERO);
@@ -22,8 +22,9 @@
         Some(self.promises.time_until(now, may_stay, returning))
     }
 
-    /// Tells whether what is sealed comes free in time for a request here, after all who wait before
-    /// it. A borrower is answered at once: it may ask another lender.
+    /// Returns whether sealed tokens become free in time for a request here that is served after
+    /// `before` tokens of other requests. For a borrower this is always false: it is answered at
+    /// once and may ask another lender.
     pub(super) fn unseals_in_time(&self, now: Time, before: Tokens, waiter: &Waiter) -> bool {
         if matches!(waiter.requester, Requester::Borrower(_)) {
             return false;
--- a/crates/badgerfield-core/src/holdings/views.rs
+++ b/crates/badgerfield-core/src/holdings/views.rs
@@ -1,4 +1,4 @@
-//! Changes of the view, and the end of this process.
+//! Changes of the view, and stopping this process.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::view::View;
 
 impl Holdings {
-    /// Puts a newer view in force: settles what removed processes had parked or keep.
+    /// Applies a newer view and settles the amounts that removed processes had parked or witnessed.
     pub fn apply_view(&mut self, now: Time, view: &Arc<View>, out: &mut Outbox) {
         if view.epoch <= self.view.epoch {
             return;
@@ -32,7 +32,8 @@
                 continue;
             }
             if self.local.sealing.is_some() {
-                // Its successor may give back a part of it, so the ledger decides.
+                // The successor of the removed holder may return a part of the amount, so the
+                // ledger decides.
                 let (holder, amount) = (inherited.owner, inherited.amount);
                 holding.witness_reports.push(WitnessReport { holder, amount });
                 let (budget, epoch) = (inherited.budget.clone(), view.epoch);
@@ -57,10 +58,10 @@
         }
     }
 
-    /// Starts giving back what requests here do not need, before they have ended: this process
-    /// may be ended before they are.
+    /// Starts to return tokens that requests here do not need, before these requests have ended:
+    /// this process may be killed before they have.
     ///
-    /// In a small fleet it waits until they have, since each holds little there.
+    /// In a small fleet each process holds little, so it waits until the requests have ended.
     pub fn retire(&mut self) {
         if !self.lenders.is_empty() {
             self.leaving = Leaving::Retiring;
@@ -68,13 +69,13 @@
         self.changed.extend(self.table.keys().cloned());
     }
 
-    /// Starts giving everything back.
+    /// Starts to return all tokens.
     pub fn close(&mut self) {
         self.leaving = Leaving::Closing;
         self.changed.extend(self.table.keys().cloned());
     }
 
-    /// Tells whether everything is given back and nothing is parked here.
+    /// Returns whether all tokens are returned and nothing is parked here.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         let is_done = |h: &Holding| {
@@ -86,7 +87,8 @@
         closed && self.transfers.is_empty() && self.witness.is_empty()
     }
 
-    /// Hands what is left to another process, for when the platform cannot take it back.
+    /// Hands the remaining tokens to another process, for use when the store is unavailable and
+    /// cannot take them back.
     pub fn hand_over(&mut self, now: Time, out: &mut Outbox) {
         let to = self
             .view
--- a/crates/badgerfield-core/src/holdings/waiting.rs
+++ b/crates/badgerfield-core/src/holdings/waiting.rs
@@ -1,4 +1,4 @@
-//! Who waits for tokens, and who is told at once that there are none.
+//! The queue of requests that wait for tokens, and the immediate refusals.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,18 +8,19 @@
 use crate::ids::{Incarnation, ReservationId, RunId};
 use crate::refusal::{Cause, Refusal};
 
-/// How long a refusal holds for further requests.
+/// How long further requests are refused without a new search.
 const REFUSAL_LIFETIME: Duration = Duration::from_millis(800);
-/// How long a request waits for what running ones give back, after the search. Short answers of the
-/// users' sheets end within this; whoever gets nothing by then is told.
+/// How long a request waits, after the search, for tokens returned by running requests. Short
+/// answers of the users' sheets end within this time; a request that gets nothing by then is
+/// refused.
 const MAX_RETURN_WAIT: Duration = Duration::from_millis(500);
 
-/// For whom tokens are wanted.
+/// The requester of tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Requester {
     /// A request at this process.
     Run(RunId),
-    /// A process that borrows here.
+    /// A borrower that asked this process.
     Borrower(Incarnation),
 }
 
@@ -32,42 +33,46 @@
 }
 
 impl Waiter {
-    /// Tells whether it waits for what running requests give back. Its caller said for how long;
-    /// one on a route is told at once, and may try another VM.
+    /// Returns whether the request may wait for tokens returned by running requests. It may if its
+    /// caller has set a maximum wait. A request on a route is refused at once, since it may try
+    /// another VM.
     fn can_wait_for_returns(&self) -> bool {
         matches!(self.requester, Requester::Run(run) if ReservationId::from_run_id(run).is_none())
     }
 
-    /// Returns it as one that waits for what running requests give back.
+    /// Limits the wait to [`MAX_RETURN_WAIT`] from now.
     pub(super) fn with_return_wait(self, now: Time) -> Self {
         Self { deadline: self.deadline.min(now.after(MAX_RETURN_WAIT)), ..self }
     }
 }
 
-/// What becomes of a request for which too little is ready.
+/// The outcome of queueing a request for which too few tokens are available.
 pub(super) enum QueueOutcome {
-    /// Others were refused a moment ago, and so is it.
+    /// The request is refused because a similar one was refused recently.
     Refused(Refusal),
-    /// It waits for what comes free or back here.
+    /// The request waits for tokens that are unsealed or returned here.
     Waiting,
-    /// It waits for what a search brings.
+    /// The request waits for the result of a search.
     Searching,
 }
 
 impl Holding {
-    /// Returns what all waiting requests need together.
+    /// Returns the sum of what all waiting requests need.
     pub(crate) fn total_need(&self) -> Tokens {
         self.waiters.iter().map(|w| w.need).sum()
     }
 
-    /// Tells whether what is free, parked or not, is enough for all waiting requests.
+    /// Returns whether the free tokens, parked or not, cover all waiting requests.
     pub(crate) fn covers_total_need(&self) -> bool {
         self.free >= self.total_need()
     }
 
-    /// Takes out those who wait for so much or more and are refused. Those stay for whom sealed
-    /// tokens come free in time; of those that may come back for it, patient ones stay as long as
-    /// what comes back here as a rule is enough for them.
+    /// Removes and returns the waiting requests that are refused, of those that need at least
+    /// `need`.
+    ///
+    /// Requests stay for which sealed tokens become free in time. If the refusal allows a retry,
+    /// requests that can wait for returned tokens also stay as long as the expected returns cover
+    /// them.
     pub(super) fn take_refused(
         &mut self,
         now: Time,
@@ -102,15 +107,16 @@
         refused
     }
 
-    /// Queues a request for which too little is ready, unless one like it was refused a moment ago
-    /// and nothing that comes free or back here is for this one.
+    /// Queues a request for which too few tokens are available. It is refused at once if a similar
+    /// request was refused recently and no tokens unsealed or returned here will cover it.
     pub(super) fn enqueue(&mut self, now: Time, waiter: Waiter) -> QueueOutcome {
         let Some(refusal) = self.recent_refusal(now, waiter.need) else {
             self.waiters.push_back(waiter);
             self.used_at = now;
             return QueueOutcome::Searching;
         };
-        let waits = self.while_refusing(now, waiter).filter(|_| refusal.cause == Cause::BudgetHeld);
+        let waits =
+            self.wait_despite_refusal(now, waiter).filter(|_| refusal.cause == Cause::BudgetHeld);
         let Some(waits) = waits else {
             return QueueOutcome::Refused(refusal);
         };
@@ -118,9 +124,10 @@
         QueueOutcome::Waiting
     }
 
-    /// Returns a request as it waits though others were refused a moment ago: sealed tokens come
-    /// free in time for it, or enough comes back here as a rule, beside all who wait already.
-    fn while_refusing(&self, now: Time, waiter: Waiter) -> Option<Waiter> {
+    /// Returns the request with its wait if it may wait in spite of a recent refusal: sealed tokens
+    /// become free for it in time, or the expected returns cover it and all requests that wait
+    /// already.
+    fn wait_despite_refusal(&self, now: Time, waiter: Waiter) -> Option<Waiter> {
         if self.unseals_in_time(now, self.total_need(), &waiter) {
             return Some(waiter);
         }
@@ -129,10 +136,10 @@
         (waiter.can_wait_for_returns() && is_covered).then(|| waiter.with_return_wait(now))
     }
 
-    /// Returns the refusal of a moment ago, if it holds for this need too.
+    /// Returns a recent refusal that also applies to this need.
     ///
-    /// A budget that nobody has anything left of is not looked for again with each
-    /// request: the refusal comes at once, and costs the platform no call.
+    /// A budget of which no holder has tokens left is not searched for again with every request:
+    /// the refusal is immediate and costs no call to the store.
     fn recent_refusal(&self, now: Time, need: Tokens) -> Option<Refusal> {
         let is_late = |at: Time| now.since(at) >= REFUSAL_LIFETIME;
         if self.exhausted.is_some_and(|(at, least)| need >= least && !is_late(at)) {
@@ -142,7 +149,7 @@
         (need >= least && !is_late(at)).then_some(refusal)
     }
 
-    /// Forgets refusals, because there is more than when they were made.
+    /// Clears recent refusals because more tokens have become available since.
     pub(crate) fn clear_refusals(&mut self) {
         self.last_refusal = None;
         self.exhausted = None;
--- a/crates/badgerfield-core/src/holdings/witness.rs
+++ b/crates/badgerfield-core/src/holdings/witness.rs
@@ -1,9 +1,9 @@
-//! The bank: amounts that other holders have parked with this process.
+//! The witness: records the amounts that other holders have parked at this process.
 //!
-//! A holder touches a parked amount only after its bank has acknowledged a smaller
-//! figure. When the holder is removed from the view, the amount is the bank's. When
-//! the bank is removed first, the amount is the holder's again. Views have one order,
-//! so both see the same one go first, and neither needs a clock or proof of death.
+//! A holder spends parked tokens only after its witness has acknowledged a smaller amount. When the
+//! holder is removed from the view, the parked tokens belong to the witness. When the witness is
+//! removed first, they belong to the holder again. Views are totally ordered, so both processes see
+//! the same one removed first. Neither needs a clock or proof that the other has ended.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 use crate::message::ParkItem;
 use crate::view::View;
 
-/// What others have parked here.
+/// The amounts that other processes have parked here.
 #[derive(Debug, Default)]
 pub(crate) struct Witness {
     owners: BTreeMap<Incarnation, BTreeMap<BudgetId, ParkedAmount>>,
@@ -25,7 +25,7 @@
     total: Tokens,
 }
 
-/// An amount that has fallen to the bank.
+/// An amount that belongs to the witness because its owner was removed.
 #[derive(Debug)]
 pub(crate) struct Inherited {
     pub(crate) owner: Incarnation,
@@ -35,9 +35,9 @@
 }
 
 impl Witness {
-    /// Sets a parked amount; tells whether to acknowledge it.
+    /// Records a parked amount. Returns whether to acknowledge it.
     pub(crate) fn record(&mut self, view: &View, owner: Incarnation, item: &ParkItem) -> bool {
-        // Once removed, an owner may neither add nor take back.
+        // A removed owner may neither add tokens nor reclaim them.
         if !view.has(owner) {
             return false;
         }
@@ -54,7 +54,7 @@
         order(&new) >= order(old)
     }
 
-    /// Takes over what removed owners had parked.
+    /// Applies a view. Returns the amounts parked by removed owners.
     pub(crate) fn apply_view(&mut self, view: &View, me: Incarnation) -> Vec<Inherited> {
         let mut inherited = Vec::new();
         if !view.has(me) {
@@ -74,12 +74,12 @@
         inherited
     }
 
-    /// Tells whether nothing is parked here.
+    /// Returns whether nothing is parked here.
     pub(crate) fn is_empty(&self) -> bool {
         self.owners.values().flat_map(BTreeMap::values).all(|d| d.total.is_zero())
     }
 
-    /// Returns what is parked here of one budget.
+    /// Returns how many tokens of a budget are parked here.
     pub(crate) fn total(&self, budget: &BudgetId) -> Tokens {
         let amounts = self.owners.values().filter_map(|d| d.get(budget));
         amounts.map(|d| d.total).sum()
