--- a/crates/badgerfield-core/src/holdings/holding.rs
+++ b/crates/badgerfield-core/src/holdings/holding.rs
@@ -345,9 +345,9 @@
         if self.free.saturating_add(margin) > keep {
             return;
         }
-        let lack = keep.saturating_sub(self.free).min(self.sealed);
-        self.sealed = self.sealed.saturating_sub(lack);
-        self.unsealing = self.unsealing.saturating_add(lack);
+        let shortage = keep.saturating_sub(self.free).min(self.sealed);
+        self.sealed = self.sealed.saturating_sub(shortage);
+        self.unsealing = self.unsealing.saturating_add(shortage);
     }
 
     /// Returns whether much less is held than the share named by the ledger while the ledger has
@@ -358,9 +358,9 @@
             return false;
         };
         let has_more = self.remaining.is_some_and(|remaining| !remaining.is_zero());
-        let lack = share.saturating_sub(self.unspent());
+        let shortage = share.saturating_sub(self.unspent());
         let least = self.largest_request.max(share.part(1, TOP_UP_DIVISOR));
-        has_more && !self.largest_request.is_zero() && lack >= least
+        has_more && !self.largest_request.is_zero() && shortage >= least
     }
 
     /// Returns whether many more tokens are unsealed than needed.
@@ -375,9 +375,9 @@
         let demand = self.meter.rate(now).over(UNSEALED_SPAN);
         // One request's worth is left unsealed only where it will be spent soon.
         let is_soon_spent = demand.saturating_add(demand) >= self.largest_request;
-        let open = if is_soon_spent { demand.max(self.largest_request) } else { demand };
-        let open = open.min(self.unspent().part(MAX_UNSEALED_PERCENT, 100));
-        open.max(self.min_unsealed())
+        let target = if is_soon_spent { demand.max(self.largest_request) } else { demand };
+        let target = target.min(self.unspent().part(MAX_UNSEALED_PERCENT, 100));
+        target.max(self.min_unsealed())
     }
 
     /// Makes the seal of a new operation. Held tokens are promised only if the store is known to be
@@ -400,7 +400,7 @@
             std::mem::take(&mut self.orphaned_seals).into_iter().map(claim).collect()
         });
         let (vm, unsealed) = (sealing.vm.clone(), self.unsealing);
-        Seal { vm, amount, unsealed: unsealed, sealed_at: at, decay_ms: falls_ms(), claims }
+        Seal { vm, amount, unsealed, sealed_at: at, decay_ms: falls_ms(), claims }
     }
 
     /// Renews the seal of the pending operation before the operation is sent again.
@@ -476,8 +476,8 @@
 
     /// Returns the most that may be available here after requests have returned unused tokens.
     pub(crate) fn max_available(&self, now: Time) -> Tokens {
-        let pending_loans = self.returns.expected_returns(now, self.reserved);
-        self.unspent().saturating_add(pending_loans)
+        let expected = self.returns.expected_returns(now, self.reserved);
+        self.unspent().saturating_add(expected)
     }
 
     /// Returns whether this many tokens may become available here after requests have returned
@@ -498,8 +498,8 @@
 
     /// Returns whether requests wait here, or an answer to this holding is outstanding.
     pub(crate) fn is_busy(&self) -> bool {
-        let waits = !self.waiters.is_empty() || self.search.is_some();
-        waits || self.op.is_some() || self.parked.sent.is_some()
+        let is_waiting = !self.waiters.is_empty() || self.search.is_some();
+        is_waiting || self.op.is_some() || self.parked.sent.is_some()
     }
 
     /// Returns whether no request has used the holding for [`IDLE_TIMEOUT`].
@@ -547,9 +547,9 @@
             self.total_need().saturating_sub(self.available()).saturating_sub(self.unsealing);
         self.seq += 1;
         // A holding that is not in use gets no share.
-        let busy = !self.waiters.is_empty() || self.expects_returns(now);
-        let unused = self.is_idle(now) || !busy;
-        let least = if unused { TokenRate(0) } else { TokenRate(1) };
+        let is_used = !self.waiters.is_empty() || self.expects_returns(now);
+        let is_unused = self.is_idle(now) || !is_used;
+        let least = if is_unused { TokenRate(0) } else { TokenRate(1) };
         let no_share = self.state == HoldingState::Retiring || self.is_borrower();
         let demand = if local.sealing.is_some() { self.demand(now) } else { self.meter.rate(now) };
         let rate = if no_share { TokenRate(0) } else { demand.max(least) };
--- a/crates/badgerfield-core/src/holdings/ledger_replies.rs
+++ b/crates/badgerfield-core/src/holdings/ledger_replies.rs
@@ -29,8 +29,8 @@
             let Some((op, sent)) = &holding.op else {
                 continue;
             };
-            let waits = !op.need.is_zero();
-            let resend = if waits { URGENT_RESEND_INTERVAL } else { RESEND_INTERVAL };
+            let is_urgent = !op.need.is_zero();
+            let resend = if is_urgent { URGENT_RESEND_INTERVAL } else { RESEND_INTERVAL };
             if !is_due(now, *sent, resend) {
                 continue;
             }
@@ -66,16 +66,16 @@
             LedgerReply::Applied {
                 seq,
                 granted,
-                remaining: left,
-                other_holders: others,
+                remaining,
+                other_holders,
                 plan,
-                orphaned_seals: orphans,
+                orphaned_seals,
             } => {
                 let is_current = holding.op.as_ref().is_some_and(|(op, _)| op.seq == *seq);
                 if !is_current {
                     return;
                 }
-                if !left.is_zero() {
+                if !remaining.is_zero() {
                     holding.clear_refusals();
                 }
                 let op = holding.op.take().map(|(op, _)| op);
@@ -83,22 +83,22 @@
                 let need = op.as_ref().map_or(Tokens::ZERO, |op| op.need);
                 let reported = op.as_ref().map_or(Tokens::ZERO, |op| op.held);
                 holding.ledger_held = reported.saturating_add(*granted);
-                let promised = holding.promises.has_pending();
-                let sealed = if promised { sealed_part(*granted, need) } else { Tokens::ZERO };
+                let is_promised = holding.promises.has_pending();
+                let sealed = if is_promised { sealed_part(*granted, need) } else { Tokens::ZERO };
                 holding.confirm_op(now, sealed, granted.saturating_sub(sealed));
-                holding.remaining = Some(*left);
+                holding.remaining = Some(*remaining);
                 if let Some(sealing) = self.local.sealing.as_mut() {
                     sealing.last_reply = Some(now);
-                    holding.orphaned_seals.clone_from(orphans);
+                    holding.orphaned_seals.clone_from(orphaned_seals);
                 }
                 out.push(Command::Log(LogEntry::LedgerApplied {
                     budget: budget.clone(),
                     limit: holding.terms.limit,
                     granted: *granted,
-                    left: *left,
+                    left: *remaining,
                     held: holding.unspent(),
                     sealed: holding.sealed,
-                    promised,
+                    promised: is_promised,
                     reserved: holding.reserved,
                     moving: self.transfers.in_transit(budget),
                     took: holding.last_op_at.map_or(Duration::ZERO, |at| now.since(at)),
@@ -107,7 +107,7 @@
                 }));
                 holding.store_down = false;
                 holding.plan = *plan;
-                holding.other_holders.clone_from(others);
+                holding.other_holders.clone_from(other_holders);
                 if closed {
                     holding.state = HoldingState::Closed;
                 }
@@ -127,8 +127,8 @@
             }
             LedgerReply::StoreUnavailable => {
                 // Another member may reach the store.
-                let again = holding.op.as_mut().filter(|_| holding.op_attempts < MAX_WRITERS);
-                match again {
+                let retried = holding.op.as_mut().filter(|_| holding.op_attempts < MAX_WRITERS);
+                match retried {
                     Some((_, sent)) => *sent = None,
                     None => holding.store_down = true,
                 }
--- a/crates/badgerfield-core/src/holdings/lending.rs
+++ b/crates/badgerfield-core/src/holdings/lending.rs
@@ -86,9 +86,9 @@
 
     /// Logs the tokens held of budgets that this process borrows and that are busy here.
     pub(super) fn log_prefetched(&self, now: Time, out: &mut Outbox) {
-        let under_way = self.transfers.all_in_transit();
+        let in_transit = self.transfers.all_in_transit();
         for (budget, holding) in self.table.iter().filter(|(_, holding)| holding.is_borrower()) {
-            let moving = under_way.get(budget).copied().unwrap_or_default();
+            let moving = in_transit.get(budget).copied().unwrap_or_default();
             let keep = holding.prefetch_target(now, self.pacing.policy.prefetch_span);
             if keep.is_zero() && moving.is_zero() {
                 continue;
@@ -158,8 +158,9 @@
             };
             let spent = refusal.cause == Cause::BudgetSpent;
             let after = refusal.retry_after.unwrap_or(RETRY_AFTER);
-            let lack = if spent { NoTokensReason::Spent } else { NoTokensReason::Reserved(after) };
-            out.send(to, Message::NoTokens { budget, period, need: amount, reason: lack });
+            let reason =
+                if spent { NoTokensReason::Spent } else { NoTokensReason::Reserved(after) };
+            out.send(to, Message::NoTokens { budget, period, need: amount, reason });
         }
     }
 
@@ -186,7 +187,7 @@
         &self,
         from: Incarnation,
         budget: &BudgetId,
-        lack: NoTokensReason,
+        reason: NoTokensReason,
     ) -> bool {
         let Some(holding) = self.table.get(budget) else {
             return false;
@@ -194,7 +195,7 @@
         let Some(Search::Lender { tried, .. }) = &holding.search else {
             return false;
         };
-        holding.is_borrower() && tried.contains(&from) && lack != NoTokensReason::NotHolder
+        holding.is_borrower() && tried.contains(&from) && reason != NoTokensReason::NotHolder
     }
 
     /// Refuses requests as the lender did, because the lender has already searched everywhere.
@@ -205,9 +206,9 @@
         now: Time,
         budget: &BudgetId,
         need: Tokens,
-        lack: NoTokensReason,
+        reason: NoTokensReason,
     ) {
-        let refusal = match lack {
+        let refusal = match reason {
             NoTokensReason::Spent => Refusal::not_run(Cause::BudgetSpent),
             NoTokensReason::Reserved(after) => {
                 Refusal::not_run(Cause::BudgetHeld).with_retry_after(after)
--- a/crates/badgerfield-core/src/holdings/mod.rs
+++ b/crates/badgerfield-core/src/holdings/mod.rs
@@ -232,8 +232,8 @@
         spread: Percent,
     ) {
         let Some(holding) = self.table.get_mut(budget) else {
-            let hold = (spread, self.pacing.hold_ahead);
-            let mut holding = Holding::new(now, terms, hold, self.region.clone());
+            let hold_terms = (spread, self.pacing.hold_ahead);
+            let mut holding = Holding::new(now, terms, hold_terms, self.region.clone());
             let part = self.lenders.part(budget, self.me);
             holding.lenders = part.lenders;
             holding.is_backup = part.stands_in;
@@ -246,10 +246,10 @@
         }
         if terms.period > holding.terms.period {
             let waiters = std::mem::take(&mut holding.waiters);
-            let hold = (spread, self.pacing.hold_ahead);
+            let hold_terms = (spread, self.pacing.hold_ahead);
             let lenders = std::mem::take(&mut holding.lenders);
             let is_backup = holding.is_backup;
-            *holding = Holding::new(now, terms, hold, self.region.clone());
+            *holding = Holding::new(now, terms, hold_terms, self.region.clone());
             holding.lenders = lenders;
             holding.is_backup = is_backup;
             // Waiting requests are served from the new period, so a new search starts at the
--- a/crates/badgerfield-core/src/holdings/parking.rs
+++ b/crates/badgerfield-core/src/holdings/parking.rs
@@ -58,11 +58,11 @@
         if self.leaving.is_closing() {
             holding.state = HoldingState::Retiring;
             let sealed_total = holding.sealed_total();
-            let ready = holding.reserved.is_zero()
+            let is_done = holding.reserved.is_zero()
                 && holding.waiters.is_empty()
                 && holding.parked_amount().is_zero();
             let all = holding.free.saturating_add(sealed_total);
-            if ready && holding.seq + all.0 > 0 {
+            if is_done && holding.seq + all.0 > 0 {
                 if holding.seq == 0 {
                     // The first operation registers the holder and returns nothing.
                     holding.make_op(now, budget, &self.local, Tokens::ZERO, false);
@@ -83,17 +83,17 @@
             holding.make_op(now, budget, &self.local, Tokens::ZERO, false);
             return;
         }
-        let idle = holding.is_idle(now);
-        if holding.seq > 0 && (idle || holding.return_all) && holding.parked_amount().is_zero() {
-            let back = holding.spare().saturating_add(holding.sealed);
+        let is_idle = holding.is_idle(now);
+        if holding.seq > 0 && (is_idle || holding.return_all) && holding.parked_amount().is_zero() {
+            let returned = holding.spare().saturating_add(holding.sealed);
             let is_unreported = holding.reported != (holding.billed, holding.wasted);
             holding.return_all = false;
-            if !back.is_zero() || is_unreported {
-                holding.make_op(now, budget, &self.local, back, false);
+            if !returned.is_zero() || is_unreported {
+                holding.make_op(now, budget, &self.local, returned, false);
             }
             return;
         }
-        if !is_due(now, holding.last_op_at, report) || idle {
+        if !is_due(now, holding.last_op_at, report) || is_idle {
             return;
         }
         let surplus = holding.surplus(now).min(holding.returnable());
@@ -103,10 +103,11 @@
         }
         // Seals are renewed with every report because they expire.
         let is_unreported = holding.reported != (holding.billed, holding.wasted);
-        let seals = self.local.sealing.is_some() && self.pacing.policy.top_up;
-        let unbalanced = seals && (holding.is_below_share() || holding.has_excess_unsealed(now));
+        let tops_up = self.local.sealing.is_some() && self.pacing.policy.top_up;
+        let is_unbalanced =
+            tops_up && (holding.is_below_share() || holding.has_excess_unsealed(now));
         if is_unreported
-            || unbalanced
+            || is_unbalanced
             || !holding.sealed.is_zero()
             || !holding.orphaned_seals.is_empty()
         {
@@ -137,8 +138,8 @@
         // on record here as well.
         let is_stale = !holding.ledger_held.is_zero();
         if !sealed_total.is_zero() || !holding.orphaned_seals.is_empty() || is_stale {
-            let back = if is_stale { sealed_total } else { holding.returnable() };
-            holding.make_op(now, budget, &self.local, back, false);
+            let returned = if is_stale { sealed_total } else { holding.returnable() };
+            holding.make_op(now, budget, &self.local, returned, false);
         }
     }
 
@@ -161,30 +162,30 @@
         let working = holding.working_target(now);
         let wanted = holding.total_need();
         let total = holding.parked.total;
-        let idle = holding.is_idle(now);
-        let low = !matches!(holding.plan, HoldingPlan::Share(_));
-        let empty = self.leaving.is_closing()
-            || idle
-            || low
+        let is_idle = holding.is_idle(now);
+        let is_low = !matches!(holding.plan, HoldingPlan::Share(_));
+        let parks_nothing = self.leaving.is_closing()
+            || is_idle
+            || is_low
             || holding.return_all
             || !stays
             || !holding.deferred.is_empty();
-        let empty = empty || !has_witness || holding.is_borrower();
+        let parks_nothing = parks_nothing || !has_witness || holding.is_borrower();
         // A process that stops returns its tokens to the ledger. While the store is unavailable it
         // parks them, and the witness reports them to the ledger once this process has been
         // removed.
-        let leaves = self.leaving != Leaving::Active && self.local.sealing.is_some();
-        let leaves_parked = leaves && has_witness && stays && !self.local.is_store_reachable(now);
+        let is_leaving = self.leaving != Leaving::Active && self.local.sealing.is_some();
+        let parks_all = is_leaving && has_witness && stays && !self.local.is_store_reachable(now);
         // Tokens to be returned are unparked only when they can be sent at once: if this process
         // crashed in between, they would be lost.
-        let ready = holding.op.is_none() && is_due(now, holding.last_op_at, report);
-        let surplus = if ready { holding.surplus(now) } else { Tokens::ZERO };
+        let can_return = holding.op.is_none() && is_due(now, holding.last_op_at, report);
+        let surplus = if can_return { holding.surplus(now) } else { Tokens::ZERO };
         let keep = wanted.saturating_add(working);
         let half = working.part(1, 2);
-        let target = if leaves_parked {
-            let serves = if self.leaving.is_closing() { Tokens::ZERO } else { working };
-            holding.unspent().saturating_sub(wanted).saturating_sub(serves)
-        } else if empty || leaves {
+        let target = if parks_all {
+            let reserve = if self.leaving.is_closing() { Tokens::ZERO } else { working };
+            holding.unspent().saturating_sub(wanted).saturating_sub(reserve)
+        } else if parks_nothing || is_leaving {
             Tokens::ZERO
         } else if !surplus.is_zero() {
             // Tokens to be returned are unparked and stay free.
@@ -267,8 +268,8 @@
         let Some(to) = lender.filter(|to| *to != self.me) else {
             return;
         };
-        let waits = holding.search.is_some() || !holding.waiters.is_empty();
-        let can_forward = !waits && (is_borrower || !self.leaving.is_closing());
+        let is_waiting = holding.search.is_some() || !holding.waiters.is_empty();
+        let can_forward = !is_waiting && (is_borrower || !self.leaving.is_closing());
         // Two processes that take each other for the collector must not pass tokens back and forth
         // all the time.
         let interval = if is_borrower { RETURN_INTERVAL } else { FORWARD_INTERVAL };
@@ -282,8 +283,8 @@
         }
         holding.forwarded_at = Some(now);
         let amount = holding.take(spare);
-        let offer = (amount, holding.has_more(now));
-        self.transfers.send_new(now, to, budget, holding.terms.period, offer, out);
+        let tokens = (amount, holding.has_more(now));
+        self.transfers.send_new(now, to, budget, holding.terms.period, tokens, out);
     }
 
     /// Reclaims parked amounts whose witness was removed while this process stayed.
--- a/crates/badgerfield-core/src/holdings/peers.rs
+++ b/crates/badgerfield-core/src/holdings/peers.rs
@@ -22,24 +22,24 @@
     ) {
         let (budget, period) = (request.budget.clone(), request.period);
         let need = request.need;
-        let nothing = |need, reason| Message::NoTokens {
+        let no_tokens = |need, reason| Message::NoTokens {
             budget: request.budget.clone(),
             period,
             need,
-            reason: reason,
+            reason,
         };
         // Tokens sent to a removed process are lost when it ends.
-        let member = self.view.has(from);
-        let known = self.table.get_mut(&budget).filter(|h| member && h.terms.period == period);
-        let Some(holding) = known else {
-            out.send(from, nothing(need, NoTokensReason::NotHolder));
+        let is_member = self.view.has(from);
+        let current = self.table.get_mut(&budget).filter(|h| is_member && h.terms.period == period);
+        let Some(holding) = current else {
+            out.send(from, no_tokens(need, NoTokensReason::NotHolder));
             return;
         };
         // If two holders of the same budget both search, they answer each other at once. Otherwise
         // each would wait for the other, and neither could find out that nothing is left.
-        let leaves = self.leaving != Leaving::Active;
+        let is_leaving = self.leaving != Leaving::Active;
         let from_holder = self.lenders.holds(&budget, from);
-        if !self.lenders.is_empty() && holding.can_draw() && !leaves && !from_holder {
+        if !self.lenders.is_empty() && holding.can_draw() && !is_leaving && !from_holder {
             self.handle_loan_request(now, from, request, out);
             return;
         }
@@ -51,9 +51,9 @@
         let keep = if collects || self.me < from { holding.total_need() } else { Tokens::ZERO };
         let spare = holding.available().saturating_sub(keep);
         // A holder that asks repeatedly gets more at once than the tokens kept available here.
-        let times = if collects || self.lenders.is_empty() { 1 } else { BATCH_FACTOR };
-        let wish = need.saturating_add(request.extra);
-        let batch = wish.part(times, 1);
+        let factor = if collects || self.lenders.is_empty() { 1 } else { BATCH_FACTOR };
+        let wanted = need.saturating_add(request.extra);
+        let batch = wanted.part(factor, 1);
         if spare < batch && holding.available() < holding.free {
             holding.deferred.retain(|(to, _)| *to != from);
             holding.deferred.push((from, request.clone()));
@@ -62,19 +62,22 @@
             return;
         }
         if spare.is_zero() || (collects && spare < request.need) {
-            let answer = if holding.is_borrower() || leaves {
-                nothing(need, NoTokensReason::NotHolder)
+            let answer = if holding.is_borrower() || is_leaving {
+                no_tokens(need, NoTokensReason::NotHolder)
             } else if holding.can_give(now, need) {
-                nothing(holding.max_available(now), NoTokensReason::Reserved(RETRY_AFTER))
+                no_tokens(holding.max_available(now), NoTokensReason::Reserved(RETRY_AFTER))
             } else {
-                nothing(need, NoTokensReason::Spent)
+                no_tokens(need, NoTokensReason::Spent)
             };
             out.send(from, answer);
             return;
         }
-        let more =
-            if collects { Tokens::ZERO } else { spare.part(1, 4).min(wish.part(BATCH_FACTOR, 1)) };
-        let amount = holding.take(wish.max(more).min(spare));
+        let surplus = if collects {
+            Tokens::ZERO
+        } else {
+            spare.part(1, 4).min(wanted.part(BATCH_FACTOR, 1))
+        };
+        let amount = holding.take(wanted.max(surplus).min(spare));
         // A holder that has given its last tokens must not be waited for.
         let rest = need.saturating_sub(amount);
         let has_more = spare > amount || holding.can_give(now, rest);
@@ -123,8 +126,8 @@
         if transfer.period > holding.terms.period || holding.state == HoldingState::Closed {
             return false;
         }
-        let new = self.transfers.record_received(from, transfer);
-        if new && transfer.period == holding.terms.period {
+        let is_new = self.transfers.record_received(from, transfer);
+        if is_new && transfer.period == holding.terms.period {
             holding.free = holding.free.saturating_add(transfer.amount);
             if holding.lent_at.is_some() && holding.search.is_none() {
                 // Tokens returned by a borrower were counted as demand when they were lent, but
@@ -155,13 +158,13 @@
 
     /// Records amounts that another holder parks here. Returns those to acknowledge.
     pub fn accept_parked(&mut self, from: Incarnation, items: &[ParkItem]) -> Vec<ParkItem> {
-        let mut kept = Vec::new();
+        let mut accepted = Vec::new();
         for item in items {
             if self.witness.record(&self.view, from, item) {
-                kept.push(item.clone());
+                accepted.push(item.clone());
             }
         }
-        kept
+        accepted
     }
 
     /// Applies the witness's acknowledgement of parked amounts.
@@ -177,10 +180,10 @@
                 continue;
             };
             let parked = &mut holding.parked;
-            let expected = parked.witness == Some(from)
+            let is_expected = parked.witness == Some(from)
                 && parked.seq == item.seq
                 && parked.sent.is_some_and(|(total, _)| total == item.total);
-            if !expected || holding.terms.period != item.period {
+            if !is_expected || holding.terms.period != item.period {
                 continue;
             }
             parked.total = item.total;
--- a/crates/badgerfield-core/src/holdings/search.rs
+++ b/crates/badgerfield-core/src/holdings/search.rs
@@ -49,14 +49,14 @@
             holding.unseal_due(now);
         }
         let mut waiting = std::mem::take(&mut holding.waiters);
-        let mut done = Vec::new();
+        let mut served_waiters = Vec::new();
         waiting.retain(|waiter| {
             let served = match waiter.requester {
                 Requester::Run(_) => holding.reserve(now, waiter.need),
                 Requester::Borrower(_) => holding.lend(now, waiter.need),
             };
             if served {
-                done.push(*waiter);
+                served_waiters.push(*waiter);
             }
             !served
         });
@@ -64,7 +64,7 @@
         if holding.waiters.is_empty() {
             holding.search = None;
         }
-        self.answer_waiters(budget, done, None);
+        self.answer_waiters(budget, served_waiters, None);
     }
 
     /// Records the decisions for waiting requests and borrowers.
@@ -132,8 +132,8 @@
             self.busy.insert(budget.clone());
             return;
         }
-        let parks = !holding.parked_amount().is_zero();
-        if holding.search.is_none() && parks && holding.covers_total_need() {
+        let has_parked = !holding.parked_amount().is_zero();
+        if holding.search.is_none() && has_parked && holding.covers_total_need() {
             holding.search = Some(Search::Witness { since: now });
         } else {
             self.search_elsewhere(now, budget, out);
@@ -161,9 +161,8 @@
                 holding.search.get_or_insert(Search::Lender { since: now, tried: vec![to] });
                 let (budget, period) = (budget.clone(), holding.terms.period);
                 let need = holding.waiters.back().map_or(Tokens::ZERO, |w| w.need);
-                let pending_loans =
-                    holding.available().saturating_add(holding.pending_loans.total(now));
-                if holding.is_borrower() && holding.total_need() <= pending_loans {
+                let expected = holding.available().saturating_add(holding.pending_loans.total(now));
+                if holding.is_borrower() && holding.total_need() <= expected {
                     return;
                 }
                 let prefetch = holding.start_prefetch(now, self.pacing.policy.prefetch_span);
@@ -277,11 +276,11 @@
         match &holding.search {
             Some(Search::Ledger { .. }) => {
                 // The pending operation may have been made before the need arose.
-                let left = holding.remaining.unwrap_or_default();
+                let remaining = holding.remaining.unwrap_or_default();
                 if holding.op.is_some() {
                     return;
                 }
-                if !left.is_zero() || !holding.sealed.is_zero() {
+                if !remaining.is_zero() || !holding.sealed.is_zero() {
                     holding.make_op(now, budget, &self.local, Tokens::ZERO, false);
                     return;
                 }
@@ -313,25 +312,22 @@
         let ranked = self.view.ranked(budget.as_str().as_bytes(), None);
         unanswered.extend(ranked.iter().take(MAX_EXTRA_PEERS).map(|m| m.incarnation));
         unanswered.retain(|id| *id != self.me && self.view.has(*id));
-        let lack = holding.total_need().saturating_sub(holding.available());
+        let shortage = holding.total_need().saturating_sub(holding.available());
         // A peer that cannot cover the total need may still serve one of the waiting requests.
         // Where a few processes hold the budget for all, each holds enough for many requests, and
         // the total is requested at once.
         let least = holding.waiters.iter().map(|w| w.need).min().unwrap_or_default();
         let least = least.saturating_sub(holding.available());
-        let need = if self.lenders.is_empty() { least } else { lack };
-        let prefetch = lack.saturating_sub(need);
+        let need = if self.lenders.is_empty() { least } else { shortage };
+        let extra = shortage.saturating_sub(need);
         for to in &unanswered {
             let (budget, period) = (budget.clone(), holding.terms.period);
-            out.send(
-                *to,
-                Message::TokenRequest(TokenRequest { budget, period, need, extra: prefetch }),
-            );
+            out.send(*to, Message::TokenRequest(TokenRequest { budget, period, need, extra }));
         }
-        let alone = unanswered.is_empty();
+        let has_no_peers = unanswered.is_empty();
         holding.search =
             Some(Search::Peers { since: now, unanswered, max_available: Tokens::ZERO });
-        if alone {
+        if has_no_peers {
             self.conclude_search(now, budget);
         }
     }
@@ -380,8 +376,8 @@
         }
         let (all_answered, max_available) = (unanswered.is_empty(), *max_available);
         // The successor of a removed holder may return the tokens that the holder had sealed.
-        let has_removed = holding.other_holders.iter().any(|id| !self.view.has(*id));
-        if all_answered && !has_removed && holding.op.is_none() {
+        let has_removed_holder = holding.other_holders.iter().any(|id| !self.view.has(*id));
+        if all_answered && !has_removed_holder && holding.op.is_none() {
             // Returned tokens may serve small requests even if they cannot serve large ones.
             let max_available = holding.max_available(now).max(max_available);
             let least = max_available.saturating_add(Tokens(1));
@@ -471,9 +467,9 @@
     let is_silent = |id: &Incarnation| {
         silent_lenders.get(id).is_some_and(|at| now.since(*at) < SILENT_LENDER_SKIP)
     };
-    let fits = |id: &Incarnation| view.has(*id) && !tried.contains(id) && !is_silent(id);
+    let is_usable = |id: &Incarnation| view.has(*id) && !tried.contains(id) && !is_silent(id);
     if holding.is_borrower() {
-        return holding.lenders.iter().copied().find(fits);
+        return holding.lenders.iter().copied().find(is_usable);
     }
     match holding.plan {
         HoldingPlan::Defer(id) if view.has(id) => Some(id),
--- a/crates/badgerfield-core/src/holdings/views.rs
+++ b/crates/badgerfield-core/src/holdings/views.rs
@@ -107,8 +107,8 @@
                 continue;
             }
             let amount = holding.take(holding.free);
-            let gift = (amount, holding.has_more(now));
-            self.transfers.send_new(now, to, id, holding.terms.period, gift, out);
+            let tokens = (amount, holding.has_more(now));
+            self.transfers.send_new(now, to, id, holding.terms.period, tokens, out);
         }
     }
 }
--- a/crates/badgerfield-core/src/holdings/waiting.rs
+++ b/crates/badgerfield-core/src/holdings/waiting.rs
@@ -86,17 +86,17 @@
         };
         let mut refused = Vec::new();
         let mut waiting = VecDeque::new();
-        let mut before = Tokens::ZERO;
+        let mut needed_before = Tokens::ZERO;
         for waiter in std::mem::take(&mut self.waiters) {
-            let unseals = self.unseals_in_time(now, before, &waiter);
-            let stays = waiter.can_wait_for_returns() && waiter.need <= available;
-            if waiter.need >= need && !stays && !unseals {
+            let unseals = self.unseals_in_time(now, needed_before, &waiter);
+            let is_covered = waiter.can_wait_for_returns() && waiter.need <= available;
+            if waiter.need >= need && !is_covered && !unseals {
                 refused.push(waiter);
                 continue;
             }
-            before = before.saturating_add(waiter.need);
+            needed_before = needed_before.saturating_add(waiter.need);
             available = available.saturating_sub(waiter.need);
-            let waits_for_returns = stays && !unseals && waiter.need >= need;
+            let waits_for_returns = is_covered && !unseals && waiter.need >= need;
             waiting.push_back(if waits_for_returns {
                 waiter.with_return_wait(now)
             } else {
@@ -115,12 +115,12 @@
             self.used_at = now;
             return QueueOutcome::Searching;
         };
-        let waits =
+        let limited =
             self.wait_despite_refusal(now, waiter).filter(|_| refusal.cause == Cause::BudgetHeld);
-        let Some(waits) = waits else {
+        let Some(limited) = limited else {
             return QueueOutcome::Refused(refusal);
         };
-        self.waiters.push_back(waits);
+        self.waiters.push_back(limited);
         QueueOutcome::Waiting
     }
 
@@ -141,12 +141,12 @@
     /// A budget of which no holder has tokens left is not searched for again with every request:
     /// the refusal is immediate and costs no call to the store.
     fn recent_refusal(&self, now: Time, need: Tokens) -> Option<Refusal> {
-        let is_late = |at: Time| now.since(at) >= REFUSAL_LIFETIME;
-        if self.exhausted.is_some_and(|(at, least)| need >= least && !is_late(at)) {
+        let is_expired = |at: Time| now.since(at) >= REFUSAL_LIFETIME;
+        if self.exhausted.is_some_and(|(at, least)| need >= least && !is_expired(at)) {
             return Some(Refusal::not_run(Cause::BudgetSpent));
         }
         let (refusal, at, least) = self.last_refusal?;
-        (need >= least && !is_late(at)).then_some(refusal)
+        (need >= least && !is_expired(at)).then_some(refusal)
     }
 
     /// Clears recent refusals because more tokens have become available since.
