--- a/crates/badgerfield-core/src/holdings/lending.rs
+++ b/crates/badgerfield-core/src/holdings/lending.rs
@@ -135,7 +135,7 @@
         } else {
             match holding.enqueue(now, waiter) {
                 QueueOutcome::Refused(refusal) => {
-                    self.answer_waiters(&request.budget, vec![waiter], Some(refusal))
+                    self.answer_waiters(&request.budget, vec![waiter], Some(refusal));
                 }
                 QueueOutcome::Waiting => {
                     self.busy.insert(request.budget.clone());
--- a/crates/badgerfield-core/src/holdings/mod.rs
+++ b/crates/badgerfield-core/src/holdings/mod.rs
@@ -192,11 +192,7 @@
         let in_transit = self.transfers.in_transit(budget);
         let witnessed = self.witness.total(budget);
         let Some(holding) = self.table.get(budget) else {
-            return HoldingBalance {
-                in_transit: in_transit,
-                witnessed: witnessed,
-                ..HoldingBalance::default()
-            };
+            return HoldingBalance { in_transit, witnessed, ..HoldingBalance::default() };
         };
         HoldingBalance {
             free: holding.available(),
@@ -210,8 +206,8 @@
             },
             op_pending: holding.op.is_some(),
             returning_free: holding.returning_free(),
-            in_transit: in_transit,
-            witnessed: witnessed,
+            in_transit,
+            witnessed,
             billed: holding.billed,
             wasted: holding.wasted,
         }
--- a/crates/badgerfield-core/src/holdings/search.rs
+++ b/crates/badgerfield-core/src/holdings/search.rs
@@ -80,7 +80,7 @@
         for waiter in waiters {
             match waiter.requester {
                 Requester::Run(run) => {
-                    self.decisions.push(ReserveDecision { run, period, refusal })
+                    self.decisions.push(ReserveDecision { run, period, refusal });
                 }
                 Requester::Borrower(to) => {
                     let (budget, amount) = (budget.clone(), waiter.need);
@@ -287,7 +287,7 @@
                 self.query_peers(now, budget, out);
             }
             Some(Search::Peers { unanswered, .. }) if unanswered.is_empty() => {
-                self.conclude_search(now, budget)
+                self.conclude_search(now, budget);
             }
             Some(Search::Witness { .. }) if holding.parked.sent.is_none() => {
                 self.after_witness(now, budget, out);
--- a/crates/badgerfield-core/src/holdings/transfer.rs
+++ b/crates/badgerfield-core/src/holdings/transfer.rs
@@ -37,15 +37,15 @@
     amount: Tokens,
     has_more: bool,
     /// When it was sent first, and when last.
-    first_sent: Time,
-    last_sent: Time,
+    first_at: Time,
+    last_at: Time,
     /// How long to wait before it is sent again.
     wait: Duration,
 }
 
 impl Sent {
     fn is_due(&self, now: Time) -> bool {
-        now.since(self.last_sent) >= self.wait
+        now.since(self.last_at) >= self.wait
     }
 }
 
@@ -73,7 +73,7 @@
         let ack_times = self.ack_times.get(&to).copied().unwrap_or_default();
         let wait = ack_times.saturating_mul(RESEND_FACTOR).clamp(MIN_RESEND, MAX_RESEND);
         let budget = budget.clone();
-        let sent = Sent { budget, period, amount, has_more, first_sent: now, last_sent: now, wait };
+        let sent = Sent { budget, period, amount, has_more, first_at: now, last_at: now, wait };
         self.sent.insert((to, seq), sent);
         self.send(to, seq, out);
     }
@@ -81,7 +81,7 @@
     /// Records an acknowledgement.
     pub(crate) fn record_ack(&mut self, now: Time, from: Incarnation, seq: u64) {
         if let Some(sent) = self.sent.remove(&(from, seq)) {
-            self.ack_times.insert(from, now.since(sent.first_sent));
+            self.ack_times.insert(from, now.since(sent.first_at));
         }
     }
 
@@ -106,11 +106,11 @@
             // interval.
             let is_first = previous.replace(*to) != Some(*to);
             let is_due =
-                if is_first { sent.is_due(now) } else { now.since(sent.last_sent) >= MAX_RESEND };
+                if is_first { sent.is_due(now) } else { now.since(sent.last_at) >= MAX_RESEND };
             if !is_due {
                 continue;
             }
-            sent.last_sent = now;
+            sent.last_at = now;
             sent.wait = sent.wait.saturating_mul(2).min(MAX_RESEND);
             due.push((*to, *seq));
         }
@@ -138,7 +138,7 @@
     pub(crate) fn is_ack_overdue(&self, now: Time, to: Incarnation, budget: &BudgetId) -> bool {
         let sent = self.sent.range((to, 0)..=(to, u64::MAX)).map(|(_, sent)| sent);
         let mut sent = sent.filter(|sent| sent.budget == *budget);
-        sent.any(|sent| now.since(sent.first_sent) >= MIN_RESEND)
+        sent.any(|sent| now.since(sent.first_at) >= MIN_RESEND)
     }
 
     /// Returns how many tokens of each budget are in transit.
