--- a/crates/badgerfield-core/src/holdings/demand.rs
+++ b/crates/badgerfield-core/src/holdings/demand.rs
@@ -31,18 +31,18 @@
 impl RequestSizes {
     /// Records a request.
     pub(super) fn record(&mut self, now: Time, need: Tokens) {
-        let first = self.last_at.is_none();
+        let is_first = self.last_at.is_none();
         let older = self.average.saturating_sub(self.average.part(1, AVERAGE_DIVISOR));
         self.average =
-            if first { need } else { older.saturating_add(need.part(1, AVERAGE_DIVISOR)) };
+            if is_first { need } else { older.saturating_add(need.part(1, AVERAGE_DIVISOR)) };
         self.last_at = Some(now);
     }
 
     /// Returns the lowest demand to plan for with this horizon.
     fn min_rate(&self, now: Time, horizon: Duration) -> TokenRate {
-        let is_late = self.last_at.is_none_or(|last_at| now.since(last_at) >= RECENT_SPAN);
+        let is_idle = self.last_at.is_none_or(|last_at| now.since(last_at) >= RECENT_SPAN);
         let millis = u64::try_from(horizon.as_millis()).unwrap_or(u64::MAX);
-        if is_late {
+        if is_idle {
             return TokenRate(0);
         }
         TokenRate(self.average.part(MIN_REQUESTS.saturating_mul(1000), millis).0)
--- a/crates/badgerfield-core/src/holdings/lending.rs
+++ b/crates/badgerfield-core/src/holdings/lending.rs
@@ -42,14 +42,14 @@
             return;
         }
         self.lenders = Lenders::of(&self.view, &self.region);
-        let mut changed = false;
+        let mut has_changed = false;
         for (budget, holding) in &mut self.table {
             let part = self.lenders.part(budget, self.me);
-            changed |= part.lenders.is_empty() != holding.lenders.is_empty();
+            has_changed |= part.lenders.is_empty() != holding.lenders.is_empty();
             holding.lenders = part.lenders;
             holding.is_backup = part.stands_in;
         }
-        if changed {
+        if has_changed {
             let held = self.table.values().filter(|holding| !holding.is_borrower()).count();
             let borrowed = self.table.len() - held;
             out.push(Command::Log(LogEntry::Lending { epoch: self.view.epoch, held, borrowed }));
@@ -156,10 +156,10 @@
                 self.transfers.send_new(now, to, &budget, period, (amount, has_more), out);
                 continue;
             };
-            let spent = refusal.cause == Cause::BudgetSpent;
+            let is_spent = refusal.cause == Cause::BudgetSpent;
             let after = refusal.retry_after.unwrap_or(RETRY_AFTER);
             let reason =
-                if spent { NoTokensReason::Spent } else { NoTokensReason::Reserved(after) };
+                if is_spent { NoTokensReason::Spent } else { NoTokensReason::Reserved(after) };
             out.send(to, Message::NoTokens { budget, period, need: amount, reason });
         }
     }
--- a/crates/badgerfield-core/src/holdings/mod.rs
+++ b/crates/badgerfield-core/src/holdings/mod.rs
@@ -297,8 +297,8 @@
             self.plan_park(now, &id);
             self.answer_deferred(now, &id, out);
             self.forward_spare(now, &id, out);
-            let busy = self.table.get(&id).is_some_and(Holding::is_busy);
-            if busy {
+            let is_busy = self.table.get(&id).is_some_and(Holding::is_busy);
+            if is_busy {
                 self.busy.insert(id);
             } else {
                 self.busy.remove(&id);
--- a/crates/badgerfield-core/src/holdings/peers.rs
+++ b/crates/badgerfield-core/src/holdings/peers.rs
@@ -115,8 +115,8 @@
         transfer: &Transfer,
         out: &mut Outbox,
     ) -> bool {
-        // If the sender was removed, the tokens may have been counted as its own before its record
-        // was dropped.
+        // A transfer of a removed sender may have been counted already: the sequence numbers received
+        // from it are forgotten when it leaves the view.
         if !self.view.has(from) {
             return false;
         }
--- a/crates/badgerfield-core/src/holdings/pending_loans.rs
+++ b/crates/badgerfield-core/src/holdings/pending_loans.rs
@@ -1,8 +1,8 @@
 //! Requests of a borrower that its lenders have not answered.
 //!
-//! Answers normally take milliseconds, but seconds where the link of the borrower's VM is full. The
-//! tokens of pending requests serve whichever requests wait when they arrive. They are not
-//! requested again for later requests, nor from another lender.
+//! Answers normally take milliseconds, but seconds where the link of the borrower's VM is full. When
+//! the tokens of a pending request arrive, they serve all requests that wait then. Hence they are
+//! not requested again for later requests, nor from another lender.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -19,7 +19,7 @@
 /// An answer within this time shows that the VM's link is not full, so lenders that have been
 /// silent for longer are gone.
 const FAST_ANSWER: Duration = Duration::from_millis(300);
-/// How many pending requests to a lender are recorded.
+/// The most pending requests that are recorded for one lender.
 const MAX_PENDING: usize = 256;
 
 /// Pending requests to lenders.
@@ -35,7 +35,7 @@
 struct PendingLoan {
     /// The tokens that a waiting request needs.
     need: Tokens,
-    /// Whether tokens were prefetched with it.
+    /// Whether it also asks for a prefetch.
     is_prefetch: bool,
     sent_at: Time,
 }
--- a/crates/badgerfield-core/src/holdings/promises.rs
+++ b/crates/badgerfield-core/src/holdings/promises.rs
@@ -19,9 +19,9 @@
         promised(self.amount, now.since(self.made_at))
     }
 
-    /// Returns after how long at most `least` tokens of the promise remain.
-    fn time_until(self, now: Time, least: Tokens) -> Duration {
-        falls_after(self.amount, least).saturating_sub(now.since(self.made_at))
+    /// Returns after how long at most `limit` tokens of the promise remain.
+    fn time_until_at_most(self, now: Time, limit: Tokens) -> Duration {
+        falls_after(self.amount, limit).saturating_sub(now.since(self.made_at))
     }
 }
 
@@ -82,15 +82,20 @@
 
     /// Returns after how long at most `sealed` tokens must stay unspent if the pending operation
     /// returns `returning` tokens that were promised before.
-    pub(super) fn time_until(&self, now: Time, sealed: Tokens, returning: Tokens) -> Duration {
-        let confirmed = time_until(&self.confirmed, now, sealed.saturating_add(returning));
-        confirmed.max(time_until(&self.pending, now, sealed))
+    pub(super) fn time_until_at_most(
+        &self,
+        now: Time,
+        sealed: Tokens,
+        returning: Tokens,
+    ) -> Duration {
+        let confirmed = time_until_at_most(&self.confirmed, now, sealed.saturating_add(returning));
+        confirmed.max(time_until_at_most(&self.pending, now, sealed))
     }
 }
 
-/// Returns after how long none of the promises covers more than `least` tokens.
-fn time_until(promises: &[Promise], now: Time, least: Tokens) -> Duration {
-    promises.iter().map(|promise| promise.time_until(now, least)).max().unwrap_or_default()
+/// Returns after how long none of the promises covers more than `limit` tokens.
+fn time_until_at_most(promises: &[Promise], now: Time, limit: Tokens) -> Duration {
+    promises.iter().map(|promise| promise.time_until_at_most(now, limit)).max().unwrap_or_default()
 }
 
 fn max_remaining(promises: &[Promise], now: Time) -> Tokens {
--- a/crates/badgerfield-core/src/holdings/transfer.rs
+++ b/crates/badgerfield-core/src/holdings/transfer.rs
@@ -51,8 +51,10 @@
 
 #[derive(Debug, Default)]
 struct Received {
+    /// The sender has received acknowledgements up to this sequence number.
     acked_seq: u64,
-    above: BTreeSet<u64>,
+    /// The sequence numbers received beyond `acked_seq`.
+    seqs_above: BTreeSet<u64>,
 }
 
 impl Transfers {
@@ -70,8 +72,8 @@
         let next = self.next_seq.entry(to).or_insert(0);
         *next += 1;
         let seq = *next;
-        let ack_times = self.ack_times.get(&to).copied().unwrap_or_default();
-        let wait = ack_times.saturating_mul(RESEND_FACTOR).clamp(MIN_RESEND, MAX_RESEND);
+        let ack_time = self.ack_times.get(&to).copied().unwrap_or_default();
+        let wait = ack_time.saturating_mul(RESEND_FACTOR).clamp(MIN_RESEND, MAX_RESEND);
         let budget = budget.clone();
         let sent = Sent { budget, period, amount, has_more, first_at: now, last_at: now, wait };
         self.sent.insert((to, seq), sent);
@@ -88,11 +90,11 @@
     /// Records a received transfer. Returns whether it is new.
     pub(crate) fn record_received(&mut self, from: Incarnation, transfer: &Transfer) -> bool {
         let received = self.received.entry(from).or_default();
-        if transfer.seq <= received.acked_seq || !received.above.insert(transfer.seq) {
+        if transfer.seq <= received.acked_seq || !received.seqs_above.insert(transfer.seq) {
             return false;
         }
         received.acked_seq = received.acked_seq.max(transfer.acked_seq);
-        received.above = received.above.split_off(&(received.acked_seq + 1));
+        received.seqs_above = received.seqs_above.split_off(&(received.acked_seq + 1));
         true
     }
 
--- a/crates/badgerfield-core/src/holdings/unsealing.rs
+++ b/crates/badgerfield-core/src/holdings/unsealing.rs
@@ -17,9 +17,9 @@
         if self.unparked() < need {
             return None;
         }
-        let may_stay = self.unspent().saturating_sub(need);
+        let max_sealed = self.unspent().saturating_sub(need);
         let returning = if self.op.is_some() { self.returning_sealed } else { Tokens::ZERO };
-        Some(self.promises.time_until(now, may_stay, returning))
+        Some(self.promises.time_until_at_most(now, max_sealed, returning))
     }
 
     /// Returns whether sealed tokens become free in time for a request here that is served after
--- a/crates/badgerfield-core/src/holdings/views.rs
+++ b/crates/badgerfield-core/src/holdings/views.rs
@@ -87,7 +87,7 @@
         closed && self.transfers.is_empty() && self.witness.is_empty()
     }
 
-    /// Hands the remaining tokens to another process, for use when the store is unavailable and
+    /// Hands the remaining tokens to another process. This is for when the store is unavailable and
     /// cannot take them back.
     pub fn hand_over(&mut self, now: Time, out: &mut Outbox) {
         let to = self
--- a/crates/badgerfield-core/src/holdings/waiting.rs
+++ b/crates/badgerfield-core/src/holdings/waiting.rs
@@ -115,12 +115,12 @@
             self.used_at = now;
             return QueueOutcome::Searching;
         };
-        let limited =
+        let queued =
             self.wait_despite_refusal(now, waiter).filter(|_| refusal.cause == Cause::BudgetHeld);
-        let Some(limited) = limited else {
+        let Some(queued) = queued else {
             return QueueOutcome::Refused(refusal);
         };
-        self.waiters.push_back(limited);
+        self.waiters.push_back(queued);
         QueueOutcome::Waiting
     }
 
--- a/crates/badgerfield-core/tests/waiting.rs
+++ b/crates/badgerfield-core/tests/waiting.rs
@@ -1,12 +1,15 @@
 //! Requests that wait for tokens returned by running ones.
 //!
 //! Many requests arrived at once for a nearly empty budget. Each request reserves the most that it
-//! can cost, 133 tokens, and uses about 25 of them. Most of the remaining budget is thus reserved at
-//! any moment and is returned within 0.1 to 0.3 s. Requests that arrived meanwhile were refused with
-//! a retry delay of 5 s, although their callers were ready to wait for 5 s. Afterwards 400 to 530 of
-//! 3,000 tokens were left. The log had
-//! `refused request=67 cause=budget_held run=not_run come_back_ms=5000` twelve times in one
-//! millisecond, with 267 tokens reserved, 100 of 133 free, and 101 more free 0.1 s later.
+//! can cost, 133 tokens, and uses about 25 of them. Most of the remaining budget is thus reserved
+//! at any moment and is returned within 0.1 to 0.3 s. Requests that arrived meanwhile were refused
+//! with a retry delay of 5 s, although their callers were ready to wait for 5 s. Afterwards 400 to
+//! 530 of 3,000 tokens were left. The log had
+//!
+//! `refused request=67 cause=budget_held run=not_run come_back_ms=5000`
+//!
+//! twelve times in one millisecond, with 267 tokens reserved, 100 of 133 free, and 101 more free
+//! 0.1 s later.
 
 mod support;
 
@@ -181,7 +184,10 @@
     }
     let out = answer_ledger(&mut holdings, 110, Tokens::ZERO);
     let (need, extra) = (Tokens(133 - 67), Tokens(2 * 133));
-    assert_matches!(message_to_other(out), Message::TokenRequest(sent_request) if (sent_request.need, sent_request.extra) == (need, extra));
+    assert_matches!(
+        message_to_other(out),
+        Message::TokenRequest(request) if (request.need, request.extra) == (need, extra)
+    );
 }
 
 /// The collector must not refuse a small need because it cannot give the extra tokens as well. It
@@ -197,7 +203,10 @@
     let mut holdings = holder_with(HoldingPlan::Collect(Tokens(3_000)));
     let mut out = Outbox::default();
     holdings.handle_token_request(at(100), OTHER, &request(60), &mut out);
-    assert_matches!(message_to_other(out), Message::Transfer(transfer) if transfer.amount == Tokens(67));
+    assert_matches!(
+        message_to_other(out),
+        Message::Transfer(transfer) if transfer.amount == Tokens(67)
+    );
     // It has no tokens now. The expected returns cover this request, but not the next one.
     let mut out = Outbox::default();
     holdings.handle_token_request(at(110), OTHER, &request(60), &mut out);
--- a/crates/badgerfield-standin/tests/lending.rs
+++ b/crates/badgerfield-standin/tests/lending.rs
@@ -364,8 +364,8 @@
 /// How many random histories run by default.
 const DEFAULT_CASES: u64 = 8;
 
-/// Returns how many random histories to run: one for every ten of `tests/histories.rs`, but at least
-/// [`DEFAULT_CASES`].
+/// Returns how many random histories to run: one for every ten of `tests/histories.rs`, but at
+/// least [`DEFAULT_CASES`].
 fn case_count() -> u64 {
     let cases = std::env::var("BADGERFIELD_CASES").ok().and_then(|text| text.parse::<u64>().ok());
     cases.map_or(DEFAULT_CASES, |cases| (cases / 10).max(DEFAULT_CASES))
@@ -508,8 +508,8 @@
     }
 }
 
-/// Returns the causes of refusals, with counts, of requests of at least `least` tokens that were sent
-/// at or after `since`.
+/// Returns the causes of refusals, with counts, of requests of at least `least` tokens that were
+/// sent at or after `since`.
 fn refusal_causes(fleet: &Fleet, since: Time, least: u64) -> BTreeMap<&'static str, usize> {
     let mut causes = BTreeMap::new();
     let is_large = |request: &Wish| request.prompt + request.output >= least;
