--- a/crates/badgerfield-core/src/holdings/holding.rs
+++ b/crates/badgerfield-core/src/holdings/holding.rs
@@ -128,7 +128,8 @@
     /// The operation that the ledger has not confirmed, and when it was sent last.
     pub(crate) op: Option<(LedgerOp, Option<Time>)>,
     pub(crate) op_attempts: u32,
-    /// Whether the ledger's last reply was that the store is unavailable.
+    /// Whether the store counts as unavailable because no member that was asked could write the
+    /// pending operation.
     pub(crate) store_down: bool,
     pub(crate) last_op_at: Option<Time>,
     pub(crate) reported: (Tokens, Tokens),
@@ -169,7 +170,7 @@
     pub(crate) returning_sealed: Tokens,
     /// Tokens that the pending operation unseals.
     pub(crate) unsealing: Tokens,
-    /// The seals that the ledger may have on record.
+    /// The promises to keep sealed tokens unspent that the ledger may have on record.
     pub(super) promises: Promises,
     /// Sealed tokens of earlier processes of this VM that are not claimed yet.
     pub(crate) orphaned_seals: Vec<Orphan>,
@@ -178,8 +179,8 @@
     pub(crate) state: HoldingState,
     /// The last refusal, when it was made, and the smallest need that was refused.
     pub(crate) last_refusal: Option<(Refusal, Time, Tokens)>,
-    /// When a search found that no holder had tokens left, and the smallest need that running
-    /// requests cannot cover by what they return.
+    /// When a search found that no holder had enough tokens left, and the smallest need that the
+    /// expected returns of running requests do not cover.
     pub(crate) exhausted: Option<(Time, Tokens)>,
 }
 
--- a/crates/badgerfield-core/src/holdings/search.rs
+++ b/crates/badgerfield-core/src/holdings/search.rs
@@ -111,8 +111,8 @@
         let refused = holding.take_refused(now, need, &refusal);
         let least = refused.iter().map(|w| w.need).min();
         holding.last_refusal = least.map(|least| (refusal, now, least)).or(holding.last_refusal);
-        // After a refusal of every size, the remaining requests wait for tokens returned here, so
-        // the search is over.
+        // If requests of every size were refused, those that remain wait for tokens returned here,
+        // so the search is over.
         if holding.waiters.is_empty() || need.is_zero() {
             holding.search = None;
         }
