--- a/crates/badgerfield-core/src/holdings/mod.rs
+++ b/crates/badgerfield-core/src/holdings/mod.rs
@@ -1,33 +1,33 @@
-//! Holdings: the spending rights of this process, and how it gets and gives them.
+//! Holdings: the tokens that this process may spend, and how it gets and gives them.
 //!
-//! A request sets aside the most it can cost before it may run. When too little is
-//! free, the process asks its bank for what it parked, then the ledger, then other
-//! holders, and refuses only when all of them have nothing.
+//! Before a request may run, the most tokens it can cost are reserved. If too few are available,
+//! the process searches for more: at the witness of its parked tokens, then at the ledger, then at
+//! other holders. It refuses the request only when none of them has enough.
 
-mod answers;
-mod bank;
-mod coming;
 mod demand;
-mod giving;
 mod holding;
+mod ledger_replies;
 mod lending;
-mod opening;
 mod parking;
 mod peers;
+mod pending_loans;
 mod promises;
 mod requests;
+mod return_stats;
 mod search;
 mod transfer;
+mod unsealing;
 mod views;
 mod waiting;
+mod witness;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 
-use self::bank::Bank;
-use self::holding::{Holding, Maker, Sealing, Search};
+use self::holding::{Holding, LocalHolder, Sealing, Search};
 use self::transfer::Transfers;
+use self::witness::Witness;
 use crate::amount::{Percent, Time, Tokens};
 use crate::event::{Outbox, is_due};
 use crate::ids::{BudgetId, Incarnation, Period, Region, RunId, TemplateVersion, VmId};
@@ -38,140 +38,145 @@
 use crate::seal::FleetClock;
 use crate::view::View;
 
-/// When to come back if the rest of a budget is reserved.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// Retry delay while the rest of a budget is reserved.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What came of a wish to set tokens aside.
+/// The outcome of a request to reserve tokens.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReserveOutcome {
-    /// They are set aside, out of what was held in this period.
+    /// The tokens are reserved, from the holding of this period.
     Reserved(Period),
-    /// The answer comes later.
+    /// The decision follows as a [`ReserveDecision`].
     Waiting,
-    /// There are none.
+    /// No tokens are available.
     Refused(Refusal),
 }
 
-/// The answer to a request that waited for tokens.
+/// The decision on a request that waited for tokens.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReserveDecision {
     /// The request.
     pub run: RunId,
     /// The period of the budget.
     pub period: Period,
-    /// Nothing if the tokens are set aside.
+    /// Why the request is refused, or `None` if the tokens are reserved.
     pub refusal: Option<Refusal>,
 }
 
-/// The figures of one budget at this process.
+/// The balance of one budget at this process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct HoldingBalance {
-    /// Ready to spend.
+    /// Tokens available at once.
     pub free: Tokens,
-    /// Set aside for running requests.
+    /// Tokens reserved for running requests.
     pub reserved: Tokens,
-    /// Not sealed, and only spent after a witness has been told.
+    /// Unsealed tokens that may be spent only after the witness has acknowledged a smaller parked
+    /// amount.
     pub parked: Tokens,
-    /// Promised not to be touched for a while.
+    /// Sealed tokens, which are not spent until the seal has expired.
     pub sealed: Tokens,
-    /// Promised before, and on the way back to the ledger.
+    /// Sealed tokens on their way back to the ledger.
     pub returning_sealed: Tokens,
-    /// Whether a change of the ledger is under way, so that what it hands out is not known here.
+    /// Whether a ledger operation is pending, whose granted tokens are not known here yet.
     pub op_pending: bool,
-    /// Not promised before, and on the way back to the ledger.
+    /// Unsealed tokens on their way back to the ledger.
     pub returning_free: Tokens,
-    /// On the way to other holders.
+    /// Tokens on their way to other holders.
     pub in_transit: Tokens,
-    /// Parked here by other processes.
+    /// Tokens that other processes have parked here.
     pub witnessed: Tokens,
-    /// Billed in this period.
+    /// Tokens billed in this period.
     pub billed: Tokens,
-    /// Used up without being billed in this period.
+    /// Tokens used in this period without being billed.
     pub wasted: Tokens,
 }
 
 /// Whether a process is about to stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Leaving {
-    /// It is not.
-    Stays,
-    /// It still serves those who ask it, and gives back what they do not need.
+    /// The process is not about to stop.
+    Active,
+    /// The process still serves requests, and returns the tokens they do not need.
     Retiring,
-    /// Nobody asks it any more.
+    /// The process receives no more requests.
     Closing,
 }
 
 impl Leaving {
-    fn closes(self) -> bool {
+    fn is_closing(self) -> bool {
         self == Self::Closing
     }
 }
 
-/// The spending rights of this process.
+/// The holdings of this process.
 #[derive(Debug)]
 pub struct Holdings {
     me: Incarnation,
-    maker: Maker,
+    local: LocalHolder,
     region: Region,
     pacing: Pacing,
-    /// The version of the templates whose budgets were all opened.
+    /// The version of the templates whose budgets have all been opened.
     pub(crate) opened_version: Option<TemplateVersion>,
     table: BTreeMap<BudgetId, Holding>,
     transfers: Transfers,
-    bank: Bank,
+    witness: Witness,
     view: Arc<View>,
     lenders: Lenders,
-    /// Lenders that did not answer, and when they were asked.
-    mute: BTreeMap<Incarnation, Time>,
-    /// What became of borrowers' asks, to be sent.
-    answers: Vec<lending::BorrowerAnswer>,
-    /// Whether this process has been in a view. Before that it does not know who lends and who
-    /// writes the ledger, and would write for itself beside all others that start.
+    /// Lenders that did not answer, and when that was noticed.
+    silent_lenders: BTreeMap<Incarnation, Time>,
+    /// Answers to borrowers that are not sent yet.
+    borrower_answers: Vec<lending::BorrowerAnswer>,
+    /// Whether this process has been in a view. Before that it does not know which members lend and
+    /// which of them writes the ledger: all processes that start at the same time would write it
+    /// concurrently.
     joined: bool,
     removed: bool,
     leaving: Leaving,
     decisions: Vec<ReserveDecision>,
-    /// Holdings that changed and are to be looked at.
-    touched: BTreeSet<BudgetId>,
-    /// Holdings that wait for an answer.
+    /// Holdings that have changed and must be processed.
+    changed: BTreeSet<BudgetId>,
+    /// Holdings with waiting requests or outstanding answers.
     busy: BTreeSet<BudgetId>,
-    checked: Option<Time>,
+    checked_at: Option<Time>,
     excess: Tokens,
 }
 
 impl Holdings {
-    /// Makes an empty set of rights.
+    /// Makes an empty table of holdings.
     #[must_use]
     pub fn new(me: Incarnation, vm: VmId, region: Region, pacing: Pacing) -> Self {
-        let sealing =
-            pacing.seal_holdings.then(|| Sealing { vm, clock: FleetClock::default(), heard: None });
+        let sealing = pacing.seal_holdings.then(|| Sealing {
+            vm,
+            clock: FleetClock::default(),
+            last_reply: None,
+        });
         Self {
             me,
-            maker: Maker { me, sealing },
+            local: LocalHolder { me, sealing },
             region,
             pacing,
             opened_version: None,
             table: BTreeMap::new(),
             transfers: Transfers::default(),
-            bank: Bank::default(),
+            witness: Witness::default(),
             view: Arc::default(),
             lenders: Lenders::default(),
-            mute: BTreeMap::new(),
-            answers: Vec::new(),
+            silent_lenders: BTreeMap::new(),
+            borrower_answers: Vec::new(),
             joined: false,
             removed: false,
-            leaving: Leaving::Stays,
+            leaving: Leaving::Active,
             decisions: Vec::new(),
-            touched: BTreeSet::new(),
+            changed: BTreeSet::new(),
             busy: BTreeSet::new(),
-            checked: None,
+            checked_at: None,
             excess: Tokens::ZERO,
         }
     }
 
-    /// Takes in the fleet's time.
+    /// Sets the fleet clock.
     pub(crate) fn set_clock(&mut self, clock: FleetClock) {
-        if let Some(sealing) = self.maker.sealing.as_mut() {
+        if let Some(sealing) = self.local.sealing.as_mut() {
             sealing.clock = clock;
         }
     }
@@ -181,40 +186,40 @@
         self.table.keys()
     }
 
-    /// Returns the figures of one budget.
+    /// Returns the balance of one budget.
     #[must_use]
     pub fn balance(&self, budget: &BudgetId) -> HoldingBalance {
-        let moving = self.transfers.under_way(budget);
-        let banked = self.bank.total(budget);
+        let in_transit = self.transfers.in_transit(budget);
+        let witnessed = self.witness.total(budget);
         let Some(holding) = self.table.get(budget) else {
-            return HoldingBalance {
-                in_transit: moving,
-                witnessed: banked,
-                ..HoldingBalance::default()
-            };
+            return HoldingBalance { in_transit, witnessed, ..HoldingBalance::default() };
         };
         HoldingBalance {
-            free: holding.ready(),
+            free: holding.available(),
             reserved: holding.reserved,
-            parked: holding.free.saturating_sub(holding.ready()),
-            sealed: holding.shut(),
-            returning_sealed: if holding.op.is_some() { holding.returning } else { Tokens::ZERO },
+            parked: holding.free.saturating_sub(holding.available()),
+            sealed: holding.sealed_total(),
+            returning_sealed: if holding.op.is_some() {
+                holding.returning_sealed
+            } else {
+                Tokens::ZERO
+            },
             op_pending: holding.op.is_some(),
-            returning_free: holding.back_under_way(),
-            in_transit: moving,
-            witnessed: banked,
+            returning_free: holding.returning_free(),
+            in_transit,
+            witnessed,
             billed: holding.billed,
             wasted: holding.wasted,
         }
     }
 
-    /// Returns how many tokens upstreams served beyond what was set aside for them.
+    /// Returns how many tokens upstreams used beyond what was reserved for their requests.
     #[must_use]
     pub fn excess(&self) -> Tokens {
         self.excess
     }
 
-    /// Learns the terms of a budget; a new period starts with nothing in hand.
+    /// Updates the terms of a budget. A new period starts without tokens.
     pub fn update_terms(
         &mut self,
         now: Time,
@@ -223,11 +228,11 @@
         spread: Percent,
     ) {
         let Some(holding) = self.table.get_mut(budget) else {
-            let hold = (spread, self.pacing.hold_ahead);
-            let mut holding = Holding::new(now, terms, hold, self.region.clone());
+            let hold_terms = (spread, self.pacing.hold_ahead);
+            let mut holding = Holding::new(now, terms, hold_terms, self.region.clone());
             let part = self.lenders.part(budget, self.me);
             holding.lenders = part.lenders;
-            holding.stands_in = part.stands_in;
+            holding.is_backup = part.stands_in;
             self.table.insert(budget.clone(), holding);
             return;
         };
@@ -237,59 +242,63 @@
         }
         if terms.period > holding.terms.period {
             let waiters = std::mem::take(&mut holding.waiters);
-            let hold = (spread, self.pacing.hold_ahead);
+            let hold_terms = (spread, self.pacing.hold_ahead);
             let lenders = std::mem::take(&mut holding.lenders);
-            let stands_in = holding.stands_in;
-            *holding = Holding::new(now, terms, hold, self.region.clone());
+            let is_backup = holding.is_backup;
+            *holding = Holding::new(now, terms, hold_terms, self.region.clone());
             holding.lenders = lenders;
-            holding.stands_in = stands_in;
-            // Whoever waits is served from the new period, and the search starts anew.
+            holding.is_backup = is_backup;
+            // Waiting requests are served from the new period, so a new search starts at the
+            // ledger.
             holding.search = (!waiters.is_empty()).then_some(Search::Ledger { since: now });
             holding.waiters = waiters;
-            self.touched.insert(budget.clone());
+            self.changed.insert(budget.clone());
             return;
         }
-        // What is held of a lowered budget goes back, so that the ledger shares it out anew.
-        holding.recall |= terms.limit < holding.terms.limit;
-        holding.left = None;
+        // If the limit is lowered, held tokens are returned so that the ledger can share them out
+        // again.
+        holding.return_all |= terms.limit < holding.terms.limit;
+        holding.remaining = None;
         holding.plan = HoldingPlan::Share(Tokens::MAX);
         holding.terms = terms;
     }
 
-    /// Returns the period of a budget in force here.
+    /// Returns the current period of a budget.
     #[must_use]
     pub fn period(&self, budget: &BudgetId) -> Option<Period> {
         self.table.get(budget).map(|h| h.terms.period)
     }
 
-    /// Does what is due: reports, parks, gives back, and ends searches.
+    /// Sends due reports, parked amounts, returns and resends, and ends searches that took too
+    /// long.
     pub fn tick(&mut self, now: Time, out: &mut Outbox) {
-        self.transfers.tick(now, out);
-        if is_due(now, self.checked, Duration::from_secs(1)) {
-            self.checked = Some(now);
-            self.touched.extend(self.table.keys().cloned());
-            self.tell_at_hand(now, out);
+        self.transfers.resend_due(now, out);
+        if is_due(now, self.checked_at, Duration::from_secs(1)) {
+            self.checked_at = Some(now);
+            self.changed.extend(self.table.keys().cloned());
+            self.log_prefetched(now, out);
         }
         for id in self.busy.clone() {
             if self.lenders.is_empty() {
-                // Sealed tokens come free with time alone; borrowers turn to another lender instead.
+                // Sealed tokens become free as time passes, without any event. In a fleet with
+                // lenders, borrowers turn to another lender instead.
                 self.serve_waiters(now, &id);
             }
-            self.time_out(now, &id, out);
-            self.touched.insert(id);
+            self.handle_timeouts(now, &id, out);
+            self.changed.insert(id);
         }
         self.process_changed(now, out);
     }
 
-    /// Looks again at every holding that changed.
+    /// Processes every holding that has changed.
     pub fn process_changed(&mut self, now: Time, out: &mut Outbox) {
-        for id in std::mem::take(&mut self.touched) {
+        for id in std::mem::take(&mut self.changed) {
             self.plan_op(now, &id);
             self.plan_park(now, &id);
-            self.pay_owed(now, &id, out);
-            self.pass_on(now, &id, out);
-            let busy = self.table.get(&id).is_some_and(Holding::is_busy);
-            if busy {
+            self.answer_deferred(now, &id, out);
+            self.forward_spare(now, &id, out);
+            let is_busy = self.table.get(&id).is_some_and(Holding::is_busy);
+            if is_busy {
                 self.busy.insert(id);
             } else {
                 self.busy.remove(&id);
