--- a/crates/badgerfield-core/src/broadcast.rs
+++ b/crates/badgerfield-core/src/broadcast.rs
@@ -1,31 +1,36 @@
-//! Telling every member something with one message each.
+//! Broadcasts of an update to all members, with one message to each member.
 //!
-//! The members of a region stand in a ring by number. Whoever has news sends it to the members 1,
-//! 2, 4, 8 and so on places before it, and tells each how many members before that one it has to
-//! pass the news on to: its reach. One member of each other region is sent it too, and passes it
-//! on to the whole of that region. Each member gets it once, after as many steps as the fleet's
-//! size has binary digits, and it crosses to each region once. The steps lead to those whose signs
-//! of life come here, so that one which is silent is passed over. Nothing is acknowledged: what is lost is made up for by comparing digests.
+//! The members of a region form a ring, ordered by incarnation. The origin of an update sends it to
+//! the members at the distances 1, 2, 4, 8 and so on before it. Each message carries a reach: the
+//! number of members before the receiver to which the receiver forwards the update. The origin also
+//! sends the update to one member of each other region, which forwards it to all members of that
+//! region.
+//!
+//! Each member receives the update once, after at most as many hops as the fleet's size has binary
+//! digits, and the update crosses to each region once. The members at these distances are those
+//! that send heartbeats to this process, so that it can skip unresponsive ones. Messages are not
+//! acknowledged: members compare digests to find updates that were lost.
 
 use std::collections::BTreeMap;
 
 use crate::ids::{Incarnation, Region};
 use crate::view::{Member, View};
 
-/// One member that is sent the news, and how many members of its region before it in the ring
-/// it tells.
-pub(crate) type Leg = (Incarnation, u32);
+/// A member that is sent an update, and its reach: to how many members before it in the ring of
+/// its region it forwards the update.
+pub(crate) type BroadcastTarget = (Incarnation, u32);
 
-/// Returns to whom a process sends news that it has to pass on to `reach` members before it.
+/// Returns the members to which a process sends an update that has to reach the `reach` members
+/// before it.
 ///
-/// A reach of the whole fleet, which only one that has news itself is given, leads to the other
-/// regions as well.
-pub(crate) fn legs(
+/// If the reach is that of the whole fleet, which only the origin of an update has, the update
+/// goes to the other regions as well.
+pub(crate) fn targets(
     view: &View,
     me: Incarnation,
     reach: u32,
     is_silent: impl Fn(Incarnation) -> bool,
-) -> Vec<Leg> {
+) -> Vec<BroadcastTarget> {
     let Some(region) = view.member(me).map(|m| &m.region) else {
         return Vec::new();
     };
@@ -34,59 +39,61 @@
         rings.entry(&member.region).or_default().push(member);
     }
     let own = rings.remove(region).unwrap_or_default();
-    let mut legs = legs_within(&own, me, reach, &is_silent);
+    let mut targets = ring_targets(&own, me, reach, &is_silent);
     if reach < full_reach(view) {
-        return legs;
+        return targets;
     }
     for ring in rings.values() {
-        // Whoever has the news is some way round the ring, so that regions share the work.
+        // The entry into the ring depends on the origin's incarnation, so that the members of the
+        // region share the work of forwarding.
         let start = ring.partition_point(|m| m.incarnation < me);
-        let mut order = ring.iter().cycle().skip(start).take(ring.len());
-        let first = order.clone().next();
-        if let Some(member) = order.find(|m| !is_silent(m.incarnation)).or(first) {
-            legs.push((member.incarnation, count_of(ring.len() - 1)));
+        let mut candidates = ring.iter().cycle().skip(start).take(ring.len());
+        let first = candidates.clone().next();
+        if let Some(member) = candidates.find(|m| !is_silent(m.incarnation)).or(first) {
+            targets.push((member.incarnation, to_count(ring.len() - 1)));
         }
     }
-    legs
+    targets
 }
 
-/// Returns to whom a member of a ring sends news for `reach` members before it.
-fn legs_within(
+/// Returns the members of a ring to which one of them sends an update for the `reach` members
+/// before it.
+fn ring_targets(
     ring: &[&Member],
     me: Incarnation,
     reach: u32,
     is_silent: impl Fn(Incarnation) -> bool,
-) -> Vec<Leg> {
+) -> Vec<BroadcastTarget> {
     let count = ring.len();
-    let Some(place) = ring.iter().position(|m| m.incarnation == me) else {
+    let Some(index) = ring.iter().position(|m| m.incarnation == me) else {
         return Vec::new();
     };
     let reach = usize::try_from(reach).unwrap_or(usize::MAX).min(count - 1);
-    let mut legs = Vec::new();
+    let mut targets = Vec::new();
     let mut start = 1;
     while start <= reach {
         let end = (start * 2 - 1).min(reach);
-        // The first of a stretch that is not known to be silent tells the rest of it.
-        for step in start..=end {
-            let Some(member) = ring.get((place + count - step) % count) else {
+        // The first member of a range that is not known to be silent forwards to the rest of it.
+        for distance in start..=end {
+            let Some(member) = ring.get((index + count - distance) % count) else {
                 continue;
             };
-            if is_silent(member.incarnation) && step < end {
+            if is_silent(member.incarnation) && distance < end {
                 continue;
             }
-            legs.push((member.incarnation, count_of(end - step)));
+            targets.push((member.incarnation, to_count(end - distance)));
             break;
         }
         start *= 2;
     }
-    legs
+    targets
 }
 
-fn count_of(members: usize) -> u32 {
+fn to_count(members: usize) -> u32 {
     u32::try_from(members).unwrap_or(u32::MAX)
 }
 
-/// Returns the reach of one that has news itself: all members but it.
+/// Returns the reach of the origin of an update: all other members.
 pub(crate) fn full_reach(view: &View) -> u32 {
-    count_of(view.members.len().saturating_sub(1))
+    to_count(view.members.len().saturating_sub(1))
 }
--- a/crates/badgerfield-core/src/confirmations.rs
+++ b/crates/badgerfield-core/src/confirmations.rs
@@ -1,31 +1,32 @@
-//! Which members have handed over every claim that a view makes them hand over.
+//! Confirmations of a view: which members have completed the handovers that it requires.
 //!
-//! A member confirms a view once everything that it had to hand over has been acknowledged;
-//! one that remembers no claims does so at once, without a message of its own. Confirmations
-//! travel with signs of life as one bit a member and are merged on the way, so that everybody
-//! learns of all of them within a few beats, whatever the size of the fleet. They only ever
-//! grow within a view, and a view's number names its members, so that losing, repeating or
-//! reordering them does no harm.
+//! A member confirms a view once all claims that it had to hand over have been acknowledged. A
+//! member without claims confirms at once, without a message of its own. Confirmations are part
+//! of heartbeats, one bit for each member, and each receiver merges and forwards them. All members
+//! therefore receive all confirmations within a few heartbeats, whatever the size of the fleet.
+//!
+//! Within a view confirmations are only added, and the epoch determines the members, so that lost,
+//! repeated or reordered messages do no harm.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{Epoch, Incarnation};
 use crate::view::View;
 
-/// How many members one byte of a bitmap stands for.
-const PER_BYTE: usize = 8;
+/// Members for each byte of the bitmap.
+const MEMBERS_PER_BYTE: usize = 8;
 
-/// What a sign of life says about confirmations.
+/// The confirmations in a heartbeat.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfirmationReport {
-    /// The newest epoch that all its members have confirmed.
+    /// The newest epoch that all members of its view have confirmed.
     pub complete: Epoch,
-    /// Who has confirmed the sender's epoch: a bit for each member in the view's order. It is
-    /// empty when all have.
+    /// The members that have confirmed the sender's epoch: a bit for each member, in the order of
+    /// the view. Empty if all have confirmed.
     pub bits: Vec<u8>,
 }
 
-/// The members that have confirmed the view in force, as far as this process knows.
+/// The members that are known to have confirmed the current view.
 #[derive(Debug, Default)]
 pub(crate) struct Confirmations {
     bits: Vec<u8>,
@@ -34,57 +35,59 @@
 }
 
 impl Confirmations {
-    /// Starts anew for a view that nobody has confirmed.
+    /// Returns the table for a view that no member has confirmed.
     pub(crate) fn new(view: &View) -> Self {
         let members = view.members.len();
-        Self { bits: vec![0; members.div_ceil(PER_BYTE)], members, missing: members }
+        Self { bits: vec![0; members.div_ceil(MEMBERS_PER_BYTE)], members, missing: members }
     }
 
-    /// Tells whether every member has confirmed.
+    /// Returns whether every member has confirmed.
     pub(crate) fn is_complete(&self) -> bool {
         self.missing == 0 && self.members > 0
     }
 
-    /// Notes that a member has confirmed.
+    /// Records that a member has confirmed.
     pub(crate) fn confirm(&mut self, view: &View, id: Incarnation) {
-        let Some(place) = view.members.iter().position(|m| m.incarnation == id) else {
+        let Some(index) = view.members.iter().position(|m| m.incarnation == id) else {
             return;
         };
-        if let Some(byte) = self.bits.get_mut(place / PER_BYTE) {
-            *byte |= 1 << (place % PER_BYTE);
+        if let Some(byte) = self.bits.get_mut(index / MEMBERS_PER_BYTE) {
+            *byte |= 1 << (index % MEMBERS_PER_BYTE);
         }
-        self.count();
+        self.update_missing();
     }
 
-    /// Notes that all members have confirmed.
+    /// Records that all members have confirmed.
     pub(crate) fn confirm_all(&mut self) {
         self.bits.fill(u8::MAX);
         self.missing = 0;
     }
 
-    /// Merges what another process knows of the same view; tells whether any of it is news.
+    /// Merges the confirmations that another process has for the same view.
+    ///
+    /// Returns whether any of them are new.
     pub(crate) fn merge(&mut self, bits: &[u8]) -> bool {
         if bits.len() != self.bits.len() {
             return false;
         }
-        for (mine, theirs) in self.bits.iter_mut().zip(bits) {
-            *mine |= theirs;
+        for (own, other) in self.bits.iter_mut().zip(bits) {
+            *own |= other;
         }
-        let before = self.missing;
-        self.count();
-        self.missing < before
+        let missing_before = self.missing;
+        self.update_missing();
+        self.missing < missing_before
     }
 
-    /// Returns the bits for a sign of life; none when all members have confirmed.
+    /// Returns the bits for a heartbeat, empty if all members have confirmed.
     pub(crate) fn bits(&self) -> Vec<u8> {
         if self.missing == 0 { Vec::new() } else { self.bits.clone() }
     }
 
-    /// Counts who is missing; bits beyond the last member do not count.
-    fn count(&mut self) {
-        let is_set = |place: &usize| {
-            let byte = self.bits.get(place / PER_BYTE).copied().unwrap_or_default();
-            byte & (1 << (place % PER_BYTE)) != 0
+    /// Updates the number of missing confirmations; bits beyond the last member are ignored.
+    fn update_missing(&mut self) {
+        let is_set = |index: &usize| {
+            let byte = self.bits.get(index / MEMBERS_PER_BYTE).copied().unwrap_or_default();
+            byte & (1 << (index % MEMBERS_PER_BYTE)) != 0
         };
         self.missing = self.members - (0..self.members).filter(is_set).count();
     }
--- a/crates/badgerfield-core/src/joining.rs
+++ b/crates/badgerfield-core/src/joining.rs
@@ -1,9 +1,9 @@
-//! Joining a large fleet: how many processes that start at once get into the view.
+//! Joining a large fleet, when many processes start at the same time.
 //!
-//! Each of them could write itself into the view, but only one write of many at once wins,
-//! and each win makes all others try again: the writes grow with the square of the fleet.
-//! So whoever has lost a write asks a member that has just joined, which writes all who
-//! asked it in one step.
+//! Each process could write itself into the view. But of concurrent writes only one succeeds, and
+//! each success makes all others retry, so that the number of writes grows with the square of the
+//! fleet's size. A process whose write has failed with a conflict therefore sends a request to a
+//! member that has just joined. That member adds all processes that asked it in one write.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,87 +13,89 @@
 use crate::ids::{Incarnation, rendezvous_weight};
 use crate::view::{Member, View};
 
-/// After how many lost writes a process asks a member instead: what the write has met names
-/// one that is alive.
-const LOST: u32 = 1;
-/// How often a member is asked.
-const ASK: Duration = Duration::from_millis(250);
-/// How many members are asked before the process writes for itself again.
-const ASKS: u32 = 4;
-/// How long an ask is remembered by the member that was asked.
-const REMEMBER: Duration = Duration::from_millis(500);
+/// Writes that may fail with a conflict before a process asks a member instead: the view that
+/// caused the conflict names a member that is running.
+const MAX_LOST_WRITES: u32 = 1;
+/// Interval between requests to a member.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(250);
+/// Number of members that are asked before the process tries to write the view itself again.
+const MAX_REQUESTS: u32 = 4;
+/// How long a member keeps a request to join.
+const REQUEST_TTL: Duration = Duration::from_millis(500);
 
-/// What a process that wants to join does next.
+/// The next step of a process that is joining.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum JoinStep {
-    /// Write itself into the view.
+    /// Write the view with this process added.
     Write,
-    /// Ask this member.
+    /// Send a request to this member.
     RequestFrom(Incarnation),
     /// Wait for the member that was asked.
     Wait,
 }
 
-/// Both sides of joining.
+/// The state of joining: this process's own attempts, and the requests of other processes.
 #[derive(Debug, Default)]
 pub(crate) struct Joining {
-    /// The members of the first view that was seen; they may have ended long ago.
-    first: Option<BTreeSet<Incarnation>>,
-    lost: u32,
-    asks: u32,
-    asked: Option<Time>,
-    /// Those who asked this process, and when.
-    guests: BTreeMap<Incarnation, (Member, Time)>,
+    /// The members of the first view that this process has read; they may have ended long ago.
+    initial_members: Option<BTreeSet<Incarnation>>,
+    lost_writes: u32,
+    request_count: u32,
+    requested_at: Option<Time>,
+    /// The processes that asked this one to add them, with the time of the request.
+    requests: BTreeMap<Incarnation, (Member, Time)>,
 }
 
 impl Joining {
-    /// Notes a view that was read.
+    /// Records a view that was read from the store.
     pub(crate) fn record_view(&mut self, view: &View) {
-        self.first.get_or_insert_with(|| view.members.iter().map(|m| m.incarnation).collect());
+        self.initial_members
+            .get_or_insert_with(|| view.members.iter().map(|m| m.incarnation).collect());
     }
 
-    /// Tells whether a member has joined since the first view that was seen.
+    /// Returns whether a process is not in the first view that was read, and so has joined since.
     pub(crate) fn is_new(&self, id: Incarnation) -> bool {
-        self.first.as_ref().is_some_and(|first| !first.contains(&id))
+        self.initial_members.as_ref().is_some_and(|members| !members.contains(&id))
     }
 
-    /// Notes that another process's write of the view came first.
+    /// Records that a write of the view failed because another process had written it first.
     pub(crate) fn record_conflict(&mut self) {
-        self.lost += 1;
+        self.lost_writes += 1;
     }
 
-    /// Decides how a process gets into the view.
+    /// Returns what this process does next to get into the view.
     pub(crate) fn next_step(&mut self, now: Time, view: &View) -> JoinStep {
-        let first = self.first.get_or_insert_default();
-        let alive = view.members.iter().map(|m| m.incarnation).filter(|id| !first.contains(id));
-        let mut alive: Vec<_> = alive.collect();
-        if self.lost < LOST || alive.is_empty() {
+        let initial_members = self.initial_members.get_or_insert_default();
+        let running =
+            view.members.iter().map(|m| m.incarnation).filter(|id| !initial_members.contains(id));
+        let mut running: Vec<_> = running.collect();
+        if self.lost_writes < MAX_LOST_WRITES || running.is_empty() {
             return JoinStep::Write;
         }
-        if !is_due(now, self.asked, ASK) {
+        if !is_due(now, self.requested_at, REQUEST_INTERVAL) {
             return JoinStep::Wait;
         }
-        if self.asks >= ASKS {
-            self.asks = 0;
-            self.lost = 0;
+        if self.request_count >= MAX_REQUESTS {
+            self.request_count = 0;
+            self.lost_writes = 0;
             return JoinStep::Write;
         }
-        // All ask the same member, so that few writes are made.
-        alive.sort_by_key(|id| std::cmp::Reverse(rendezvous_weight(b"host", *id)));
-        let place = usize::try_from(self.asks).unwrap_or(0) % alive.len();
-        self.asked = Some(now);
-        self.asks += 1;
-        alive.get(place).map_or(JoinStep::Write, |id| JoinStep::RequestFrom(*id))
+        // All processes ask the same member first, so that there are few writes.
+        running.sort_by_key(|id| std::cmp::Reverse(rendezvous_weight(b"host", *id)));
+        let index = usize::try_from(self.request_count).unwrap_or(0) % running.len();
+        self.requested_at = Some(now);
+        self.request_count += 1;
+        running.get(index).map_or(JoinStep::Write, |id| JoinStep::RequestFrom(*id))
     }
 
-    /// Notes a process that asks to be written into the view.
-    pub(crate) fn add_joiner(&mut self, now: Time, guest: Member) {
-        self.guests.insert(guest.incarnation, (guest, now));
+    /// Records the request of a process to be added to the view.
+    pub(crate) fn add_joiner(&mut self, now: Time, joiner: Member) {
+        self.requests.insert(joiner.incarnation, (joiner, now));
     }
 
-    /// Returns those who asked a moment ago and are not in the view.
+    /// Returns the processes that asked recently and are not in the view.
     pub(crate) fn joiners(&mut self, now: Time, view: &View) -> Vec<Member> {
-        self.guests.retain(|id, (_, at)| now.since(*at) < REMEMBER && !view.has(*id));
-        self.guests.values().map(|(guest, _)| guest.clone()).collect()
+        self.requests.retain(|id, (_, at)| now.since(*at) < REQUEST_TTL && !view.has(*id));
+        self.requests.values().map(|(joiner, _)| joiner.clone()).collect()
     }
 }
--- a/crates/badgerfield-core/src/membership.rs
+++ b/crates/badgerfield-core/src/membership.rs
@@ -1,4 +1,4 @@
-//! Membership: the view in force, signs of life, and calls to the platform about them.
+//! Membership: the current view, the liveness of its members, and store calls about both.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 
 use crate::amount::Time;
 use crate::bootstrap;
-use crate::broadcast::{self, Leg};
+use crate::broadcast::{self, BroadcastTarget};
 use crate::event::LogEntry;
 use crate::ids::{Epoch, Incarnation, VmId};
 use crate::joining::Joining;
@@ -21,69 +21,69 @@
 use crate::view::{MAX_SMALL_VIEW_MEMBERS, Member, MemberState, View};
 use crate::view_update::ViewLog;
 
-/// After how long without a sign of life a member is removed from the view.
-const SILENCE: Duration = Duration::from_secs(20);
-/// After how many intervals without a sign of life a member is left out of the directory.
-const DOUBT_BEATS: u32 = 4;
-/// For how long a member is passed over that could not reach the platform.
-const AWAY: Duration = Duration::from_secs(1);
-/// After how long without a tick this process takes itself to have been paused.
-const PAUSED: Duration = Duration::from_secs(2);
-/// How much longer each further observer waits before it removes a member.
-const TURN: Duration = Duration::from_secs(3);
-/// How many processes that are not in the view are remembered, removed or about to join.
-const MAX_FORMER: usize = 64;
-/// How many times longer a process that joins a large view waits between reads of it.
-const JOINING_READS: u32 = 3;
-/// By how many places the next member of the region is asked that may know what a process
-/// that starts does not.
-const SOURCE_STEP: usize = 7;
-/// To how many members signs of life go in a larger view.
-const NEIGHBOURS: usize = 8;
-
-/// What a process wants changed in the view.
+/// Silence after which a member is removed from the view.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Heartbeat intervals of silence after which a member counts as unresponsive and is left out
+/// of the directory.
+const MAX_MISSED_HEARTBEATS: u32 = 4;
+/// How long a member that could not reach the store is passed over.
+const STORE_FAILURE_TTL: Duration = Duration::from_secs(1);
+/// Time without a tick after which this process counts as having been stalled.
+const STALL_THRESHOLD: Duration = Duration::from_secs(2);
+/// Additional wait of each further observer before it removes a member.
+const REMOVAL_STAGGER: Duration = Duration::from_secs(3);
+/// Maximum number of processes outside the view, removed or joining, whose address is kept.
+const MAX_NON_MEMBERS: usize = 64;
+/// Factor by which a process that joins a large view waits longer between reads of the view.
+const JOINING_READ_FACTOR: u32 = 3;
+/// Distance, in the list of the region's members, between the members that a starting process
+/// asks one after the other.
+const BOOTSTRAP_PEER_STRIDE: usize = 7;
+/// Maximum number of members that receive a heartbeat in a large view.
+const MAX_NEIGHBOURS: usize = 8;
+
+/// The change to its own entry in the view that a process intends.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum MembershipIntent {
-    /// Be a member.
+    /// Become a member.
     Join,
-    /// Be marked as leaving.
+    /// Be marked as leaving, while running requests finish.
     Leave,
-    /// Be no member any more.
+    /// Be removed from the view.
     Quit,
 }
 
-/// What is known of another member.
+/// What this process knows about the liveness of another process.
 #[derive(Debug, Clone, Copy, Default)]
-struct Sign {
-    /// When anything came from the member last.
-    heard: Time,
-    /// When a sign of life came, which says all that follows.
-    told: Time,
-    /// Whether the member said that it does not serve callers.
-    closed: bool,
-    /// The member's time of day, less this process's own time when it was heard.
-    offset: Option<u64>,
+struct Contact {
+    /// When the last message of any kind was received.
+    last_message: Time,
+    /// When the last heartbeat was received; the fields below are taken from it.
+    last_heartbeat: Time,
+    /// Whether the sender does not serve callers.
+    not_serving: bool,
+    /// The sender's wall clock minus this process's monotonic clock on receipt, in milliseconds.
+    wall_offset: Option<u64>,
 }
 
-/// A list of upstreams that another member knows, and this process does not yet.
+/// A revision of the upstream list that another member has and this process lacks.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct NewerList {
-    /// Up to which revision.
     pub(crate) revision: u64,
-    /// Since when that is known here.
+    /// When this process first learned of the revision.
     pub(crate) noticed_at: Time,
 }
 
-/// The table of members.
+/// The membership state of this process.
 #[derive(Debug)]
 pub(crate) struct Membership {
     pub(crate) me: Member,
-    /// The view in force.
+    /// The current view.
     pub(crate) view: Arc<View>,
     ranks: Ranks,
-    /// How the view has changed of late, for members that are behind.
+    /// The recent changes of the view, for members with an older view.
     pub(crate) view_log: ViewLog,
-    /// The view as the platform had it at `stored_revision`: what a write of the view builds on.
+    /// The view as the store had it at `stored_revision`; writes of the view are based on it.
     pub(crate) stored: Arc<View>,
     pub(crate) stored_revision: u64,
     pub(crate) stored_known: bool,
@@ -91,70 +91,71 @@
     pub(crate) joining: Joining,
     pub(crate) removed: bool,
     pub(crate) stopping_since: Option<Time>,
-    /// Since when nothing runs here, during a stop.
+    /// Since when no request has been running, during a stop.
     pub(crate) idle_since: Option<Time>,
-    /// Members that could not reach the platform, and when they said so.
-    away: BTreeMap<Incarnation, Time>,
-    /// This VM's time of day, less this process's own time.
-    offset: Option<u64>,
-    /// Whether this process serves callers at present.
+    /// When each member last reported that it could not reach the store.
+    store_failures: BTreeMap<Incarnation, Time>,
+    /// This VM's wall clock minus this process's monotonic clock, in milliseconds.
+    wall_offset: Option<u64>,
+    /// Whether this process serves callers.
     pub(crate) serving: bool,
-    /// How much of the list of upstreams is known here.
+    /// The version of the upstream list that this process has.
     pub(crate) upstream_list: ListVersion,
-    /// What requests need of engines, here and elsewhere.
+    /// The demand of requests on engines, at this process and at the others.
     pub(crate) needs: DemandAverage,
-    /// The upstreams at which requests wait.
+    /// The upstreams with a queueing delay.
     pub(crate) delay_reports: Vec<DelayReport>,
-    /// The last revision of that list up to which all were told every change.
+    /// The revision of the upstream list up to which all changes were announced to all members.
     pub(crate) announced_revision: u64,
-    /// What others know of that list beyond this process.
+    /// The newer upstream list of another member, if there is one.
     pub(crate) newer_list: Option<NewerList>,
-    /// When any member was asked for the list.
+    /// When a member was last asked for the upstream list.
     pub(crate) list_requested_at: Option<Time>,
-    /// When evacuations were compared with each member last.
+    /// When evacuations were last compared with each member.
     pub(crate) evacuations_compared: HashMap<Incarnation, Time>,
-    /// The same for roll-outs.
+    /// When rollouts were last compared with each member.
     pub(crate) rollouts_compared: HashMap<Incarnation, Time>,
-    /// The same for blocked requests.
+    /// When blocked requests were last compared with each member.
     pub(crate) crashes_compared: HashMap<Incarnation, Time>,
-    /// When anybody told how new the list of upstreams is.
+    /// When a member last announced the revision of the upstream list.
     pub(crate) list_confirmed_at: Option<Time>,
-    /// After how long without a sign of life a member is in doubt.
-    doubt: Duration,
-    /// How long upstreams that leave take requests after they have said so.
-    notice: Duration,
+    /// Silence after which a member counts as unresponsive.
+    unresponsive_after: Duration,
+    /// How long a leaving upstream accepts requests after it has announced that it leaves.
+    leave_notice: Duration,
     pub(crate) store_calls: PendingCalls,
-    signs: BTreeMap<Incarnation, Sign>,
-    former: BTreeMap<Incarnation, SocketAddr>,
-    listed: BTreeSet<VmId>,
-    unlisted: BTreeSet<VmId>,
-    leaving: BTreeSet<VmId>,
-    list_version: u64,
-    ticked: Option<Time>,
+    contacts: BTreeMap<Incarnation, Contact>,
+    non_members: BTreeMap<Incarnation, SocketAddr>,
+    listed_vms: BTreeSet<VmId>,
+    unlisted_vms: BTreeSet<VmId>,
+    leaving_vms: BTreeSet<VmId>,
+    vm_list_version: u64,
+    last_tick: Option<Time>,
     pub(crate) heartbeat_at: Option<Time>,
     pub(crate) view_read_at: Option<Time>,
-    /// When the platform was asked for the view last, and the same of the last answer.
+    /// When the store was last asked for the view.
     pub(crate) view_requested_at: Option<Time>,
+    /// When the request of the last answered read of the view was sent.
     pub(crate) view_known_at: Option<Time>,
-    /// When the templates were read last.
+    /// When the templates were last read from the store.
     pub(crate) templates_read_at: Option<Time>,
-    /// When a member was asked for what this process knows nothing of.
+    /// When a member was last asked for the values that this process lacks after its start.
     pub(crate) bootstrap_at: Option<Time>,
-    /// Where the next one to be asked for it stands among those of the region.
-    asked_first: usize,
-    /// How often members were asked for it.
-    asks: usize,
+    /// Index, among the members of the region, of the next member to ask for these values.
+    next_peer_index: usize,
+    /// How often members were asked for these values.
+    bootstrap_attempts: usize,
     pub(crate) view_written_at: Option<Time>,
-    /// When a view or templates were asked for last; one member is asked at a time.
+    /// When a member was last asked for the view or the templates; one member is asked at a time.
     pub(crate) fetch_sent_at: Option<Time>,
-    /// When members that were behind were sent the view unasked.
+    /// When each member with an older view was last sent the view without having asked.
     pub(crate) views_pushed: HashMap<Incarnation, Time>,
-    /// When confirmations were heard that others wait for and have not been told.
+    /// When confirmations were received that have not been forwarded yet.
     pub(crate) confirmations_pending: Option<Time>,
 }
 
 impl Membership {
-    pub(crate) fn new(me: Member, beat: Duration, notice: Duration) -> Self {
+    pub(crate) fn new(me: Member, heartbeat_interval: Duration, leave_notice: Duration) -> Self {
         Self {
             me,
             view: Arc::default(),
@@ -168,8 +169,8 @@
             removed: false,
             stopping_since: None,
             idle_since: None,
-            away: BTreeMap::new(),
-            offset: None,
+            store_failures: BTreeMap::new(),
+            wall_offset: None,
             serving: true,
             upstream_list: ListVersion::default(),
             needs: DemandAverage::default(),
@@ -181,24 +182,24 @@
             rollouts_compared: HashMap::new(),
             crashes_compared: HashMap::new(),
             list_confirmed_at: None,
-            doubt: beat.saturating_mul(DOUBT_BEATS),
-            notice,
+            unresponsive_after: heartbeat_interval.saturating_mul(MAX_MISSED_HEARTBEATS),
+            leave_notice,
             store_calls: PendingCalls::default(),
-            signs: BTreeMap::new(),
-            former: BTreeMap::new(),
-            listed: BTreeSet::new(),
-            unlisted: BTreeSet::new(),
-            leaving: BTreeSet::new(),
-            list_version: 0,
-            ticked: None,
+            contacts: BTreeMap::new(),
+            non_members: BTreeMap::new(),
+            listed_vms: BTreeSet::new(),
+            unlisted_vms: BTreeSet::new(),
+            leaving_vms: BTreeSet::new(),
+            vm_list_version: 0,
+            last_tick: None,
             heartbeat_at: None,
             view_read_at: None,
             view_requested_at: None,
             view_known_at: None,
             templates_read_at: None,
             bootstrap_at: None,
-            asked_first: 0,
-            asks: 0,
+            next_peer_index: 0,
+            bootstrap_attempts: 0,
             view_written_at: None,
             fetch_sent_at: None,
             views_pushed: HashMap::new(),
@@ -206,47 +207,52 @@
         }
     }
 
-    /// Returns this process.
+    /// Returns the incarnation of this process.
     pub(crate) fn id(&self) -> Incarnation {
         self.me.incarnation
     }
 
-    /// Tells whether this process is in the view.
+    /// Returns whether this process is in the view, active or leaving.
     pub(crate) fn is_member(&self) -> bool {
         self.view.has(self.id())
     }
 
-    /// Tells whether this process takes part in full.
+    /// Returns whether this process is an active member.
     pub(crate) fn is_active(&self) -> bool {
         self.view.member(self.id()).is_some_and(|m| m.standing == MemberState::Active)
     }
 
-    /// Notes where a process takes messages that is not in the view: it may have joined a
-    /// moment ago.
+    /// Records the address of a process that is not in the view: it may have joined in a view
+    /// that this process does not have yet.
     pub(crate) fn meet(&mut self, id: Incarnation, address: SocketAddr) {
         if self.view.has(id) {
             return;
         }
-        self.former.insert(id, address);
-        while self.former.len() > MAX_FORMER {
-            self.former.pop_first();
+        self.non_members.insert(id, address);
+        while self.non_members.len() > MAX_NON_MEMBERS {
+            self.non_members.pop_first();
         }
     }
 
-    /// Returns the address of a member, or of another process that was heard of late.
+    /// Returns the address of a member, or of a process outside the view whose address is kept.
     pub(crate) fn address(&self, id: Incarnation) -> Option<SocketAddr> {
         let member = self.view.member(id).map(|m| m.peer);
-        member.or_else(|| self.former.get(&id).copied())
+        member.or_else(|| self.non_members.get(&id).copied())
     }
 
-    /// Notes how much of the list of upstreams is known here; one thread may be behind another.
-    pub(crate) fn note_list(&mut self, mark: ListVersion) {
-        if mark.revision >= self.upstream_list.revision {
-            self.upstream_list = mark;
+    /// Records the version of the upstream list that this process has.
+    ///
+    /// Threads report it independently, so that an older version may arrive after a newer one; it is
+    /// ignored.
+    pub(crate) fn note_list(&mut self, version: ListVersion) {
+        if version.revision >= self.upstream_list.revision {
+            self.upstream_list = version;
         }
     }
 
-    /// Puts a newer view in force; returns the members that are gone.
+    /// Makes a newer view the current one and returns the members that it no longer has.
+    ///
+    /// Returns `None` if the view is not newer.
     pub(crate) fn adopt(&mut self, now: Time, view: &Arc<View>) -> Option<Vec<Incarnation>> {
         if view.epoch == self.view.epoch && view.complete > self.view.complete {
             self.view = Arc::clone(view);
@@ -254,33 +260,33 @@
         if view.epoch <= self.view.epoch {
             return None;
         }
-        let was = self.is_member();
-        let observed: BTreeSet<_> = self.watched().map(|(_, m)| m.incarnation).collect();
+        let was_member = self.is_member();
+        let watched_before: BTreeSet<_> = self.watched().map(|(_, m)| m.incarnation).collect();
         let old = std::mem::replace(&mut self.view, Arc::clone(view));
-        self.view_log.note(&old, view);
-        self.ranks = Ranks::of(view, &self.me);
-        self.removed |= was && !self.is_member() && self.intent != MembershipIntent::Quit;
+        self.view_log.record(&old, view);
+        self.ranks = Ranks::new(view, &self.me);
+        self.removed |= was_member && !self.is_member() && self.intent != MembershipIntent::Quit;
         for member in &self.view.members {
-            let sign = Sign { heard: now, ..Sign::default() };
-            self.signs.entry(member.incarnation).or_insert(sign);
+            let contact = Contact { last_message: now, ..Contact::default() };
+            self.contacts.entry(member.incarnation).or_insert(contact);
         }
-        // Each change moves the ring: those that this process has not observed until now have
-        // sent it no signs of life, and their silence counts from now on.
-        let newly: Vec<_> = self.watched().map(|(_, m)| m.incarnation).collect();
-        for id in newly.into_iter().filter(|id| !observed.contains(id)) {
-            let sign = self.signs.entry(id).or_default();
-            sign.heard = sign.heard.max(now);
+        // Each change of the view moves the ring. Members that this process did not watch before
+        // have sent it no heartbeats, so their silence counts from now on.
+        let watched_now: Vec<_> = self.watched().map(|(_, m)| m.incarnation).collect();
+        for id in watched_now.into_iter().filter(|id| !watched_before.contains(id)) {
+            let contact = self.contacts.entry(id).or_default();
+            contact.last_message = contact.last_message.max(now);
         }
         let ids = old.members.iter().map(|m| m.incarnation);
         let gone: Vec<_> = ids.filter(|id| !self.view.has(*id)).collect();
         for member in old.members.iter().filter(|m| !self.view.has(m.incarnation)) {
-            self.former.insert(member.incarnation, member.peer);
+            self.non_members.insert(member.incarnation, member.peer);
         }
-        while self.former.len() > MAX_FORMER {
-            self.former.pop_first();
+        while self.non_members.len() > MAX_NON_MEMBERS {
+            self.non_members.pop_first();
         }
         for id in &gone {
-            self.signs.remove(id);
+            self.contacts.remove(id);
             self.views_pushed.remove(id);
             self.evacuations_compared.remove(id);
             self.rollouts_compared.remove(id);
@@ -288,296 +294,325 @@
         Some(gone)
     }
 
-    /// Notes a sign of life.
+    /// Records a message from another process, and the contents of a heartbeat.
     pub(crate) fn record_contact(
         &mut self,
         now: Time,
         from: Incarnation,
-        beat: Option<&Heartbeat>,
+        heartbeat: Option<&Heartbeat>,
     ) {
-        let sign = self.signs.entry(from).or_default();
-        sign.heard = sign.heard.max(now);
-        if let Some(beat) = beat {
-            sign.told = now;
-            sign.closed = !beat.serving;
-            self.needs.record_peer(now, from, &beat.needs);
-            sign.offset = beat.wall_ms.map(|wall| wall.saturating_sub(millis(now)));
+        let contact = self.contacts.entry(from).or_default();
+        contact.last_message = contact.last_message.max(now);
+        if let Some(heartbeat) = heartbeat {
+            contact.last_heartbeat = now;
+            contact.not_serving = !heartbeat.serving;
+            self.needs.record_peer(now, from, &heartbeat.needs);
+            contact.wall_offset =
+                heartbeat.wall_ms.map(|wall_ms| wall_ms.saturating_sub(to_millis(now)));
         }
     }
 
-    /// Notes a tick: after a pause of this process, the silence of others means nothing.
+    /// Records a tick and resets the silence of all members if this process was stalled.
+    ///
+    /// A stalled process receives no messages, so that the silence is not that of the others.
     pub(crate) fn tick(&mut self, now: Time) {
-        let paused = self.ticked.is_some_and(|at| now.since(at) >= PAUSED);
-        self.ticked = Some(now);
-        if !paused {
+        let was_stalled = self.last_tick.is_some_and(|at| now.since(at) >= STALL_THRESHOLD);
+        self.last_tick = Some(now);
+        if !was_stalled {
             return;
         }
-        for sign in self.signs.values_mut() {
-            sign.heard = now;
+        for contact in self.contacts.values_mut() {
+            contact.last_message = now;
         }
     }
 
-    /// Takes in the VM list unless it is older than the last one.
+    /// Applies the VM list unless it is older than the last one.
     pub(crate) fn learn(&mut self, list: &crate::vm_upstreams::VmList) {
-        if list.version < self.list_version {
+        if list.version < self.vm_list_version {
             return;
         }
-        self.list_version = list.version;
+        self.vm_list_version = list.version;
         let present: BTreeSet<_> = list.vms.iter().map(|vm| vm.vm.clone()).collect();
-        // Only a VM that was on the list can be missing from it.
-        self.unlisted = self.listed.difference(&present).cloned().collect();
-        self.listed.extend(present);
-        self.leaving = list.vms.iter().filter(|vm| vm.leaving).map(|vm| vm.vm.clone()).collect();
+        // A VM counts as unlisted only if it was on the list before.
+        self.unlisted_vms = self.listed_vms.difference(&present).cloned().collect();
+        self.listed_vms.extend(present);
+        self.leaving_vms =
+            list.vms.iter().filter(|vm| vm.leaving).map(|vm| vm.vm.clone()).collect();
     }
 
-    /// Returns the members to which signs of life go.
+    /// Returns the members to which this process sends heartbeats.
     pub(crate) fn neighbours(&self) -> Vec<Incarnation> {
         let ids: Vec<_> = self.view.members.iter().map(|m| m.incarnation).collect();
         let others = ids.iter().copied().filter(|id| *id != self.id());
         if ids.len() <= MAX_SMALL_VIEW_MEMBERS {
             return others.collect();
         }
-        // Members stand in a ring by number; steps that double reach everyone soon.
-        let place = self.place();
-        let mut chosen = BTreeSet::new();
-        for step in 0..NEIGHBOURS {
-            let next = ids.get((place + (1 << step)) % ids.len());
-            chosen.extend(next.copied().filter(|id| *id != self.id()));
+        // The members form a ring, ordered by incarnation. With distances that double, information
+        // reaches all members in a logarithmic number of hops.
+        let own_index = self.own_index();
+        let mut neighbours = BTreeSet::new();
+        for exponent in 0..MAX_NEIGHBOURS {
+            let next = ids.get((own_index + (1 << exponent)) % ids.len());
+            neighbours.extend(next.copied().filter(|id| *id != self.id()));
         }
-        chosen.into_iter().collect()
+        neighbours.into_iter().collect()
     }
 
-    /// Returns to whom news goes that this process passes on to some members before it.
-    pub(crate) fn broadcast_targets(&self, now: Time, reach: u32) -> Vec<Leg> {
+    /// Returns the members to which this process sends an update that it has to bring to the
+    /// `reach` members before it in the ring.
+    pub(crate) fn broadcast_targets(&self, now: Time, reach: u32) -> Vec<BroadcastTarget> {
         let silent: BTreeSet<_> = self
             .watched()
             .map(|(_, m)| m.incarnation)
-            .filter(|id| self.silence(now, *id) >= self.doubt)
+            .filter(|id| self.silence(now, *id) >= self.unresponsive_after)
             .collect();
-        broadcast::legs(&self.view, self.id(), reach, |id| silent.contains(&id))
+        broadcast::targets(&self.view, self.id(), reach, |id| silent.contains(&id))
     }
 
-    /// Tells whether this process reads the platform's values for its region.
+    /// Returns whether this process reads the store's values for its region.
     ///
-    /// One that hears nobody may have been removed, and reads for itself to find out.
+    /// An isolated process may have been removed, so it reads the store itself to find out.
     pub(crate) fn is_reader(&self, now: Time) -> bool {
-        if self.is_alone(now) || !self.is_member() {
+        if self.is_isolated(now) || !self.is_member() {
             return true;
         }
         self.ranks.is_reader()
     }
 
-    /// Tells whether this process reads whole values from the platform that it knows nothing
-    /// of yet; others of its region give it those otherwise.
+    /// Returns whether this process itself reads from the store the values that it lacks after its
+    /// start. Otherwise it bootstrap_attempts members of its region for them.
     pub(crate) fn is_bootstrap_reader(&self, now: Time) -> bool {
         let stored = self.stored_known.then_some(&*self.stored);
         bootstrap::can_read(now, stored, &self.me)
     }
 
-    /// Returns the member of this process's region that is asked next for what it knows
-    /// nothing of yet: by turns one that knows it early, and another one each time.
+    /// Returns the member of the region to ask next for the values that this process lacks after
+    /// its start.
+    ///
+    /// Every other call returns its parent in the bootstrap tree, which has the values early. The
+    /// calls in between go through the other members of the region.
     pub(crate) fn next_bootstrap_peer(&mut self) -> Option<Incarnation> {
-        self.asks += 1;
-        let early = bootstrap::tree_parent(&self.view, &self.me).filter(|_| self.asks % 2 == 1);
-        if early.is_some() {
-            return early;
+        self.bootstrap_attempts += 1;
+        let parent = bootstrap::tree_parent(&self.view, &self.me)
+            .filter(|_| self.bootstrap_attempts % 2 == 1);
+        if parent.is_some() {
+            return parent;
         }
-        let near = |m: &&Member| m.region == self.me.region && m.incarnation != self.id();
-        let mut near: Vec<_> =
-            self.view.members.iter().filter(near).map(|m| m.incarnation).collect();
-        // Those that joined since this process started are alive; others may be gone.
-        let alive: Vec<_> = near.iter().copied().filter(|id| self.joining.is_new(*id)).collect();
-        if !alive.is_empty() {
-            near = alive;
+        let is_candidate = |m: &&Member| m.region == self.me.region && m.incarnation != self.id();
+        let mut candidates: Vec<_> =
+            self.view.members.iter().filter(is_candidate).map(|m| m.incarnation).collect();
+        // Members that joined since this process started are running; others may have ended.
+        let running: Vec<_> =
+            candidates.iter().copied().filter(|id| self.joining.is_new(*id)).collect();
+        if !running.is_empty() {
+            candidates = running;
         }
-        let place = self.asked_first.checked_rem(near.len())?;
-        let id = near.get(place).copied();
-        // A step that shares no factor with most sizes of a region, so that all are asked.
-        self.asked_first += SOURCE_STEP;
+        let index = self.next_peer_index.checked_rem(candidates.len())?;
+        let id = candidates.get(index).copied();
+        // The stride shares no factor with most region sizes, so that all members are asked.
+        self.next_peer_index += BOOTSTRAP_PEER_STRIDE;
         id
     }
 
-    /// Returns how long after a read of the view it is read again, by the least time for that.
+    /// Returns the interval between reads of the view, which is at least `min_interval`.
     ///
-    /// One that knows the view and wants to join is written into it by a member that it asks:
-    /// it reads less often, since many may start at once behind a thin link.
-    pub(crate) fn view_read_interval(&self, least: Duration) -> Duration {
-        let joins = self.stored_known && !self.is_member() && self.intent == MembershipIntent::Join;
-        if joins && self.view.members.len() > MAX_SMALL_VIEW_MEMBERS {
-            return least.saturating_mul(JOINING_READS);
+    /// A process that has the stored view and is joining is written into the view by the member that
+    /// it bootstrap_attempts. It reads less often, since many processes may start at once behind a slow link.
+    pub(crate) fn view_read_interval(&self, min_interval: Duration) -> Duration {
+        let is_joining =
+            self.stored_known && !self.is_member() && self.intent == MembershipIntent::Join;
+        if is_joining && self.view.members.len() > MAX_SMALL_VIEW_MEMBERS {
+            return min_interval.saturating_mul(JOINING_READ_FACTOR);
         }
-        least
+        min_interval
     }
 
-    /// Tells whether this process follows the platform's values itself; `heard` is how long
-    /// ago it has heard of the list of upstreams, which changes all the time.
+    /// Returns whether this process watches the store's values itself.
     ///
-    /// In a small view everybody does. In a large one a few do and pass on what changes,
-    /// some more if these seem to be cut off, and all only if nobody says anything.
-    pub(crate) fn watches_platform(&self, now: Time, heard: Option<Duration>) -> bool {
+    /// `list_age` is the time since it last received an update or a confirmation of the upstream
+    /// list, which are frequent. In a small view all members watch the store. In a large view a few
+    /// watch it and forward changes, more do so if these seem to be cut off, and all members do so
+    /// if no updates arrive at all.
+    pub(crate) fn watches_platform(&self, now: Time, list_age: Option<Duration>) -> bool {
         let is_member = self.is_member();
         let is_small = self.view.members.len() <= MAX_SMALL_VIEW_MEMBERS;
-        if is_member && (is_small || self.is_alone(now)) {
+        if is_member && (is_small || self.is_isolated(now)) {
             return true;
         }
-        let wait = self.notice * self.ranks.watch_delay_percent() / 100;
-        heard.is_none_or(|age| age >= wait)
+        let wait = self.leave_notice * self.ranks.watch_delay_percent() / 100;
+        list_age.is_none_or(|age| age >= wait)
     }
 
-    /// Tells whether this process is among the first followers of the platform's values, or
-    /// knows no rank of its own.
+    /// Returns whether this process is a watcher or a backup watcher of the store, or has no rank.
     pub(crate) fn probes_platform(&self) -> bool {
         let is_small = self.view.members.len() <= MAX_SMALL_VIEW_MEMBERS;
         is_small || self.ranks.can_probe()
     }
 
-    /// Tells whether this process hears no other member.
-    fn is_alone(&self, now: Time) -> bool {
-        self.watched().all(|(_, m)| self.silence(now, m.incarnation) >= self.doubt)
+    /// Returns whether all members that this process watches are unresponsive.
+    fn is_isolated(&self, now: Time) -> bool {
+        self.watched().all(|(_, m)| self.silence(now, m.incarnation) >= self.unresponsive_after)
     }
 
-    /// Tells whether this process marks complete views.
+    /// Returns whether this process marks views as complete in the store.
     pub(crate) fn is_completion_writer(&self) -> bool {
         self.ranks.is_completion_writer()
     }
 
-    /// Tells whether this process has a view to mark as complete, up to this epoch, that it
-    /// knows from peers only.
+    /// Returns whether this process has to read the view from the store before it can mark the
+    /// view as complete, because it has the current view from peers only.
     pub(crate) fn must_read_to_complete(&self, complete: Epoch) -> bool {
         complete == self.view.epoch && self.stored.epoch < complete && self.is_completion_writer()
     }
 
     /// Returns the members that this process should remove from the view.
     ///
-    /// Removing a member that is not gone breaks nothing, it only costs a restart.
-    /// Those that observe a member take turns, so that one of them usually does it.
+    /// Removing a member that is still running is safe and costs only its restart. The observers
+    /// of a member wait for different times, so that usually only one of them removes it.
     pub(crate) fn members_to_remove(&self, now: Time) -> Vec<Incarnation> {
-        let mut gone = Vec::new();
+        let mut to_remove = Vec::new();
         let watched: Vec<_> = self.watched().collect();
-        let heard = |m: &&Member| self.silence(now, m.incarnation) < self.doubt;
-        let cut_off = !watched.iter().any(|(_, m)| heard(m));
-        for (turn, member) in watched {
-            let wait = TURN.saturating_mul(turn);
+        let is_responsive =
+            |m: &&Member| self.silence(now, m.incarnation) < self.unresponsive_after;
+        let is_cut_off = !watched.iter().any(|(_, m)| is_responsive(m));
+        for (position, member) in watched {
+            let wait = REMOVAL_STAGGER.saturating_mul(position);
             let silence = self.silence(now, member.incarnation);
-            let unlisted =
-                self.unlisted.contains(&member.vm) && silence >= self.doubt.saturating_add(wait);
-            // One that hears nobody is more likely cut off than alone.
-            let silent =
-                self.is_near(member) && !cut_off && silence >= SILENCE.saturating_add(wait);
-            if unlisted || silent {
-                gone.push(member.incarnation);
+            let is_unlisted = self.unlisted_vms.contains(&member.vm)
+                && silence >= self.unresponsive_after.saturating_add(wait);
+            // If all watched members are silent, this process is more likely to be cut off than to
+            // be the only one left.
+            let is_silent = self.is_same_region(member)
+                && !is_cut_off
+                && silence >= SILENCE_TIMEOUT.saturating_add(wait);
+            if is_unlisted || is_silent {
+                to_remove.push(member.incarnation);
             }
         }
-        gone
+        to_remove
     }
 
-    /// Describes the removal of a member for the log.
+    /// Returns the log entry for the removal of a member.
     pub(crate) fn removal_entry(&self, now: Time, id: Incarnation) -> LogEntry {
         let vm = self.view.member(id).map_or_else(|| self.me.vm.clone(), |m| m.vm.clone());
         let (silence, epoch) = (self.silence(now, id), self.stored.epoch);
         LogEntry::RemovesMember { member: id, vm, silence, epoch }
     }
 
-    /// Returns the members whose signs of life come here, each with this process's turn.
+    /// Returns the members that send heartbeats to this process, each with this process's position
+    /// among its observers.
     fn watched(&self) -> impl Iterator<Item = (u32, &Member)> {
         let count = self.view.members.len();
-        let place = self.place();
+        let own_index = self.own_index();
         self.view.members.iter().enumerate().filter_map(move |(i, member)| {
-            let distance = (place + count).checked_sub(i)? % count.max(1);
+            let distance = (own_index + count).checked_sub(i)? % count.max(1);
             if distance == 0 {
                 return None;
             }
             if count <= MAX_SMALL_VIEW_MEMBERS {
                 return Some((u32::try_from(distance - 1).ok()?, member));
             }
-            let step = distance.trailing_zeros();
-            let near = distance.is_power_of_two() && usize::try_from(step).ok()? < NEIGHBOURS;
-            near.then_some((step, member))
+            let exponent = distance.trailing_zeros();
+            let is_watched =
+                distance.is_power_of_two() && usize::try_from(exponent).ok()? < MAX_NEIGHBOURS;
+            is_watched.then_some((exponent, member))
         })
     }
 
-    fn place(&self) -> usize {
+    fn own_index(&self) -> usize {
         let me = self.id();
         self.view.members.iter().position(|m| m.incarnation == me).unwrap_or(0)
     }
 
-    /// Returns the members that callers may be sent to.
+    /// Returns the members to which callers may be directed.
     pub(crate) fn available_members(&self, now: Time) -> Vec<Member> {
         let silent: BTreeSet<_> = self
             .watched()
             .map(|(_, m)| m.incarnation)
-            .filter(|id| self.silence(now, *id) >= self.doubt)
+            .filter(|id| self.silence(now, *id) >= self.unresponsive_after)
             .collect();
         self.view
             .members
             .iter()
-            .filter(|m| m.standing == MemberState::Active && !self.leaving.contains(&m.vm))
-            .filter(|m| !self.unlisted.contains(&m.vm))
-            .filter(|m| !silent.contains(&m.incarnation) && !self.is_closed(now, m.incarnation))
+            .filter(|m| m.standing == MemberState::Active && !self.leaving_vms.contains(&m.vm))
+            .filter(|m| !self.unlisted_vms.contains(&m.vm))
+            .filter(|m| {
+                !silent.contains(&m.incarnation) && !self.is_not_serving(now, m.incarnation)
+            })
             .cloned()
             .collect()
     }
 
-    /// Notes that a member could not reach the platform.
+    /// Records that a member could not reach the store.
     pub(crate) fn record_store_failure(&mut self, now: Time, id: Incarnation) {
-        self.away.retain(|_, at| now.since(*at) < AWAY);
-        self.away.insert(id, now);
+        self.store_failures.retain(|_, at| now.since(*at) < STORE_FAILURE_TTL);
+        self.store_failures.insert(id, now);
     }
 
-    /// Tells whether a member could not reach the platform a moment ago.
+    /// Returns whether a member recently could not reach the store.
     pub(crate) fn has_store_failure(&self, now: Time, id: Incarnation) -> bool {
-        self.away.get(&id).is_some_and(|at| now.since(*at) < AWAY)
+        self.store_failures.get(&id).is_some_and(|at| now.since(*at) < STORE_FAILURE_TTL)
     }
 
-    /// Takes in this VM's time of day.
-    pub(crate) fn set_wall(&mut self, now: Time, wall: u64) {
-        self.offset = Some(wall.saturating_sub(millis(now)));
+    /// Sets this VM's wall clock, in milliseconds.
+    pub(crate) fn set_wall(&mut self, now: Time, wall_ms: u64) {
+        self.wall_offset = Some(wall_ms.saturating_sub(to_millis(now)));
     }
 
-    /// Returns this VM's time of day.
+    /// Returns this VM's wall clock in milliseconds, if it is known.
     pub(crate) fn wall_ms(&self, now: Time) -> Option<u64> {
-        self.offset.map(|offset| offset.saturating_add(millis(now)))
+        self.wall_offset.map(|offset| offset.saturating_add(to_millis(now)))
     }
 
-    /// Reads the fleet's time off the clocks of all members that were heard of late.
+    /// Returns the fleet's clock, from the clocks of this VM and of all members that sent a
+    /// heartbeat recently.
     pub(crate) fn fleet_clock(&self, now: Time) -> FleetClock {
-        let told = self.signs.values().filter(|sign| now.since(sign.told) < self.doubt);
-        let offsets = told.filter_map(|sign| sign.offset).chain(self.offset).collect();
+        let recent = self
+            .contacts
+            .values()
+            .filter(|contact| now.since(contact.last_heartbeat) < self.unresponsive_after);
+        let offsets =
+            recent.filter_map(|contact| contact.wall_offset).chain(self.wall_offset).collect();
         FleetClock::from_offsets(offsets, self.clock_quorum())
     }
 
-    /// Returns how many clocks must agree: more than half of all, or in a view that is too
-    /// large to hear everyone, three quarters of those that are heard.
+    /// Returns how many clocks must agree.
+    ///
+    /// In a small view these are more than half of all. In a large view, where heartbeats of only
+    /// some members arrive, these are three quarters of the clocks of this process and of those that
+    /// it watches.
     fn clock_quorum(&self) -> usize {
         let members = self.view.members.len();
         if members <= MAX_SMALL_VIEW_MEMBERS {
             return members / 2 + 1;
         }
-        let heard = self.watched().count() + 1;
-        (heard * 3).div_ceil(4)
+        let clocks = self.watched().count() + 1;
+        (clocks * 3).div_ceil(4)
     }
 
-    /// Tells whether a member said a moment ago that it does not serve callers.
+    /// Returns whether a recent heartbeat of a member reports that it does not serve callers.
     ///
-    /// In a large view most members say nothing to this process any more, and what they
-    /// said while the view was small is no longer true.
-    fn is_closed(&self, now: Time, id: Incarnation) -> bool {
+    /// In a large view most members send no heartbeats to this process, and those that they sent
+    /// while the view was small are out of date.
+    fn is_not_serving(&self, now: Time, id: Incarnation) -> bool {
         if id == self.id() {
             return !self.serving;
         }
-        let sign = self.signs.get(&id);
-        sign.is_some_and(|sign| sign.closed && now.since(sign.told) < self.doubt)
+        let contact = self.contacts.get(&id);
+        contact.is_some_and(|contact| {
+            contact.not_serving && now.since(contact.last_heartbeat) < self.unresponsive_after
+        })
     }
 
-    fn is_near(&self, member: &Member) -> bool {
+    fn is_same_region(&self, member: &Member) -> bool {
         member.region == self.me.region
     }
 
     fn silence(&self, now: Time, id: Incarnation) -> Duration {
-        self.signs.get(&id).map_or(Duration::ZERO, |sign| now.since(sign.heard))
+        self.contacts.get(&id).map_or(Duration::ZERO, |contact| now.since(contact.last_message))
     }
 }
 
-fn millis(now: Time) -> u64 {
+fn to_millis(now: Time) -> u64 {
     u64::try_from(now.0.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/badgerfield-core/src/ranks.rs
+++ b/crates/badgerfield-core/src/ranks.rs
@@ -1,69 +1,72 @@
-//! Duties by rank: which few members of a region read the platform's values for the others.
+//! Roles by rank: the few members of a region that read or watch the store for the others.
 
 use crate::view::{Member, View};
 
-/// How many members of a region read the platform's values all the time.
-const READERS: usize = 2;
-/// How many members of a region follow the platform's values in a larger view.
-const FOLLOWERS: usize = 3;
-/// How many members of a region follow the platform's values if the first are cut off.
-const SUBSTITUTES: usize = 12;
-/// After which part of an upstream's notice, in hundredths, substitutes follow the list of
-/// upstreams if they hear nothing of it.
-const SUBSTITUTES_AFTER: u32 = 60;
-/// After which part everybody does: one that alone reaches the platform must have read the
-/// list, and sent its last request to who leaves, before the notice is over.
-const ALL_AFTER: u32 = 70;
+/// Number of members of a region that read the store's values all the time.
+const READERS_PER_REGION: usize = 2;
+/// Number of members of a region that watch the store in a large view.
+const WATCHERS_PER_REGION: usize = 3;
+/// Number of members of a region that watch the store if the first [`WATCHERS_PER_REGION`], which are
+/// counted in, seem to be cut off.
+const MAX_WATCHERS_PER_REGION: usize = 12;
+/// Time without updates of the upstream list after which backup watchers watch the store, as a
+/// percentage of the time for which a leaving upstream still accepts requests.
+const BACKUP_DELAY_PERCENT: u32 = 60;
+/// Time after which all members watch the store, as the same kind of percentage.
+///
+/// If only one member can reach the store, it must have read the list, and sent its last request
+/// to a leaving upstream, before that upstream stops accepting requests.
+const FALLBACK_DELAY_PERCENT: u32 = 70;
 
-/// Where this process stands by rank, in the duties that few members have. Ranks change with
-/// the view only, and are asked for at every tick.
+/// The ranks of this process for the roles that only a few members have.
+///
+/// Ranks change only with the view and are needed at every tick, so they are kept.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Ranks {
-    /// Its place among the region's readers of the platform's values.
-    reader: Option<usize>,
-    /// Its place among the region's followers of the list of upstreams.
-    follower: Option<usize>,
-    /// Its place among those that mark complete views.
-    marker: Option<usize>,
+    /// The rank in the region as a reader of the store's values.
+    reader_rank: Option<usize>,
+    /// The rank in the region as a watcher of the store.
+    watcher_rank: Option<usize>,
+    /// The rank in the fleet as the writer that marks views as complete.
+    writer_rank: Option<usize>,
 }
 
 impl Ranks {
-    /// Ranks a member in a view.
-    pub(crate) fn of(view: &View, me: &Member) -> Self {
-        let place = |subject: &[u8], region| {
+    /// Returns the ranks of a member in a view.
+    pub(crate) fn new(view: &View, me: &Member) -> Self {
+        let rank_in = |subject: &[u8], region| {
             let ranked = view.ranked(subject, region);
             ranked.iter().position(|m| m.incarnation == me.incarnation)
         };
         Self {
-            reader: place(b"reader", Some(&me.region)),
-            follower: place(b"follower", Some(&me.region)),
-            marker: place(b"marker", None),
+            reader_rank: rank_in(b"reader", Some(&me.region)),
+            watcher_rank: rank_in(b"follower", Some(&me.region)),
+            writer_rank: rank_in(b"marker", None),
         }
     }
 
-    /// Tells whether the member reads the platform's values all the time.
+    /// Returns whether the member reads the store's values all the time.
     pub(crate) fn is_reader(&self) -> bool {
-        self.reader.is_some_and(|place| place < READERS)
+        self.reader_rank.is_some_and(|rank| rank < READERS_PER_REGION)
     }
 
-    /// Tells whether the member is among the first followers of the platform's values, or has
-    /// no rank.
+    /// Returns whether the member is a watcher or a backup watcher of the store, or has no rank.
     pub(crate) fn can_probe(&self) -> bool {
-        self.follower.is_none_or(|place| place < SUBSTITUTES)
+        self.watcher_rank.is_none_or(|rank| rank < MAX_WATCHERS_PER_REGION)
     }
 
-    /// Tells whether the member marks complete views.
+    /// Returns whether the member marks views as complete.
     pub(crate) fn is_completion_writer(&self) -> bool {
-        self.marker == Some(0)
+        self.writer_rank == Some(0)
     }
 
-    /// Returns after how long without news of the list of upstreams the member follows it, as a
-    /// part of an upstream's notice in hundredths.
+    /// Returns the time without updates of the upstream list after which the member watches the
+    /// store, as a percentage of the time for which a leaving upstream still accepts requests.
     pub(crate) fn watch_delay_percent(&self) -> u32 {
-        match self.follower {
-            Some(0..FOLLOWERS) => 0,
-            Some(FOLLOWERS..SUBSTITUTES) => SUBSTITUTES_AFTER,
-            _ => ALL_AFTER,
+        match self.watcher_rank {
+            Some(0..WATCHERS_PER_REGION) => 0,
+            Some(WATCHERS_PER_REGION..MAX_WATCHERS_PER_REGION) => BACKUP_DELAY_PERCENT,
+            _ => FALLBACK_DELAY_PERCENT,
         }
     }
 }
--- a/crates/badgerfield-core/src/view.rs
+++ b/crates/badgerfield-core/src/view.rs
@@ -1,9 +1,9 @@
-//! The membership view: which processes take part, as one numbered value of the platform.
+//! The membership view: the member processes, as one numbered value of the store.
 //!
-//! Views are ordered by the platform's compare-and-swap. A process that was removed
-//! never comes back under the same incarnation. Two rules rest on that order and on
-//! nothing else: which process decides about a request's key, and which of two
-//! processes keeps a parked amount when one of them is removed.
+//! The store's compare-and-swap orders the views. A removed process never rejoins under the
+//! same incarnation. Two rules depend on that order and on nothing else: which process is the
+//! arbiter of a request's key, and which of two processes keeps a parked amount when one of
+//! them is removed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,18 +13,20 @@
 
 use crate::ids::{Domain, Epoch, Incarnation, Region, RequestKey, VmId, rendezvous_weight};
 
-/// The most members of a small view, in which everybody does what in a large one is left to
-/// a few; `docs/PLATFORM.md` lists what that is.
+/// Maximum number of members of a small view.
+///
+/// In a small view every member does the work that only a few members do in a large one;
+/// `docs/PLATFORM.md` lists this work.
 pub(crate) const MAX_SMALL_VIEW_MEMBERS: usize = 16;
-/// How many doubts a view keeps.
-const MAX_DOUBTS: usize = 16;
+/// Maximum number of [`UncertainKeys`] entries of a view.
+const MAX_UNCERTAIN_KEYS: usize = 16;
 
-/// Whether a member takes on duties.
+/// Whether a member accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
-    /// The member decides about keys and keeps parked amounts.
+    /// The member is an arbiter of keys and a witness of parked amounts.
     Active,
-    /// The member is stopping; it finishes what runs and takes on nothing new.
+    /// The member is stopping: it finishes running requests and accepts no new work.
     Leaving,
 }
 
@@ -33,79 +35,80 @@
 pub struct Member {
     /// The VM on which the process runs.
     pub vm: VmId,
-    /// The run of the process.
+    /// The incarnation of the process.
     pub incarnation: Incarnation,
-    /// The region.
+    /// The region of the VM.
     pub region: Region,
-    /// The failure domain.
+    /// The failure domain of the VM.
     pub domain: Domain,
-    /// The address for the system's own messages.
+    /// The address for messages from other members.
     pub peer: SocketAddr,
-    /// The address for callers.
+    /// The address for requests of callers.
     pub caller: SocketAddr,
-    /// Whether it takes on duties.
+    /// Whether the member accepts new work.
     pub standing: MemberState,
 }
 
-/// What became of a member that decided about keys.
+/// Whether a member has been an arbiter without interruption since the last complete epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Fate {
-    /// It decided all the time.
+pub enum DeciderState {
+    /// It has been a member since the last complete epoch.
     Stayed,
     /// It joined since the last complete epoch.
     Joined,
-    /// It is gone.
+    /// It was removed.
     Gone,
 }
 
-/// A member that decided about keys since the last complete epoch.
+/// A member that has been an arbiter of keys since the last complete epoch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Decider {
-    /// The member.
+    /// The incarnation of the member.
     pub id: Incarnation,
-    /// Its region.
+    /// The region of the member.
     pub region: Region,
-    /// What became of it.
-    pub fate: Fate,
+    /// The state of the member since that epoch.
+    #[serde(rename = "fate")]
+    pub state: DeciderState,
 }
 
-/// Keys whose memory may be lost, because several members went before all hand-overs
-/// were complete.
+/// Keys whose earlier claims may be lost, because several members were removed before all
+/// handovers were complete.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Doubt {
-    /// The epoch that recorded the doubt.
+pub struct UncertainKeys {
+    /// The first epoch in which the keys are uncertain.
     pub epoch: Epoch,
-    /// Who decided about keys.
+    /// The members that may have been arbiters of the keys.
     pub deciders: Vec<Decider>,
 }
 
 /// The numbered view.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// The number of the view.
+    /// The epoch: the number of the view.
     pub epoch: Epoch,
-    /// The members, by incarnation.
+    /// The members, ordered by incarnation.
     pub members: Vec<Member>,
-    /// The last epoch of which every hand-over is known to be complete.
+    /// The last epoch whose handovers are all known to be complete.
     pub complete: Epoch,
-    /// All members that decided about keys since that epoch.
+    /// All members that have been arbiters of keys since that epoch.
     pub deciders: Vec<Decider>,
-    /// The doubts of late, oldest first.
+    /// The most recent sets of uncertain keys, oldest first.
     #[serde(rename = "doubts")]
-    pub uncertain_keys: Vec<Doubt>,
+    pub uncertain_keys: Vec<UncertainKeys>,
 }
 
-/// Why a value is not a view.
+/// The stored value is not a valid view.
 #[derive(Debug, Error)]
 #[error("expected a membership view in JSON: {0}")]
 pub struct ViewError(#[from] serde_json::Error);
 
 impl View {
-    /// Decodes a value; an absent one is the empty view.
+    /// Decodes a stored value; an absent value is the empty view.
     ///
     /// # Errors
     ///
-    /// Refuses what is not JSON of this shape.
+    /// Fails if the value is not a view in JSON.
     pub fn decode(bytes: Option<&[u8]>) -> Result<Self, ViewError> {
         let Some(bytes) = bytes else {
             return Ok(Self::default());
@@ -113,50 +116,52 @@
         Ok(serde_json::from_slice(bytes)?)
     }
 
-    /// Encodes the view as the value that the platform keeps.
+    /// Encodes the view as the value for the store.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
-        // Plain fields always have a JSON form.
+        // Serialization to JSON cannot fail for these types.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Returns a member.
+    /// Returns the member with an incarnation.
     #[must_use]
     pub fn member(&self, id: Incarnation) -> Option<&Member> {
         self.members.iter().find(|m| m.incarnation == id)
     }
 
-    /// Tells whether a process is a member.
+    /// Returns whether a process is a member.
     #[must_use]
     pub fn has(&self, id: Incarnation) -> bool {
         self.member(id).is_some()
     }
 
-    /// Returns the view in which a process has joined.
+    /// Returns the next view, with a process added.
     ///
-    /// An earlier process of the same VM goes in the same step: the new one holds
-    /// the VM's listener, so the old one has ended.
+    /// An earlier process of the same VM is removed in the same step: the new one holds the VM's
+    /// listener, so the old one has ended.
     #[must_use]
     pub fn with_member(&self, member: Member, handed_over: bool) -> Self {
         self.with_members(vec![member], handed_over)
     }
 
-    /// Returns the view in which several processes have joined in one step.
+    /// Returns the next view, with several processes added in one step.
     #[must_use]
-    pub fn with_members(&self, mut guests: Vec<Member>, handed_over: bool) -> Self {
-        // Of two processes of one VM, one has ended.
-        let joins: BTreeMap<_, _> = guests.iter().map(|m| (m.vm.clone(), m.incarnation)).collect();
-        guests.retain(|m| joins.get(&m.vm) == Some(&m.incarnation));
-        let is_old = |m: &&Member| joins.get(&m.vm).is_some_and(|id| *id != m.incarnation);
-        let old: Vec<_> = self.members.iter().filter(is_old).map(|m| m.incarnation).collect();
-        let mut next = self.without_members(&old, handed_over);
-        next.members.retain(|m| !joins.contains_key(&m.vm));
-        next.members.extend(guests);
+    pub fn with_members(&self, mut joiners: Vec<Member>, handed_over: bool) -> Self {
+        // If two processes of one VM are joining, one of them has ended.
+        let latest: BTreeMap<_, _> =
+            joiners.iter().map(|m| (m.vm.clone(), m.incarnation)).collect();
+        joiners.retain(|m| latest.get(&m.vm) == Some(&m.incarnation));
+        let is_replaced = |m: &&Member| latest.get(&m.vm).is_some_and(|id| *id != m.incarnation);
+        let replaced: Vec<_> =
+            self.members.iter().filter(is_replaced).map(|m| m.incarnation).collect();
+        let mut next = self.without_members(&replaced, handed_over);
+        next.members.retain(|m| !latest.contains_key(&m.vm));
+        next.members.extend(joiners);
         next.members.sort_by_key(|m| m.incarnation);
         next
     }
 
-    /// Returns the view in which a member is leaving.
+    /// Returns the next view, with a member marked as leaving.
     #[must_use]
     pub fn with_leaving(&self, id: Incarnation, handed_over: bool) -> Self {
         let mut next = self.without_members(&[], handed_over);
@@ -168,35 +173,35 @@
         next
     }
 
-    /// Returns the view without some members.
+    /// Returns the next view, without some members.
     ///
-    /// `handed_over` tells whether every active member has confirmed the hand-overs
-    /// of this view. While it has not, the view remembers who decided about keys; if
-    /// more than one of those goes, what they decided may be lost, and the view says so.
+    /// `handed_over` is whether every active member has confirmed its handovers of this view.
+    /// Until all have, the next view keeps the members that have been arbiters. If more than one
+    /// of these is gone, their claims may be lost, and the view records the uncertain keys.
     #[must_use]
     pub fn without_members(&self, gone: &[Incarnation], handed_over: bool) -> Self {
         let mut next = if handed_over { self.completed() } else { self.clone() };
-        next.note_deciders();
+        next.record_deciders();
         next.epoch = self.epoch.next();
         next.members.retain(|m| !gone.contains(&m.incarnation));
-        let mut lost = 0;
+        let mut gone_count = 0;
         for decider in &mut next.deciders {
             if self.has(decider.id) && !gone.contains(&decider.id) {
                 continue;
             }
-            decider.fate = Fate::Gone;
-            lost += 1;
+            decider.state = DeciderState::Gone;
+            gone_count += 1;
         }
-        if lost > 1 && !gone.is_empty() {
+        if gone_count > 1 && !gone.is_empty() {
             let (epoch, deciders) = (next.epoch, next.deciders.clone());
-            next.uncertain_keys.push(Doubt { epoch, deciders });
+            next.uncertain_keys.push(UncertainKeys { epoch, deciders });
         }
-        let excess = next.uncertain_keys.len().saturating_sub(MAX_DOUBTS);
+        let excess = next.uncertain_keys.len().saturating_sub(MAX_UNCERTAIN_KEYS);
         next.uncertain_keys.drain(..excess);
         next
     }
 
-    /// Returns the same view with all its hand-overs marked as complete.
+    /// Returns the same view with all its handovers marked as complete.
     #[must_use]
     pub fn completed(&self) -> Self {
         let mut next = self.clone();
@@ -204,22 +209,23 @@
         next.deciders.clear();
         for member in self.members.iter().filter(|m| m.standing == MemberState::Active) {
             let (id, region) = (member.incarnation, member.region.clone());
-            next.deciders.push(Decider { id, region, fate: Fate::Stayed });
+            next.deciders.push(Decider { id, region, state: DeciderState::Stayed });
         }
         next
     }
 
-    /// Adds members that decide about keys and are not noted yet.
-    fn note_deciders(&mut self) {
+    /// Adds the active members that are not listed as deciders yet.
+    fn record_deciders(&mut self) {
         for member in self.members.iter().filter(|m| m.standing == MemberState::Active) {
             let (id, region) = (member.incarnation, member.region.clone());
             if self.deciders.iter().all(|d| d.id != id) {
-                self.deciders.push(Decider { id, region, fate: Fate::Joined });
+                self.deciders.push(Decider { id, region, state: DeciderState::Joined });
             }
         }
     }
 
-    /// Returns the active members in order of their rank for a subject, best first.
+    /// Returns the active members, of one region if given, by their rank for a subject, highest
+    /// first.
     #[must_use]
     pub fn ranked(&self, subject: &[u8], region: Option<&Region>) -> Vec<&Member> {
         let mut members: Vec<_> = self
@@ -233,7 +239,7 @@
         members
     }
 
-    /// Returns the member that decides about a key, and the one that keeps a copy.
+    /// Returns the arbiter of a key and its backup, if there is one.
     #[must_use]
     pub fn arbiters(
         &self,
@@ -244,60 +250,62 @@
         let mut first = None;
         let mut second = None;
         for member in &self.members {
-            let far = home.is_some_and(|home| &member.region != home);
-            if far || member.standing != MemberState::Active {
+            let is_other_region = home.is_some_and(|home| &member.region != home);
+            if is_other_region || member.standing != MemberState::Active {
                 continue;
             }
             let weight = rendezvous_weight(&subject, member.incarnation);
-            if first.is_none_or(|(most, _): (u64, &Member)| weight > most) {
+            if first.is_none_or(|(max, _): (u64, &Member)| weight > max) {
                 second = first.replace((weight, member));
-            } else if second.is_none_or(|(most, _): (u64, &Member)| weight > most) {
+            } else if second.is_none_or(|(max, _): (u64, &Member)| weight > max) {
                 second = Some((weight, member));
             }
         }
         Some((first?.1, second.map(|(_, member)| member)))
     }
 
-    /// Returns the member that keeps the parked amounts of another: of the same
-    /// region, and of another failure domain where there is one.
+    /// Returns the witness of a member's parked amounts: a member of the same region, and of
+    /// another failure domain if there is one.
     ///
-    /// It is the next one in the ring of members, so that each keeps the amounts of few: what
-    /// is parked with a member that is gone is out of reach until the view says so.
+    /// It is the next suitable member in the ring, so that each member is the witness of few
+    /// others: amounts parked at a member that has ended are unavailable until it is removed from
+    /// the view.
     #[must_use]
     pub fn witness_of(&self, id: Incarnation) -> Option<&Member> {
-        let place = self.members.iter().position(|m| m.incarnation == id)?;
-        let me = self.members.get(place)?;
-        let ring = self.members.iter().cycle().skip(place + 1).take(self.members.len() - 1);
-        let is_fit = |m: &&Member| m.standing == MemberState::Active && m.region == me.region;
-        let mut others = ring.filter(is_fit);
-        let first = others.next()?;
-        if first.domain != me.domain {
+        let index = self.members.iter().position(|m| m.incarnation == id)?;
+        let owner = self.members.get(index)?;
+        let ring = self.members.iter().cycle().skip(index + 1).take(self.members.len() - 1);
+        let is_suitable =
+            |m: &&Member| m.standing == MemberState::Active && m.region == owner.region;
+        let mut candidates = ring.filter(is_suitable);
+        let first = candidates.next()?;
+        if first.domain != owner.domain {
             return Some(first);
         }
-        others.find(|m| m.domain != me.domain).or(Some(first))
+        candidates.find(|m| m.domain != owner.domain).or(Some(first))
     }
 
-    /// Returns the epoch since which a key's memory may be lost, if it may.
+    /// Returns the latest epoch at which a key became uncertain, if it did.
     #[must_use]
     pub fn uncertain_since(&self, key: RequestKey, home: Option<&Region>) -> Option<Epoch> {
-        let doubt = self.uncertain_keys.iter().rev().find(|doubt| doubt.covers(key, home))?;
-        Some(doubt.epoch)
+        let keys = self.uncertain_keys.iter().rev().find(|keys| keys.contains(key, home))?;
+        Some(keys.epoch)
     }
 }
 
-impl Doubt {
-    /// Tells whether a member that is gone may have decided about a key.
+impl UncertainKeys {
+    /// Returns whether a member that is gone may have been the arbiter of a key.
     ///
-    /// It may not if a member that stayed all the time ranks above it.
-    fn covers(&self, key: RequestKey, home: Option<&Region>) -> bool {
+    /// It cannot have been if a member that stayed all the time ranks above it.
+    fn contains(&self, key: RequestKey, home: Option<&Region>) -> bool {
         let mut ranked: Vec<_> =
             self.deciders.iter().filter(|d| home.is_none_or(|r| &d.region == r)).collect();
         ranked.sort_by_key(|d| std::cmp::Reverse(rendezvous_weight(&key.0.to_be_bytes(), d.id)));
         for decider in ranked {
-            match decider.fate {
-                Fate::Stayed => return false,
-                Fate::Joined => {}
-                Fate::Gone => return true,
+            match decider.state {
+                DeciderState::Stayed => return false,
+                DeciderState::Joined => {}
+                DeciderState::Gone => return true,
             }
         }
         false
--- a/crates/badgerfield-core/src/view_update.rs
+++ b/crates/badgerfield-core/src/view_update.rs
@@ -1,10 +1,9 @@
-//! What a process that is behind is sent of the view: the members that came, changed or went,
-//! instead of all of them.
+//! Incremental updates of the view: the members that were added, changed or removed.
 //!
-//! The store holds the view whole. Between processes only differences travel, so that a change
-//! costs bytes by what changed and not by the size of the fleet. The sender may have jumped
-//! over epochs that the receiver has seen, so a digest of all members tells the receiver whether
-//! the difference fits; it asks for the whole view if not.
+//! The store holds the full view. Processes send each other only differences, so that the size
+//! of an update depends on the change and not on the size of the fleet. The sender may have
+//! skipped epochs that the receiver has seen. The update therefore carries a digest of all
+//! members, and a receiver at which the digest does not match asks for the full view.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,91 +11,95 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::ids::{Epoch, Incarnation};
-use crate::view::{Doubt, Member, MemberState, View};
+use crate::view::{Member, MemberState, UncertainKeys, View};
 
-/// How many changes of members are remembered; a process that is further behind gets the
-/// whole view. 16 B each; three times the members of the full size.
+/// Maximum number of changes in the log; a process that lacks more gets the full view.
+///
+/// A change takes 16 B. The bound is three times the number of members of a full-size fleet.
 const MAX_CHANGES: usize = 2048;
 
-/// A view as processes pass it on.
+/// A full or incremental view, as processes send it to each other.
 ///
-/// It does not say who decided about keys before (`View::deciders`): only a writer of the
-/// view needs that, and it reads the store's value first.
+/// It does not contain the earlier arbiters of keys (`View::deciders`): only a process that writes
+/// the view needs these, and it reads the store's value first.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewUpdate {
-    /// The epoch that the receiver must have reached; 0 if all members are listed.
+    /// The epoch that the receiver must have reached; 0 if the update lists all members.
     pub base: Epoch,
     /// The epoch that the update leads to.
     pub epoch: Epoch,
-    /// The last epoch of which every hand-over is known to be complete.
+    /// The last epoch whose handovers are all known to be complete.
     pub complete: Epoch,
-    /// The members that came or changed since the base.
+    /// The members that were added or changed since the base.
     pub members: Vec<Member>,
-    /// The members that went since the base.
+    /// The members that were removed since the base.
     pub gone: Vec<Incarnation>,
-    /// The doubts since the base.
-    pub doubts: Vec<Doubt>,
-    /// Stands for all members of the view that the update leads to.
+    /// The uncertain keys since the base.
+    #[serde(rename = "doubts")]
+    pub uncertain_keys: Vec<UncertainKeys>,
+    /// A digest of all members of the view that the update leads to.
     pub digest: u64,
 }
 
 impl ViewUpdate {
-    /// Returns the view that the update leads to, from the one that a process has.
+    /// Applies the update to an older view and returns the result.
     ///
-    /// Returns nothing if it does not fit; the whole view is asked for then.
+    /// Returns `None` if the update does not fit the older view; the caller asks for the full view
+    /// then.
     #[must_use]
     pub fn apply(&self, old: &View) -> Option<View> {
         if old.epoch < self.base {
             return None;
         }
         let mut members: BTreeMap<_, _> = BTreeMap::new();
-        let mut doubts = Vec::new();
+        let mut uncertain_keys = Vec::new();
         if self.base > Epoch(0) {
             members.extend(old.members.iter().map(|m| (m.incarnation, m.clone())));
-            doubts.extend(old.uncertain_keys.iter().filter(|d| d.epoch <= self.base).cloned());
+            uncertain_keys
+                .extend(old.uncertain_keys.iter().filter(|d| d.epoch <= self.base).cloned());
         }
         for id in &self.gone {
             members.remove(id);
         }
         members.extend(self.members.iter().map(|m| (m.incarnation, m.clone())));
-        doubts.extend(self.doubts.iter().cloned());
+        uncertain_keys.extend(self.uncertain_keys.iter().cloned());
         let view = View {
             epoch: self.epoch,
             members: members.into_values().collect(),
             complete: self.complete,
             deciders: Vec::new(),
-            uncertain_keys: doubts,
+            uncertain_keys,
         };
         (digest(&view) == self.digest).then_some(view)
     }
 }
 
-/// The changes of members of late, as this process saw them.
+/// The most recent changes of members that this process has applied.
 #[derive(Debug, Default)]
 pub(crate) struct ViewLog {
-    /// Every change after this epoch is in the log.
-    since: Epoch,
+    /// The epoch after which every change is in the log.
+    complete_since: Epoch,
     changes: VecDeque<(Epoch, Incarnation)>,
 }
 
 impl ViewLog {
-    /// Notes how a newer view differs from the one before.
-    pub(crate) fn note(&mut self, old: &View, new: &View) {
+    /// Records the differences between a view and the one before it.
+    pub(crate) fn record(&mut self, old: &View, new: &View) {
         if old.epoch == Epoch(0) {
-            self.since = new.epoch;
+            self.complete_since = new.epoch;
             return;
         }
-        let came = new.members.iter().filter(|m| old.member(m.incarnation) != Some(m));
-        let went = old.members.iter().filter(|m| !new.has(m.incarnation));
-        self.changes.extend(came.chain(went).map(|m| (new.epoch, m.incarnation)));
+        let added = new.members.iter().filter(|m| old.member(m.incarnation) != Some(m));
+        let removed = old.members.iter().filter(|m| !new.has(m.incarnation));
+        self.changes.extend(added.chain(removed).map(|m| (new.epoch, m.incarnation)));
         while self.changes.len() > MAX_CHANGES {
             if let Some((epoch, _)) = self.changes.pop_front() {
-                self.since = epoch;
+                self.complete_since = epoch;
             }
         }
     }
 
-    /// Makes the update for a process that has an epoch.
+    /// Returns the update for a process whose view has the epoch `base`.
     pub(crate) fn update_since(&self, view: &View, base: Epoch) -> ViewUpdate {
         let mut update = ViewUpdate {
             epoch: view.epoch,
@@ -104,9 +107,9 @@
             digest: digest(view),
             ..ViewUpdate::default()
         };
-        if base < self.since || base == Epoch(0) {
+        if base < self.complete_since || base == Epoch(0) {
             update.members.clone_from(&view.members);
-            update.doubts.clone_from(&view.uncertain_keys);
+            update.uncertain_keys.clone_from(&view.uncertain_keys);
             return update;
         }
         update.base = base;
@@ -119,19 +122,21 @@
                 None => update.gone.push(*id),
             }
         }
-        update.doubts.extend(view.uncertain_keys.iter().filter(|d| d.epoch > base).cloned());
+        update
+            .uncertain_keys
+            .extend(view.uncertain_keys.iter().filter(|d| d.epoch > base).cloned());
         update
     }
 }
 
-/// Returns a number that stands for the members of a view.
+/// Returns a digest of the members of a view, their states included.
 fn digest(view: &View) -> u64 {
-    let of = |m: &Member| {
+    let member_digest = |m: &Member| {
         let seed = match m.standing {
             MemberState::Active => 0,
             MemberState::Leaving => 1,
         };
         xxh3_64_with_seed(&m.incarnation.0.to_be_bytes(), seed)
     };
-    view.members.iter().fold(0, |sum, m| sum ^ of(m))
+    view.members.iter().fold(0, |sum, m| sum ^ member_digest(m))
 }
