--- a/crates/badgerfield-core/src/locality.rs
+++ b/crates/badgerfield-core/src/locality.rs
@@ -1,8 +1,8 @@
-//! Locality: how far an upstream or a VM is, and what it costs to go there.
+//! Locality: the distance of an upstream or a VM, and the cost of sending a request to it.
 //!
-//! The cost is in milliseconds of expected delay, as all costs of upstreams are: the round trip,
-//! and a price of the bytes that cross, which stands for what else they delay on a thin link and
-//! for what the operator pays for them.
+//! Like all costs of upstreams, the cost is in milliseconds of expected delay. It is the sum of the
+//! round-trip time and a price for the transferred bytes. The price accounts for the delay that
+//! these bytes cause to other traffic on a slow link, and for what the operator pays for them.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use crate::residency::RegionMap;
 use crate::view::Member;
 
-/// The least number of VMs that a caller is sent to, so that it has another if one fails.
-const LEAST_VMS: usize = 2;
+/// Minimum number of VMs that a caller is directed to, so that it has an alternative if one fails.
+const MIN_VMS: usize = 2;
 
-/// How far something is from this process.
+/// The distance of an upstream or a VM from this process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Distance {
     /// In the same failure domain.
@@ -26,7 +26,7 @@
 }
 
 impl Distance {
-    /// Returns the word that logs and metrics show.
+    /// Returns the name used in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -37,17 +37,17 @@
     }
 }
 
-/// Why a request left its region.
+/// The reason why a request was sent to another region.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum CrossingReason {
-    /// No upstream in the region could take it.
+    /// No upstream in the region could accept the request.
     NoneInRegion,
-    /// Those in the region were expected to take longer.
+    /// The upstreams in the region were expected to take longer.
     Cost,
 }
 
 impl CrossingReason {
-    /// Returns the word that logs and metrics show.
+    /// Returns the name used in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -57,38 +57,40 @@
     }
 }
 
-/// What distance costs.
+/// The costs of a distance.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DistanceCosts {
-    /// The round trip to another domain of the region.
+    /// The round-trip time to another domain of the region.
     pub domain_trip: Duration,
-    /// The round trip to another region.
+    /// The round-trip time to another region.
     pub region_trip: Duration,
-    /// The price of what crosses to another domain, in milliseconds per 1,000 bytes.
+    /// The price of bytes to or from another domain of the region, in milliseconds per 1,000 bytes.
     pub domain_price: f64,
-    /// The price of what crosses to another region, in milliseconds per 1,000 bytes.
+    /// The price of bytes to or from another region, in milliseconds per 1,000 bytes.
     pub region_price: f64,
 }
 
 impl Default for DistanceCosts {
     fn default() -> Self {
         Self {
-            // As the users' sheets list them, there and back.
+            // Round-trip times from the data sheets of the users' platform.
             domain_trip: Duration::from_millis(1),
             region_trip: Duration::from_millis(24),
-            // Bytes between domains delay nobody: those links are as wide as a VM's own.
+            // Bytes between domains delay no other traffic: these links have the bandwidth of a VM's
+            // own link.
             domain_price: 0.0,
-            // A link of 60 Mbit/s that all VMs share takes 0.13 ms for 1,000 bytes; the rest is
-            // what the operator pays. Ten saved more bytes and cost more in prompts that were
-            // read again (docs/design/regions.md).
+            // A link of 60 Mbit/s that all VMs share takes 0.13 ms for 1,000 bytes; the rest
+            // accounts for what the operator pays. A price of 10 saves more bytes but costs more,
+            // because engines process more prompts again (docs/design/regions.md).
             region_price: 3.0,
         }
     }
 }
 
 impl DistanceCosts {
-    /// Returns the cost of sending a request so far, of which so many bytes cross both ways
-    /// together, in milliseconds.
+    /// Returns the cost of a request over a distance, in milliseconds.
+    ///
+    /// `bytes` is the total transferred in both directions.
     #[must_use]
     pub fn cost(&self, distance: Distance, bytes: u64) -> f64 {
         let (trip, price) = match distance {
@@ -101,44 +103,46 @@
     }
 }
 
-/// Where a process or caller stands.
+/// The location of a process or a caller.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Location {
-    /// Its failure domain, if it is known.
+    /// The failure domain, if it is known.
     pub domain: Option<Domain>,
-    /// Its region, if it is known.
+    /// The region, if it is known.
     pub region: Option<Region>,
 }
 
 impl Location {
-    /// Returns how far a failure domain is.
+    /// Returns the distance of a failure domain.
     ///
-    /// Where nothing is known of regions, all domains count as of one region.
+    /// If fewer than two regions are known, all domains count as parts of one region.
     #[must_use]
     pub fn distance(&self, domain: &Domain, regions: &RegionMap) -> Distance {
         if self.domain.as_ref() == Some(domain) {
             return Distance::SameDomain;
         }
         let known = regions.region(domain);
-        if !regions.tells_apart() || (known.is_some() && known == self.region.as_ref()) {
+        if !regions.has_several_regions() || (known.is_some() && known == self.region.as_ref()) {
             return Distance::SameRegion;
         }
         Distance::OtherRegion
     }
 }
 
-/// Chooses the VMs that a caller is sent to: those of its failure domain, or those of its
-/// region if they are too few, or all.
+/// Returns the VMs that a caller is directed to.
+///
+/// These are the VMs of the caller's failure domain, or those of its region if the domain has too
+/// few, or all VMs if the region has too few.
 #[must_use]
 pub fn nearest<'a>(members: &'a [Member], caller: &Location) -> Vec<&'a Member> {
-    let same_domain = |m: &&Member| caller.domain.as_ref() == Some(&m.domain);
-    let same_region = |m: &&Member| caller.region.as_ref() == Some(&m.region);
-    let near: Vec<_> = members.iter().filter(same_domain).collect();
-    if near.len() >= LEAST_VMS {
+    let is_same_domain = |m: &&Member| caller.domain.as_ref() == Some(&m.domain);
+    let is_same_region = |m: &&Member| caller.region.as_ref() == Some(&m.region);
+    let near: Vec<_> = members.iter().filter(is_same_domain).collect();
+    if near.len() >= MIN_VMS {
         return near;
     }
-    let near: Vec<_> = members.iter().filter(same_region).collect();
-    if near.len() >= LEAST_VMS {
+    let near: Vec<_> = members.iter().filter(is_same_region).collect();
+    if near.len() >= MIN_VMS {
         return near;
     }
     members.iter().collect()
--- a/crates/badgerfield-core/src/residency.rs
+++ b/crates/badgerfield-core/src/residency.rs
@@ -1,7 +1,8 @@
 //! Residency: the regions in which a request may be served, cached and stored.
 //!
-//! A route and a client account may each name regions; where both do, only the regions that
-//! both name are left. What the words mean for a VM outside stands in docs/design/regions.md.
+//! A route and a client account may each name allowed regions. If both do, only the regions that
+//! both name are allowed. docs/design/regions.md explains what this means for a VM in another
+//! region.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -11,55 +12,55 @@
 
 use crate::ids::{Domain, Region, TemplateVersion};
 
-/// No bound: a request may be served in every region.
+/// No restriction: a request may be served in every region.
 pub static EVERYWHERE: Residency = Residency(None);
 
-/// The regions in which a request may be served; nothing where that is not bound.
+/// The regions in which a request may be served; `None` if they are not restricted.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Residency(Option<BTreeSet<Region>>);
 
-/// Why a request can be served in no region at present.
+/// The reason why a request cannot be served in any region.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ResidencyError {
-    /// Whatever is known of failure domains, no region is left.
+    /// The route and the account have no allowed region in common, or allow none.
     #[error("the bounds leave no region")]
     NoRegion,
-    /// No failure domain that is known here lies in the regions.
+    /// No known failure domain lies in the allowed regions.
     #[error("no known failure domain lies in {0}")]
     Unknown(Residency),
 }
 
 impl Residency {
-    /// Binds to some regions; an empty set allows none.
+    /// Restricts to a set of regions; an empty set allows none.
     #[must_use]
     pub fn within(regions: BTreeSet<Region>) -> Self {
         Self(Some(regions))
     }
 
-    /// Tells whether anything is bound at all.
+    /// Returns whether the regions are restricted.
     #[must_use]
     pub fn is_restricted(&self) -> bool {
         self.0.is_some()
     }
 
-    /// Tells whether no region at all is allowed.
+    /// Returns whether no region is allowed.
     #[must_use]
     pub fn allows_none(&self) -> bool {
         self.0.as_ref().is_some_and(BTreeSet::is_empty)
     }
 
-    /// Returns the bound that holds where this one and another hold.
+    /// Returns the regions that this restriction and another both allow.
     #[must_use]
     pub fn intersect(&self, other: &Self) -> Self {
         match (&self.0, &other.0) {
             (None, _) => other.clone(),
             (_, None) => self.clone(),
-            (Some(own), Some(others)) => Self(Some(own.intersection(others).cloned().collect())),
+            (Some(own), Some(other)) => Self(Some(own.intersection(other).cloned().collect())),
         }
     }
 
-    /// Tells whether a request may be served in a region; nothing stands for an unknown one.
+    /// Returns whether a request may be served in a region; `None` is an unknown region.
     #[must_use]
     pub fn allows(&self, region: Option<&Region>) -> bool {
         let Some(regions) = &self.0 else {
@@ -68,11 +69,11 @@
         region.is_some_and(|region| regions.contains(region))
     }
 
-    /// Checks that a known failure domain lies in an allowed region.
+    /// Checks that at least one known failure domain lies in an allowed region.
     ///
     /// # Errors
     ///
-    /// Fails if no region is allowed, or none that is known.
+    /// Fails if no region is allowed, or if no allowed region is known.
     pub fn check(&self, regions: &RegionMap) -> Result<(), ResidencyError> {
         let Some(allowed) = &self.0 else {
             return Ok(());
@@ -80,7 +81,7 @@
         if self.allows_none() {
             return Err(ResidencyError::NoRegion);
         }
-        if allowed.iter().any(|region| regions.has(region)) {
+        if allowed.iter().any(|region| regions.has_region(region)) {
             return Ok(());
         }
         Err(ResidencyError::Unknown(self.clone()))
@@ -100,18 +101,20 @@
     }
 }
 
-/// What bound a request when it was let in.
+/// The restriction of a request at its admission.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Admission {
-    /// The version of the templates that it was let in with.
+    /// The version of the templates at admission.
     pub version: TemplateVersion,
-    /// The regions in which that version lets it be served.
+    /// The regions in which that version allows the request to be served.
     pub residency: Residency,
 }
 
 impl Admission {
-    /// Returns the regions in which a request may be served that is sent now: both the version
-    /// that it was let in with and the newest one bind it.
+    /// Returns the regions in which the request may be served if it is sent now.
+    ///
+    /// Both the version at admission and the newest version restrict it. `newest` returns the
+    /// restriction of the newest version, whose number is `version`.
     #[must_use]
     pub fn current_residency(
         &self,
@@ -125,34 +128,34 @@
     }
 }
 
-/// Which failure domain lies in which region.
+/// The regions of failure domains.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RegionMap(BTreeMap<Domain, Region>);
 
 impl RegionMap {
-    /// Makes a map of domains and their regions.
+    /// Returns a map with the regions of domains.
     #[must_use]
     pub fn new(domains: BTreeMap<Domain, Region>) -> Self {
         Self(domains)
     }
 
-    /// Returns the region of a domain, if it is known.
+    /// Returns the region of a domain, or `None` if it is unknown.
     #[must_use]
     pub fn region(&self, domain: &Domain) -> Option<&Region> {
         self.0.get(domain)
     }
 
-    /// Tells whether domains of more than one region are known.
+    /// Returns whether domains of more than one region are known.
     #[must_use]
-    pub fn tells_apart(&self) -> bool {
+    pub fn has_several_regions(&self) -> bool {
         let mut regions = self.0.values();
         let first = regions.next();
         regions.any(|region| Some(region) != first)
     }
 
-    /// Tells whether a known domain lies in a region.
+    /// Returns whether a known domain lies in a region.
     #[must_use]
-    pub fn has(&self, region: &Region) -> bool {
+    pub fn has_region(&self, region: &Region) -> bool {
         self.0.values().any(|known| known == region)
     }
 }
--- a/crates/badgerfield-core/src/upstream_list.rs
+++ b/crates/badgerfield-core/src/upstream_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of upstreams, and changes of it, as processes pass them on.
+//! The platform's list of upstreams and its changes, as processes send them to each other.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,25 +8,26 @@
 
 use crate::ids::{Domain, Service, SoftwareVersion, UpstreamId};
 
-/// One upstream as the platform's list names it.
+/// One upstream, as described in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedUpstream {
-    /// The upstream; one that starts again may keep it.
+    /// The id of the upstream, which may stay the same over a restart.
     pub id: UpstreamId,
-    /// Its service.
+    /// The service of the upstream.
     pub service: Service,
-    /// Where it listens.
+    /// The address on which the upstream listens.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// The failure domain of the upstream.
     pub domain: Domain,
-    /// The version of its software; nothing if the list does not tell.
+    /// The version of the upstream's software; `None` if the list does not contain it.
     #[serde(default)]
     pub version: Option<SoftwareVersion>,
-    /// How many requests it works on at once.
+    /// Maximum number of requests that the upstream processes concurrently.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether the upstream is leaving.
     pub leaving: bool,
-    /// When its process started, in milliseconds since 1970; nothing if the list does not tell.
+    /// The start of the upstream's process, in milliseconds since 1970; `None` if the list does not
+    /// contain it.
     #[serde(rename = "born", default)]
     pub started_at: Option<u64>,
 }
@@ -34,46 +35,46 @@
 /// One entry of the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamEntry {
-    /// The revision at which the entry was written last.
+    /// The revision at which the entry was last written.
     pub revision: u64,
-    /// What it says.
+    /// The description of the upstream.
     pub info: ListedUpstream,
-    /// How much longer the upstream is cold, as far as is known; zero if it is warm.
+    /// The expected time until the upstream is warm; zero if it is warm.
     pub warm_in: Duration,
 }
 
 /// All upstreams, as of one revision of the platform's list.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamList {
-    /// The revision; entries that were written while the list was read may be newer.
+    /// The revision; entries that were written during the read of the list may be newer.
     pub revision: u64,
-    /// The entries.
+    /// The entries of the list.
     pub entries: Vec<UpstreamEntry>,
 }
 
-/// What changed in the platform's list up to a revision.
+/// Changes of the platform's list up to a revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamListChanges {
-    /// The revision of the list up to which every change is known.
+    /// The revision of the list up to which the changes are complete.
     pub revision: u64,
-    /// Entries that were written, in the order of their revisions.
+    /// The written entries, in the order of their revisions.
     pub written: Vec<UpstreamEntry>,
-    /// Entries that are gone, with the revision at which they went.
+    /// The removed upstreams, with the revisions of the removals.
     pub gone: Vec<(UpstreamId, u64)>,
 }
 
-/// How much a process knows of the platform's list.
+/// The version of the platform's list that a process has.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListVersion {
-    /// The revision up to which every change is known.
+    /// The revision up to which the process has all changes.
     pub revision: u64,
-    /// Stands for all entries, so that equal lists are told apart from others.
+    /// A digest of all entries, for the comparison of lists.
     pub digest: u64,
 }
 
-/// Returns a number that stands for what an entry says.
+/// Returns a digest of the description of an upstream.
 pub(crate) fn digest_of(info: &ListedUpstream) -> u64 {
-    // Plain fields always have a JSON form.
+    // Serialization to JSON cannot fail for these types.
     let text = serde_json::to_vec(info).unwrap_or_default();
     xxh3_64_with_seed(&text, 0)
 }
