--- a/crates/badgerfield-core/src/membership.rs
+++ b/crates/badgerfield-core/src/membership.rs
@@ -26,7 +26,7 @@
 /// Heartbeat intervals of silence after which a member counts as unresponsive and is left out
 /// of the directory.
 const MAX_MISSED_HEARTBEATS: u32 = 4;
-/// How long a member that could not reach the store is passed over.
+/// How long a member that could not reach the store is not chosen to write the ledger.
 const STORE_FAILURE_TTL: Duration = Duration::from_secs(1);
 /// Time without a tick after which this process counts as having been stalled.
 const STALL_THRESHOLD: Duration = Duration::from_secs(2);
@@ -36,8 +36,8 @@
 const MAX_NON_MEMBERS: usize = 64;
 /// Factor by which a process that joins a large view waits longer between reads of the view.
 const JOINING_READ_FACTOR: u32 = 3;
-/// Distance, in the list of the region's members, between the members that a starting process
-/// asks one after the other.
+/// Step by which a starting process advances in the list of the region's members when it asks the
+/// next one for values.
 const BOOTSTRAP_PEER_STRIDE: usize = 7;
 /// Maximum number of members that receive a heartbeat in a large view.
 const MAX_NEIGHBOURS: usize = 8;
@@ -135,7 +135,7 @@
     pub(crate) view_read_at: Option<Time>,
     /// When the store was last asked for the view.
     pub(crate) view_requested_at: Option<Time>,
-    /// When the request of the last answered read of the view was sent.
+    /// When the read that returned the latest stored view was requested.
     pub(crate) view_known_at: Option<Time>,
     /// When the templates were last read from the store.
     pub(crate) templates_read_at: Option<Time>,
@@ -150,7 +150,7 @@
     pub(crate) fetch_sent_at: Option<Time>,
     /// When each member with an older view was last sent the view without having asked.
     pub(crate) views_pushed: HashMap<Incarnation, Time>,
-    /// When confirmations were received that have not been forwarded yet.
+    /// When confirmations were received that the next tick has to forward.
     pub(crate) confirmations_pending: Option<Time>,
 }
 
@@ -242,7 +242,7 @@
 
     /// Records the version of the upstream list that this process has.
     ///
-    /// Threads report it independently, so that an older version may arrive after a newer one; it is
+    /// Threads report versions independently. An older version that arrives after a newer one is
     /// ignored.
     pub(crate) fn note_list(&mut self, version: ListVersion) {
         if version.revision >= self.upstream_list.revision {
@@ -250,9 +250,9 @@
         }
     }
 
-    /// Makes a newer view the current one and returns the members that it no longer has.
+    /// Makes a newer view the current one and returns the members that were removed.
     ///
-    /// Returns `None` if the view is not newer.
+    /// Returns `None` if the view has no newer epoch.
     pub(crate) fn adopt(&mut self, now: Time, view: &Arc<View>) -> Option<Vec<Incarnation>> {
         if view.epoch == self.view.epoch && view.complete > self.view.complete {
             self.view = Arc::clone(view);
@@ -314,7 +314,7 @@
 
     /// Records a tick and resets the silence of all members if this process was stalled.
     ///
-    /// A stalled process receives no messages, so that the silence is not that of the others.
+    /// A stalled process receives no messages, so the silence says nothing about the members.
     pub(crate) fn tick(&mut self, now: Time) {
         let was_stalled = self.last_tick.is_some_and(|at| now.since(at) >= STALL_THRESHOLD);
         self.last_tick = Some(now);
@@ -358,8 +358,8 @@
         neighbours.into_iter().collect()
     }
 
-    /// Returns the members to which this process sends an update that it has to bring to the
-    /// `reach` members before it in the ring.
+    /// Returns the members to which this process sends an update that has to reach the `reach`
+    /// members before it in the ring.
     pub(crate) fn broadcast_targets(&self, now: Time, reach: u32) -> Vec<BroadcastTarget> {
         let silent: BTreeSet<_> = self
             .watched()
@@ -380,7 +380,7 @@
     }
 
     /// Returns whether this process itself reads from the store the values that it lacks after its
-    /// start. Otherwise it bootstrap_attempts members of its region for them.
+    /// start. Otherwise it asks members of its region for them.
     pub(crate) fn is_bootstrap_reader(&self, now: Time) -> bool {
         let stored = self.stored_known.then_some(&*self.stored);
         bootstrap::can_read(now, stored, &self.me)
@@ -389,8 +389,8 @@
     /// Returns the member of the region to ask next for the values that this process lacks after
     /// its start.
     ///
-    /// Every other call returns its parent in the bootstrap tree, which has the values early. The
-    /// calls in between go through the other members of the region.
+    /// Every other call, from the first on, returns the parent in the bootstrap tree, which has the
+    /// values early. The other calls step through the members of the region.
     pub(crate) fn next_bootstrap_peer(&mut self) -> Option<Incarnation> {
         self.bootstrap_attempts += 1;
         let parent = bootstrap::tree_parent(&self.view, &self.me)
@@ -416,8 +416,9 @@
 
     /// Returns the interval between reads of the view, which is at least `min_interval`.
     ///
-    /// A process that has the stored view and is joining is written into the view by the member that
-    /// it bootstrap_attempts. It reads less often, since many processes may start at once behind a slow link.
+    /// A joining process that has the stored view reads it less often if the view is large: the
+    /// member that it asks adds it to the view, and many processes may start at once behind a slow
+    /// link.
     pub(crate) fn view_read_interval(&self, min_interval: Duration) -> Duration {
         let is_joining =
             self.stored_known && !self.is_member() && self.intent == MembershipIntent::Join;
@@ -449,7 +450,7 @@
         is_small || self.ranks.can_probe()
     }
 
-    /// Returns whether all members that this process watches are unresponsive.
+    /// Returns whether no member that this process watches is responsive.
     fn is_isolated(&self, now: Time) -> bool {
         self.watched().all(|(_, m)| self.silence(now, m.incarnation) >= self.unresponsive_after)
     }
@@ -459,8 +460,8 @@
         self.ranks.is_completion_writer()
     }
 
-    /// Returns whether this process has to read the view from the store before it can mark the
-    /// view as complete, because it has the current view from peers only.
+    /// Returns whether this process has to read the view from the store before it can mark the epoch
+    /// `complete` as complete, because it has received the current view from peers only.
     pub(crate) fn must_read_to_complete(&self, complete: Epoch) -> bool {
         complete == self.view.epoch && self.stored.epoch < complete && self.is_completion_writer()
     }
--- a/crates/badgerfield-core/src/residency.rs
+++ b/crates/badgerfield-core/src/residency.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ResidencyError {
     /// The route and the account have no allowed region in common, or allow none.
-    #[error("the bounds leave no region")]
+    #[error("no region is allowed")]
     NoRegion,
     /// No known failure domain lies in the allowed regions.
     #[error("no known failure domain lies in {0}")]
--- a/crates/badgerfield-core/tests/locality.rs
+++ b/crates/badgerfield-core/tests/locality.rs
@@ -1,4 +1,5 @@
-//! Near first: who callers are sent to, where requests go, and how they spill over and come back.
+//! Locality: the VMs to which callers are directed, the choice of near upstreams, and the overflow
+//! of requests to other regions.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,16 +16,16 @@
 use badgerfield_core::view::{Member, MemberState};
 
 fn domain(name: &str) -> Domain {
-    name.parse().expect("a name")
+    name.parse().expect("a valid name")
 }
 
 fn region(name: &str) -> Region {
-    name.parse().expect("a name")
+    name.parse().expect("a valid name")
 }
 
 fn member(n: u16, at: &str) -> Member {
     Member {
-        vm: format!("vm-{n}").parse().expect("a name"),
+        vm: format!("vm-{n}").parse().expect("a valid name"),
         incarnation: Incarnation(n.into()),
         region: region(&at[..1]),
         domain: domain(at),
@@ -34,43 +35,44 @@
     }
 }
 
-fn place(at: &str) -> Location {
+fn location(at: &str) -> Location {
     Location { domain: Some(domain(at)), region: Some(region(&at[..1])) }
 }
 
-/// A caller whose own domain has too few VMs is sent to those of its region, before all others.
+/// A caller whose domain has too few VMs is directed to those of its region, and to all VMs only if
+/// the region has too few.
 #[test]
-fn callers_are_sent_to_their_domain_then_their_region_then_anywhere() {
+fn callers_are_directed_to_their_domain_then_region_then_all() {
     let at = ["a-1", "a-1", "a-2", "b-1", "b-2", "c-1"];
     let members: Vec<_> = (0..).zip(at).map(|(n, at)| member(n, at)).collect();
-    let sent = |caller: &Location| -> Vec<String> {
+    let domains_for = |caller: &Location| -> Vec<String> {
         nearest(&members, caller).iter().map(|m| m.domain.to_string()).collect()
     };
-    assert_eq!(sent(&place("a-1")), ["a-1", "a-1"]);
-    assert_eq!(sent(&place("a-2")), ["a-1", "a-1", "a-2"]);
-    assert_eq!(sent(&place("b-1")), ["b-1", "b-2"]);
-    assert_eq!(sent(&place("b-9")), ["b-1", "b-2"], "a domain without VMs");
-    assert_eq!(sent(&place("c-1")).len(), 6, "one VM is too few");
-    assert_eq!(sent(&Location { domain: None, region: Some(region("b")) }), ["b-1", "b-2"]);
-    assert_eq!(sent(&Location::default()).len(), 6);
+    assert_eq!(domains_for(&location("a-1")), ["a-1", "a-1"]);
+    assert_eq!(domains_for(&location("a-2")), ["a-1", "a-1", "a-2"]);
+    assert_eq!(domains_for(&location("b-1")), ["b-1", "b-2"]);
+    assert_eq!(domains_for(&location("b-9")), ["b-1", "b-2"], "a domain without VMs");
+    assert_eq!(domains_for(&location("c-1")).len(), 6, "one VM is too few");
+    assert_eq!(domains_for(&Location { domain: None, region: Some(region("b")) }), ["b-1", "b-2"]);
+    assert_eq!(domains_for(&Location::default()).len(), 6);
 }
 
 const DOMAINS: [&str; 4] = ["a-1", "a-2", "b-1", "b-2"];
 
 fn service() -> Service {
-    "pool".parse().expect("a name")
+    "pool".parse().expect("a valid name")
 }
 
-/// Returns the table of a process in a domain, with so many upstreams in each domain.
-fn table(own: &str, each: usize) -> UpstreamTable {
+/// Returns the table of a process in the domain `own`, with a number of upstreams in each domain.
+fn table(own: &str, per_domain: usize) -> UpstreamTable {
     let map = DOMAINS.iter().map(|at| (domain(at), region(&at[..1])));
     let mut table = UpstreamTable::default();
     table.set_regions(RegionMap::new(map.collect()));
-    table.set_location(place(own), DistanceCosts::default());
+    table.set_location(location(own), DistanceCosts::default());
     let entry = |n: usize| {
         let at = DOMAINS[n % DOMAINS.len()];
         let info = ListedUpstream {
-            id: format!("{at}.{n}").parse().expect("a name"),
+            id: format!("{at}.{n}").parse().expect("a valid name"),
             service: service(),
             address: ([127, 0, 0, 1], 9000).into(),
             domain: domain(at),
@@ -81,8 +83,8 @@
         };
         UpstreamEntry { revision: 1, info, warm_in: Duration::ZERO }
     };
-    let replicas = (0..each * DOMAINS.len()).map(entry).collect();
-    table.apply_list(Time::default(), UpstreamList { revision: 1, entries: replicas });
+    let entries = (0..per_domain * DOMAINS.len()).map(entry).collect();
+    table.apply_list(Time::default(), UpstreamList { revision: 1, entries });
     table
 }
 
@@ -94,9 +96,9 @@
     table: &UpstreamTable,
     now: Time,
     parts: &[PromptPart],
-    draw: u64,
+    random: u64,
 ) -> Option<ChosenUpstream> {
-    let wanted = UpstreamCriteria {
+    let criteria = UpstreamCriteria {
         service: &service(),
         route: "r",
         parts,
@@ -105,19 +107,20 @@
         tried: &[],
         resumed_version: None,
         max_connections: 100,
-        random: draw,
+        random,
         rendezvous_key: None,
     };
-    table.choose(now, &wanted)
+    table.choose(now, &criteria)
 }
 
-fn parts(chain: u64) -> [PromptPart; 2] {
-    [PromptPart { id: chain, tokens: 1000 }, PromptPart { id: 1 << 40 | chain, tokens: 100 }]
+fn parts(prefix: u64) -> [PromptPart; 2] {
+    [PromptPart { id: prefix, tokens: 1000 }, PromptPart { id: 1 << 40 | prefix, tokens: 100 }]
 }
 
-/// Prompts that cost more to read than to cross are left out here: the test of homes has them.
+/// Requests must not leave their region while its upstreams are idle. Prompts that cost more to
+/// process than to transfer are covered by `a_long_prefix_has_one_upstream_in_the_fleet`.
 #[test]
-fn requests_stay_in_their_region_while_it_is_calm() {
+fn requests_stay_in_their_region_at_low_load() {
     for is_call in [true, false] {
         let mut table = table("a-2", 4);
         let mut counts: BTreeMap<Distance, usize> = BTreeMap::new();
@@ -125,7 +128,7 @@
             let now = at(n * 10);
             let parts = parts(n % 20);
             let parts: &[PromptPart] = if is_call { &[] } else { &parts };
-            let chosen = choose(&table, now, parts, n * 7919).expect("somebody serves");
+            let chosen = choose(&table, now, parts, n * 7919).expect("an upstream is available");
             *counts.entry(chosen.distance).or_default() += 1;
             assert_eq!(chosen.crossing, None, "request {n}");
             table.start_request(now, &chosen.id, parts);
@@ -135,16 +138,17 @@
     }
 }
 
+/// A request that leaves its region has the reason: no upstream in the region, or a lower cost.
 #[test]
-fn a_request_says_why_it_left_its_region() {
+fn a_choice_in_another_region_has_a_reason() {
     let mut table = table("a-1", 2);
     let change =
         |name: &str, evacuated| DomainChange { domain: domain(name), revision: 2, evacuated };
     table.apply_evacuations(at(0), &[change("a-1", true)]);
-    let chosen = choose(&table, at(1), &[], 5).expect("somebody serves");
+    let chosen = choose(&table, at(1), &[], 5).expect("an upstream is available");
     assert_eq!((chosen.distance, chosen.crossing), (Distance::SameRegion, None));
     table.apply_evacuations(at(2), &[change("a-2", true)]);
-    let chosen = choose(&table, at(3), &[], 5).expect("somebody serves");
+    let chosen = choose(&table, at(3), &[], 5).expect("an upstream is available");
     assert_eq!(
         (chosen.distance, chosen.crossing),
         (Distance::OtherRegion, Some(CrossingReason::NoneInRegion))
@@ -152,23 +156,24 @@
     let back = DomainChange { domain: domain("a-2"), revision: 3, evacuated: false };
     table.apply_evacuations(at(4), &[back]);
     for id in ["a-2.1", "a-2.5"] {
-        let id: UpstreamId = id.parse().expect("a name");
+        let id: UpstreamId = id.parse().expect("a valid name");
         for _ in 0..8 {
             table.start_request(at(5), &id, &[]);
         }
     }
-    let chosen = choose(&table, at(6), &[], 5).expect("somebody serves");
+    let chosen = choose(&table, at(6), &[], 5).expect("an upstream is available");
     assert_eq!(
         (chosen.distance, chosen.crossing),
         (Distance::OtherRegion, Some(CrossingReason::Cost))
     );
 }
 
-/// Where nothing is known of regions, domains are of one region: nobody pays for distance.
+/// If only one region is known, all other domains count as parts of it, so that no request pays for
+/// the distance to another region.
 #[test]
-fn without_a_map_all_domains_are_of_one_region() {
+fn domains_count_as_one_region_if_only_one_is_known() {
     let map = RegionMap::new(BTreeMap::from([(domain("a-1"), region("a"))]));
-    let own = place("a-1");
+    let own = location("a-1");
     assert_eq!(own.distance(&domain("a-1"), &map), Distance::SameDomain);
     assert_eq!(own.distance(&domain("x"), &map), Distance::SameRegion);
     let map = RegionMap::new(BTreeMap::from([
@@ -181,118 +186,130 @@
     assert_eq!(own.distance(&domain("x"), &map), Distance::OtherRegion, "an unknown region is far");
 }
 
-/// One of the processes of a fleet, and its requests under way with their ends.
+/// One process of a fleet, and its running requests with the times at which they end.
 struct Sender {
     table: UpstreamTable,
-    under_way: Vec<(Time, UpstreamId)>,
+    running: Vec<(Time, UpstreamId)>,
 }
 
-/// Plain calls come to region `a` in each second as its load says, at six processes; each
-/// upstream runs eight calls of 100 ms at once and turns others away. Returns the share of each
-/// second's calls that left the region, and how many were turned away by all that were tried.
-fn replay(seconds: &[u64]) -> (Vec<f64>, usize) {
+/// Simulates plain calls at six processes in region `a`, with `load` as the calls in each second.
+///
+/// Each upstream runs eight calls of 100 ms at once and rejects others. Returns, for each second,
+/// the share of calls that left the region, and in total the number of calls that all tried upstreams
+/// rejected.
+fn simulate(load: &[u64]) -> (Vec<f64>, usize) {
     let own = ["a-1", "a-2"];
     let mut senders: Vec<_> =
-        (0..6).map(|n| Sender { table: table(own[n % 2], 3), under_way: Vec::new() }).collect();
-    let (mut shares, mut lost, mut draw) = (Vec::new(), 0, 1_u64);
-    for (second, calls) in (0_u64..).zip(seconds) {
-        let (mut sent, mut far) = (0_usize, 0_usize);
+        (0..6).map(|n| Sender { table: table(own[n % 2], 3), running: Vec::new() }).collect();
+    let (mut shares, mut rejected, mut random) = (Vec::new(), 0, 1_u64);
+    for (second, calls) in (0_u64..).zip(load) {
+        let (mut sent, mut crossed) = (0_usize, 0_usize);
         for n in 0..*calls {
             let now = Time(Duration::from_micros(second * 1_000_000 + n * 1_000_000 / calls));
             for sender in &mut senders {
                 let table = &mut sender.table;
-                sender.under_way.retain(|(ends, id)| {
+                sender.running.retain(|(ends, id)| {
                     if *ends <= now {
                         table.end_request(now, id, AttemptOutcome::Answered);
                     }
                     *ends > now
                 });
             }
-            let place = usize::try_from(n % 6).unwrap_or(0);
+            let index = usize::try_from(n % 6).unwrap_or(0);
             let mut served = false;
             for _ in 0..3 {
-                draw = draw.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
-                let Some(chosen) = choose(&senders[place].table, now, &[], draw >> 16) else {
+                random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
+                let Some(chosen) = choose(&senders[index].table, now, &[], random >> 16) else {
                     break;
                 };
-                senders[place].table.start_request(now, &chosen.id, &[]);
-                let all = senders.iter().flat_map(|sender| &sender.under_way);
+                senders[index].table.start_request(now, &chosen.id, &[]);
+                let all = senders.iter().flat_map(|sender| &sender.running);
                 if all.filter(|(_, id)| *id == chosen.id).count() >= 8 {
-                    senders[place].table.end_request(now, &chosen.id, AttemptOutcome::Full);
+                    senders[index].table.end_request(now, &chosen.id, AttemptOutcome::Full);
                     continue;
                 }
                 let ends = now.after(Duration::from_millis(100));
-                senders[place].under_way.push((ends, chosen.id.clone()));
+                senders[index].running.push((ends, chosen.id.clone()));
                 sent += 1;
-                far += usize::from(chosen.distance == Distance::OtherRegion);
+                crossed += usize::from(chosen.distance == Distance::OtherRegion);
                 served = true;
                 break;
             }
-            lost += usize::from(!served);
+            rejected += usize::from(!served);
         }
         let count = |n: usize| f64::from(u32::try_from(n).unwrap_or(u32::MAX));
-        shares.push(count(far) / count(sent.max(1)));
+        shares.push(count(crossed) / count(sent.max(1)));
     }
-    (shares, lost)
+    (shares, rejected)
 }
 
-/// Six upstreams of a region serve 480 calls a second; 700 come for ten seconds.
+/// A region whose six upstreams serve 480 calls a second gets 700 a second for ten seconds. The
+/// excess must go to other regions and return afterwards. Processes that react to the same load
+/// without coordination could make the share that leaves oscillate.
 #[test]
-fn calls_spill_over_while_the_region_is_full_and_come_back_without_swinging() {
+fn calls_overflow_to_other_regions_without_oscillation() {
     let load: Vec<u64> = [vec![250; 5], vec![700; 10], vec![250; 10]].concat();
-    let (shares, lost) = replay(&load);
-    println!("{shares:.2?} lost {lost}");
-    let (calm, full, after) = (&shares[..5], &shares[7..15], &shares[18..]);
-    assert!(calm.iter().all(|share| *share < 0.01), "{shares:.2?}");
+    let (shares, rejected) = simulate(&load);
+    println!("{shares:.2?} rejected {rejected}");
+    let (before, full, after) = (&shares[..5], &shares[7..15], &shares[18..]);
+    assert!(before.iter().all(|share| *share < 0.01), "{shares:.2?}");
     assert!(full.iter().all(|share| (0.2..0.7).contains(share)), "{shares:.2?}");
     let steps = full.windows(2).map(|pair| (pair[1] - pair[0]).abs());
-    assert!(steps.fold(0.0, f64::max) < 0.15, "it swings: {shares:.2?}");
+    assert!(steps.fold(0.0, f64::max) < 0.15, "the share oscillates: {shares:.2?}");
     assert!(after.iter().all(|share| *share < 0.01), "{shares:.2?}");
-    assert!(lost < 70, "{lost} of 10,750 were served by nobody");
+    assert!(rejected < 70, "{rejected} of 10,750 calls were rejected by all tried upstreams");
 }
 
-/// Long chains that each region reads for itself take the engines' memory twice; short ones that
-/// all regions send to one upstream cross for little.
+/// A long prompt prefix that each region processes itself takes the engines' memory twice. A short
+/// prefix that all regions send to one upstream causes transfers that save little.
 #[test]
-fn a_chain_has_one_home_where_reading_costs_more_than_crossing() {
-    for chain in 0..40 {
-        let homes = |tokens: u64| -> Vec<String> {
-            let parts =
-                [PromptPart { id: chain, tokens }, PromptPart { id: 1 << 40 | chain, tokens: 50 }];
-            let chosen = DOMAINS.map(|own| choose(&table(own, 4), at(0), &parts, chain * 7919));
-            chosen.map(|chosen| chosen.expect("somebody serves").id.to_string()).to_vec()
+fn a_long_prefix_has_one_upstream_in_the_fleet() {
+    for prefix in 0..40 {
+        let chosen_ids = |tokens: u64| -> Vec<String> {
+            let parts = [
+                PromptPart { id: prefix, tokens },
+                PromptPart { id: 1 << 40 | prefix, tokens: 50 },
+            ];
+            let chosen = DOMAINS.map(|own| choose(&table(own, 4), at(0), &parts, prefix * 7919));
+            chosen.map(|chosen| chosen.expect("an upstream is available").id.to_string()).to_vec()
         };
-        let long = homes(6000);
+        let long = chosen_ids(6000);
         assert!(long.iter().all(|id| *id == long[0]), "{long:?}");
-        let short = homes(600);
-        assert_eq!((&short[0], &short[2]), (&short[1], &short[3]), "one in each region");
+        let short = chosen_ids(600);
+        assert_eq!((&short[0], &short[2]), (&short[1], &short[3]), "one upstream in each region");
         assert!(short[0].starts_with('a') && short[2].starts_with('b'), "{short:?}");
     }
 }
 
-/// An upstream that turned requests away is soon asked again; one that failed them is not, since
-/// each request that is sent to find out may be lost. Fifteen seconds later only the first is back.
+/// An upstream that rejected requests is soon tried again. An upstream that failed requests is
+/// avoided for longer, since each request that probes it may be lost. After 15 s only the first is
+/// used again.
 #[test]
-fn being_turned_away_is_forgotten_sooner_than_a_failure() {
-    for (health, near) in [
+fn an_upstream_is_tried_sooner_after_rejections_than_after_failures() {
+    for (outcome, expected) in [
         (AttemptOutcome::Full, Distance::SameDomain),
         (AttemptOutcome::Failed, Distance::OtherRegion),
     ] {
         let mut table = table("a-1", 1);
         for id in ["a-1.0", "a-2.1"] {
-            let id: UpstreamId = id.parse().expect("a name");
+            let id: UpstreamId = id.parse().expect("a valid name");
             for n in 0..3 {
                 table.start_request(at(n), &id, &[]);
-                table.end_request(at(n), &id, health);
+                table.end_request(at(n), &id, outcome);
             }
         }
-        let chosen = |millis| choose(&table, at(millis), &[], 5).expect("somebody serves").distance;
-        assert_eq!(chosen(2), Distance::OtherRegion, "{health:?}: both near ones are avoided");
-        assert_eq!(chosen(15_000), near, "{health:?}");
+        let chosen =
+            |millis| choose(&table, at(millis), &[], 5).expect("an upstream is available").distance;
+        assert_eq!(
+            chosen(2),
+            Distance::OtherRegion,
+            "{outcome:?}: both upstreams in the region are avoided"
+        );
+        assert_eq!(chosen(15_000), expected, "{outcome:?}");
         assert_eq!(
             chosen(120_000),
             Distance::SameDomain,
-            "{health:?}: in the end it is tried again"
+            "{outcome:?}: the upstream is tried again in the end"
         );
     }
 }
--- a/crates/badgerfield-core/tests/residency.rs
+++ b/crates/badgerfield-core/tests/residency.rs
@@ -1,5 +1,5 @@
-//! Residency: where a request may be served, over changes of versions, restarts of the process
-//! and evacuations.
+//! Residency: requests stay in their allowed regions over changes of versions, restarts of the
+//! process and evacuations.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -18,37 +18,37 @@
 use rand_chacha::ChaCha8Rng;
 
 const REGIONS: [&str; 3] = ["a", "b", "c"];
-/// The domains; of the last one no region is known.
+/// The failure domains; the region of the last one is unknown.
 const DOMAINS: [&str; 7] = ["a-1", "a-2", "b-1", "b-2", "c-1", "c-2", "x-1"];
 const HOST: &str = "host.example";
 
 fn region(name: &str) -> Region {
-    name.parse().expect("a name")
+    name.parse().expect("a valid name")
 }
 
 fn within(names: &[&str]) -> Residency {
     Residency::within(names.iter().map(|name| region(name)).collect())
 }
 
-fn map() -> RegionMap {
+fn region_map() -> RegionMap {
     let known = DOMAINS.iter().filter(|domain| !domain.starts_with('x'));
-    let pairs = known.map(|domain| (domain.parse().expect("a name"), region(&domain[..1])));
+    let pairs = known.map(|domain| (domain.parse().expect("a valid name"), region(&domain[..1])));
     RegionMap::new(pairs.collect())
 }
 
 fn service() -> Service {
-    "pool".parse().expect("a name")
+    "pool".parse().expect("a valid name")
 }
 
 fn account() -> Account {
-    "tenant".parse().expect("a name")
+    "tenant".parse().expect("a valid name")
 }
 
-fn replicas() -> UpstreamTable {
+fn upstream_table() -> UpstreamTable {
     let entry = |n: usize| {
-        let domain: Domain = DOMAINS[n % DOMAINS.len()].parse().expect("a name");
+        let domain: Domain = DOMAINS[n % DOMAINS.len()].parse().expect("a valid name");
         let info = ListedUpstream {
-            id: format!("{domain}.{n}").parse().expect("a name"),
+            id: format!("{domain}.{n}").parse().expect("a valid name"),
             service: service(),
             address: ([127, 0, 0, 1], 9000).into(),
             domain,
@@ -60,14 +60,18 @@
         UpstreamEntry { revision: 1, info, warm_in: Duration::ZERO }
     };
     let mut table = UpstreamTable::default();
-    table.set_regions(map());
+    table.set_regions(region_map());
     let list = UpstreamList { revision: 1, entries: (0..21).map(entry).collect() };
     table.apply_list(Time::default(), list);
     table
 }
 
-/// Returns templates with a route and an account that are bound.
-fn templates(version: u64, route: &Residency, tenant: &Residency) -> TemplateSet {
+/// Returns templates with a route and an account that are restricted to regions.
+fn templates(
+    version: u64,
+    route_residency: &Residency,
+    account_residency: &Residency,
+) -> TemplateSet {
     let route = Route {
         name: "route".into(),
         host: HOST.into(),
@@ -81,7 +85,7 @@
         anonymous: false,
         affinity: false,
         pause: None,
-        regions: route.clone(),
+        regions: route_residency.clone(),
     };
     let template = AccountTemplate {
         changed: TemplateVersion(version),
@@ -96,7 +100,7 @@
         output_limit: Tokens(100),
         call_cost: Tokens::ZERO,
         queue_wait: Duration::from_secs(1),
-        regions: tenant.clone(),
+        regions: account_residency.clone(),
     };
     TemplateSet {
         version: TemplateVersion(version),
@@ -108,106 +112,112 @@
 
 fn region_of(id: &UpstreamId) -> Option<Region> {
     let domain: Domain = id.as_str().split('.').next()?.parse().ok()?;
-    map().region(&domain).cloned()
+    region_map().region(&domain).cloned()
 }
 
+/// A request is restricted by its route and its account. A combination that leaves no region, or no
+/// known one, must be detected.
 #[test]
-fn both_bounds_hold_and_what_they_leave_is_checked() {
+fn restrictions_of_route_and_account_are_combined_and_checked() {
     let (ab, bc) = (within(&["a", "b"]), within(&["b", "c"]));
     assert_eq!(ab.intersect(&bc), within(&["b"]));
     assert_eq!(ab.intersect(&EVERYWHERE), ab);
     assert_eq!(EVERYWHERE.intersect(&bc), bc);
     assert!(EVERYWHERE.allows(None));
-    assert!(!ab.allows(None), "what lies in an unknown region gets nothing that is bound");
+    assert!(!ab.allows(None), "an unknown region must not get restricted requests");
     assert_eq!(
-        within(&["a"]).intersect(&within(&["c"])).check(&map()),
+        within(&["a"]).intersect(&within(&["c"])).check(&region_map()),
         Err(ResidencyError::NoRegion)
     );
     let unknown = within(&["nowhere"]);
-    assert_eq!(unknown.check(&map()), Err(ResidencyError::Unknown(unknown.clone())));
-    assert_eq!(within(&["nowhere", "c"]).check(&map()), Ok(()));
+    assert_eq!(unknown.check(&region_map()), Err(ResidencyError::Unknown(unknown.clone())));
+    assert_eq!(within(&["nowhere", "c"]).check(&region_map()), Ok(()));
     assert_eq!(EVERYWHERE.check(&RegionMap::default()), Ok(()));
 }
 
+/// A newer version may remove the route of a request that is queued. Without the route, the request
+/// must not become unrestricted.
 #[test]
-fn an_account_stays_bound_when_its_route_is_gone() {
-    // A request that waited while a newer version took its route away was bound to nothing.
+fn an_account_stays_restricted_when_its_route_is_removed() {
     let set = templates(2, &within(&["a"]), &within(&["b"]));
     let table = RouteTable::new(&set);
     assert_eq!(table.residency_at("other.example", "/x", Some(&account())), within(&["b"]));
 }
 
+/// Restrictions must be part of encoded templates and of deltas; otherwise processes that receive
+/// these would serve requests in any region.
 #[test]
-fn bounds_travel_with_the_templates() {
+fn templates_and_deltas_contain_restrictions() {
     let set = templates(3, &within(&["a"]), &within(&["a", "b"]));
-    let decoded = TemplateSet::decode(&set.encode()).expect("it was just encoded");
+    let decoded = TemplateSet::decode(&set.encode()).expect("encoded templates decode");
     assert_eq!(decoded, set);
-    let mut behind = templates(2, &EVERYWHERE, &EVERYWHERE);
-    assert!(behind.apply_delta(set.delta_since(TemplateVersion(2))));
-    assert_eq!((&behind.accounts, &behind.routing), (&set.accounts, &set.routing));
-    // Templates that were written before there were bounds allow every region.
-    let text = String::from_utf8(set.encode()).expect("it is text");
+    let mut receiver = templates(2, &EVERYWHERE, &EVERYWHERE);
+    assert!(receiver.apply_delta(set.delta_since(TemplateVersion(2))));
+    assert_eq!((&receiver.accounts, &receiver.routing), (&set.accounts, &set.routing));
+    // Templates of an older format, without the field `regions`, allow every region.
+    let text = String::from_utf8(set.encode()).expect("the encoding is UTF-8");
     let before = text.replace(r#","regions":["a"]"#, "").replace(r#","regions":["a","b"]"#, "");
     assert_ne!(before, text);
-    let old = TemplateSet::decode(before.as_bytes()).expect("it can be read");
+    let old = TemplateSet::decode(before.as_bytes()).expect("the older format decodes");
     assert!(!old.routing.routes[0].regions.is_restricted());
 }
 
-/// A request under way, with all that the operators had bound it to so far.
-struct Waiting {
+/// A queued request, with its restriction at admission and the upstreams that it was sent to.
+struct QueuedRequest {
     admission: Admission,
     tried: Vec<UpstreamId>,
 }
 
-/// One process: what it has in force, and its table of upstreams.
+/// One process: its current templates and its table of upstreams.
 struct Process {
     version: TemplateVersion,
-    table: RouteTable,
-    replicas: UpstreamTable,
+    routes: RouteTable,
+    upstreams: UpstreamTable,
 }
 
 impl Process {
     fn start(set: &TemplateSet) -> Self {
-        Self { version: set.version, table: RouteTable::new(set), replicas: replicas() }
+        Self { version: set.version, routes: RouteTable::new(set), upstreams: upstream_table() }
     }
 
     fn admit(&self) -> Admission {
-        let residency = self.table.residency_at(HOST, "/x", Some(&account()));
+        let residency = self.routes.residency_at(HOST, "/x", Some(&account()));
         Admission { version: self.version, residency }
     }
 
-    /// Sends a request to one more upstream; returns where it went.
-    fn send(&mut self, now: Time, waiting: &mut Waiting, draw: u64) -> Option<UpstreamId> {
-        let newest = || self.table.residency_at(HOST, "/x", Some(&account()));
-        let residency = waiting.admission.current_residency(self.version, newest);
-        let parts = [PromptPart { id: draw % 5, tokens: 900 }, PromptPart { id: draw, tokens: 90 }];
-        let wanted = UpstreamCriteria {
+    /// Sends a request to one more upstream and returns the upstream.
+    fn send(&mut self, now: Time, request: &mut QueuedRequest, random: u64) -> Option<UpstreamId> {
+        let newest = || self.routes.residency_at(HOST, "/x", Some(&account()));
+        let residency = request.admission.current_residency(self.version, newest);
+        let parts =
+            [PromptPart { id: random % 5, tokens: 900 }, PromptPart { id: random, tokens: 90 }];
+        let criteria = UpstreamCriteria {
             service: &service(),
             route: "route",
-            parts: if draw.is_multiple_of(3) { &[] } else { &parts },
+            parts: if random.is_multiple_of(3) { &[] } else { &parts },
             bytes: 0,
             residency: &residency,
-            tried: &waiting.tried,
+            tried: &request.tried,
             resumed_version: None,
             max_connections: 6,
-            random: draw,
+            random,
             rendezvous_key: None,
         };
-        let id = self.replicas.choose(now, &wanted)?.id;
-        self.replicas.start_request(now, &id, wanted.parts);
-        let healths = [
+        let id = self.upstreams.choose(now, &criteria)?.id;
+        self.upstreams.start_request(now, &id, criteria.parts);
+        let outcomes = [
             AttemptOutcome::Answered,
             AttemptOutcome::Answered,
             AttemptOutcome::Failed,
             AttemptOutcome::Full,
         ];
-        self.replicas.end_request(now, &id, healths[usize::try_from(draw % 4).unwrap_or(0)]);
-        waiting.tried.push(id.clone());
+        self.upstreams.end_request(now, &id, outcomes[usize::try_from(random % 4).unwrap_or(0)]);
+        request.tried.push(id.clone());
         Some(id)
     }
 }
 
-fn random_bound(rng: &mut ChaCha8Rng) -> Residency {
+fn random_residency(rng: &mut ChaCha8Rng) -> Residency {
     if rng.random_bool(0.3) {
         return EVERYWHERE.clone();
     }
@@ -215,62 +225,66 @@
     within(&names)
 }
 
-/// What operators wrote binds first tries, repeats and what waits, also after restarts: nothing
-/// goes to a region that the version it was let in with, or the newest, excludes.
+/// First attempts, retries and queued requests must stay in the regions that both the version at
+/// admission and the newest version allow. A request would leave them if a retry, a newer version,
+/// a restart or an evacuation led to a choice without the restriction.
 #[test]
 fn nothing_is_served_outside_over_changes_restarts_and_evacuations() {
     let mut sent = 0;
     for seed in 0..60 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut version = 1;
-        let mut bound = EVERYWHERE.clone();
-        let mut process = Process::start(&templates(version, &bound, &EVERYWHERE));
-        let mut waiting: Vec<(Waiting, Residency)> = Vec::new();
+        let mut newest = EVERYWHERE.clone();
+        let mut process = Process::start(&templates(version, &newest, &EVERYWHERE));
+        let mut queued: Vec<(QueuedRequest, Residency)> = Vec::new();
         for step in 0..400_u64 {
             let now = Time(Duration::from_millis(step * 20));
             match rng.random_range(0..20) {
                 0 => {
-                    let (route, tenant) = (random_bound(&mut rng), random_bound(&mut rng));
+                    let (route, account) = (random_residency(&mut rng), random_residency(&mut rng));
                     version += 1;
-                    bound = route.intersect(&tenant);
+                    newest = route.intersect(&account);
                     process.version = TemplateVersion(version);
-                    process.table = RouteTable::new(&templates(version, &route, &tenant));
+                    process.routes = RouteTable::new(&templates(version, &route, &account));
                 }
                 1 => {
-                    // What waited at the process that ended is sent by nobody any more.
-                    let (route, tenant) = (random_bound(&mut rng), random_bound(&mut rng));
+                    // Requests that were queued at the process that ended are not sent any more.
+                    let (route, account) = (random_residency(&mut rng), random_residency(&mut rng));
                     version += 1;
-                    bound = route.intersect(&tenant);
-                    process = Process::start(&templates(version, &route, &tenant));
-                    waiting.clear();
+                    newest = route.intersect(&account);
+                    process = Process::start(&templates(version, &route, &account));
+                    queued.clear();
                 }
                 2 => {
                     let domain = DOMAINS[rng.random_range(0..DOMAINS.len())];
                     let change = DomainChange {
-                        domain: domain.parse().expect("a name"),
+                        domain: domain.parse().expect("a valid name"),
                         revision: step,
                         evacuated: rng.random_bool(0.5),
                     };
-                    process.replicas.apply_evacuations(now, &[change]);
+                    process.upstreams.apply_evacuations(now, &[change]);
                 }
                 3..10 => {
                     let admission = process.admit();
-                    waiting.push((Waiting { admission, tried: Vec::new() }, bound.clone()));
+                    queued.push((QueuedRequest { admission, tried: Vec::new() }, newest.clone()));
                 }
-                _ if waiting.is_empty() => {}
+                _ if queued.is_empty() => {}
                 _ => {
-                    let place = rng.random_range(0..waiting.len());
-                    let (request, let_in) = &mut waiting[place];
+                    let index = rng.random_range(0..queued.len());
+                    let (request, at_admission) = &mut queued[index];
                     let Some(id) = process.send(now, request, rng.random()) else {
                         continue;
                     };
                     sent += 1;
                     let region = region_of(&id);
-                    assert!(let_in.allows(region.as_ref()), "seed {seed}: {id}, let in {let_in}");
-                    assert!(bound.allows(region.as_ref()), "seed {seed}: {id}, newest {bound}");
+                    assert!(
+                        at_admission.allows(region.as_ref()),
+                        "seed {seed}: {id}, at admission {at_admission}"
+                    );
+                    assert!(newest.allows(region.as_ref()), "seed {seed}: {id}, newest {newest}");
                 }
             }
         }
     }
-    assert!(sent > 3000, "{sent} were sent");
+    assert!(sent > 3000, "only {sent} requests were sent");
 }
