--- a/crates/badgerfield-core/src/confirmations.rs
+++ b/crates/badgerfield-core/src/confirmations.rs
@@ -35,7 +35,7 @@
 }
 
 impl Confirmations {
-    /// Returns the table for a view that no member has confirmed.
+    /// Returns the confirmations of a view that no member has confirmed yet.
     pub(crate) fn new(view: &View) -> Self {
         let members = view.members.len();
         Self { bits: vec![0; members.div_ceil(MEMBERS_PER_BYTE)], members, missing: members }
--- a/crates/badgerfield-core/src/joining.rs
+++ b/crates/badgerfield-core/src/joining.rs
@@ -13,8 +13,9 @@
 use crate::ids::{Incarnation, rendezvous_weight};
 use crate::view::{Member, View};
 
-/// Writes that may fail with a conflict before a process asks a member instead: the view that
-/// caused the conflict names a member that is running.
+/// Number of writes that fail with a conflict before a process asks a member instead.
+///
+/// One is enough, since the view that caused the conflict names a member that is running.
 const MAX_LOST_WRITES: u32 = 1;
 /// Interval between requests to a member.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(250);
@@ -34,7 +35,7 @@
     Wait,
 }
 
-/// The state of joining: this process's own attempts, and the requests of other processes.
+/// This process's own attempts to join, and the requests of other processes to be added.
 #[derive(Debug, Default)]
 pub(crate) struct Joining {
     /// The members of the first view that this process has read; they may have ended long ago.
@@ -63,7 +64,7 @@
         self.lost_writes += 1;
     }
 
-    /// Returns what this process does next to get into the view.
+    /// Returns the next step of this process towards joining the view.
     pub(crate) fn next_step(&mut self, now: Time, view: &View) -> JoinStep {
         let initial_members = self.initial_members.get_or_insert_default();
         let running =
--- a/crates/badgerfield-core/src/locality.rs
+++ b/crates/badgerfield-core/src/locality.rs
@@ -76,12 +76,12 @@
             // Round-trip times from the data sheets of the users' platform.
             domain_trip: Duration::from_millis(1),
             region_trip: Duration::from_millis(24),
-            // Bytes between domains delay no other traffic: these links have the bandwidth of a VM's
-            // own link.
+            // Bytes between domains delay no other traffic: these links have the bandwidth of a
+            // VM's own link.
             domain_price: 0.0,
             // A link of 60 Mbit/s that all VMs share takes 0.13 ms for 1,000 bytes; the rest
-            // accounts for what the operator pays. A price of 10 saves more bytes but costs more,
-            // because engines process more prompts again (docs/design/regions.md).
+            // accounts for what the operator pays. A price of 10 saves more bytes but increases the
+            // total cost, because engines process more prompts again (docs/design/regions.md).
             region_price: 3.0,
         }
     }
--- a/crates/badgerfield-core/src/membership.rs
+++ b/crates/badgerfield-core/src/membership.rs
@@ -42,7 +42,7 @@
 /// Maximum number of members that receive a heartbeat in a large view.
 const MAX_NEIGHBOURS: usize = 8;
 
-/// The change to its own entry in the view that a process intends.
+/// The change that a process intends to make to its own entry in the view.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum MembershipIntent {
     /// Become a member.
@@ -460,8 +460,8 @@
         self.ranks.is_completion_writer()
     }
 
-    /// Returns whether this process has to read the view from the store before it can mark the epoch
-    /// `complete` as complete, because it has received the current view from peers only.
+    /// Returns whether this process has to read the view from the store before it can mark the
+    /// epoch `complete` as complete, because it has received the current view from peers only.
     pub(crate) fn must_read_to_complete(&self, complete: Epoch) -> bool {
         complete == self.view.epoch && self.stored.epoch < complete && self.is_completion_writer()
     }
@@ -579,9 +579,9 @@
 
     /// Returns how many clocks must agree.
     ///
-    /// In a small view these are more than half of all. In a large view, where heartbeats of only
-    /// some members arrive, these are three quarters of the clocks of this process and of those that
-    /// it watches.
+    /// In a small view more than half of all clocks must agree. In a large view, where only some
+    /// members send heartbeats to this process, three quarters of the clocks of this process and of
+    /// these members must agree.
     fn clock_quorum(&self) -> usize {
         let members = self.view.members.len();
         if members <= MAX_SMALL_VIEW_MEMBERS {
--- a/crates/badgerfield-core/src/ranks.rs
+++ b/crates/badgerfield-core/src/ranks.rs
@@ -6,13 +6,14 @@
 const READERS_PER_REGION: usize = 2;
 /// Number of members of a region that watch the store in a large view.
 const WATCHERS_PER_REGION: usize = 3;
-/// Number of members of a region that watch the store if the first [`WATCHERS_PER_REGION`], which are
-/// counted in, seem to be cut off.
+/// Number of members of a region that watch the store if the first [`WATCHERS_PER_REGION`] of
+/// them seem to be cut off.
 const MAX_WATCHERS_PER_REGION: usize = 12;
 /// Time without updates of the upstream list after which backup watchers watch the store, as a
 /// percentage of the time for which a leaving upstream still accepts requests.
 const BACKUP_DELAY_PERCENT: u32 = 60;
-/// Time after which all members watch the store, as the same kind of percentage.
+/// Time without updates of the upstream list after which all members watch the store, as a
+/// percentage of the same time.
 ///
 /// If only one member can reach the store, it must have read the list, and sent its last request
 /// to a leaving upstream, before that upstream stops accepting requests.
@@ -20,15 +21,15 @@
 
 /// The ranks of this process for the roles that only a few members have.
 ///
-/// Ranks change only with the view and are needed at every tick, so they are kept.
+/// Ranks change only with the view but are needed at every tick, so they are cached.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Ranks {
     /// The rank in the region as a reader of the store's values.
-    reader_rank: Option<usize>,
+    reader: Option<usize>,
     /// The rank in the region as a watcher of the store.
-    watcher_rank: Option<usize>,
+    watcher: Option<usize>,
     /// The rank in the fleet as the writer that marks views as complete.
-    writer_rank: Option<usize>,
+    completion_writer: Option<usize>,
 }
 
 impl Ranks {
@@ -39,31 +40,31 @@
             ranked.iter().position(|m| m.incarnation == me.incarnation)
         };
         Self {
-            reader_rank: rank_in(b"reader", Some(&me.region)),
-            watcher_rank: rank_in(b"follower", Some(&me.region)),
-            writer_rank: rank_in(b"marker", None),
+            reader: rank_in(b"reader", Some(&me.region)),
+            watcher: rank_in(b"follower", Some(&me.region)),
+            completion_writer: rank_in(b"marker", None),
         }
     }
 
     /// Returns whether the member reads the store's values all the time.
     pub(crate) fn is_reader(&self) -> bool {
-        self.reader_rank.is_some_and(|rank| rank < READERS_PER_REGION)
+        self.reader.is_some_and(|rank| rank < READERS_PER_REGION)
     }
 
     /// Returns whether the member is a watcher or a backup watcher of the store, or has no rank.
     pub(crate) fn can_probe(&self) -> bool {
-        self.watcher_rank.is_none_or(|rank| rank < MAX_WATCHERS_PER_REGION)
+        self.watcher.is_none_or(|rank| rank < MAX_WATCHERS_PER_REGION)
     }
 
     /// Returns whether the member marks views as complete.
     pub(crate) fn is_completion_writer(&self) -> bool {
-        self.writer_rank == Some(0)
+        self.completion_writer == Some(0)
     }
 
     /// Returns the time without updates of the upstream list after which the member watches the
     /// store, as a percentage of the time for which a leaving upstream still accepts requests.
     pub(crate) fn watch_delay_percent(&self) -> u32 {
-        match self.watcher_rank {
+        match self.watcher {
             Some(0..WATCHERS_PER_REGION) => 0,
             Some(WATCHERS_PER_REGION..MAX_WATCHERS_PER_REGION) => BACKUP_DELAY_PERCENT,
             _ => FALLBACK_DELAY_PERCENT,
--- a/crates/badgerfield-core/src/template_history.rs
+++ b/crates/badgerfield-core/src/template_history.rs
@@ -1,4 +1,4 @@
-//! VersionDigests of the last template sets, so that a process with an older set is sent only the
+//! Digests of the last template sets, so that a process with an older set is sent only the
 //! differences.
 //!
 //! A version identifies the contents of a set, so the sender can compare its current set with the
--- a/crates/badgerfield-core/src/view.rs
+++ b/crates/badgerfield-core/src/view.rs
@@ -51,7 +51,7 @@
 
 /// Whether a member has been an arbiter without interruption since the last complete epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum DeciderState {
+pub enum ArbiterState {
     /// It has been a member since the last complete epoch.
     Stayed,
     /// It joined since the last complete epoch.
@@ -62,14 +62,14 @@
 
 /// A member that has been an arbiter of keys since the last complete epoch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Decider {
+pub struct RecentArbiter {
     /// The incarnation of the member.
     pub id: Incarnation,
     /// The region of the member.
     pub region: Region,
     /// The state of the member since that epoch.
     #[serde(rename = "fate")]
-    pub state: DeciderState,
+    pub state: ArbiterState,
 }
 
 /// Keys whose earlier claims may be lost, because several members were removed before all
@@ -79,20 +79,22 @@
     /// The first epoch in which the keys are uncertain.
     pub epoch: Epoch,
     /// The members that may have been arbiters of the keys.
-    pub deciders: Vec<Decider>,
+    #[serde(rename = "deciders")]
+    pub arbiters: Vec<RecentArbiter>,
 }
 
-/// The numbered view.
+/// The membership view, numbered by its epoch.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// The epoch: the number of the view.
+    /// The number of the view.
     pub epoch: Epoch,
     /// The members, ordered by incarnation.
     pub members: Vec<Member>,
     /// The last epoch whose handovers are all known to be complete.
     pub complete: Epoch,
     /// All members that have been arbiters of keys since that epoch.
-    pub deciders: Vec<Decider>,
+    #[serde(rename = "deciders")]
+    pub recent_arbiters: Vec<RecentArbiter>,
     /// The most recent sets of uncertain keys, oldest first.
     #[serde(rename = "doubts")]
     pub uncertain_keys: Vec<UncertainKeys>,
@@ -181,20 +183,20 @@
     #[must_use]
     pub fn without_members(&self, gone: &[Incarnation], handed_over: bool) -> Self {
         let mut next = if handed_over { self.completed() } else { self.clone() };
-        next.record_deciders();
+        next.record_arbiters();
         next.epoch = self.epoch.next();
         next.members.retain(|m| !gone.contains(&m.incarnation));
         let mut gone_count = 0;
-        for decider in &mut next.deciders {
-            if self.has(decider.id) && !gone.contains(&decider.id) {
+        for arbiter in &mut next.recent_arbiters {
+            if self.has(arbiter.id) && !gone.contains(&arbiter.id) {
                 continue;
             }
-            decider.state = DeciderState::Gone;
+            arbiter.state = ArbiterState::Gone;
             gone_count += 1;
         }
         if gone_count > 1 && !gone.is_empty() {
-            let (epoch, deciders) = (next.epoch, next.deciders.clone());
-            next.uncertain_keys.push(UncertainKeys { epoch, deciders });
+            let (epoch, arbiters) = (next.epoch, next.recent_arbiters.clone());
+            next.uncertain_keys.push(UncertainKeys { epoch, arbiters });
         }
         let excess = next.uncertain_keys.len().saturating_sub(MAX_UNCERTAIN_KEYS);
         next.uncertain_keys.drain(..excess);
@@ -206,20 +208,24 @@
     pub fn completed(&self) -> Self {
         let mut next = self.clone();
         next.complete = self.epoch;
-        next.deciders.clear();
+        next.recent_arbiters.clear();
         for member in self.members.iter().filter(|m| m.standing == MemberState::Active) {
             let (id, region) = (member.incarnation, member.region.clone());
-            next.deciders.push(Decider { id, region, state: DeciderState::Stayed });
+            next.recent_arbiters.push(RecentArbiter { id, region, state: ArbiterState::Stayed });
         }
         next
     }
 
-    /// Adds the active members that are not listed as deciders yet.
-    fn record_deciders(&mut self) {
+    /// Adds the active members that are missing from the recent arbiters.
+    fn record_arbiters(&mut self) {
         for member in self.members.iter().filter(|m| m.standing == MemberState::Active) {
             let (id, region) = (member.incarnation, member.region.clone());
-            if self.deciders.iter().all(|d| d.id != id) {
-                self.deciders.push(Decider { id, region, state: DeciderState::Joined });
+            if self.recent_arbiters.iter().all(|a| a.id != id) {
+                self.recent_arbiters.push(RecentArbiter {
+                    id,
+                    region,
+                    state: ArbiterState::Joined,
+                });
             }
         }
     }
@@ -299,13 +305,13 @@
     /// It cannot have been if a member that stayed all the time ranks above it.
     fn contains(&self, key: RequestKey, home: Option<&Region>) -> bool {
         let mut ranked: Vec<_> =
-            self.deciders.iter().filter(|d| home.is_none_or(|r| &d.region == r)).collect();
-        ranked.sort_by_key(|d| std::cmp::Reverse(rendezvous_weight(&key.0.to_be_bytes(), d.id)));
-        for decider in ranked {
-            match decider.state {
-                DeciderState::Stayed => return false,
-                DeciderState::Joined => {}
-                DeciderState::Gone => return true,
+            self.arbiters.iter().filter(|a| home.is_none_or(|r| &a.region == r)).collect();
+        ranked.sort_by_key(|a| std::cmp::Reverse(rendezvous_weight(&key.0.to_be_bytes(), a.id)));
+        for arbiter in ranked {
+            match arbiter.state {
+                ArbiterState::Stayed => return false,
+                ArbiterState::Joined => {}
+                ArbiterState::Gone => return true,
             }
         }
         false
--- a/crates/badgerfield-core/src/view_update.rs
+++ b/crates/badgerfield-core/src/view_update.rs
@@ -20,7 +20,7 @@
 
 /// A full or incremental view, as processes send it to each other.
 ///
-/// It does not contain the earlier arbiters of keys (`View::deciders`): only a process that writes
+/// It does not contain the earlier arbiters of keys (`View::recent_arbiters`): only a process that writes
 /// the view needs these, and it reads the store's value first.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewUpdate {
@@ -67,7 +67,7 @@
             epoch: self.epoch,
             members: members.into_values().collect(),
             complete: self.complete,
-            deciders: Vec::new(),
+            recent_arbiters: Vec::new(),
             uncertain_keys,
         };
         (digest(&view) == self.digest).then_some(view)
--- a/crates/badgerfield-core/tests/evacuation.rs
+++ b/crates/badgerfield-core/tests/evacuation.rs
@@ -68,7 +68,10 @@
         drawn in proptest::collection::vec((0_u8..4, any::<bool>()), 1..20),
         order in proptest::collection::vec(any::<prop::sample::Index>(), 1..60),
     ) {
-        let changes: Vec<_> = (1..).zip(&drawn).map(|(r, (n, evacuated))| change(*n, r, *evacuated)).collect();
+        let changes: Vec<_> = (1..)
+            .zip(&drawn)
+            .map(|(r, (n, evacuated))| change(*n, r, *evacuated))
+            .collect();
         let (mut first, mut second) = (Evacuations::default(), Evacuations::default());
         first.apply(changes.iter().cloned());
         for index in &order {
--- a/crates/badgerfield-core/tests/locality.rs
+++ b/crates/badgerfield-core/tests/locality.rs
@@ -168,7 +168,7 @@
     );
 }
 
-/// If only one region is known, all other domains count as parts of it, so that no request pays for
+/// If fewer than two regions are known, all other domains count as parts of it, so that no request pays for
 /// the distance to another region.
 #[test]
 fn domains_count_as_one_region_if_only_one_is_known() {
@@ -192,11 +192,12 @@
     running: Vec<(Time, UpstreamId)>,
 }
 
-/// Simulates plain calls at six processes in region `a`, with `load` as the calls in each second.
+/// Simulates plain calls at six processes in region `a`. `load` is the number of calls in each
+/// second.
 ///
 /// Each upstream runs eight calls of 100 ms at once and rejects others. Returns, for each second,
-/// the share of calls that left the region, and in total the number of calls that all tried upstreams
-/// rejected.
+/// the share of calls that left the region, and the total number of calls that were rejected by all
+/// upstreams that they tried.
 fn simulate(load: &[u64]) -> (Vec<f64>, usize) {
     let own = ["a-1", "a-2"];
     let mut senders: Vec<_> =
@@ -260,8 +261,9 @@
     assert!(rejected < 70, "{rejected} of 10,750 calls were rejected by all tried upstreams");
 }
 
-/// A long prompt prefix that each region processes itself takes the engines' memory twice. A short
-/// prefix that all regions send to one upstream causes transfers that save little.
+/// A long prompt prefix that each region processes itself takes the engines' memory twice, so all
+/// regions send it to one upstream. For a short prefix the transfers would save little, so each
+/// region has its own upstream.
 #[test]
 fn a_long_prefix_has_one_upstream_in_the_fleet() {
     for prefix in 0..40 {
