--- a/crates/badgerfield-core/src/membership.rs
+++ b/crates/badgerfield-core/src/membership.rs
@@ -117,7 +117,7 @@
     pub(crate) rollouts_compared: HashMap<Incarnation, Time>,
     /// When blocked requests were last compared with each member.
     pub(crate) crashes_compared: HashMap<Incarnation, Time>,
-    /// When a member last announced the revision of the upstream list.
+    /// When the revision of the upstream list was last announced, by this process or another.
     pub(crate) list_confirmed_at: Option<Time>,
     /// Silence after which a member counts as unresponsive.
     unresponsive_after: Duration,
