--- a/crates/badgerfield-core/src/poison/crash.rs
+++ b/crates/badgerfield-core/src/poison/crash.rs
@@ -1,4 +1,4 @@
-//! The note of an upstream that has ended while a request was there.
+//! The crash of an upstream while a request was running there.
 
 use std::time::Duration;
 
@@ -8,18 +8,19 @@
 use super::Fingerprint;
 use crate::ids::{Account, UpstreamId};
 
-/// How long a crash is held against its request. A blocked one may be tried again then: the
-/// software of the upstreams may have been mended.
-const KEEP: Duration = Duration::from_secs(600);
-/// The same where it is not certain that the upstream has ended: a way to it may have been cut.
-const KEEP_UNSURE: Duration = Duration::from_secs(60);
-/// How many that are not certain weigh as much as one that is.
-pub(super) const UNSURE_PER_CRASH: u32 = 2;
+/// Time for which a crash counts against its request. After that a blocked request may be tried
+/// again: the software of the upstreams may have been fixed.
+const CRASH_TTL: Duration = Duration::from_secs(600);
+/// The same for an upstream that may not have crashed: a network path to it may have been cut.
+const UNCONFIRMED_TTL: Duration = Duration::from_secs(60);
+/// Number of unconfirmed crashes that count as much as one confirmed crash.
+pub(super) const UNCONFIRMED_PER_CRASH: u32 = 2;
 
-/// How certain it is that an upstream has ended.
+/// The evidence that an upstream has crashed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum CrashEvidence {
-    /// Its connection broke, and no connection to its address came up or was refused.
+    /// Its connection broke, and further connections to its address neither came up nor were
+    /// refused.
     Unreachable,
     /// Its address refused connections.
     #[default]
@@ -27,23 +28,23 @@
 }
 
 impl CrashEvidence {
-    /// Returns how long it is held against a request.
-    pub(super) fn keep(self) -> Duration {
+    /// Returns the time for which the crash counts against its request.
+    pub(super) fn ttl(self) -> Duration {
         match self {
-            Self::Unreachable => KEEP_UNSURE,
-            Self::Ended => KEEP,
+            Self::Unreachable => UNCONFIRMED_TTL,
+            Self::Ended => CRASH_TTL,
         }
     }
 
-    /// Returns how much it weighs, against one that is not certain.
+    /// Returns the weight of the crash, in units of an unconfirmed one.
     pub(super) fn weight(self) -> u32 {
         match self {
             Self::Unreachable => 1,
-            Self::Ended => UNSURE_PER_CRASH,
+            Self::Ended => UNCONFIRMED_PER_CRASH,
         }
     }
 
-    /// Returns its name in the log.
+    /// Returns the name of the evidence in the log.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -53,39 +54,39 @@
     }
 }
 
-/// An upstream that has ended while a request was there.
+/// The crash of an upstream while a request was running there.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
     /// The request.
     pub request: Fingerprint,
-    /// Stands for the request's account.
+    /// A digest of the request's account.
     pub account: u64,
     /// The upstream.
     pub upstream: UpstreamId,
-    /// How often it was known to have ended under this request when the request was sent to it: one
-    /// that is back, and ends again, has ended twice.
+    /// How many crashes of the upstream under this request were known when the request was sent to
+    /// it. An upstream that restarts and crashes again has crashed twice.
     #[serde(rename = "life", default)]
     pub prior_crashes: u32,
-    /// How certain it is.
+    /// The evidence for the crash.
     #[serde(default)]
     pub evidence: CrashEvidence,
-    /// How many events of the answer the caller had.
+    /// Number of events of the answer that the caller had received.
     #[serde(rename = "point")]
     pub events_sent: u64,
-    /// Whether the request was served whole since.
+    /// Whether the request has completed since.
     pub cleared: bool,
-    /// How long ago it was.
+    /// The time since the crash.
     pub age: Duration,
 }
 
 impl Crash {
-    /// Makes the note of an upstream that has just ended.
+    /// Returns the crash of an upstream that has just ended.
     #[must_use]
     pub fn new(
         request: Fingerprint,
         account: Option<&Account>,
         upstream: &UpstreamId,
-        point: u64,
+        events_sent: u64,
     ) -> Self {
         let account = account.map_or(0, |account| xxh3_64(account.as_str().as_bytes()));
         let upstream = upstream.clone();
@@ -95,41 +96,42 @@
             upstream,
             prior_crashes: 0,
             evidence: CrashEvidence::Ended,
-            events_sent: point,
+            events_sent,
             cleared: false,
             age: Duration::ZERO,
         }
     }
 
-    /// Says that the upstream can only not be reached any more.
+    /// Marks the upstream as only unreachable: its end is not confirmed.
     #[must_use]
     pub fn unconfirmed(self) -> Self {
         Self { evidence: CrashEvidence::Unreachable, ..self }
     }
 
-    /// Says how often the upstream was known to have ended under the request when that was sent.
+    /// Sets how many crashes of the upstream under the request were known when the request was
+    /// sent.
     #[must_use]
-    pub fn with_prior_crashes(self, life: u32) -> Self {
-        Self { prior_crashes: life, ..self }
+    pub fn with_prior_crashes(self, prior_crashes: u32) -> Self {
+        Self { prior_crashes, ..self }
     }
 
-    /// Names the process that ended.
+    /// Returns the key of the process that crashed: its upstream and the number of earlier crashes.
     pub(super) fn process(&self) -> (&UpstreamId, u32) {
         (&self.upstream, self.prior_crashes)
     }
 }
 
-/// Tells whether one says all that the other does.
-pub(super) fn says(one: &Crash, other: &Crash) -> bool {
+/// Returns whether `one` contains all information of `other`.
+pub(super) fn covers(one: &Crash, other: &Crash) -> bool {
     one.request == other.request
         && one.process() == other.process()
         && (one.cleared || !other.cleared)
         && one.evidence >= other.evidence
 }
 
-/// Returns a number that stands for what it says.
-pub(super) fn digest_of(crash: &Crash) -> u64 {
-    let said = u64::from(crash.cleared) | u64::from(crash.evidence.weight()) << 1;
-    let seed = crash.request.rendezvous_key() ^ said ^ (u64::from(crash.prior_crashes) << 32);
+/// Returns a digest of the crash.
+pub(super) fn crash_digest(crash: &Crash) -> u64 {
+    let state = u64::from(crash.cleared) | u64::from(crash.evidence.weight()) << 1;
+    let seed = crash.request.rendezvous_key() ^ state ^ (u64::from(crash.prior_crashes) << 32);
     xxh3_64_with_seed(crash.upstream.as_str().as_bytes(), seed)
 }
--- a/crates/badgerfield-core/src/poison/fingerprint.rs
+++ b/crates/badgerfield-core/src/poison/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two tries the same request.
+//! Fingerprints, by which retries of a request are recognized.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,17 +9,17 @@
 use crate::ids::{Account, IdError};
 use crate::upstream_table::PromptPart;
 
-/// Stands for what a request asks, whoever passes it on and under whichever attempt id.
+/// Identifies the content of a request, independent of its sender and its attempt id.
 ///
-/// It is cut from a cryptographic digest: nobody can make a request that another account's is
-/// taken for.
+/// The fingerprint is a truncated cryptographic digest, so nobody can construct a request that is
+/// mistaken for a request of another account.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Fingerprint(u128);
 
 impl Fingerprint {
-    /// Makes the fingerprint of a request: by whom it is sent, its method and address, the parts
-    /// of its prompt, and its body.
+    /// Returns the fingerprint of a request from its account, method and address, the parts of its
+    /// prompt and its body.
     #[must_use]
     pub fn of(
         account: Option<&Account>,
@@ -30,7 +30,8 @@
     ) -> Self {
         let mut digest = Sha256::new();
         let mut add = |field: &[u8]| {
-            // With its length before it, no field runs into the next.
+            // Each field is preceded by its length, so that the boundary between fields is
+            // unambiguous.
             digest.update(field.len().to_be_bytes());
             digest.update(field);
         };
@@ -47,7 +48,7 @@
         Self(digest.iter().take(16).fold(0, |sum, byte| sum << 8 | u128::from(*byte)))
     }
 
-    /// Returns a number by which all processes choose alike for this request.
+    /// Returns a key by which all processes choose the same upstreams for this request.
     #[must_use]
     pub fn rendezvous_key(self) -> u64 {
         let bytes = self.0.to_be_bytes();
--- a/crates/badgerfield-core/src/poison/mod.rs
+++ b/crates/badgerfield-core/src/poison/mod.rs
@@ -1,15 +1,16 @@
-//! Requests under which upstreams end ("queries of death"), and how the fleet stops sending them.
+//! Poison requests ("queries of death"): requests under which upstreams crash, and how the fleet
+//! stops sending them.
 //!
-//! A request is known by its [`Fingerprint`], whoever sends it again and under whichever attempt
-//! id. When an upstream ends, each request that was there gets a [`Crash`] noted. One crash is
-//! weak evidence: all that ran there were there. At a second one at the same point of its answer
-//! the request is blocked, and goes to no third upstream. An upstream that only cannot be reached any
-//! more weighs half as much. A request that is served whole after a
-//! crash had no part in it: its crashes are cleared.
+//! A request is identified by its [`Fingerprint`], which does not depend on the sender of a retry
+//! or on its attempt id. When an upstream crashes, a [`Crash`] is recorded for each request that
+//! was running there. One crash is weak evidence, since many requests were running. At a second
+//! crash at the same point of its answer the request is blocked and is sent to no third upstream.
+//! An upstream that is only unreachable counts half as much. If a request completes after a crash,
+//! it was not the cause, and its crashes are cleared.
 //!
-//! What is known only grows: a crash is named by its request and its upstream, and once it is
-//! cleared it stays so. So the order in which processes hear of crashes does not matter, and two
-//! that have told each other all believe the same.
+//! Information only accumulates: a crash is identified by its request and its upstream, and once it is
+//! cleared it stays cleared. Therefore the order in which processes receive crashes does not
+//! matter, and two processes that have exchanged all they know have the same state.
 
 mod crash;
 mod fingerprint;
--- a/crates/badgerfield-core/src/poison/table.rs
+++ b/crates/badgerfield-core/src/poison/table.rs
@@ -1,143 +1,149 @@
-//! The table of requests under which upstreams have ended.
+//! The table of requests under which upstreams have crashed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use super::Fingerprint;
-use super::crash::{Crash, CrashEvidence, UNSURE_PER_CRASH, digest_of, says};
+use super::crash::{Crash, CrashEvidence, UNCONFIRMED_PER_CRASH, covers, crash_digest};
 use crate::amount::Time;
 use crate::ids::UpstreamId;
 
-/// How long before that others are told no more, so that none hears anew what it has dropped.
-const LAST_WORD: Duration = Duration::from_secs(5);
-/// How many crashes at one point of the answer block a request: many are at one crash by
-/// accident, few at two.
-const SAME_POINT: u32 = 2;
-/// How many crashes block it, wherever its answer was.
-const ANY_POINT: u32 = 3;
-/// How many events apart two points of an answer count as one: events may be on their way when
-/// an upstream ends.
-const NEAR: u64 = 8;
-/// How many requests are remembered, each of some 200 B: 0.1 MB.
+/// Crashes that expire within this time are no longer sent to other processes, so that none
+/// receives a crash that it has already dropped.
+const MIN_SHARED_TTL: Duration = Duration::from_secs(5);
+/// Number of crashes at one point of the answer that block a request: many requests are running at
+/// one crash by accident, few at two.
+const SAME_POINT_CRASHES: u32 = 2;
+/// Number of crashes that block a request, at any point of its answer.
+const ANY_POINT_CRASHES: u32 = 3;
+/// Maximum distance in events between two points of an answer that count as the same: events may be
+/// in transit when an upstream crashes.
+const MAX_POINT_DISTANCE: u64 = 8;
+/// Maximum number of requests that are kept, each of some 200 B: 0.1 MB.
 const MAX_REQUESTS: usize = 512;
-/// How many of them may be of one account, so that it crowds no other out.
-const MAX_OF_ACCOUNT: usize = 64;
-/// How many crashes of one request are remembered: more say nothing more. All processes keep those
-/// of the same upstreams, whatever they heard first, or they would never believe the same.
-const MAX_CRASHES: usize = 8;
+/// Maximum number of requests of one account, so that it does not displace those of others.
+const MAX_REQUESTS_PER_ACCOUNT: usize = 64;
+/// Maximum number of crashes that are kept for one request; more add no information. All processes
+/// keep the crashes of the same upstreams, regardless of the order of arrival. Otherwise their
+/// states would never agree.
+const MAX_CRASHES_PER_REQUEST: usize = 8;
 
-/// What is held against a request.
+/// The status of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PoisonStatus {
-    /// Nothing.
+    /// No crash counts against the request.
     Clear,
-    /// An upstream ended while it was there.
+    /// An upstream crashed while the request was running there.
     Suspect {
-        /// Whether its answer had hardly begun: a stream that had run for a while is less
-        /// likely to have been the cause.
+        /// Whether its answer had hardly begun. A stream that had run for a while is less likely to
+        /// be the cause.
         early: bool,
     },
-    /// It is sent to no upstream.
+    /// The request is sent to no upstream.
     Blocked {
-        /// The upstreams that ended under it.
+        /// The upstreams that crashed under the request.
         upstreams: Vec<UpstreamId>,
-        /// How long ago the last one did.
+        /// The time since the last crash.
         age: Duration,
-        /// How much longer it is blocked.
+        /// The time for which the request stays blocked.
         remaining: Duration,
     },
 }
 
-/// A crash as it is remembered.
+/// A crash in the table.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Known {
+struct KnownCrash {
     upstream: UpstreamId,
-    life: u32,
+    prior_crashes: u32,
     evidence: CrashEvidence,
-    point: u64,
+    events_sent: u64,
     cleared: bool,
-    /// Until when it is held against the request. A crash may be older than this process.
-    until: Time,
-    /// Whether this process saw it.
-    here: bool,
+    /// When the crash stops counting against the request. A crash may be older than this process.
+    expires_at: Time,
+    /// Whether this process observed the crash.
+    is_local: bool,
 }
 
-impl Known {
+impl KnownCrash {
     fn process(&self) -> (&UpstreamId, u32) {
-        (&self.upstream, self.life)
+        (&self.upstream, self.prior_crashes)
     }
 
     fn age(&self, now: Time) -> Duration {
-        self.evidence.keep().saturating_sub(self.until.since(now))
+        self.evidence.ttl().saturating_sub(self.expires_at.since(now))
     }
 }
 
 #[derive(Debug, Clone, Default)]
 struct Record {
     account: u64,
-    crashes: Vec<Known>,
+    crashes: Vec<KnownCrash>,
 }
 
 impl Record {
-    fn open(&self, now: Time) -> impl Iterator<Item = &Known> + Clone {
-        let counts = move |known: &&Known| !known.cleared && now < known.until;
-        self.crashes.iter().filter(counts)
+    fn active(&self, now: Time) -> impl Iterator<Item = &KnownCrash> + Clone {
+        let is_active = move |known: &&KnownCrash| !known.cleared && now < known.expires_at;
+        self.crashes.iter().filter(is_active)
     }
 
     fn is_blocked(&self, now: Time) -> bool {
-        let open = self.open(now);
-        let weight = |known: &Known| known.evidence.weight();
-        let all: u32 = open.clone().map(weight).sum();
-        if all >= ANY_POINT * UNSURE_PER_CRASH {
+        let active = self.active(now);
+        let weight = |known: &KnownCrash| known.evidence.weight();
+        let all: u32 = active.clone().map(weight).sum();
+        if all >= ANY_POINT_CRASHES * UNCONFIRMED_PER_CRASH {
             return true;
         }
-        let is_near = |known: &&Known, point: u64| known.point.abs_diff(point) <= NEAR;
+        let is_near = |known: &&KnownCrash, point: u64| {
+            known.events_sent.abs_diff(point) <= MAX_POINT_DISTANCE
+        };
         let near = |point: u64| -> u32 {
-            open.clone().filter(|known| is_near(known, point)).map(weight).sum()
+            active.clone().filter(|known| is_near(known, point)).map(weight).sum()
         };
-        open.clone().any(|known| near(known.point) >= SAME_POINT * UNSURE_PER_CRASH)
+        active
+            .clone()
+            .any(|known| near(known.events_sent) >= SAME_POINT_CRASHES * UNCONFIRMED_PER_CRASH)
     }
 
-    /// Returns how much longer it is blocked, if no more crashes come.
+    /// Returns the time for which the request stays blocked if no more crashes arrive.
     fn blocked_for(&self, now: Time) -> Duration {
-        let ends = self.open(now).map(|known| known.until);
-        let ends = ends.filter(|at| !self.is_blocked(*at));
-        ends.min().map_or(Duration::ZERO, |at| at.since(now))
+        let expiries = self.active(now).map(|known| known.expires_at);
+        let expiries = expiries.filter(|at| !self.is_blocked(*at));
+        expiries.min().map_or(Duration::ZERO, |at| at.since(now))
     }
 
-    /// Takes in a crash; tells whether it was news.
-    fn take(&mut self, now: Time, crash: &Crash) -> bool {
-        let until = now.after(crash.evidence.keep().saturating_sub(crash.age));
+    /// Applies a crash; returns whether it added information.
+    fn add(&mut self, now: Time, crash: &Crash) -> bool {
+        let expires_at = now.after(crash.evidence.ttl().saturating_sub(crash.age));
         let known = self.crashes.iter_mut().find(|known| known.process() == crash.process());
         if let Some(known) = known {
             let clears = crash.cleared && !known.cleared;
             known.cleared |= crash.cleared;
-            let is_surer = crash.evidence > known.evidence;
-            if is_surer {
+            let has_more_evidence = crash.evidence > known.evidence;
+            if has_more_evidence {
                 known.evidence = crash.evidence;
-                known.until = until;
+                known.expires_at = expires_at;
             }
-            return clears || is_surer;
+            return clears || has_more_evidence;
         }
         if !self.make_room(crash.process()) {
             return false;
         }
-        self.crashes.push(Known {
+        self.crashes.push(KnownCrash {
             upstream: crash.upstream.clone(),
-            life: crash.prior_crashes,
+            prior_crashes: crash.prior_crashes,
             evidence: crash.evidence,
-            point: crash.events_sent,
+            events_sent: crash.events_sent,
             cleared: crash.cleared,
-            until,
-            here: false,
+            expires_at,
+            is_local: false,
         });
         true
     }
 
-    /// Drops the crash of another process if there are too many; tells whether there is room for
-    /// one of this process.
+    /// Removes the crash of another process if the limit is reached; returns whether there is room
+    /// for a crash of `process`.
     fn make_room(&mut self, process: (&UpstreamId, u32)) -> bool {
-        if self.crashes.len() < MAX_CRASHES {
+        if self.crashes.len() < MAX_CRASHES_PER_REQUEST {
             return true;
         }
         let last = (0..self.crashes.len()).max_by_key(|n| self.crashes[*n].process());
@@ -148,122 +154,123 @@
         last.is_some()
     }
 
-    /// Returns until when the newest of its crashes counts.
-    fn until(&self) -> Time {
-        self.crashes.iter().map(|known| known.until).max().unwrap_or_default()
+    /// Returns when the last of its crashes expires.
+    fn latest_expiry(&self) -> Time {
+        self.crashes.iter().map(|known| known.expires_at).max().unwrap_or_default()
     }
 
-    fn told(&self, now: Time, request: Fingerprint) -> impl Iterator<Item = Crash> {
+    fn crashes(&self, now: Time, request: Fingerprint) -> impl Iterator<Item = Crash> {
         self.crashes.iter().map(move |known| Crash {
             request,
             account: self.account,
             upstream: known.upstream.clone(),
-            prior_crashes: known.life,
+            prior_crashes: known.prior_crashes,
             evidence: known.evidence,
-            events_sent: known.point,
+            events_sent: known.events_sent,
             cleared: known.cleared,
             age: known.age(now),
         })
     }
 }
 
-/// What a process knows of requests under which upstreams have ended.
+/// The poison requests and suspects that a process knows.
 #[derive(Debug, Default)]
 pub struct PoisonTable {
     records: BTreeMap<Fingerprint, Record>,
 }
 
 impl PoisonTable {
-    /// Tells whether nothing is held against any request.
+    /// Returns whether no request is kept.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Returns how many requests are remembered.
+    /// Returns the number of requests that are kept.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Returns what is held against a request.
+    /// Returns the status of a request.
     #[must_use]
     pub fn status(&self, now: Time, request: Fingerprint) -> PoisonStatus {
         let Some(record) = self.records.get(&request) else {
             return PoisonStatus::Clear;
         };
-        let open: Vec<_> = record.open(now).collect();
-        let Some(age) = open.iter().map(|known| known.age(now)).min() else {
+        let active: Vec<_> = record.active(now).collect();
+        let Some(age) = active.iter().map(|known| known.age(now)).min() else {
             return PoisonStatus::Clear;
         };
         if !record.is_blocked(now) {
-            let early = open.iter().any(|known| known.point <= NEAR);
+            let early = active.iter().any(|known| known.events_sent <= MAX_POINT_DISTANCE);
             return PoisonStatus::Suspect { early };
         }
-        let upstreams = open.iter().map(|known| known.upstream.clone()).collect();
+        let upstreams = active.iter().map(|known| known.upstream.clone()).collect();
         PoisonStatus::Blocked { upstreams, age, remaining: record.blocked_for(now) }
     }
 
-    /// Returns how often an upstream is known to have ended under a request.
+    /// Returns how many crashes of an upstream under a request are known.
     #[must_use]
     pub fn crash_count(&self, request: Fingerprint, upstream: &UpstreamId) -> u32 {
         let known = self.records.get(&request).into_iter().flat_map(|record| &record.crashes);
-        let lives = known
+        let counts = known
             .filter(|known| known.upstream == *upstream)
-            .map(|known| known.life.saturating_add(1));
-        lives.max().unwrap_or(0)
+            .map(|known| known.prior_crashes.saturating_add(1));
+        counts.max().unwrap_or(0)
     }
 
-    /// Takes in a crash that this process saw; returns what [`PoisonTable::apply`] does.
+    /// Records a crash that this process observed; returns the same as [`PoisonTable::apply`].
     pub fn record_crash(&mut self, now: Time, crash: Crash) -> Vec<(Crash, bool)> {
-        let (request, upstream, life) =
+        let (request, upstream, prior_crashes) =
             (crash.request, crash.upstream.clone(), crash.prior_crashes);
-        let news = self.apply(now, vec![crash]);
+        let added = self.apply(now, vec![crash]);
         let record = self.records.get_mut(&request).into_iter();
-        for known in
-            record.flat_map(|r| &mut r.crashes).filter(|k| k.process() == (&upstream, life))
+        for known in record
+            .flat_map(|r| &mut r.crashes)
+            .filter(|k| k.process() == (&upstream, prior_crashes))
         {
-            known.here = true;
+            known.is_local = true;
         }
-        news
+        added
     }
 
-    /// Tells whether this process saw any of the crashes of a request.
+    /// Returns whether this process observed any of the crashes of a request.
     #[must_use]
     pub fn has_seen_crash(&self, request: Fingerprint) -> bool {
-        self.records.get(&request).is_some_and(|r| r.crashes.iter().any(|known| known.here))
+        self.records.get(&request).is_some_and(|r| r.crashes.iter().any(|known| known.is_local))
     }
 
-    /// Takes in crashes, in any order; returns those that were news, each with whether its
-    /// request is blocked by it.
+    /// Applies crashes, which may arrive in any order. Returns those that added information, each
+    /// with whether it caused its request to be blocked.
     pub fn apply(&mut self, now: Time, crashes: Vec<Crash>) -> Vec<(Crash, bool)> {
-        let mut news = Vec::new();
+        let mut added = Vec::new();
         for crash in crashes {
-            if crash.age >= crash.evidence.keep() {
+            if crash.age >= crash.evidence.ttl() {
                 continue;
             }
             let record = self.records.entry(crash.request).or_default();
             record.account = crash.account;
-            let was = record.is_blocked(now);
-            if !record.take(now, &crash) {
+            let was_blocked = record.is_blocked(now);
+            if !record.add(now, &crash) {
                 continue;
             }
-            let blocks = !was && record.is_blocked(now);
+            let blocks = !was_blocked && record.is_blocked(now);
             let account = crash.account;
-            news.push((crash, blocks));
+            added.push((crash, blocks));
             self.make_room(now, account);
         }
-        news
+        added
     }
 
-    /// Returns all crashes that a request was at.
+    /// Returns all crashes of a request.
     #[must_use]
     pub fn crashes_of(&self, now: Time, request: Fingerprint) -> Vec<Crash> {
         let record = self.records.get(&request);
-        record.map(|record| record.told(now, request).collect()).unwrap_or_default()
+        record.map(|record| record.crashes(now, request).collect()).unwrap_or_default()
     }
 
-    /// Takes in that a request was served whole; returns the crashes that are cleared by that.
+    /// Records that a request completed; returns the crashes that this clears.
     pub fn record_served(&mut self, now: Time, request: Fingerprint) -> Vec<Crash> {
         let all = self.crashes_of(now, request).into_iter();
         let cleared = all
@@ -273,70 +280,74 @@
         self.apply(now, cleared).into_iter().map(|(crash, _)| crash).collect()
     }
 
-    /// Forgets what is too old to be held against anybody.
+    /// Removes expired crashes.
     pub fn sweep(&mut self, now: Time) {
         self.records.retain(|_, record| {
-            record.crashes.retain(|known| now < known.until);
+            record.crashes.retain(|known| now < known.expires_at);
             !record.crashes.is_empty()
         });
     }
 
-    /// Returns a number that stands for all blocked requests; 0 if there are none.
+    /// Returns a digest of all blocked requests; 0 if there are none.
     #[must_use]
     pub fn digest(&self, now: Time) -> u64 {
-        self.blocked_crashes(now).iter().fold(0, |sum, crash| sum ^ digest_of(crash))
+        self.blocked_crashes(now).iter().fold(0, |sum, crash| sum ^ crash_digest(crash))
     }
 
-    /// Returns all crashes of blocked requests, for processes that may know less.
+    /// Returns all crashes of blocked requests, to send them to other processes.
     #[must_use]
     pub fn blocked_crashes(&self, now: Time) -> Vec<Crash> {
-        let is_told =
-            |record: &Record| record.is_blocked(now) && record.until().since(now) > LAST_WORD;
-        let told = self.records.iter().filter(|(_, record)| is_told(record));
-        told.flat_map(|(request, record)| record.told(now, *request)).collect()
+        let is_shared = |record: &Record| {
+            record.is_blocked(now) && record.latest_expiry().since(now) > MIN_SHARED_TTL
+        };
+        let shared = self.records.iter().filter(|(_, record)| is_shared(record));
+        shared.flat_map(|(request, record)| record.crashes(now, *request)).collect()
     }
 
-    /// Returns what is known of blocked requests and of those that another process spoke of; nothing
-    /// if that is no more than it said.
+    /// Returns the crashes of blocked requests, and of the requests in `theirs`, that another
+    /// process lacks; empty if `theirs` contains all of them.
     #[must_use]
     pub fn missing_from(&self, now: Time, theirs: &[Crash]) -> Vec<Crash> {
-        let spoken = theirs.iter().filter_map(|crash| {
+        let mentioned = theirs.iter().filter_map(|crash| {
             self.records.get(&crash.request).map(|record| (crash.request, record))
         });
-        let spoken = spoken.flat_map(|(request, record)| record.told(now, request));
-        let all = self.blocked_crashes(now).into_iter().chain(spoken);
-        let is_news = |crash: &Crash| !theirs.iter().any(|known| says(known, crash));
-        let mut more: Vec<_> = all.filter(is_news).collect();
-        more.sort_by(|a, b| (a.request, a.process()).cmp(&(b.request, b.process())));
-        more.dedup_by(|a, b| says(a, b));
-        more
+        let mentioned = mentioned.flat_map(|(request, record)| record.crashes(now, request));
+        let all = self.blocked_crashes(now).into_iter().chain(mentioned);
+        let is_missing = |crash: &Crash| !theirs.iter().any(|known| covers(known, crash));
+        let mut missing: Vec<_> = all.filter(is_missing).collect();
+        missing.sort_by(|a, b| (a.request, a.process()).cmp(&(b.request, b.process())));
+        missing.dedup_by(|a, b| covers(a, b));
+        missing
     }
 
-    /// Drops what says least where an account, or all of them, have too many requests here.
+    /// Removes the request with the earliest expiry if its account, or the whole table, has too
+    /// many.
     fn make_room(&mut self, now: Time, account: u64) {
-        let count = |wanted: u64| self.records.values().filter(|r| r.account == wanted).count();
-        let count = count(account);
-        let (from, count) = if count > MAX_OF_ACCOUNT {
+        let count_of =
+            |account: u64| self.records.values().filter(|r| r.account == account).count();
+        let count = count_of(account);
+        let (from, count) = if count > MAX_REQUESTS_PER_ACCOUNT {
             (account, count)
         } else if self.records.len() > MAX_REQUESTS {
-            self.largest()
+            self.largest_account()
         } else {
             return;
         };
-        let own = || self.records.iter().filter(move |(_, record)| record.account == from);
-        // Half of the room is for either kind: many bystanders of a crash must not drive out what
-        // is blocked, nor many that are blocked the next one that is to be.
-        let blocked = own().filter(|(_, record)| record.is_blocked(now)).count();
-        let drops_blocked = blocked > count / 2;
-        let kind = own().filter(|(_, record)| record.is_blocked(now) == drops_blocked);
-        let oldest = kind.min_by_key(|(_, record)| record.until());
+        let of_account = || self.records.iter().filter(move |(_, record)| record.account == from);
+        // Blocked requests and suspects each have half of the room. Many suspects of one crash must
+        // not displace blocked requests, and many blocked requests must not displace the next one
+        // to be blocked.
+        let blocked = of_account().filter(|(_, record)| record.is_blocked(now)).count();
+        let removes_blocked = blocked > count / 2;
+        let kind = of_account().filter(|(_, record)| record.is_blocked(now) == removes_blocked);
+        let oldest = kind.min_by_key(|(_, record)| record.latest_expiry());
         if let Some(request) = oldest.map(|(request, _)| *request) {
             self.records.remove(&request);
         }
     }
 
-    /// Returns the account with the most requests here, and how many those are.
-    fn largest(&self) -> (u64, usize) {
+    /// Returns the account with the most requests, and their number.
+    fn largest_account(&self) -> (u64, usize) {
         let mut counts: BTreeMap<u64, usize> = BTreeMap::new();
         for record in self.records.values() {
             *counts.entry(record.account).or_default() += 1;
--- a/crates/badgerfield-core/src/poison_record.rs
+++ b/crates/badgerfield-core/src/poison_record.rs
@@ -1,5 +1,5 @@
-//! How far the platform has the requests that are blocked, so that they outlast the loss of all
-//! processes; and the news of crashes that wait to be told.
+//! The record of blocked requests in the store, by which they outlast the loss of all processes;
+//! and the crashes that wait to be sent to the other members.
 
 use std::time::Duration;
 
@@ -10,120 +10,123 @@
 use crate::event::is_due;
 use crate::poison::Crash;
 
-/// The least time between two reads of the record by one process: a store that is away is
-/// asked again.
-const READ: Duration = Duration::from_secs(1);
-/// The least time between two writes of it by one process; each tells all that is known then.
-const WRITE: Duration = Duration::from_millis(200);
-/// How many crashes the record holds at the most, some 150 B each.
+/// Minimum time between two reads of the record by one process. A read is repeated while the store
+/// is unavailable.
+const READ_INTERVAL: Duration = Duration::from_secs(1);
+/// Minimum time between two writes of the record by one process. Each write contains all blocked
+/// requests known at that time.
+const WRITE_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum number of crashes in the record, of some 150 B each.
 const MAX_RECORDED: usize = 256;
-/// How long news of crashes may wait for more of them, unless they block a request: many
-/// requests are at one crash.
-const GATHER: Duration = Duration::from_millis(20);
-/// How many crashes one message tells. What is not told is known where it was seen.
-const MAX_TOLD: usize = 64;
+/// Maximum time that crashes wait for more of them to be sent together, unless one blocks a
+/// request: many requests are running at one crash.
+const BATCH_DELAY: Duration = Duration::from_millis(20);
+/// Maximum number of crashes in one update. Crashes that are left out are known where they were
+/// observed.
+const MAX_UPDATE_CRASHES: usize = 64;
 
-/// Why the platform's record cannot be used.
+/// The value in the store is not a record of blocked requests.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("expected a list of crashes, found {0}")]
 pub(crate) struct RecordError(String);
 
-/// What a call about the record is to do.
+/// The purpose of a call for the record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RecordCall {
-    /// Read it.
+    /// Read the record.
     Read,
-    /// Write it over this revision.
+    /// Write the record if the stored one has this revision.
     Write(u64),
 }
 
-/// The record at the platform as this process knows it, and news that wait to be told.
+/// The state of the record in the store as this process knows it, and the crashes that wait to be
+/// sent.
 #[derive(Debug, Default)]
 pub(crate) struct PoisonRecord {
-    /// The revision of the record; nothing while it is not known.
+    /// The revision of the record; `None` while it is unknown.
     revision: Option<u64>,
-    /// Whether more is known here than was written.
-    has_more: bool,
-    /// Whether a call is under way.
-    is_open: bool,
-    read_at: Option<Time>,
-    wrote_at: Option<Time>,
-    waiting: Vec<Crash>,
-    told_at: Option<Time>,
+    /// Whether this process knows crashes that it has not written.
+    is_dirty: bool,
+    /// Whether a call is pending.
+    is_call_pending: bool,
+    last_read: Option<Time>,
+    last_write: Option<Time>,
+    pending: Vec<Crash>,
+    last_update: Option<Time>,
 }
 
 impl PoisonRecord {
-    /// Notes that a request is blocked which the record may not name.
+    /// Records that a request is blocked that the record may not contain.
     pub(crate) fn mark_dirty(&mut self) {
-        self.has_more = true;
+        self.is_dirty = true;
     }
 
-    /// Returns the call that is due, and takes it that it is made.
+    /// Returns the call that is due, and marks it as pending.
     pub(crate) fn next_call(&mut self, now: Time) -> Option<RecordCall> {
         let call = match self.revision {
             None => RecordCall::Read,
-            Some(revision) if self.has_more => RecordCall::Write(revision),
+            Some(revision) if self.is_dirty => RecordCall::Write(revision),
             Some(_) => return None,
         };
-        let (last, pace) = match call {
-            RecordCall::Read => (&mut self.read_at, READ),
-            RecordCall::Write(_) => (&mut self.wrote_at, WRITE),
+        let (last, interval) = match call {
+            RecordCall::Read => (&mut self.last_read, READ_INTERVAL),
+            RecordCall::Write(_) => (&mut self.last_write, WRITE_INTERVAL),
         };
-        if self.is_open || !is_due(now, *last, pace) {
+        if self.is_call_pending || !is_due(now, *last, interval) {
             return None;
         }
         *last = Some(now);
-        self.is_open = true;
+        self.is_call_pending = true;
         if call != RecordCall::Read {
-            self.has_more = false;
+            self.is_dirty = false;
         }
         Some(call)
     }
 
-    /// Takes in that the record was read or written, and stands at a revision.
+    /// Records that the record was read or written, and its revision.
     pub(crate) fn set_revision(&mut self, revision: u64) {
-        self.is_open = false;
+        self.is_call_pending = false;
         self.revision = Some(revision);
     }
 
-    /// Takes in that a call failed: the record may be another one now.
+    /// Records that a call failed: the record may have changed.
     pub(crate) fn record_failure(&mut self, was_write: bool) {
-        self.is_open = false;
-        self.has_more |= was_write;
+        self.is_call_pending = false;
+        self.is_dirty |= was_write;
         self.revision = None;
     }
 
-    /// Adds news that are to be told to all.
+    /// Queues crashes to be sent to all members.
     pub(crate) fn enqueue(&mut self, crashes: impl IntoIterator<Item = Crash>) {
-        self.waiting.extend(crashes);
-        // What came last may block a request; of many at one crash the first are dropped.
-        let excess = self.waiting.len().saturating_sub(MAX_TOLD);
-        self.waiting.drain(..excess);
+        self.pending.extend(crashes);
+        // The latest crashes may block a request; of the many of one crash the first are dropped.
+        let excess = self.pending.len().saturating_sub(MAX_UPDATE_CRASHES);
+        self.pending.drain(..excess);
     }
 
-    /// Takes the news that are to be told now; at once if one of them is urgent.
+    /// Takes the crashes that are due to be sent now; they are sent at once if `is_urgent`.
     pub(crate) fn take_update(&mut self, now: Time, is_urgent: bool) -> Vec<Crash> {
-        if self.waiting.is_empty() || !(is_urgent || is_due(now, self.told_at, GATHER)) {
+        if self.pending.is_empty() || !(is_urgent || is_due(now, self.last_update, BATCH_DELAY)) {
             return Vec::new();
         }
-        self.told_at = Some(now);
-        std::mem::take(&mut self.waiting)
+        self.last_update = Some(now);
+        std::mem::take(&mut self.pending)
     }
 }
 
-/// Writes the record; of too many crashes those that are freshest.
+/// Encodes the record. If there are too many crashes, it contains the most recent ones.
 pub(crate) fn encode(mut crashes: Vec<Crash>) -> Bytes {
     crashes.sort_by_key(|crash| crash.age);
     crashes.truncate(MAX_RECORDED);
     Bytes::from(serde_json::to_vec(&crashes).unwrap_or_default())
 }
 
-/// Reads the record. Its ages are of when it was written, which nobody knows: each crash counts
-/// as fresh, so that a request is rather blocked too long.
+/// Decodes the record. The ages of its crashes are as of the time of writing, which is unknown, so
+/// each crash counts as new: a request stays blocked too long rather than too short.
 ///
 /// # Errors
 ///
-/// Fails if the value is no list of crashes.
+/// Returns an error if the value is not a list of crashes.
 pub(crate) fn decode(value: Option<&[u8]>) -> Result<Vec<Crash>, RecordError> {
     let Some(bytes) = value else {
         return Ok(Vec::new());
--- a/crates/badgerfield-core/src/rollout/evidence.rs
+++ b/crates/badgerfield-core/src/rollout/evidence.rs
@@ -1,20 +1,21 @@
-//! How requests went, added up over processes.
+//! Counts of answers, added up over processes.
 
 use std::collections::BTreeMap;
 
 use super::{AnswerCounts, RolloutTally};
 
-/// How requests went at the target and, on the same routes over the same time, at others.
+/// Counts of answers of the target and of the other versions, on the same routes and over the same
+/// time.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Evidence {
-    /// By route: at the target, and at others.
+    /// By route: the counts of the target, and of the other versions.
     pub routes: BTreeMap<String, (AnswerCounts, AnswerCounts)>,
-    /// By upstream of the target.
+    /// The counts of each upstream of the target.
     pub upstreams: BTreeMap<u32, AnswerCounts>,
 }
 
 impl AnswerCounts {
-    /// Returns the sum.
+    /// Returns the sum of both counts.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -24,7 +25,7 @@
         }
     }
 
-    /// Returns what came since an older count.
+    /// Returns the answers counted since an older count.
     #[must_use]
     pub fn minus(self, older: Self) -> Self {
         Self {
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Returns how many answers were bad.
+    /// Returns the number of bad answers.
     #[must_use]
     pub fn bad(self) -> u32 {
         self.failed.saturating_add(self.slow)
@@ -42,38 +43,38 @@
 }
 
 impl Evidence {
-    /// Adds what one process told.
+    /// Adds the tally of one process.
     pub fn add(&mut self, tally: &RolloutTally) {
         for route in &tally.routes {
             if !self.routes.contains_key(&route.route) {
                 self.routes.insert(route.route.clone(), Default::default());
             }
         }
-        self.change(tally, AnswerCounts::plus);
+        self.combine(tally, AnswerCounts::plus);
     }
 
-    /// Takes back what one process told before.
-    pub fn take_back(&mut self, tally: &RolloutTally) {
-        self.change(tally, AnswerCounts::minus);
+    /// Subtracts an older tally of one process.
+    pub fn subtract(&mut self, tally: &RolloutTally) {
+        self.combine(tally, AnswerCounts::minus);
     }
 
-    fn change(
+    fn combine(
         &mut self,
         tally: &RolloutTally,
-        with: impl Fn(AnswerCounts, AnswerCounts) -> AnswerCounts,
+        operation: impl Fn(AnswerCounts, AnswerCounts) -> AnswerCounts,
     ) {
         for route in &tally.routes {
             if let Some(sum) = self.routes.get_mut(&route.route) {
-                *sum = (with(sum.0, route.target), with(sum.1, route.others));
+                *sum = (operation(sum.0, route.target), operation(sum.1, route.others));
             }
         }
         for (upstream, counts) in &tally.upstreams {
             let sum = self.upstreams.entry(*upstream).or_default();
-            *sum = with(*sum, *counts);
+            *sum = operation(*sum, *counts);
         }
     }
 
-    /// Returns what came since older evidence of the same roll-out.
+    /// Returns the answers counted since older evidence of the same rollout.
     #[must_use]
     pub fn since(&self, older: &Self) -> Self {
         let mut since = self.clone();
@@ -90,13 +91,13 @@
         since
     }
 
-    /// Returns all answers of the target.
+    /// Returns the counts of the target over all routes.
     #[must_use]
     pub fn target(&self) -> AnswerCounts {
         self.routes.values().fold(AnswerCounts::default(), |sum, (target, _)| sum.plus(*target))
     }
 
-    /// Returns all answers of others.
+    /// Returns the counts of the other versions over all routes.
     #[must_use]
     pub fn others(&self) -> AnswerCounts {
         self.routes.values().fold(AnswerCounts::default(), |sum, (_, others)| sum.plus(*others))
--- a/crates/badgerfield-core/src/rollout/belief.rs
+++ b/crates/badgerfield-core/src/rollout/known_rollouts.rs
@@ -1,8 +1,9 @@
-//! Which roll-outs are ordered and how far they have come, as the processes of a fleet believe it.
+//! The orders for rollouts and their progress, as one process knows them.
 //!
-//! Of each service the order with the highest revision of the platform counts, and of that order
-//! the furthest phase. So the order in which news arrives does not matter, nothing steps back,
-//! and two processes that have told each other what they know believe the same.
+//! For each service, the order with the highest revision of the store counts, and of that order the
+//! furthest phase. Therefore the order in which updates arrive does not matter, a rollout never
+//! goes back to an earlier phase, and two processes that have exchanged all they know have the same
+//! state.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,17 +13,17 @@
 use super::{OrderChange, RolloutReason, RolloutRecord, RolloutState};
 use crate::ids::{Service, SoftwareVersion};
 
-/// How many services are remembered. A deployment has a handful; the bound is for an operator
-/// that writes names at random, and drops what was ordered longest ago.
+/// Maximum number of services that are kept. A deployment has a handful; the limit protects against
+/// an operator that writes arbitrary names. The service with the oldest order is removed first.
 const MAX_SERVICES: usize = 64;
-/// How many versions of a service are remembered that no request may go to. Each order that did
-/// not complete leaves one, whose upstreams may still be listed.
+/// Maximum number of versions of a service that are kept as refused. Each order that did not
+/// complete adds one, and its upstreams may still be listed.
 const MAX_REFUSED: usize = 8;
 
-/// How far an order has come. Later phases count more.
+/// The phase of an order. Later phases take precedence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RolloutPhase {
-    /// The record names the order: a bounded share of the requests tries the target.
+    /// The record names the order: a bounded share of the requests goes to the target.
     Canary,
     /// The record says that all requests move to the target.
     Moving,
@@ -34,21 +35,21 @@
     Completed,
 }
 
-/// What is known of how far an order has come.
+/// The progress of an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutProgress {
-    /// How far.
+    /// The phase.
     pub phase: RolloutPhase,
-    /// Why.
+    /// The reason for the phase.
     pub reason: RolloutReason,
-    /// Versions of earlier orders that no request may go to.
+    /// Targets of earlier orders that no request may go to.
     pub refused: BTreeSet<SoftwareVersion>,
 }
 
 impl RolloutProgress {
-    /// Reads how far an order has come off the record that names it.
+    /// Returns the progress of the order that the record names.
     #[must_use]
-    pub fn of(record: &RolloutRecord) -> Self {
+    pub fn from_record(record: &RolloutRecord) -> Self {
         let phase = match record.state {
             RolloutState::InProgress if record.moving => RolloutPhase::Moving,
             RolloutState::InProgress => RolloutPhase::Canary,
@@ -59,16 +60,16 @@
     }
 }
 
-/// What a process knows of the roll-out of one service.
+/// The rollout of one service as a process knows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownRollout {
-    /// The newest order.
+    /// The newest change of the order.
     pub change: OrderChange,
-    /// How far it has come; nothing while no record is known that names it.
+    /// The progress of the order; `None` while no record that names it is known.
     pub stage: Option<RolloutProgress>,
 }
 
-/// What a process knows of all roll-outs.
+/// All rollouts that a process knows.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct KnownRollouts {
     services: BTreeMap<Service, KnownRollout>,
@@ -76,30 +77,31 @@
 }
 
 impl KnownRollouts {
-    /// Takes in news, in any order; returns what is known now of each service of which they
-    /// told something new.
-    pub fn apply(&mut self, news: impl IntoIterator<Item = KnownRollout>) -> Vec<KnownRollout> {
-        let mut turned = Vec::new();
-        for found in news {
-            let service = found.change.service.clone();
-            let next = match self.services.get(&service) {
-                Some(known) => known.clone().join(found),
-                None => found,
+    /// Applies updates, which may arrive in any order. Returns the new state of each service that
+    /// they change.
+    pub fn apply(&mut self, updates: impl IntoIterator<Item = KnownRollout>) -> Vec<KnownRollout> {
+        let mut changed = Vec::new();
+        for update in updates {
+            let service = update.change.service.clone();
+            let merged = match self.services.get(&service) {
+                Some(known) => known.clone().merge(update),
+                None => update,
             };
-            if self.services.get(&service) == Some(&next) {
+            if self.services.get(&service) == Some(&merged) {
                 continue;
             }
-            turned.push(next.clone());
-            self.services.insert(service, next);
+            changed.push(merged.clone());
+            self.services.insert(service, merged);
         }
-        self.forget_oldest();
+        self.remove_oldest();
         self.digest = self.services.values().fold(0, |sum, known| sum ^ known.digest());
-        turned
+        changed
     }
 
-    /// Takes in all orders that stood at a revision: any other was withdrawn by then.
+    /// Applies all orders that existed at a revision. Other known orders had been withdrawn by
+    /// then.
     ///
-    /// Returns what [`KnownRollouts::apply`] does.
+    /// Returns the same as [`KnownRollouts::apply`].
     pub fn apply_snapshot(&mut self, revision: u64, orders: Vec<OrderChange>) -> Vec<KnownRollout> {
         let is_missing = |service: &Service| orders.iter().all(|o| o.service != *service);
         let withdrawn: Vec<_> = self
@@ -116,25 +118,25 @@
         self.apply(orders.map(|change| KnownRollout { change, stage: None }))
     }
 
-    /// Returns what is known of a service.
+    /// Returns the rollout of a service.
     #[must_use]
     pub fn get(&self, service: &Service) -> Option<&KnownRollout> {
         self.services.get(service)
     }
 
-    /// Returns all that is known, for processes that may know less.
+    /// Returns all known rollouts, to send them to other processes.
     #[must_use]
     pub fn all(&self) -> Vec<KnownRollout> {
         self.services.values().cloned().collect()
     }
 
-    /// Returns a number that stands for all that is known; 0 if that is nothing.
+    /// Returns a digest of all known rollouts; 0 if there are none.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    fn forget_oldest(&mut self) {
+    fn remove_oldest(&mut self) {
         while self.services.len() > MAX_SERVICES {
             let oldest = self.services.values().min_by_key(|known| known.change.revision);
             let Some(service) = oldest.map(|known| known.change.service.clone()) else {
@@ -146,26 +148,26 @@
 }
 
 impl KnownRollout {
-    /// Returns the target of the order, unless it was withdrawn.
+    /// Returns the target of the order, or `None` if the order was withdrawn.
     #[must_use]
     pub fn target(&self) -> Option<&SoftwareVersion> {
         self.change.order.as_ref().map(|order| &order.target)
     }
 
-    /// Tells how far the order has come; nothing while no record is known that names it.
+    /// Returns the phase of the order, or `None` while no record that names it is known.
     #[must_use]
     pub fn phase(&self) -> Option<RolloutPhase> {
         self.stage.as_ref().map(|stage| stage.phase)
     }
 
-    /// Returns what two processes know together.
-    fn join(self, other: Self) -> Self {
+    /// Merges the states of two processes.
+    fn merge(self, other: Self) -> Self {
         if self.change.revision != other.change.revision {
             let self_is_newer = self.change.revision > other.change.revision;
             return if self_is_newer { self } else { other };
         }
         let stage = match (self.stage, other.stage) {
-            (Some(a), Some(b)) => Some(a.join(b)),
+            (Some(a), Some(b)) => Some(a.merge(b)),
             (a, b) => a.or(b),
         };
         Self { change: self.change, stage }
@@ -186,15 +188,16 @@
 }
 
 impl RolloutProgress {
-    /// Returns what two processes know together. Versions that are refused come from the
-    /// record, and so are the same for all phases of an order.
-    fn join(self, other: Self) -> Self {
+    /// Merges the progress that two processes know. The refused versions come from the record, so
+    /// they are the same for all phases of an order.
+    fn merge(self, other: Self) -> Self {
         if other.phase > self.phase { other } else { self }
     }
 }
 
-/// Returns the versions that a new record refuses: what the last one refused, and its target
-/// unless that was completed, but never the target of the new order.
+/// Returns the versions that the next record refuses: those that the last record refuses, and the
+/// target of the last record unless that was completed. The target of the new order is never
+/// refused.
 #[must_use]
 pub(super) fn refused_after(
     last: &RolloutRecord,
@@ -207,8 +210,7 @@
     if let Some(target) = target {
         refused.remove(target);
     }
-    // The one that was just found to be bad is the last to be forgotten: its upstreams may
-    // still be listed.
+    // The version that was last judged bad is kept: its upstreams may still be listed.
     while refused.len() > MAX_REFUSED {
         let oldest = refused.iter().find(|version| **version != last.target).cloned();
         let Some(oldest) = oldest else {
--- a/crates/badgerfield-core/src/rollout/note.rs
+++ b/crates/badgerfield-core/src/rollout/log_entry.rs
@@ -1,24 +1,24 @@
-//! What the log says of roll-outs.
+//! Log entries about rollouts.
 
 use std::fmt;
 
 use super::{AnswerCounts, Evidence, KnownRollout, RolloutReason, RolloutRecord};
 use crate::ids::Service;
 
-/// One line about a roll-out.
+/// One log entry about a rollout.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RolloutLogEntry {
-    /// An order, or how far it has come, is news here.
+    /// This process received a new order or new progress of an order.
     Updated(KnownRollout),
-    /// This process found the target of an order bad.
+    /// This process judged the target of an order bad.
     Rejected {
         /// The service.
         service: Service,
         /// The revision of the order.
         revision: u64,
-        /// Why.
+        /// The reason.
         reason: RolloutReason,
-        /// What it was judged by.
+        /// The evidence of the verdict.
         evidence: Evidence,
     },
     /// This process writes the record.
@@ -27,14 +27,14 @@
         service: Service,
         /// The record.
         record: RolloutRecord,
-        /// What was known when it was written.
+        /// The evidence when it was written.
         evidence: Evidence,
     },
-    /// A call about the record did not do what it was made for.
+    /// A store call for the record failed, or its outcome is unknown.
     CallFailed {
         /// The service.
         service: Service,
-        /// What came of it.
+        /// The outcome of the call.
         outcome: &'static str,
     },
 }
@@ -44,7 +44,7 @@
         match self {
             Self::Updated(known) => {
                 let service = &known.change.service;
-                write!(f, "roll-out of {service} order {}", known.change.revision)?;
+                write!(f, "rollout of {service} order {}", known.change.revision)?;
                 match &known.change.order {
                     Some(order) => write!(f, " to {} within {:?}", order.target, order.span)?,
                     None => f.write_str(" withdrawn")?,
@@ -55,31 +55,31 @@
                 }
             }
             Self::Rejected { service, revision, reason, evidence } => {
-                write!(f, "roll-out of {service} order {revision} found bad: {reason}; ")?;
-                describe(f, evidence)
+                write!(f, "rollout of {service} order {revision} found bad: {reason}; ")?;
+                write_evidence(f, evidence)
             }
             Self::WritingRecord { service, record, evidence } => {
                 let RolloutRecord { state, target, order, moving, reason, .. } = record;
-                write!(f, "roll-out of {service} order {order} to {target} written as {state:?}")?;
+                write!(f, "rollout of {service} order {order} to {target} written as {state:?}")?;
                 write!(f, ", moving {moving}, {reason}; ")?;
-                describe(f, evidence)
+                write_evidence(f, evidence)
             }
             Self::CallFailed { service, outcome } => {
-                write!(f, "record of the roll-out of {service}: {outcome}; it is looked up")
+                write!(f, "record of the rollout of {service}: {outcome}; it is looked up")
             }
         }
     }
 }
 
-fn describe(f: &mut fmt::Formatter<'_>, evidence: &Evidence) -> fmt::Result {
-    let show = |f: &mut fmt::Formatter<'_>, name: &str, counts: AnswerCounts| {
+fn write_evidence(f: &mut fmt::Formatter<'_>, evidence: &Evidence) -> fmt::Result {
+    let write_counts = |f: &mut fmt::Formatter<'_>, name: &str, counts: AnswerCounts| {
         write!(
             f,
             "{name} {} answers, {} failed, {} slow",
             counts.answers, counts.failed, counts.slow
         )
     };
-    show(f, "target", evidence.target())?;
-    show(f, "; others", evidence.others())?;
+    write_counts(f, "target", evidence.target())?;
+    write_counts(f, "; others", evidence.others())?;
     write!(f, "; {} upstreams, {} routes", evidence.upstreams.len(), evidence.routes.len())
 }
--- a/crates/badgerfield-core/src/rollout/mod.rs
+++ b/crates/badgerfield-core/src/rollout/mod.rs
@@ -1,12 +1,13 @@
-//! Roll-outs: moving the requests of a service to another version of its software.
+//! Rollouts: moving the requests of a service to another version of its software.
 //!
-//! An operator orders it. A bounded share of the requests tries the new version, and what comes
-//! of them is compared with the version that is there; then all requests move over, or back.
+//! An operator orders a rollout. A bounded share of the requests goes to the new version as a
+//! canary, and their outcomes are compared with those of the version in use. Then all requests move
+//! to the new version, or all go back to the old one.
 
-mod belief;
 mod evidence;
 mod judge;
-mod note;
+mod known_rollouts;
+mod log_entry;
 pub mod plan;
 mod record;
 mod recorder;
@@ -22,67 +23,67 @@
 use crate::amount::Percent;
 use crate::ids::{Service, SoftwareVersion};
 
-pub use belief::{KnownRollout, KnownRollouts, RolloutPhase, RolloutProgress};
 pub use evidence::Evidence;
 pub use judge::Judge;
-pub use note::RolloutLogEntry;
+pub use known_rollouts::{KnownRollout, KnownRollouts, RolloutPhase, RolloutProgress};
+pub use log_entry::RolloutLogEntry;
 pub use record::{RecordError, RolloutRecord, RolloutState};
 pub use recorder::{Recorder, RecorderCall, StepContext};
 pub use table::RolloutStatus;
 pub(crate) use table::Rollouts;
 
-/// What an operator last ordered for a service.
+/// The latest change of an operator's order for a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderChange {
     /// The service.
     pub service: Service,
-    /// The platform's revision at which it was ordered or withdrawn.
+    /// The store's revision at which it was ordered or withdrawn.
     pub revision: u64,
-    /// The order; nothing if it was withdrawn.
+    /// The order; `None` if it was withdrawn.
     pub order: Option<RolloutOrder>,
 }
 
 /// An order to move a service to a version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutOrder {
-    /// The version that all requests should move to.
+    /// The version that all requests are to move to.
     pub target: SoftwareVersion,
-    /// Within which time of the order.
+    /// The time within which all requests are to move, from the time of the order.
     pub span: Duration,
 }
 
-/// Which requests of a service may go to the version that is rolled out.
+/// Which requests of a service may go to the target of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Allowance {
-    /// None: it is not tried yet, or was found to be bad.
+    /// None: the target is not tried yet, or was judged bad.
     Nothing,
-    /// This part of the requests of each route.
+    /// This share of the requests of each route.
     Share(Percent),
-    /// All, and none go to other versions.
+    /// All; none go to other versions.
     All,
 }
 
-/// Why a roll-out takes a step.
+/// The reason for a step of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutReason {
-    /// It was ordered.
+    /// An operator ordered it.
     Ordered,
-    /// The target does as well as the other versions, by what it answered.
+    /// The answers of the target are as good as those of the other versions.
     Good,
     /// The target fails more requests than the other versions.
     Failures,
-    /// The target answers more requests late than the other versions.
+    /// More answers of the target are late than of the other versions.
     Slowness,
-    /// The target gave so many bad answers that it is not waited for proof.
+    /// The target gave so many bad answers that the verdict does not wait for statistical proof.
     ManyBad,
     /// No upstream of the target took requests in time.
     NoUpstreams,
-    /// Requests came, and none of the target was answered in time.
+    /// Requests arrived, but the target answered none of them in time.
     NoEvidence,
-    /// The order was withdrawn.
+    /// The operator withdrew the order.
     Withdrawn,
-    /// All members have moved to it.
+    /// All members have moved their requests to the target.
     Moved,
 }
 
@@ -102,86 +103,87 @@
     }
 }
 
-/// How the requests of one service divide between versions, as a process believes it.
+/// The rule by which a process divides the requests of a service between versions.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutRule {
     /// The service.
     pub service: Service,
     /// The revision of the order that the rule follows from.
     pub revision: u64,
-    /// The version that is rolled out.
+    /// The target of the order.
     pub target: SoftwareVersion,
-    /// Which requests it may get.
+    /// The requests that the target may get.
     pub allowance: Allowance,
 }
 
-/// All rules at one moment.
+/// All rules in force at one time.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RolloutRules {
-    /// Rises with each set: threads may carry sets out in another order than they were made.
+    /// Increases with each set. Threads may apply sets in another order than that in which they
+    /// were made; the set with the highest number is in force.
     pub sequence: u64,
-    /// The rules; of what none names, all may go anywhere.
+    /// The rules. Requests of a service without a rule may go to any version.
     pub rules: Vec<RolloutRule>,
 }
 
-/// How requests went.
+/// Counts of answers by their outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerCounts {
-    /// Requests that were answered, or ended without the answer that was due.
+    /// Requests that were answered, or ended without a complete answer.
     pub answers: u32,
-    /// Those of them that failed.
+    /// Answers that failed.
     pub failed: u32,
-    /// Those that did not fail, and came several times later than expected.
+    /// Answers that did not fail but arrived several times later than expected.
     pub slow: u32,
 }
 
-/// How the requests of one route went, at one process.
+/// The counts of one route at one process.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteTally {
     /// The route.
     pub route: String,
-    /// Those at the version that is rolled out.
+    /// Answers of the target.
     pub target: AnswerCounts,
-    /// Those at other versions, in the same time.
+    /// Answers of other versions over the same time.
     pub others: AnswerCounts,
 }
 
-/// How requests went at one process since it learned of an order. Counts only grow, so that a
-/// newer tally replaces an older one.
+/// The counts of one process since it received an order. Counts only grow, so a newer tally
+/// replaces an older one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutTally {
     /// The service.
     pub service: Service,
     /// The revision of the order.
     pub revision: u64,
-    /// By route.
+    /// The counts of each route.
     pub routes: Vec<RouteTally>,
-    /// By upstream of the version that is rolled out, under the numbers that stand for
-    /// upstreams in messages.
+    /// The counts of each upstream of the target, under the numbers that identify upstreams in
+    /// messages.
     pub upstreams: Vec<(u32, AnswerCounts)>,
-    /// How many upstreams of that version take requests.
+    /// The number of upstreams of the target that take requests.
     pub ready: u32,
-    /// How many requests of this process are under way at other versions.
+    /// The number of requests of this process that are running at other versions.
     pub running: u32,
-    /// Whether [`Allowance::All`] was in force for this order when that was counted, so that
-    /// none is sent there any more. Both are read in one step: a count of none from before the
-    /// rule says nothing.
+    /// Whether [`Allowance::All`] was in force for this order when `running` was counted, so that
+    /// no more requests are sent to other versions. Both are read in one step: a count of zero from
+    /// before the rule took effect proves nothing.
     pub moved: bool,
 }
 
-/// What the platform allows a version that turns out to be bad.
+/// The platform's limits on requests to a version that may turn out to be bad.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RolloutBound {
-    /// The most of all requests that reach a service which its new version may get.
+    /// The largest share of all requests to a service that its new version may get.
     pub share: Percent,
-    /// How many requests it may get beside that.
+    /// The number of requests that it may get in addition.
     pub extra_requests: u32,
-    /// How long after a version was found to be bad it may still be sent requests.
+    /// How long after the verdict requests may still be sent to a bad version.
     pub rollback: Duration,
 }
 
 impl Default for RolloutBound {
-    /// Takes what is usual for canaries, where the platform names nothing.
+    /// Returns limits that are common for canaries, for platforms that set none.
     fn default() -> Self {
         Self { share: Percent::FIVE, extra_requests: 20, rollback: Duration::from_secs(5) }
     }
--- a/crates/badgerfield-core/src/rollout/plan.rs
+++ b/crates/badgerfield-core/src/rollout/plan.rs
@@ -1,44 +1,45 @@
-//! When a roll-out takes its steps.
+//! The schedule of a rollout.
 
 use std::time::Duration;
 
 use super::RolloutBound;
 use crate::amount::Percent;
 
-/// How long it takes to write the record twice, to tell all members, and to hear from them at
-/// their pace, even if one answer of the platform is lost (a call is given up after a second).
-const TELL: Duration = Duration::from_secs(4);
-/// How much earlier than the deadline everything should be over: an order may be heard of late,
-/// and clocks of a fleet agree to a second.
-const MARGIN: Duration = Duration::from_secs(2);
-/// The part of the platform's share that tries the target, in tenths: the rest is for what is
-/// sent again and for routes with few requests, whose share comes out uneven.
+/// Time to write the record twice, to announce it to all members and to receive their periodic
+/// reports, even if one reply of the store is lost (a call times out after one second).
+const PROPAGATION_TIME: Duration = Duration::from_secs(4);
+/// Time between the planned end and the deadline: an order may be received late, and the clocks of
+/// a fleet agree to within a second.
+const DEADLINE_MARGIN: Duration = Duration::from_secs(2);
+/// Share of the platform's limit that is sent to the target, in tenths. The rest is left for
+/// retries and for routes with few requests, whose share is uneven.
 const CANARY_TENTHS: u64 = 7;
 
 impl RolloutBound {
-    /// Returns which part of the requests tries the target.
+    /// Returns the share of the requests that is sent to the target during the canary.
     #[must_use]
-    pub fn canary(&self) -> Percent {
-        let share = u64::from(self.share);
-        // A share of one in a hundred has no smaller whole part but none.
-        let part = (share * CANARY_TENTHS / 10).max(u64::from(share > 0));
-        Percent::new(part).unwrap_or(self.share)
+    pub fn canary_share(&self) -> Percent {
+        let limit = u64::from(self.share);
+        // Seven tenths of one percent round down to zero.
+        let share = (limit * CANARY_TENTHS / 10).max(u64::from(limit > 0));
+        Percent::new(share).unwrap_or(self.share)
     }
 }
 
-/// Returns how long after an order all requests should begin to move, so that those that run
-/// elsewhere end in time; `longest` is how long one may run.
+/// Returns how long after an order all requests should begin to move, so that requests that run
+/// elsewhere end in time. A request may run for `max_duration`.
 ///
-/// A version that turns bad after that is beyond the bound, so it is as late as can be.
+/// A version that turns bad after this time cannot be rolled back within the limit, so the move
+/// starts as late as possible.
 #[must_use]
-pub fn moves_after(span: Duration, longest: Duration) -> Duration {
-    let lead = longest.saturating_add(TELL).saturating_add(MARGIN);
+pub fn move_start(span: Duration, max_duration: Duration) -> Duration {
+    let lead = max_duration.saturating_add(PROPAGATION_TIME).saturating_add(DEADLINE_MARGIN);
     span.saturating_sub(lead.min(span / 2))
 }
 
-/// Returns how long after an order its end is settled at the latest, where the time for moving
-/// came too early for evidence.
+/// Returns the latest time after an order at which the verdict before the move is reached. It
+/// applies if there is too little evidence at `move_start`.
 #[must_use]
-pub fn latest(span: Duration, moves_after: Duration) -> Duration {
-    moves_after + span.saturating_sub(moves_after) / 2
+pub fn latest_move_start(span: Duration, move_start: Duration) -> Duration {
+    move_start + span.saturating_sub(move_start) / 2
 }
--- a/crates/badgerfield-core/src/rollout/record.rs
+++ b/crates/badgerfield-core/src/rollout/record.rs
@@ -1,4 +1,4 @@
-//! The record of a roll-out in the key-value service: the only truth of how it ends.
+//! The record of a rollout in the store, which alone decides how the rollout ends.
 
 use std::collections::BTreeSet;
 
@@ -8,60 +8,60 @@
 use super::RolloutReason;
 use crate::ids::SoftwareVersion;
 
-/// Where a roll-out stands, as operators are told.
+/// The state of a rollout, as operators see it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutState {
-    /// It has not ended.
+    /// The rollout has not ended.
     InProgress,
-    /// No request goes to the target; it may be taken away.
+    /// No request goes to the target, whose upstreams may be removed.
     RolledBack,
-    /// No request goes to another version; those may be taken away.
+    /// No request goes to other versions, whose upstreams may be removed.
     Completed,
 }
 
 impl RolloutState {
-    /// Tells whether no other state follows.
+    /// Returns whether no other state follows.
     #[must_use]
     pub fn is_final(self) -> bool {
         self != Self::InProgress
     }
 }
 
-/// What the key-value service keeps of the last roll-out of a service.
+/// The record of the last rollout of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutRecord {
-    /// Where it stands.
+    /// The state.
     pub state: RolloutState,
-    /// The version that is rolled out.
+    /// The target of the order.
     pub target: SoftwareVersion,
-    /// The platform's revision of the order.
+    /// The store's revision of the order.
     pub order: u64,
     /// Whether all requests may go to the target.
     #[serde(default)]
     pub moving: bool,
-    /// When the first that wrote it learned of the order, by the fleet's time in milliseconds
-    /// since 1970; nothing if that was not known.
+    /// When the process that created the record received the order, by the fleet's clock in
+    /// milliseconds since 1970; `None` if the fleet's clock was not known.
     #[serde(default)]
     pub began: Option<u64>,
-    /// Why it stands there.
+    /// The reason for the state.
     pub reason: RolloutReason,
-    /// Targets of earlier orders that did not complete: no request goes to them.
+    /// Targets of earlier orders that did not complete. No request goes to them.
     #[serde(default)]
     pub refused: BTreeSet<SoftwareVersion>,
 }
 
-/// Why a value is no record of a roll-out.
+/// A value is not a record of a rollout.
 #[derive(Debug, Error)]
 #[error("expected the record of a roll-out: {0}")]
 pub struct RecordError(#[from] serde_json::Error);
 
 impl RolloutRecord {
-    /// Reads a record; an absent value is none.
+    /// Decodes a record; returns `None` for an absent value.
     ///
     /// # Errors
     ///
-    /// Refuses what is no record.
+    /// Returns an error if the value is not a record.
     pub fn decode(value: Option<&[u8]>) -> Result<Option<Self>, RecordError> {
         let Some(value) = value else {
             return Ok(None);
@@ -69,7 +69,7 @@
         Ok(Some(serde_json::from_slice(value)?))
     }
 
-    /// Returns the record as it is written.
+    /// Encodes the record as JSON.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
--- a/crates/badgerfield-core/src/rollout/recorder.rs
+++ b/crates/badgerfield-core/src/rollout/recorder.rs
@@ -1,13 +1,13 @@
-//! The steps of a roll-out's record, as one judge takes them.
+//! The steps of a rollout's record, as taken by one judge.
 //!
-//! Each step is one compare-and-swap on what the judge knows to stand there. Of two that are
-//! under way at once, one meets another value and takes that in; one that is carried out long
-//! after it was given up finds its value gone. So a judge that was paused, or knows little,
-//! can waste a call, and break nothing.
+//! Each step is one compare-and-swap against the value that the judge last read. Of two concurrent
+//! writes, the later one fails, and its judge reads the new value. A write that takes effect long
+//! after its call timed out fails as well, since the value has changed. A judge that was stalled or
+//! has an outdated state can therefore waste a call, but cannot overwrite a newer record.
 
 use std::time::Duration;
 
-use super::belief::refused_after;
+use super::known_rollouts::refused_after;
 use super::plan;
 use super::{
     Judge, KnownRollout, RolloutOrder, RolloutPhase, RolloutProgress, RolloutReason, RolloutRecord,
@@ -18,110 +18,113 @@
 use crate::ids::Incarnation;
 use crate::seal::FleetClock;
 
-/// How much longer each further judge waits before it takes a step that is due: more than a
-/// call to the platform and the news of it take.
-const TURN_WAIT: Duration = Duration::from_millis(1500);
-/// The least time between two calls by one judge of which the first told nothing of the record.
-const CALL_PAUSE: Duration = Duration::from_millis(500);
+/// Additional delay for each rank of a judge before it takes a step that is due. It is longer than
+/// a store call and the update that announces its result take.
+const RANK_DELAY: Duration = Duration::from_millis(1500);
+/// Minimum time between two calls of one judge if the first did not return the record.
+const MIN_CALL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a judge knows beside the record and the tallies.
+/// The input of a step besides the record and the tallies.
 #[derive(Debug, Clone, Copy)]
 pub struct StepContext<'a> {
-    /// The present time.
+    /// The current time.
     pub now: Time,
-    /// What is known of the order.
+    /// The order and its progress.
     pub known: &'a KnownRollout,
-    /// When the order was heard of here.
+    /// When this process received the order.
     pub received: Time,
-    /// The fleet's time.
+    /// The fleet's clock.
     pub clock: FleetClock,
-    /// How long a request of the service may run.
+    /// The maximum duration of a request to the service.
     pub max_duration: Duration,
-    /// All members of the view, those that leave among them.
+    /// All members of the view, including those that are leaving.
     pub members: &'a [Incarnation],
-    /// When the platform was asked for the view that was read last.
+    /// When the view that was read last was requested from the store.
     pub view_requested: Option<Time>,
-    /// The place of this process among the judges.
+    /// The rank of this process among the judges.
     pub rank: u32,
 }
 
-/// A call that a judge makes.
+/// A store call of a judge.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecorderCall {
     /// Read the record.
     Read,
     /// Read the view.
     ReadView,
-    /// Write the record where this revision stands.
+    /// Write the record if the stored one has this revision.
     Write(u64, RolloutRecord),
 }
 
 /// The record of one service as a judge knows it, and the evidence on the newest order.
 #[derive(Debug, Clone, Default)]
 pub struct Recorder {
-    /// The evidence.
+    /// The evidence on the newest order.
     pub judge: Judge,
-    /// The record with its revision; nothing until it was read.
+    /// The record and its revision; `None` until it has been read.
     stored: Option<(u64, Option<RolloutRecord>)>,
-    /// Whether a call about the record is under way.
-    is_calling: bool,
-    /// When the last call was made, unless it told what stands in the record.
-    called_at: Option<Time>,
-    /// The step that is due, and since when: later judges wait for earlier ones to take it.
-    wanted: Option<(RolloutRecord, Time)>,
-    /// Since when all members that are known here have confirmed.
-    moved_at: Option<Time>,
+    /// Whether a call for the record is pending.
+    is_call_pending: bool,
+    /// When the last call was made, unless it returned the record.
+    last_call: Option<Time>,
+    /// The step that is due, and since when. Judges of a higher rank wait for those of a lower rank
+    /// to take it.
+    due_step: Option<(RolloutRecord, Time)>,
+    /// When all known members had confirmed that they have moved.
+    all_moved_at: Option<Time>,
 }
 
 impl Recorder {
-    /// Begins to judge a newer order.
-    pub fn renew(&mut self) {
+    /// Discards the evidence on the previous order, for a newer one.
+    pub fn reset(&mut self) {
         self.judge = Judge::default();
-        self.wanted = None;
-        self.moved_at = None;
+        self.due_step = None;
+        self.all_moved_at = None;
     }
 
-    /// Notes what stands in the record; returns how far the newest order has come by it.
+    /// Applies the record that a call returned. Returns the progress of the newest order according
+    /// to the record.
     pub fn apply_record(
         &mut self,
         revision: u64,
         record: Option<RolloutRecord>,
         known: &KnownRollout,
     ) -> Option<RolloutProgress> {
-        self.is_calling = false;
-        // A stale read names an older revision, and one that was removed has none: what stands
-        // there is then asked for again, at the pace of calls that told nothing.
+        self.is_call_pending = false;
+        // A stale read returns an older revision, and a removed record has none. In both cases the
+        // record is read again, after `MIN_CALL_INTERVAL`.
         let is_stale = self.stored.as_ref().is_some_and(|(newest, _)| revision < *newest);
         if is_stale {
             self.stored = None;
-            return self.stage(known);
+            return self.progress(known);
         }
-        // Only calls that told nothing are spaced.
-        self.called_at = None;
+        // Only calls that did not return the record are spaced.
+        self.last_call = None;
         self.stored = Some((revision, record));
-        self.stage(known)
+        self.progress(known)
     }
 
-    /// Notes that a call did not say what stands in the record; it is looked up next.
+    /// Handles a call that did not return the record: the record is read next.
     pub fn invalidate(&mut self) {
-        self.is_calling = false;
+        self.is_call_pending = false;
         self.stored = None;
     }
 
-    /// Notes that this process is no judge any more: others write what it knows.
+    /// Stops judging: other judges write the record.
     pub fn stop_judging(&mut self) {
         self.stored = None;
-        self.wanted = None;
+        self.due_step = None;
     }
 
-    /// Returns how far the newest order has come by the record.
-    fn stage(&self, known: &KnownRollout) -> Option<RolloutProgress> {
+    /// Returns the progress of the newest order according to the record.
+    fn progress(&self, known: &KnownRollout) -> Option<RolloutProgress> {
         let (_, record) = self.stored.as_ref()?;
         if known.change.order.is_some() {
             let record = record.as_ref()?;
-            return (record.order == known.change.revision).then(|| RolloutProgress::of(record));
+            return (record.order == known.change.revision)
+                .then(|| RolloutProgress::from_record(record));
         }
-        // A withdrawn order is over once the record of the one before it is.
+        // A withdrawn order has ended once the record of the order before it has a final state.
         let record = record.as_ref().filter(|record| record.order < known.change.revision);
         if record.is_some_and(|record| !record.state.is_final()) {
             return None;
@@ -134,89 +137,102 @@
         })
     }
 
-    /// Returns the call that is due, if one is.
+    /// Returns the call that is due, if there is one.
     pub fn next_call(&mut self, at: &StepContext<'_>) -> Option<RecorderCall> {
-        if self.is_calling || !is_due(at.now, self.called_at, CALL_PAUSE) {
+        if self.is_call_pending || !is_due(at.now, self.last_call, MIN_CALL_INTERVAL) {
             return None;
         }
         let Some((revision, record)) = &self.stored else {
-            self.is_calling = true;
-            self.called_at = Some(at.now);
+            self.is_call_pending = true;
+            self.last_call = Some(at.now);
             return Some(RecorderCall::Read);
         };
         let revision = *revision;
-        let next = self.next(at, record.as_ref());
-        let completes = next.as_ref().is_some_and(|n| n.state == RolloutState::Completed);
-        self.moved_at = if completes { self.moved_at.or(Some(at.now)) } else { None };
+        let next = self.next_record(at, record.as_ref());
+        let is_completion = next.as_ref().is_some_and(|n| n.state == RolloutState::Completed);
+        self.all_moved_at = if is_completion { self.all_moved_at.or(Some(at.now)) } else { None };
         let Some(next) = next else {
-            self.wanted = None;
+            self.due_step = None;
             return None;
         };
         let since = self.due_since(at.now, &next);
-        if at.now.since(since) < TURN_WAIT.saturating_mul(at.rank) {
+        if at.now.since(since) < RANK_DELAY.saturating_mul(at.rank) {
             return None;
         }
-        self.called_at = Some(at.now);
-        // Who joined meanwhile counts as well. Whoever joins after the view was read meets only
-        // members that know that all requests move.
-        if self.moved_at.is_some_and(|since| at.view_requested.is_none_or(|asked| asked < since)) {
+        self.last_call = Some(at.now);
+        // Members that have joined meanwhile must confirm too, so the view is read again. A process
+        // that joins after that read only receives from members that know that all requests move.
+        if self
+            .all_moved_at
+            .is_some_and(|since| at.view_requested.is_none_or(|requested_at| requested_at < since))
+        {
             return Some(RecorderCall::ReadView);
         }
-        self.is_calling = true;
+        self.is_call_pending = true;
         Some(RecorderCall::Write(revision, next))
     }
 
-    /// Notes that a step is due; returns since when it is, without a break.
+    /// Records that a step is due, and returns since when it has been due without interruption.
     fn due_since(&mut self, now: Time, next: &RolloutRecord) -> Time {
-        let is_same = |wanted: &RolloutRecord| {
-            (wanted.order, wanted.state, wanted.moving) == (next.order, next.state, next.moving)
+        let is_same = |step: &RolloutRecord| {
+            (step.order, step.state, step.moving) == (next.order, next.state, next.moving)
         };
-        let since = match &self.wanted {
-            Some((wanted, since)) if is_same(wanted) => *since,
+        let since = match &self.due_step {
+            Some((step, since)) if is_same(step) => *since,
             _ => now,
         };
-        self.wanted = Some((next.clone(), since));
+        self.due_step = Some((next.clone(), since));
         since
     }
 
-    /// Returns the record that should stand there, if it is another.
-    fn next(&self, at: &StepContext<'_>, record: Option<&RolloutRecord>) -> Option<RolloutRecord> {
+    /// Returns the record that should be stored, if it differs from the present one.
+    fn next_record(
+        &self,
+        at: &StepContext<'_>,
+        record: Option<&RolloutRecord>,
+    ) -> Option<RolloutRecord> {
         let newest = at.known.change.revision;
         let Some(order) = &at.known.change.order else {
-            let open = record.filter(|record| record.order < newest && !record.state.is_final())?;
-            return Some(end(open, RolloutState::RolledBack, RolloutReason::Withdrawn));
+            let unfinished =
+                record.filter(|record| record.order < newest && !record.state.is_final())?;
+            return Some(ended_record(
+                unfinished,
+                RolloutState::RolledBack,
+                RolloutReason::Withdrawn,
+            ));
         };
         let Some(record) = record.filter(|record| record.order >= newest) else {
-            return Some(begin(at, order, record));
+            return Some(first_record(at, order, record));
         };
         if record.order > newest || record.state.is_final() {
             return None;
         }
         let stage = at.known.stage.as_ref().filter(|stage| stage.phase == RolloutPhase::Rejected);
         if let Some(stage) = stage {
-            return Some(end(record, RolloutState::RolledBack, stage.reason));
+            return Some(ended_record(record, RolloutState::RolledBack, stage.reason));
         }
         if !record.moving {
-            let due = plan::moves_after(order.span, at.max_duration);
-            let is_young = self.judge.is_young(order.span);
-            let due = if is_young { plan::latest(order.span, due) } else { due };
-            if elapsed(at, record) < due {
+            let due = plan::move_start(order.span, at.max_duration);
+            let has_short_history = self.judge.has_short_history(order.span);
+            let due =
+                if has_short_history { plan::latest_move_start(order.span, due) } else { due };
+            if time_since_order(at, record) < due {
                 return None;
             }
-            return Some(match self.judge.last_verdict(order.span) {
-                Some(reason) => end(record, RolloutState::RolledBack, reason),
+            return Some(match self.judge.final_verdict(order.span) {
+                Some(reason) => ended_record(record, RolloutState::RolledBack, reason),
                 None => {
                     RolloutRecord { moving: true, reason: RolloutReason::Good, ..record.clone() }
                 }
             });
         }
         let all_moved = at.members.iter().all(|id| self.judge.has_confirmed(*id));
-        all_moved.then(|| end(record, RolloutState::Completed, RolloutReason::Moved))
+        all_moved.then(|| ended_record(record, RolloutState::Completed, RolloutReason::Moved))
     }
 }
 
-/// Returns the first record of an order; `last` is that of an earlier one.
-fn begin(
+/// Returns the first record of an order; `last` is the record of an earlier order.
+fn first_record(
     at: &StepContext<'_>,
     order: &RolloutOrder,
     last: Option<&RolloutRecord>,
@@ -233,16 +249,21 @@
     }
 }
 
-fn end(record: &RolloutRecord, state: RolloutState, reason: RolloutReason) -> RolloutRecord {
+fn ended_record(
+    record: &RolloutRecord,
+    state: RolloutState,
+    reason: RolloutReason,
+) -> RolloutRecord {
     RolloutRecord { state, reason, ..record.clone() }
 }
 
-/// Returns how long ago the order was made, by this process and by whoever wrote the record.
-fn elapsed(at: &StepContext<'_>, record: &RolloutRecord) -> Duration {
-    let here = at.now.since(at.received);
-    let told = record
+/// Returns the time since the order, by the clock of this process or by the time in the record,
+/// whichever is longer.
+fn time_since_order(at: &StepContext<'_>, record: &RolloutRecord) -> Duration {
+    let local = at.now.since(at.received);
+    let recorded = record
         .began
         .zip(at.clock.time_at(at.now))
         .map(|(began, now)| Duration::from_millis(now.0.saturating_sub(began)));
-    told.map_or(here, |told| told.max(here))
+    recorded.map_or(local, |recorded| recorded.max(local))
 }
--- a/crates/badgerfield-core/src/rollout/table.rs
+++ b/crates/badgerfield-core/src/rollout/table.rs
@@ -1,4 +1,4 @@
-//! All that one process knows of roll-outs, and the rules that follow.
+//! The table of all rollouts that a process knows, and the rules that follow from them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,174 +11,183 @@
 use crate::ids::{Incarnation, Service, SoftwareVersion};
 use crate::message::RolloutReport;
 
-/// How soon bad answers of the target are told again: a judge has to hear of fifty before the
-/// platform's bound, some seconds, is over.
-const BAD_PACE: Duration = Duration::from_millis(250);
-/// How often tallies are told at most while the target has no more bad answers.
-const PACE: Duration = Duration::from_millis(500);
-/// How many tallies a second one judge should get without bad answers.
-const JUDGE_RATE: u32 = 64;
-/// How often a process says that it has moved: the last step waits for it.
-const CONFIRM: Duration = Duration::from_secs(1);
-/// How long after a roll-out nothing goes to versions that it replaced: news that they are gone
-/// come by the list of upstreams, within seconds.
-const LINGER: Duration = Duration::from_mins(1);
-/// How long a process that has started waits at most for a member that knows of roll-outs what
-/// it does: some signs of life. Serving late is worse than what is left of the danger then.
-const SYNC: Duration = Duration::from_secs(3);
+/// Minimum time between two reports if the target has given more bad answers since: a judge has to
+/// receive fifty of them before the platform's limit of a few seconds is over.
+const BAD_REPORT_INTERVAL: Duration = Duration::from_millis(250);
+/// Minimum time between two reports while the target gives no more bad answers.
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum rate of reports to one judge while there are no more bad answers.
+const REPORTS_PER_SECOND: u32 = 64;
+/// Time between two reports of a process that has moved: the last step of the rollout waits for
+/// them.
+const CONFIRM_INTERVAL: Duration = Duration::from_secs(1);
+/// Time after a rollout in which no requests go to replaced versions. The list of upstreams tells
+/// within seconds that they have been removed.
+const EXCLUSION_TIME: Duration = Duration::from_mins(1);
+/// Maximum time that a process waits after its start for a member with the same state of rollouts:
+/// a few heartbeats. Longer unavailability would do more harm than the requests that may still be
+/// cut.
+const SYNC_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What only this process knows of the roll-out of a service.
+/// The state of a service's rollout that is local to this process.
 #[derive(Debug, Default)]
-struct Own {
-    /// When the order was heard of here.
-    heard: Time,
-    /// Targets of earlier orders, until a record says which versions get nothing.
-    dropped: BTreeSet<SoftwareVersion>,
-    /// The order by which this process said that it sends nothing to other versions. It keeps
-    /// to that until the record says otherwise, since the platform may end those at any moment.
-    promised: Option<(u64, SoftwareVersion)>,
-    /// Until when nothing goes to versions that were replaced.
-    lingers: Option<Time>,
-    /// How requests of this process went by the newest order.
+struct LocalState {
+    /// When this process received the order.
+    received: Time,
+    /// Targets of earlier orders, which get no requests until a record says which versions are
+    /// refused.
+    earlier_targets: BTreeSet<SoftwareVersion>,
+    /// The revision and target of the order for which this process confirmed that it sends no
+    /// requests to other versions. It keeps to that until the record says otherwise, since the
+    /// platform may stop those upstreams at any time.
+    confirmed: Option<(u64, SoftwareVersion)>,
+    /// Until when no requests go to replaced versions.
+    exclude_until: Option<Time>,
+    /// The tally of this process for the newest order.
     tally: Option<RolloutTally>,
-    /// When and to whom the tally was told last, and what it was.
-    told: Option<(Time, Vec<Incarnation>, RolloutTally)>,
-    /// What it keeps as a judge.
+    /// When and to which judges the tally was last reported, and the tally reported.
+    last_report: Option<(Time, Vec<Incarnation>, RolloutTally)>,
+    /// The state of this process as a judge.
     recorder: Recorder,
 }
 
-/// The state of a roll-out, for operators.
+/// The status of a rollout, for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutStatus {
-    /// What is known of the order.
+    /// The order and its progress.
     pub known: KnownRollout,
-    /// How long ago it was heard of here.
+    /// The time since this process received the order.
     pub age: Duration,
-    /// What processes told, as far as this one judges.
+    /// The evidence from the reports that this process received as a judge.
     pub evidence: Evidence,
 }
 
-/// The table of roll-outs.
+/// The table of rollouts.
 #[derive(Debug, Default)]
 pub(crate) struct Rollouts {
-    beliefs: KnownRollouts,
-    own: BTreeMap<Service, Own>,
+    known_rollouts: KnownRollouts,
+    local: BTreeMap<Service, LocalState>,
     rules: Vec<RolloutRule>,
-    /// How many sets of rules there were.
-    turn: u64,
-    /// Whether this process has known, since it takes part, what a neighbour does.
-    agreed: bool,
-    /// Since when it takes part.
-    active_at: Option<Time>,
+    /// The sequence number of the last set of rules.
+    sequence: u64,
+    /// Whether a member has had the same state as this process since this process became active, or
+    /// the wait for one has ended.
+    has_agreed: bool,
+    /// Since when this process has been active.
+    active_since: Option<Time>,
 }
 
 impl Rollouts {
-    /// Tells whether there is nothing to do.
+    /// Returns whether no rollout is known.
     pub(crate) fn is_empty(&self) -> bool {
-        self.own.is_empty()
+        self.local.is_empty()
     }
 
-    /// Returns what is known of all orders.
+    /// Returns all known rollouts.
     pub(crate) fn all(&self) -> Vec<KnownRollout> {
-        self.beliefs.all()
+        self.known_rollouts.all()
     }
 
-    /// Returns what is known of an order.
+    /// Returns the rollout of a service.
     pub(crate) fn known(&self, service: &Service) -> Option<&KnownRollout> {
-        self.beliefs.get(service)
+        self.known_rollouts.get(service)
     }
 
-    /// Returns a number that stands for all that is known.
+    /// Returns a digest of all known rollouts.
     pub(crate) fn digest(&self) -> u64 {
-        self.beliefs.digest()
+        self.known_rollouts.digest()
     }
 
-    /// Tells whether callers may be sent here as far as roll-outs go.
+    /// Returns whether callers may be routed to this process as far as rollouts are concerned.
     ///
-    /// A process that has just started may know an order, and not that all requests have moved
-    /// by it; what it sends to other versions would be cut when they end. So it first hears
-    /// from a member that knows the same. Where nothing is ordered it waits for nothing.
+    /// A process that has just started may know an order without knowing that all requests have
+    /// moved. Requests that it sends to other versions would be cut when those stop. It therefore
+    /// waits for a member with the same state. If no rollout is known it does not wait.
     pub(crate) fn is_synced(&self) -> bool {
-        self.agreed || self.is_empty()
+        self.has_agreed || self.is_empty()
     }
 
-    /// Notes that a member of the view knows the same, while this process takes part.
+    /// Records that a member of the view has the same state while this process is active.
     pub(crate) fn record_agreement(&mut self, is_active: bool) {
-        self.agreed |= is_active && self.beliefs.all().iter().all(|known| known.stage.is_some());
+        self.has_agreed |=
+            is_active && self.known_rollouts.all().iter().all(|known| known.stage.is_some());
     }
 
-    /// Notes that time passes.
+    /// Ends the wait for a member with the same state if no rollout is known, or if the wait has
+    /// lasted `SYNC_TIMEOUT`.
     pub(crate) fn tick(&mut self, now: Time, is_active: bool) {
-        if self.agreed || !is_active {
+        if self.has_agreed || !is_active {
             return;
         }
-        // An order that comes while it serves is known as soon as elsewhere.
-        let since = *self.active_at.get_or_insert(now);
-        self.agreed = self.is_empty() || now.since(since) >= SYNC;
+        // An order that arrives while this process is active reaches it as early as other members.
+        let since = *self.active_since.get_or_insert(now);
+        self.has_agreed = self.is_empty() || now.since(since) >= SYNC_TIMEOUT;
     }
 
-    /// Takes in news; returns what is news here.
-    pub(crate) fn apply(&mut self, now: Time, news: Vec<KnownRollout>) -> Vec<KnownRollout> {
-        let before = self.before(news.iter().map(|known| &known.change.service));
-        let turned = self.beliefs.apply(news);
-        self.follow(now, &before, &turned);
-        turned
+    /// Applies updates; returns the rollouts that they change.
+    pub(crate) fn apply(&mut self, now: Time, updates: Vec<KnownRollout>) -> Vec<KnownRollout> {
+        let before = self.known_before(updates.iter().map(|known| &known.change.service));
+        let changed = self.known_rollouts.apply(updates);
+        self.process_changes(now, &before, &changed);
+        changed
     }
 
-    /// Takes in all orders that the platform has; returns what is news here.
+    /// Applies all orders in the store; returns the rollouts that they change.
     pub(crate) fn apply_snapshot(
         &mut self,
         now: Time,
         revision: u64,
         orders: Vec<OrderChange>,
     ) -> Vec<KnownRollout> {
-        let before = self.beliefs.all();
+        let before = self.known_rollouts.all();
         let before = before.into_iter().map(|k| (k.change.service.clone(), k)).collect();
-        let turned = self.beliefs.apply_snapshot(revision, orders);
-        self.follow(now, &before, &turned);
-        turned
+        let changed = self.known_rollouts.apply_snapshot(revision, orders);
+        self.process_changes(now, &before, &changed);
+        changed
     }
 
-    /// Returns what is known of some services, to be held against what news make of it.
-    fn before<'a>(
+    /// Returns the rollouts of some services, for comparison after an update.
+    fn known_before<'a>(
         &self,
         services: impl Iterator<Item = &'a Service>,
     ) -> BTreeMap<Service, KnownRollout> {
-        let known = services.filter_map(|service| Some((service, self.beliefs.get(service)?)));
+        let known =
+            services.filter_map(|service| Some((service, self.known_rollouts.get(service)?)));
         known.map(|(service, known)| (service.clone(), known.clone())).collect()
     }
 
-    /// Draws what follows for this process from news; `before` is what was known of them.
-    fn follow(
+    /// Updates the local state for changed rollouts; `before` has their earlier states.
+    fn process_changes(
         &mut self,
         now: Time,
         before: &BTreeMap<Service, KnownRollout>,
-        turned: &[KnownRollout],
+        changed: &[KnownRollout],
     ) {
-        for known in turned {
+        for known in changed {
             let service = &known.change.service;
             let old = before.get(service);
-            let own = self.own.entry(service.clone()).or_default();
+            let local = self.local.entry(service.clone()).or_default();
             if old.is_none_or(|old| old.change.revision != known.change.revision) {
-                own.renew(now, old, known);
+                local.reset(now, old, known);
             }
             if known.stage.is_some() {
-                own.dropped.clear();
+                local.earlier_targets.clear();
             }
-            own.keep_promise(known);
-            // An order that was over when this process heard of it changes nothing here.
+            local.clear_settled_confirmation(known);
+            // An order that had already ended when this process received it does not exclude any
+            // version.
             let was_moving = old.and_then(KnownRollout::phase) == Some(RolloutPhase::Moving);
             if known.phase() == Some(RolloutPhase::Completed) && was_moving {
-                own.lingers = Some(now.after(LINGER));
+                local.exclude_until = Some(now.after(EXCLUSION_TIME));
             }
         }
     }
 
-    /// Takes in how requests of this process went at services with orders that are known.
+    /// Records the tallies of this process for the services with known orders.
     pub(crate) fn record_tallies(&mut self, tallies: Vec<RolloutTally>) {
         for mut tally in tallies {
-            let Some((known, own)) =
-                self.beliefs.get(&tally.service).zip(self.own.get_mut(&tally.service))
+            let Some((known, local)) =
+                self.known_rollouts.get(&tally.service).zip(self.local.get_mut(&tally.service))
             else {
                 continue;
             };
@@ -186,72 +195,74 @@
             let Some(target) = target.filter(|_| tally.revision == revision) else {
                 continue;
             };
-            // A promise is given while all requests move, and kept from then on.
-            let is_promised = own.promised.as_ref().is_some_and(|(order, _)| *order == revision);
-            tally.moved &= known.phase() == Some(RolloutPhase::Moving) || is_promised;
+            // A process confirms while all requests move, and the confirmation holds from then on.
+            let is_confirmed_order =
+                local.confirmed.as_ref().is_some_and(|(order, _)| *order == revision);
+            tally.moved &= known.phase() == Some(RolloutPhase::Moving) || is_confirmed_order;
             if tally.is_confirmed() {
-                own.promised = Some((revision, target.clone()));
+                local.confirmed = Some((revision, target.clone()));
             }
-            own.tally = Some(tally);
+            local.tally = Some(tally);
         }
     }
 
-    /// Returns the tallies that are due to be told to the judges of their services.
+    /// Returns the tallies that are due to be reported, each with the judges of its service.
     pub(crate) fn due_reports(
         &mut self,
         now: Time,
         members: u32,
         judges: impl Fn(&Service) -> Vec<Incarnation>,
     ) -> Vec<(Vec<Incarnation>, RolloutReport)> {
-        let pace = PACE.max(Duration::from_secs(1) * members / JUDGE_RATE);
+        let interval = REPORT_INTERVAL.max(Duration::from_secs(1) * members / REPORTS_PER_SECOND);
         let mut reports = Vec::new();
-        for (service, own) in &mut self.own {
-            let is_open = self.beliefs.get(service).is_some_and(is_open);
-            let Some(tally) = own.tally.as_ref().filter(|_| is_open) else {
+        for (service, local) in &mut self.local {
+            let is_unfinished = self.known_rollouts.get(service).is_some_and(is_unfinished);
+            let Some(tally) = local.tally.as_ref().filter(|_| is_unfinished) else {
                 continue;
             };
             let judges = judges(service);
-            if !own.is_due(now, tally, &judges, pace) {
+            if !local.is_due(now, tally, &judges, interval) {
                 continue;
             }
-            let age = now.since(own.heard);
+            let age = now.since(local.received);
             reports.push((judges.clone(), RolloutReport { tally: tally.clone(), order_age: age }));
-            own.told = Some((now, judges, tally.clone()));
+            local.last_report = Some((now, judges, tally.clone()));
         }
         reports
     }
 
-    /// Takes in what a process tells this one as a judge.
-    pub(crate) fn apply_report(&mut self, from: Incarnation, report: RolloutReport) {
+    /// Applies a report that this process receives as a judge.
+    pub(crate) fn apply_report(&mut self, reporter: Incarnation, report: RolloutReport) {
         let RolloutReport { tally, order_age: age } = report;
-        let revision = self.beliefs.get(&tally.service).map(|known| known.change.revision);
+        let revision = self.known_rollouts.get(&tally.service).map(|known| known.change.revision);
         if revision != Some(tally.revision) {
             return;
         }
-        if let Some(own) = self.own.get_mut(&tally.service) {
-            own.recorder.judge.apply_report(from, tally, age);
+        if let Some(local) = self.local.get_mut(&tally.service) {
+            local.recorder.judge.apply_report(reporter, tally, age);
         }
     }
 
-    /// Returns the services whose record may have to be written, or read.
+    /// Returns the unfinished rollouts, whose records may have to be read or written, with the time
+    /// when this process received each order.
     pub(crate) fn unfinished(&self) -> Vec<(KnownRollout, Time)> {
-        self.beliefs
+        self.known_rollouts
             .all()
             .into_iter()
-            .filter(is_open)
+            .filter(is_unfinished)
             .filter_map(|known| {
-                let heard = self.own.get(&known.change.service)?.heard;
-                Some((known, heard))
+                let received = self.local.get(&known.change.service)?.received;
+                Some((known, received))
             })
             .collect()
     }
 
-    /// Returns what this process keeps as a judge of a service.
+    /// Returns the recorder of a service.
     pub(crate) fn recorder_mut(&mut self, service: &Service) -> Option<&mut Recorder> {
-        self.own.get_mut(service).map(|own| &mut own.recorder)
+        self.local.get_mut(service).map(|local| &mut local.recorder)
     }
 
-    /// Notes that the target of an order was found to be bad; returns what is news.
+    /// Records that the target of an order was judged bad; returns the rollouts that this changes.
     pub(crate) fn reject(
         &mut self,
         now: Time,
@@ -269,85 +280,85 @@
         self.apply(now, vec![KnownRollout { stage: Some(stage), ..known.clone() }])
     }
 
-    /// Returns the rules that follow from what is known, if they are others than the last ones.
+    /// Returns the rules that follow from the known rollouts, if they differ from the last ones.
     pub(crate) fn changed_rules(
         &mut self,
         now: Time,
         bound: &RolloutBound,
     ) -> Option<RolloutRules> {
         let mut rules = Vec::new();
-        for (service, own) in &self.own {
-            if let Some(known) = self.beliefs.get(service) {
-                own.rules(now, known, bound, &mut rules);
+        for (service, local) in &self.local {
+            if let Some(known) = self.known_rollouts.get(service) {
+                local.push_rules(now, known, bound, &mut rules);
             }
         }
         if rules == self.rules {
             return None;
         }
         self.rules.clone_from(&rules);
-        self.turn += 1;
-        Some(RolloutRules { sequence: self.turn, rules })
+        self.sequence += 1;
+        Some(RolloutRules { sequence: self.sequence, rules })
     }
 
-    /// Returns the state of all roll-outs, for operators.
+    /// Returns the status of all rollouts, for operators.
     pub(crate) fn status(&self, now: Time) -> Vec<RolloutStatus> {
         let status = |known: KnownRollout| {
-            let own = self.own.get(&known.change.service)?;
-            let evidence = own.recorder.judge.evidence().clone();
-            Some(RolloutStatus { known, age: now.since(own.heard), evidence })
+            let local = self.local.get(&known.change.service)?;
+            let evidence = local.recorder.judge.evidence().clone();
+            Some(RolloutStatus { known, age: now.since(local.received), evidence })
         };
-        self.beliefs.all().into_iter().filter_map(status).collect()
+        self.known_rollouts.all().into_iter().filter_map(status).collect()
     }
 }
 
-impl Own {
-    /// Begins anew for a newer order.
-    fn renew(&mut self, now: Time, old: Option<&KnownRollout>, new: &KnownRollout) {
-        self.heard = now;
+impl LocalState {
+    /// Resets the state for a newer order.
+    fn reset(&mut self, now: Time, old: Option<&KnownRollout>, new: &KnownRollout) {
+        self.received = now;
         self.tally = None;
-        self.told = None;
-        self.lingers = None;
-        self.recorder.renew();
+        self.last_report = None;
+        self.exclude_until = None;
+        self.recorder.reset();
         let Some(old) = old else {
             return;
         };
         if let Some(stage) = &old.stage {
-            self.dropped.extend(stage.refused.iter().cloned());
+            self.earlier_targets.extend(stage.refused.iter().cloned());
         }
         if old.phase() != Some(RolloutPhase::Completed) {
-            self.dropped.extend(old.target().cloned());
+            self.earlier_targets.extend(old.target().cloned());
         }
         if let Some(target) = new.target() {
-            self.dropped.remove(target);
+            self.earlier_targets.remove(target);
         }
     }
 
-    /// Ends a promise that the record has made void: what it was about is decided.
-    fn keep_promise(&mut self, known: &KnownRollout) {
-        let Some((order, _)) = &self.promised else {
+    /// Clears the confirmation once the record has settled its order, or belongs to a newer one.
+    fn clear_settled_confirmation(&mut self, known: &KnownRollout) {
+        let Some((order, _)) = &self.confirmed else {
             return;
         };
-        let is_over = match known.phase() {
+        let is_settled = match known.phase() {
             Some(RolloutPhase::RolledBack | RolloutPhase::Completed) => {
                 known.change.revision >= *order
             }
             Some(_) => known.change.revision > *order,
             None => false,
         };
-        if is_over {
-            self.promised = None;
+        if is_settled {
+            self.confirmed = None;
         }
     }
 
-    /// Tells whether a tally is to be told to these judges now.
+    /// Returns whether a tally is to be reported to these judges now.
     fn is_due(
         &self,
         now: Time,
         tally: &RolloutTally,
         judges: &[Incarnation],
-        pace: Duration,
+        interval: Duration,
     ) -> bool {
-        let Some((at, to, last)) = &self.told else {
+        let Some((at, to, last)) = &self.last_report else {
             return true;
         };
         let age = now.since(*at);
@@ -355,18 +366,18 @@
             return true;
         }
         if tally.is_confirmed() {
-            return !last.is_confirmed() || age >= CONFIRM;
+            return !last.is_confirmed() || age >= CONFIRM_INTERVAL;
         }
-        if tally.bad() > last.bad() && age >= BAD_PACE {
+        if tally.bad_answers() > last.bad_answers() && age >= BAD_REPORT_INTERVAL {
             return true;
         }
-        // What has not changed is told again as well, since it may have been lost; less often,
-        // since it seldom was.
-        age >= if tally == last { pace.saturating_mul(4) } else { pace }
+        // An unchanged tally is repeated too, since a report may be lost; less often, since loss is
+        // rare.
+        age >= if tally == last { interval.saturating_mul(4) } else { interval }
     }
 
-    /// Adds the rules of one service.
-    fn rules(
+    /// Adds the rules of the service.
+    fn push_rules(
         &self,
         now: Time,
         known: &KnownRollout,
@@ -378,41 +389,46 @@
             let (service, target) = (service.clone(), target.clone());
             rules.push(RolloutRule { service, revision, target, allowance });
         };
-        if let Some((order, target)) = &self.promised {
+        if let Some((order, target)) = &self.confirmed {
             rule(*order, target, Allowance::All);
             return;
         }
-        // The rule of the order comes first: it is the one that requests are counted by.
+        // The rule of the newest order comes first: requests are counted by it.
         if let Some((target, allowance)) = self.allowance(now, known, bound) {
             rule(revision, target, allowance);
         }
-        let refused: BTreeSet<_> =
-            known.stage.iter().flat_map(|stage| &stage.refused).chain(&self.dropped).collect();
+        let refused: BTreeSet<_> = known
+            .stage
+            .iter()
+            .flat_map(|stage| &stage.refused)
+            .chain(&self.earlier_targets)
+            .collect();
         for version in refused.into_iter().filter(|version| known.target() != Some(*version)) {
             rule(revision, version, Allowance::Nothing);
         }
     }
 
-    /// Returns what the target of the newest order may get, if that is bounded at all.
+    /// Returns the target of the newest order and the requests that it may get; `None` if they are
+    /// not restricted.
     fn allowance<'a>(
         &self,
         now: Time,
         known: &'a KnownRollout,
         bound: &RolloutBound,
     ) -> Option<(&'a SoftwareVersion, Allowance)> {
-        let lingers = self.lingers.is_some_and(|until| now < until);
+        let is_excluding = self.exclude_until.is_some_and(|until| now < until);
         let allowance = match known.phase() {
             None | Some(RolloutPhase::Rejected | RolloutPhase::RolledBack) => Allowance::Nothing,
-            Some(RolloutPhase::Canary) => Allowance::Share(bound.canary()),
+            Some(RolloutPhase::Canary) => Allowance::Share(bound.canary_share()),
             Some(RolloutPhase::Moving) => Allowance::All,
-            Some(RolloutPhase::Completed) if lingers => Allowance::All,
+            Some(RolloutPhase::Completed) if is_excluding => Allowance::All,
             Some(RolloutPhase::Completed) => return None,
         };
         Some((known.target()?, allowance))
     }
 }
 
-/// Tells whether an order has not come to its end.
-fn is_open(known: &KnownRollout) -> bool {
+/// Returns whether an order has not ended.
+fn is_unfinished(known: &KnownRollout) -> bool {
     !matches!(known.phase(), Some(RolloutPhase::RolledBack | RolloutPhase::Completed))
 }
--- a/crates/badgerfield-core/src/rollout/tally.rs
+++ b/crates/badgerfield-core/src/rollout/tally.rs
@@ -1,8 +1,8 @@
-//! How the requests of one process go at services that are rolled out.
+//! Counts of a process's requests to services with a rollout.
 //!
-//! An answer is slow if its first part takes several times what is usual at the other versions
-//! on the same route, beside what its prompt takes to read. Those of the other versions are
-//! held to the same, so that trouble which hits all alike shows at both.
+//! An answer is slow if the wait for its first part is several times the normal wait of the other
+//! versions on the same route plus the time to read its prompt. Answers of the other versions are
+//! measured the same way, so a fault that affects all versions shows at both.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,77 +10,78 @@
 use super::{Allowance, AnswerCounts, RolloutRule, RolloutTally, RouteTally};
 use crate::ids::Service;
 
-/// From how many times the usual on an answer is slow.
-const SLOW_TIMES: u32 = 3;
-/// Within this time no answer is slow: so long others on its VM may keep a process from running.
-const LEAST_SLOW: Duration = Duration::from_millis(30);
-/// From how many answers of other versions on it is known what is usual: one or two late ones
-/// among them move the mean little.
-const ENOUGH: u32 = 8;
-/// After how many further answers an answer counts half for what is usual: more than chance
-/// makes of it, and few enough to follow the load within seconds.
-const HALF_LIFE: f64 = 50.0;
-/// How many routes of a service are told apart; those beyond count as one.
+/// Factor above the normal wait from which an answer is slow.
+const SLOW_FACTOR: u32 = 3;
+/// Shortest wait that counts as slow: other processes on its VM may stall a process for this long.
+const MIN_SLOW_WAIT: Duration = Duration::from_millis(30);
+/// Number of answers of other versions from which the normal wait is known: with this many, one or
+/// two late answers hardly move the mean.
+const MIN_SAMPLES: u32 = 8;
+/// Number of further answers after which the weight of an answer in the normal wait is halved:
+/// enough to average out random variation, and few enough to follow the load within seconds.
+const HALF_LIFE_ANSWERS: f64 = 50.0;
+/// Maximum number of routes of a service that are counted separately. The others are counted
+/// together.
 const MAX_ROUTES: usize = 32;
-/// The name of all routes beyond.
+/// The name under which the other routes are counted.
 const OTHER_ROUTES: &str = "*";
-/// How many upstreams of the target are told apart. A trial has a few; beyond it, the routes
-/// tell enough.
+/// Maximum number of upstreams of the target that are counted separately. A canary has a few; with
+/// more of them the counts of the routes suffice.
 const MAX_UPSTREAMS: usize = 64;
-/// The shortest wait that is told from none, in milliseconds: none has no logarithm.
-const LEAST_MS: f64 = 0.1;
+/// Lower limit of a wait, in milliseconds: zero has no logarithm.
+const MIN_WAIT_MS: f64 = 0.1;
 
-/// How the first part of an answer came.
+/// Speed of the first part of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerSpeed {
     /// In time.
     Normal,
-    /// Several times later than is usual.
+    /// Several times later than normal.
     Slow,
 }
 
-/// Where an answer comes from.
+/// The source of an answer.
 #[derive(Debug, Clone, Copy)]
 pub struct AnswerSource<'a> {
     /// The route.
     pub route: &'a str,
-    /// The number that stands for the upstream in messages.
+    /// The number that identifies the upstream in messages.
     pub upstream: u32,
-    /// Whether it has the version that is rolled out.
+    /// Whether the upstream has the target version.
     pub is_target: bool,
 }
 
-/// What is usual at the other versions: the mean of the logarithms of their times, which a few
-/// late ones move little.
+/// The normal wait at the other versions: the mean of the logarithms of their waits, which a few
+/// late answers hardly change.
 #[derive(Debug, Clone, Copy, Default)]
-struct Usual {
+struct Baseline {
     count: u32,
-    log_ms: f64,
+    mean_log_ms: f64,
 }
 
 #[derive(Debug, Default)]
 struct Route {
     target: AnswerCounts,
     others: AnswerCounts,
-    usual: Usual,
+    baseline: Baseline,
 }
 
-/// How requests went at one service since an order was learned.
+/// The tally of one service since the order was received.
 #[derive(Debug, Default)]
 pub struct Tally {
     routes: BTreeMap<String, Route>,
     upstreams: BTreeMap<u32, AnswerCounts>,
 }
 
-/// The tallies of all services that are rolled out.
+/// The tallies of all services with a rollout.
 #[derive(Debug, Default)]
 pub struct Tallies {
     services: BTreeMap<Service, (RolloutRule, Tally)>,
 }
 
 impl Tallies {
-    /// Counts for these rules and for no others; a newer order begins anew. Where a service has
-    /// several rules the newest counts, and of one order the one that lets requests through.
+    /// Sets the rules to count for. A newer order starts a new tally. If a service has several
+    /// rules, the one of the newest order counts, and of these one that allows requests.
     pub fn set_rules(&mut self, rules: &[RolloutRule]) {
         let mut next: BTreeMap<Service, (RolloutRule, Tally)> = BTreeMap::new();
         for rule in rules {
@@ -103,7 +104,7 @@
         self.services = next;
     }
 
-    /// Tells whether nothing is counted.
+    /// Returns whether no rule is set.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.services.is_empty()
@@ -122,7 +123,7 @@
 }
 
 impl RolloutTally {
-    /// Returns how requests went on all routes, at the target and at others.
+    /// Returns the counts of the target and of the other versions over all routes.
     #[must_use]
     pub fn totals(&self) -> (AnswerCounts, AnswerCounts) {
         let zero = (AnswerCounts::default(), AnswerCounts::default());
@@ -133,51 +134,52 @@
 }
 
 impl Tally {
-    /// Notes that the first part of an answer has come after a wait, where reading the prompt
-    /// was expected to take so long; returns how it came.
+    /// Records that the first part of an answer arrived after a wait, of which `prompt_time` was
+    /// expected for reading the prompt. Returns the speed of the answer.
     pub fn record_answer(
         &mut self,
-        seen: &AnswerSource<'_>,
+        source: &AnswerSource<'_>,
         wait: Duration,
-        reading: Duration,
+        prompt_time: Duration,
     ) -> AnswerSpeed {
-        let pace = self.pace(seen, wait, reading);
-        let slow = u32::from(pace == AnswerSpeed::Slow);
-        self.count(seen, AnswerCounts { answers: 1, failed: 0, slow });
-        if !seen.is_target {
-            self.route(seen.route).usual.note(wait.saturating_sub(reading));
+        let speed = self.speed(source, wait, prompt_time);
+        let slow = u32::from(speed == AnswerSpeed::Slow);
+        self.count(source, AnswerCounts { answers: 1, failed: 0, slow });
+        if !source.is_target {
+            self.route_mut(source.route).baseline.record(wait.saturating_sub(prompt_time));
         }
-        pace
+        speed
     }
 
-    /// Notes that an answer did not come or broke off; `came` is how its first part came, if it
-    /// did. One that was slow counts as that.
-    pub fn record_failure(&mut self, seen: &AnswerSource<'_>, came: Option<AnswerSpeed>) {
-        match came {
-            None => self.count(seen, AnswerCounts { answers: 1, failed: 1, slow: 0 }),
+    /// Records that an answer did not arrive or broke off. `speed` is the speed of its first part,
+    /// if that arrived. An answer that has been counted as slow is not counted again.
+    pub fn record_failure(&mut self, source: &AnswerSource<'_>, speed: Option<AnswerSpeed>) {
+        match speed {
+            None => self.count(source, AnswerCounts { answers: 1, failed: 1, slow: 0 }),
             Some(AnswerSpeed::Normal) => {
-                self.count(seen, AnswerCounts { answers: 0, failed: 1, slow: 0 });
+                self.count(source, AnswerCounts { answers: 0, failed: 1, slow: 0 });
             }
             Some(AnswerSpeed::Slow) => {}
         }
     }
 
-    /// Notes that nobody waits any longer for the first part of an answer. Whoever left early
-    /// says nothing of the upstream; returns whether it was late.
+    /// Records that the caller stopped waiting for the first part of an answer, and returns whether
+    /// that was late. An answer that was not late yet says nothing about the upstream and is not
+    /// counted.
     pub fn record_abandoned(
         &mut self,
-        seen: &AnswerSource<'_>,
+        source: &AnswerSource<'_>,
         wait: Duration,
-        reading: Duration,
+        prompt_time: Duration,
     ) -> bool {
-        let is_late = self.pace(seen, wait, reading) == AnswerSpeed::Slow;
+        let is_late = self.speed(source, wait, prompt_time) == AnswerSpeed::Slow;
         if is_late {
-            self.count(seen, AnswerCounts { answers: 1, failed: 0, slow: 1 });
+            self.count(source, AnswerCounts { answers: 1, failed: 0, slow: 1 });
         }
         is_late
     }
 
-    /// Returns the tally as it is told, with what the table of upstreams knows.
+    /// Returns the tally to report, with figures from the table of upstreams.
     #[must_use]
     pub fn snapshot(
         &self,
@@ -202,47 +204,54 @@
         }
     }
 
-    /// Tells how an answer came that took this wait.
-    fn pace(&mut self, seen: &AnswerSource<'_>, wait: Duration, reading: Duration) -> AnswerSpeed {
-        let Some(usual) = self.route(seen.route).usual.span() else {
+    /// Returns the speed of an answer with this wait.
+    fn speed(
+        &mut self,
+        source: &AnswerSource<'_>,
+        wait: Duration,
+        prompt_time: Duration,
+    ) -> AnswerSpeed {
+        let Some(baseline) = self.route_mut(source.route).baseline.mean_wait() else {
             return AnswerSpeed::Normal;
         };
-        let most = usual.saturating_add(reading).saturating_mul(SLOW_TIMES).max(LEAST_SLOW);
-        if wait > most { AnswerSpeed::Slow } else { AnswerSpeed::Normal }
+        let limit =
+            baseline.saturating_add(prompt_time).saturating_mul(SLOW_FACTOR).max(MIN_SLOW_WAIT);
+        if wait > limit { AnswerSpeed::Slow } else { AnswerSpeed::Normal }
     }
 
-    fn count(&mut self, seen: &AnswerSource<'_>, more: AnswerCounts) {
-        let route = self.route(seen.route);
-        if !seen.is_target {
+    fn count(&mut self, source: &AnswerSource<'_>, more: AnswerCounts) {
+        let route = self.route_mut(source.route);
+        if !source.is_target {
             route.others = route.others.plus(more);
             return;
         }
         route.target = route.target.plus(more);
-        let is_room = self.upstreams.len() < MAX_UPSTREAMS;
-        if is_room || self.upstreams.contains_key(&seen.upstream) {
-            let counts = self.upstreams.entry(seen.upstream).or_default();
+        let has_room = self.upstreams.len() < MAX_UPSTREAMS;
+        if has_room || self.upstreams.contains_key(&source.upstream) {
+            let counts = self.upstreams.entry(source.upstream).or_default();
             *counts = counts.plus(more);
         }
     }
 
-    fn route(&mut self, name: &str) -> &mut Route {
-        let is_room = self.routes.len() < MAX_ROUTES || self.routes.contains_key(name);
-        let name = if is_room { name } else { OTHER_ROUTES };
+    fn route_mut(&mut self, name: &str) -> &mut Route {
+        let has_room = self.routes.len() < MAX_ROUTES || self.routes.contains_key(name);
+        let name = if has_room { name } else { OTHER_ROUTES };
         self.routes.entry(name.to_owned()).or_default()
     }
 }
 
-impl Usual {
-    /// Takes in how long an answer took.
-    fn note(&mut self, span: Duration) {
-        let log_ms = (span.as_secs_f64() * 1e3).max(LEAST_MS).ln();
+impl Baseline {
+    /// Records the wait of an answer.
+    fn record(&mut self, wait: Duration) {
+        let mean_log_ms = (wait.as_secs_f64() * 1e3).max(MIN_WAIT_MS).ln();
         self.count = self.count.saturating_add(1);
-        let weight = f64::from(self.count).recip().max(1.0 - 0.5_f64.powf(HALF_LIFE.recip()));
-        self.log_ms += (log_ms - self.log_ms) * weight;
+        let weight =
+            f64::from(self.count).recip().max(1.0 - 0.5_f64.powf(HALF_LIFE_ANSWERS.recip()));
+        self.mean_log_ms += (mean_log_ms - self.mean_log_ms) * weight;
     }
 
-    /// Returns how long answers usually take, once that is known.
-    fn span(self) -> Option<Duration> {
-        (self.count >= ENOUGH).then(|| Duration::from_secs_f64(self.log_ms.exp() / 1e3))
+    /// Returns the mean wait, once enough answers have been recorded.
+    fn mean_wait(self) -> Option<Duration> {
+        (self.count >= MIN_SAMPLES).then(|| Duration::from_secs_f64(self.mean_log_ms.exp() / 1e3))
     }
 }
--- a/crates/badgerfield-core/src/rollout/verdict.rs
+++ b/crates/badgerfield-core/src/rollout/verdict.rs
@@ -1,74 +1,76 @@
-//! Judging a version by counts alone: is the target worse than the others?
+//! Statistical verdict on a version from counts of answers: is the target worse than the others?
 //!
-//! Both versions answer requests of the same routes over the same time, so that trouble which
-//! hits both alike shows in both. For failures and for slowness apart, the likelihood of the
-//! counts under a target that is worse by one of some effects is held against the likelihood
-//! under a target that is as the others are. What the others show is itself uncertain, and
-//! counts as such. The ratio is a mixture over effects and routes, so that it passes a bound
-//! of 1/E by chance in at most E of all roll-outs of good versions, however often it is looked
-//! at (Ville's inequality).
+//! Both versions answer requests of the same routes over the same time, so a fault that affects
+//! both shows in both. Failures and slow answers are tested separately. Each test compares the
+//! likelihood of the counts if the target is worse by one of several effects with their likelihood
+//! if the target is like the others. The rate of the others is itself uncertain, and the test takes
+//! that into account. The likelihood ratio is a mixture over effects and routes, so by chance it
+//! exceeds a bound of 1/E in at most a fraction E of all rollouts of good versions, however often
+//! it is evaluated (Ville's inequality).
 
 use super::{AnswerCounts, Evidence, RolloutReason};
 
-/// In which part of roll-outs of good versions one is taken for bad while it is tried: an
-/// operator has to order it again.
-const FALSE_ALARM: f64 = 1e-4;
-/// The same for the last look before all requests move, which nothing follows: a bad version
-/// that has been tried little is better taken for bad there.
-const LAST_ALARM: f64 = 0.02;
-/// From which odds on one upstream is taken to be worse than its siblings, so that the verdict
-/// waits for these.
-const LIKELY_ONE: f64 = 1.0;
-/// From which odds on it is taken to be so surely worse that no number of its bad answers says
-/// anything of the version.
-const SURELY_ONE: f64 = 100.0;
-/// From which odds on its siblings are taken to be bad too.
-const SIBLINGS_BAD: f64 = 500.0;
-/// How many answers must be bad before a version is taken for bad: a few at once may come of a
-/// single mishap, which hits many requests.
-const LEAST_BAD: u32 = 8;
-/// The same at the last look, for a version that has been tried little.
-const LEAST_LAST: u32 = 3;
-/// By how much the part of bad answers of a bad version is greater, of what is not bad anyway.
+/// Share of rollouts of good versions in which the version is judged bad during the canary. The
+/// operator has to order such a rollout again.
+const FALSE_ALARM_RATE: f64 = 1e-4;
+/// The same for the final verdict before all requests move. No later verdict follows, so a bad
+/// version that got few requests is better rejected there.
+const FINAL_FALSE_ALARM_RATE: f64 = 0.02;
+/// Odds from which one upstream is considered worse than its siblings, so that the verdict waits
+/// for answers of the siblings.
+const LIKELY_OUTLIER_ODDS: f64 = 1.0;
+/// Odds from which one upstream is so certainly worse that its bad answers do not count against the
+/// version, however many they are.
+const CERTAIN_OUTLIER_ODDS: f64 = 100.0;
+/// Odds from which the siblings are considered bad too.
+const BAD_SIBLINGS_ODDS: f64 = 500.0;
+/// Minimum number of bad answers before a version is judged bad: a single fault can fail a few
+/// requests at once.
+const MIN_BAD: u32 = 8;
+/// The same for the final verdict on a version that got few requests.
+const FINAL_MIN_BAD: u32 = 3;
+/// Assumed effects of a bad version: the fraction of otherwise good answers that it makes bad.
 const EFFECTS: [f64; 4] = [0.03, 0.1, 0.3, 0.8];
-/// How many kinds of bad answers share the weight of a ratio: failures and slowness.
-const KINDS: f64 = 2.0;
-/// How many bad answers beyond what the others explain end the trial without further proof.
-/// The platform's bound is 50; the rest is for those on their way.
-const MANY_BAD: f64 = 30.0;
-/// By how many standard deviations these must be beyond it.
-const MANY_DEVIATIONS: f64 = 4.0;
-/// How many answers of others are needed to know what they explain.
-const ENOUGH_OTHERS: u32 = 30;
-/// From how many upstreams on one that is worse can be told from its siblings.
-const ENOUGH_SIBLINGS: usize = 3;
-/// Of two upstreams one is taken to be the odd one if it has more than so many times the bad
+/// Number of kinds of bad answers, failures and slow answers, which share the false-alarm rate.
+const KIND_COUNT: f64 = 2.0;
+/// Number of bad answers beyond those that the others explain which ends the canary without further
+/// proof. The platform's limit is 50; the difference is for answers that are still on their way.
+const MANY_BAD_EXCESS: f64 = 30.0;
+/// Number of standard deviations by which the bad answers must exceed those that the others
+/// explain.
+const MANY_BAD_DEVIATIONS: f64 = 4.0;
+/// Minimum number of answers of other versions for an estimate of their rate of bad answers.
+const MIN_OTHER_ANSWERS: u32 = 30;
+/// Minimum number of upstreams at which a worse one can be told from its siblings.
+const MIN_UPSTREAMS: usize = 3;
+/// Of two upstreams, one is considered the outlier if it has more than this many times the bad
 /// answers of the other.
-const ODD_TIMES: u32 = 4;
-/// And if the other has more than one in so many of its answers, so that it was tried as well.
-const TRIED_PART: u32 = 4;
+const OUTLIER_FACTOR: u32 = 4;
+/// The other must also have more than one answer per this many answers of the outlier, so that both
+/// were tried.
+const TRIED_DIVISOR: u32 = 4;
 
-/// A kind of bad answers.
+/// A kind of bad answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Kind {
+enum BadKind {
     Failures,
     Slowness,
 }
 
-/// Requests, and how many of them were bad.
+/// A number of answers, and how many of them were bad.
 #[derive(Debug, Clone, Copy, Default)]
 struct Sample {
-    all: u32,
+    total: u32,
     bad: u32,
 }
 
-impl Kind {
-    fn of(self, counts: AnswerCounts) -> Sample {
+impl BadKind {
+    fn sample(self, counts: AnswerCounts) -> Sample {
         match self {
-            Self::Failures => Sample { all: counts.answers, bad: counts.failed },
+            Self::Failures => Sample { total: counts.answers, bad: counts.failed },
             Self::Slowness => {
-                let all = counts.answers.saturating_sub(counts.failed);
-                Sample { all, bad: counts.slow }
+                let total = counts.answers.saturating_sub(counts.failed);
+                Sample { total, bad: counts.slow }
             }
         }
     }
@@ -81,167 +83,174 @@
     }
 }
 
-/// How sure a look at the evidence must be.
+/// How certain a verdict must be.
 #[derive(Debug, Clone, Copy)]
-struct Look {
-    /// In which part of roll-outs of good versions it may find them bad.
-    alarm: f64,
-    /// How many bad answers it takes at least.
-    least: u32,
-    /// Whether more evidence comes, which one can wait for where upstreams are too few to tell
+struct Criteria {
+    /// Share of rollouts of good versions in which the verdict may be that the version is bad.
+    false_alarm_rate: f64,
+    /// Minimum number of bad answers.
+    min_bad: u32,
+    /// Whether the verdict can wait for more evidence if there are too few upstreams to tell
     /// whether the version is bad or one of them.
-    waits: bool,
+    can_wait: bool,
 }
 
-const TRIAL: Look = Look { alarm: FALSE_ALARM, least: LEAST_BAD, waits: true };
-/// Nothing follows this look: a version that fails at the only upstream it has would get all
+const CANARY_CRITERIA: Criteria =
+    Criteria { false_alarm_rate: FALSE_ALARM_RATE, min_bad: MIN_BAD, can_wait: true };
+/// No later verdict follows this one: a version that fails at its only upstream would get all
 /// requests.
-const LAST: Look = Look { alarm: LAST_ALARM, least: LEAST_LAST, waits: false };
+const FINAL_CRITERIA: Criteria =
+    Criteria { false_alarm_rate: FINAL_FALSE_ALARM_RATE, min_bad: FINAL_MIN_BAD, can_wait: false };
 
-/// Tells why the target is bad, if the evidence says so; `windows` is the evidence of the whole
-/// trial and of its latest parts, for versions that turn bad later.
+/// Returns the reason why the target is bad, if the evidence shows that it is. The first window is
+/// the evidence of the whole canary; the others are its latest parts, for versions that turn bad
+/// later.
 #[must_use]
 pub fn judge(windows: &[Evidence]) -> Option<RolloutReason> {
-    let found = look(windows, TRIAL);
-    found.or_else(|| windows.iter().find_map(many_bad))
+    let found = find_reason(windows, CANARY_CRITERIA);
+    found.or_else(|| windows.iter().find_map(find_many_bad))
 }
 
-/// Tells why the target is rather bad than good, at the last look.
+/// Returns the reason why the target is more likely bad than good, for the final verdict.
 #[must_use]
 pub fn judge_final(windows: &[Evidence]) -> Option<RolloutReason> {
-    judge(windows).or_else(|| look(windows, LAST))
+    judge(windows).or_else(|| find_reason(windows, FINAL_CRITERIA))
 }
 
-/// Looks at the whole trial with half of the weight, and at its parts with the other half.
-fn look(windows: &[Evidence], look: Look) -> Option<RolloutReason> {
+/// Tests the whole canary with half of the false-alarm rate, and its latest parts with the other
+/// half.
+fn find_reason(windows: &[Evidence], criteria: Criteria) -> Option<RolloutReason> {
     let (whole, parts) = windows.split_first()?;
-    let bound = 2.0_f64.ln() - look.alarm.ln();
+    let bound = 2.0_f64.ln() - criteria.false_alarm_rate.ln();
     let count = u32::try_from(parts.len()).unwrap_or(u32::MAX);
-    let of_part = bound + f64::from(count.max(1)).ln();
-    let found = beyond(whole, bound, look);
-    found.or_else(|| parts.iter().find_map(|part| beyond(part, of_part, look)))
+    let part_bound = bound + f64::from(count.max(1)).ln();
+    let found = reason_beyond(whole, bound, criteria);
+    found.or_else(|| parts.iter().find_map(|part| reason_beyond(part, part_bound, criteria)))
 }
 
-/// Tells why the target is bad if the ratio is beyond a bound, and no single upstream explains it.
-fn beyond(evidence: &Evidence, bound: f64, look: Look) -> Option<RolloutReason> {
-    for kind in [Kind::Failures, Kind::Slowness] {
-        let few = kind.of(evidence.target()).bad < look.least;
-        if few || ratio(evidence, kind) - KINDS.ln() < bound {
+/// Returns the reason why the target is bad if the log ratio is at or above `bound` and no single
+/// upstream explains it.
+fn reason_beyond(evidence: &Evidence, bound: f64, criteria: Criteria) -> Option<RolloutReason> {
+    for kind in [BadKind::Failures, BadKind::Slowness] {
+        let is_too_few = kind.sample(evidence.target()).bad < criteria.min_bad;
+        if is_too_few || log_ratio(evidence, kind) - KIND_COUNT.ln() < bound {
             continue;
         }
-        let is_one = if evidence.upstreams.len() < ENOUGH_SIBLINGS {
-            may_be_one_of_few(evidence, kind, look)
+        let is_outlier = if evidence.upstreams.len() < MIN_UPSTREAMS {
+            is_possible_outlier_of_few(evidence, kind, criteria)
         } else {
-            is_one_of_many(evidence, kind, LIKELY_ONE)
+            is_outlier_of_many(evidence, kind, LIKELY_OUTLIER_ODDS)
         };
-        if !is_one {
+        if !is_outlier {
             return Some(kind.reason());
         }
     }
     None
 }
 
-/// Tells whether so many answers were bad that it is not waited for proof.
-fn many_bad(evidence: &Evidence) -> Option<RolloutReason> {
-    for kind in [Kind::Failures, Kind::Slowness] {
+/// Returns a reason if there are so many bad answers that the verdict does not wait for proof.
+fn find_many_bad(evidence: &Evidence) -> Option<RolloutReason> {
+    for kind in [BadKind::Failures, BadKind::Slowness] {
         let mut excess = 0.0;
         let mut variance = 0.0;
         for (target, others) in evidence.routes.values() {
-            let (target, others) = (kind.of(*target), kind.of(*others));
-            if others.all < ENOUGH_OTHERS {
+            let (target, others) = (kind.sample(*target), kind.sample(*others));
+            if others.total < MIN_OTHER_ANSWERS {
                 continue;
             }
-            let rate = f64::from(others.bad) / f64::from(others.all);
-            let all = f64::from(target.all);
+            let rate = f64::from(others.bad) / f64::from(others.total);
+            let all = f64::from(target.total);
             excess += f64::from(target.bad) - rate * all;
-            variance += rate * (1.0 - rate) * all * (1.0 + all / f64::from(others.all));
+            variance += rate * (1.0 - rate) * all * (1.0 + all / f64::from(others.total));
         }
-        let is_many = excess >= MANY_BAD && excess >= MANY_DEVIATIONS * variance.sqrt();
-        // One of many that is worse is left to those that watch single upstreams.
-        let is_one = evidence.upstreams.len() >= ENOUGH_SIBLINGS
-            && is_one_of_many(evidence, kind, SURELY_ONE);
-        if is_many && !is_one {
+        let is_many = excess >= MANY_BAD_EXCESS && excess >= MANY_BAD_DEVIATIONS * variance.sqrt();
+        // A single worse upstream among many is left to the checks of single upstreams.
+        let is_outlier = evidence.upstreams.len() >= MIN_UPSTREAMS
+            && is_outlier_of_many(evidence, kind, CERTAIN_OUTLIER_ODDS);
+        if is_many && !is_outlier {
             return Some(RolloutReason::ManyBad);
         }
     }
     None
 }
 
-/// Returns the logarithm of the ratio of likelihoods: the target is worse on all routes, or on
-/// one, against not at all.
-fn ratio(evidence: &Evidence, kind: Kind) -> f64 {
-    let pairs = evidence.routes.values().map(|(t, o)| (kind.of(*t), kind.of(*o)));
-    let single: Vec<_> = pairs.filter(|(t, _)| t.all > 0).map(|(t, o)| effects(t, o)).collect();
-    let count = u32::try_from(single.len()).unwrap_or(u32::MAX);
+/// Returns the logarithm of the likelihood ratio: the target is worse on all routes or on one
+/// route, against not worse on any.
+fn log_ratio(evidence: &Evidence, kind: BadKind) -> f64 {
+    let pairs = evidence.routes.values().map(|(t, o)| (kind.sample(*t), kind.sample(*o)));
+    let by_route: Vec<_> =
+        pairs.filter(|(t, _)| t.total > 0).map(|(t, o)| log_ratios(t, o)).collect();
+    let count = u32::try_from(by_route.len()).unwrap_or(u32::MAX);
     let mut together = [0.0; EFFECTS.len()];
-    for ratios in &single {
+    for ratios in &by_route {
         for (sum, ratio) in together.iter_mut().zip(ratios) {
             *sum += ratio;
         }
     }
-    let all = mean_exp(&together);
-    let best = single.iter().map(mean_exp).fold(f64::NEG_INFINITY, f64::max);
-    // Each half of the weight; the half for one route is divided among the routes.
+    let all = log_mean_exp(&together);
+    let best = by_route.iter().map(log_mean_exp).fold(f64::NEG_INFINITY, f64::max);
+    // Each case has half of the weight; the half for one route is divided among the routes.
     (all - 2.0_f64.ln()).max(best - (2.0 * f64::from(count.max(1))).ln())
 }
 
-/// Returns, for each effect, the logarithm of the ratio of likelihoods on one route.
-fn effects(target: Sample, others: Sample) -> [f64; EFFECTS.len()] {
-    let (bad, good) = (f64::from(target.bad), f64::from(target.all.saturating_sub(target.bad)));
-    // A half more of each is the prior of Jeffreys: no rate is ruled out by few answers.
+/// Returns the logarithm of the likelihood ratio on one route for each effect.
+fn log_ratios(target: Sample, others: Sample) -> [f64; EFFECTS.len()] {
+    let (bad, good) = (f64::from(target.bad), f64::from(target.total.saturating_sub(target.bad)));
+    // Jeffreys prior: half an answer is added to each count, so few answers rule out no rate.
     let known_bad = f64::from(others.bad) + 0.5;
-    let known_good = f64::from(others.all.saturating_sub(others.bad)) + 0.5;
-    let alike = ln_beta(known_bad + bad, known_good + good) - ln_beta(known_bad, known_good);
+    let known_good = f64::from(others.total.saturating_sub(others.bad)) + 0.5;
+    let unchanged = ln_beta(known_bad + bad, known_good + good) - ln_beta(known_bad, known_good);
     let base = known_bad / (known_bad + known_good);
     EFFECTS.map(|effect| {
         let rate = base + effect * (1.0 - base);
-        bad * rate.ln() + good * (1.0 - rate).ln() - alike
+        bad * rate.ln() + good * (1.0 - rate).ln() - unchanged
     })
 }
 
-/// Tells whether one upstream of the target is worse than its siblings with these odds, and
-/// these are not bad.
-fn is_one_of_many(evidence: &Evidence, kind: Kind, odds: f64) -> bool {
+/// Returns whether one upstream of the target is worse than its siblings with these odds, and the
+/// siblings are not bad.
+fn is_outlier_of_many(evidence: &Evidence, kind: BadKind, odds: f64) -> bool {
     let Some((worst, rest)) = worst_and_rest(evidence, kind) else {
         return false;
     };
-    if mean_exp(&effects(worst, rest)) < odds.ln() {
+    if log_mean_exp(&log_ratios(worst, rest)) < odds.ln() {
         return false;
     }
-    let others: Vec<_> = evidence.routes.values().map(|(_, o)| kind.of(*o)).collect();
-    mean_exp(&effects(rest, sum(&others))) < SIBLINGS_BAD.ln()
+    let others: Vec<_> = evidence.routes.values().map(|(_, o)| kind.sample(*o)).collect();
+    log_mean_exp(&log_ratios(rest, sum(&others))) < BAD_SIBLINGS_ODDS.ln()
 }
 
-/// Tells whether it may be one upstream of one or two that is bad, and not the version.
-fn may_be_one_of_few(evidence: &Evidence, kind: Kind, look: Look) -> bool {
+/// Returns whether the bad answers may come from one of at most two upstreams rather than from the
+/// version.
+fn is_possible_outlier_of_few(evidence: &Evidence, kind: BadKind, criteria: Criteria) -> bool {
     let Some((worst, rest)) = worst_and_rest(evidence, kind) else {
         return false;
     };
-    if look.waits && rest.bad == 0 {
+    if criteria.can_wait && rest.bad == 0 {
         return true;
     }
-    let is_odd = worst.bad > rest.bad.saturating_mul(ODD_TIMES);
-    is_odd && rest.all > worst.all / TRIED_PART
+    let has_more_bad = worst.bad > rest.bad.saturating_mul(OUTLIER_FACTOR);
+    has_more_bad && rest.total > worst.total / TRIED_DIVISOR
 }
 
-/// Returns what the upstream of the target with the most bad answers got, and what its siblings
-/// got together.
-fn worst_and_rest(evidence: &Evidence, kind: Kind) -> Option<(Sample, Sample)> {
-    let samples: Vec<_> = evidence.upstreams.values().map(|c| kind.of(*c)).collect();
+/// Returns the sample of the target's upstream with the most bad answers, and the sum of the
+/// samples of its siblings.
+fn worst_and_rest(evidence: &Evidence, kind: BadKind) -> Option<(Sample, Sample)> {
+    let samples: Vec<_> = evidence.upstreams.values().map(|c| kind.sample(*c)).collect();
     let all = sum(&samples);
     let worst = samples.iter().max_by_key(|s| s.bad).copied()?;
-    Some((worst, Sample { all: all.all - worst.all, bad: all.bad - worst.bad }))
+    Some((worst, Sample { total: all.total - worst.total, bad: all.bad - worst.bad }))
 }
 
 fn sum(samples: &[Sample]) -> Sample {
     samples.iter().fold(Sample::default(), |sum, s| Sample {
-        all: sum.all.saturating_add(s.all),
+        total: sum.total.saturating_add(s.total),
         bad: sum.bad.saturating_add(s.bad),
     })
 }
 
-/// Returns the logarithm of the mean of what the logarithms stand for.
-fn mean_exp(logarithms: &[f64; EFFECTS.len()]) -> f64 {
+/// Returns the logarithm of the mean of values that are given as logarithms.
+fn log_mean_exp(logarithms: &[f64; EFFECTS.len()]) -> f64 {
     let most = logarithms.iter().copied().fold(f64::NEG_INFINITY, f64::max);
     if !most.is_finite() {
         return most;
@@ -256,11 +265,11 @@
     ln_gamma(a) + ln_gamma(b) - ln_gamma(a + b)
 }
 
-/// Returns the logarithm of the gamma function for a positive number, by Stirling's series.
+/// Returns the logarithm of the gamma function of a positive number, by Stirling's series.
 fn ln_gamma(x: f64) -> f64 {
     let mut shift = 0.0;
     let mut x = x;
-    // The series is good to eight digits from here on.
+    // The series is accurate to eight digits from here on.
     while x < 8.0 {
         shift += x.ln();
         x += 1.0;
--- a/crates/badgerfield-core/tests/rollout_recorder.rs
+++ b/crates/badgerfield-core/tests/rollout_recorder.rs
@@ -100,8 +100,10 @@
 fn an_end_is_final() {
     for state in [RolloutState::RolledBack, RolloutState::Completed] {
         let record = record(7, state, true);
-        let rejected =
-            RolloutProgress { phase: RolloutPhase::Rejected, ..RolloutProgress::of(&record) };
+        let rejected = RolloutProgress {
+            phase: RolloutPhase::Rejected,
+            ..RolloutProgress::from_record(&record)
+        };
         let known = known(7, Some(rejected));
         let mut recorder = Recorder::default();
         recorder.next_call(&at(&known, 0, 0, &[]));
@@ -115,7 +117,7 @@
 #[test]
 fn the_end_waits_for_every_member_of_a_new_view() {
     let record = record(7, RolloutState::InProgress, true);
-    let known = known(7, Some(RolloutProgress::of(&record)));
+    let known = known(7, Some(RolloutProgress::from_record(&record)));
     let members = [ME, PEER];
     let mut recorder = Recorder::default();
     recorder.next_call(&at(&known, 0, 0, &members));
@@ -199,7 +201,7 @@
     for (failed, state, moving) in
         [(29, RolloutState::RolledBack, false), (0, RolloutState::InProgress, true)]
     {
-        let known = known(7, Some(RolloutProgress::of(&tried_record)));
+        let known = known(7, Some(RolloutProgress::from_record(&tried_record)));
         let mut recorder = reader(tried_record.clone(), &known);
         recorder.judge.apply_report(ME, tried(29, failed), Duration::from_secs(39));
         let call = recorder.next_call(&at(&known, 39_000, 0, &[ME]));
@@ -215,7 +217,7 @@
     let stage = RolloutProgress {
         phase: RolloutPhase::Rejected,
         reason: RolloutReason::Failures,
-        ..RolloutProgress::of(&open)
+        ..RolloutProgress::from_record(&open)
     };
     let known = known(7, Some(stage));
     let call = reader(open, &known).next_call(&at(&known, 1000, 0, &[ME]));
