--- a/crates/badgerfield-core/src/poison/table.rs
+++ b/crates/badgerfield-core/src/poison/table.rs
@@ -320,8 +320,9 @@
         missing
     }
 
-    /// Removes the request with the earliest expiry if its account, or the whole table, has too
-    /// many.
+    /// Removes one request if `account`, or all accounts together, have too many. It is the one
+    /// that expires first among the blocked requests or among the suspects, whichever take more
+    /// than half of the room.
     fn make_room(&mut self, now: Time, account: u64) {
         let count_of =
             |account: u64| self.records.values().filter(|r| r.account == account).count();
--- a/crates/badgerfield-core/src/rollout/log_entry.rs
+++ b/crates/badgerfield-core/src/rollout/log_entry.rs
@@ -65,7 +65,7 @@
                 write_evidence(f, evidence)
             }
             Self::CallFailed { service, outcome } => {
-                write!(f, "record of the rollout of {service}: {outcome}; it is looked up")
+                write!(f, "record of the rollout of {service}: {outcome}; reading it next")
             }
         }
     }
--- a/crates/badgerfield-core/src/rollout/record.rs
+++ b/crates/badgerfield-core/src/rollout/record.rs
@@ -53,7 +53,7 @@
 
 /// A value is not a record of a rollout.
 #[derive(Debug, Error)]
-#[error("expected the record of a roll-out: {0}")]
+#[error("expected the record of a rollout: {0}")]
 pub struct RecordError(#[from] serde_json::Error);
 
 impl RolloutRecord {
--- a/crates/badgerfield-core/src/rollout/recorder.rs
+++ b/crates/badgerfield-core/src/rollout/recorder.rs
@@ -138,34 +138,34 @@
     }
 
     /// Returns the call that is due, if there is one.
-    pub fn next_call(&mut self, at: &StepContext<'_>) -> Option<RecorderCall> {
-        if self.is_call_pending || !is_due(at.now, self.last_call, MIN_CALL_INTERVAL) {
+    pub fn next_call(&mut self, context: &StepContext<'_>) -> Option<RecorderCall> {
+        if self.is_call_pending || !is_due(context.now, self.last_call, MIN_CALL_INTERVAL) {
             return None;
         }
         let Some((revision, record)) = &self.stored else {
             self.is_call_pending = true;
-            self.last_call = Some(at.now);
+            self.last_call = Some(context.now);
             return Some(RecorderCall::Read);
         };
         let revision = *revision;
-        let next = self.next_record(at, record.as_ref());
+        let next = self.next_record(context, record.as_ref());
         let is_completion = next.as_ref().is_some_and(|n| n.state == RolloutState::Completed);
-        self.all_moved_at = if is_completion { self.all_moved_at.or(Some(at.now)) } else { None };
+        self.all_moved_at =
+            if is_completion { self.all_moved_at.or(Some(context.now)) } else { None };
         let Some(next) = next else {
             self.due_step = None;
             return None;
         };
-        let since = self.due_since(at.now, &next);
-        if at.now.since(since) < RANK_DELAY.saturating_mul(at.rank) {
+        let since = self.due_since(context.now, &next);
+        if context.now.since(since) < RANK_DELAY.saturating_mul(context.rank) {
             return None;
         }
-        self.last_call = Some(at.now);
+        self.last_call = Some(context.now);
         // Members that have joined meanwhile must confirm too, so the view is read again. A process
         // that joins after that read only receives from members that know that all requests move.
-        if self
-            .all_moved_at
-            .is_some_and(|since| at.view_requested.is_none_or(|requested_at| requested_at < since))
-        {
+        if self.all_moved_at.is_some_and(|since| {
+            context.view_requested.is_none_or(|requested_at| requested_at < since)
+        }) {
             return Some(RecorderCall::ReadView);
         }
         self.is_call_pending = true;
@@ -188,11 +188,11 @@
     /// Returns the record that should be stored, if it differs from the present one.
     fn next_record(
         &self,
-        at: &StepContext<'_>,
+        context: &StepContext<'_>,
         record: Option<&RolloutRecord>,
     ) -> Option<RolloutRecord> {
-        let newest = at.known.change.revision;
-        let Some(order) = &at.known.change.order else {
+        let newest = context.known.change.revision;
+        let Some(order) = &context.known.change.order else {
             let unfinished =
                 record.filter(|record| record.order < newest && !record.state.is_final())?;
             return Some(ended_record(
@@ -202,21 +202,22 @@
             ));
         };
         let Some(record) = record.filter(|record| record.order >= newest) else {
-            return Some(first_record(at, order, record));
+            return Some(first_record(context, order, record));
         };
         if record.order > newest || record.state.is_final() {
             return None;
         }
-        let stage = at.known.stage.as_ref().filter(|stage| stage.phase == RolloutPhase::Rejected);
+        let stage =
+            context.known.stage.as_ref().filter(|stage| stage.phase == RolloutPhase::Rejected);
         if let Some(stage) = stage {
             return Some(ended_record(record, RolloutState::RolledBack, stage.reason));
         }
         if !record.moving {
-            let due = plan::move_start(order.span, at.max_duration);
+            let due = plan::move_start(order.span, context.max_duration);
             let has_short_history = self.judge.has_short_history(order.span);
             let due =
                 if has_short_history { plan::latest_move_start(order.span, due) } else { due };
-            if time_since_order(at, record) < due {
+            if time_since_order(context, record) < due {
                 return None;
             }
             return Some(match self.judge.final_verdict(order.span) {
@@ -226,14 +227,14 @@
                 }
             });
         }
-        let all_moved = at.members.iter().all(|id| self.judge.has_confirmed(*id));
+        let all_moved = context.members.iter().all(|id| self.judge.has_confirmed(*id));
         all_moved.then(|| ended_record(record, RolloutState::Completed, RolloutReason::Moved))
     }
 }
 
 /// Returns the first record of an order; `last` is the record of an earlier order.
 fn first_record(
-    at: &StepContext<'_>,
+    context: &StepContext<'_>,
     order: &RolloutOrder,
     last: Option<&RolloutRecord>,
 ) -> RolloutRecord {
@@ -241,9 +242,9 @@
     RolloutRecord {
         state: RolloutState::InProgress,
         target: order.target.clone(),
-        order: at.known.change.revision,
+        order: context.known.change.revision,
         moving: false,
-        began: at.clock.time_at(at.received).map(|time| time.0),
+        began: context.clock.time_at(context.received).map(|time| time.0),
         reason: RolloutReason::Ordered,
         refused,
     }
@@ -259,11 +260,11 @@
 
 /// Returns the time since the order, by the clock of this process or by the time in the record,
 /// whichever is longer.
-fn time_since_order(at: &StepContext<'_>, record: &RolloutRecord) -> Duration {
-    let local = at.now.since(at.received);
+fn time_since_order(context: &StepContext<'_>, record: &RolloutRecord) -> Duration {
+    let local = context.now.since(context.received);
     let recorded = record
         .began
-        .zip(at.clock.time_at(at.now))
+        .zip(context.clock.time_at(context.now))
         .map(|(began, now)| Duration::from_millis(now.0.saturating_sub(began)));
     recorded.map_or(local, |recorded| recorded.max(local))
 }
