--- a/crates/badgerfield-core/tests/poison.rs
+++ b/crates/badgerfield-core/tests/poison.rs
@@ -1,4 +1,4 @@
-//! What is held against a request at which upstreams have ended.
+//! Requests under which upstreams crash: when a request is suspected, blocked and cleared.
 
 use std::time::Duration;
 
@@ -23,16 +23,18 @@
     Fingerprint::of(Some(&account("a")), "POST", ("host", "/x"), &parts, body.as_bytes())
 }
 
-fn crash(body: &str, n: u32, point: u64) -> Crash {
-    Crash::new(request(body), Some(&account("a")), &upstream(n), point)
+fn crash(body: &str, n: u32, events_sent: u64) -> Crash {
+    Crash::new(request(body), Some(&account("a")), &upstream(n), events_sent)
 }
 
 fn is_blocked(table: &PoisonTable, now: Time, body: &str) -> bool {
     matches!(table.status(now, request(body)), PoisonStatus::Blocked { .. })
 }
 
+/// Fails if a retry of a request has another fingerprint, or if different requests, or equal ones
+/// of different accounts, have the same one.
 #[test]
-fn the_same_request_is_known_whoever_passes_it_on() {
+fn fingerprints_distinguish_requests_and_accounts() {
     let parts = [PromptPart { id: 1, tokens: 80 }];
     let of = |name: &str, path: &str, body: &str| {
         Fingerprint::of(Some(&account(name)), "POST", ("host", path), &parts, body.as_bytes())
@@ -41,7 +43,7 @@
     for other in [of("b", "/x", "body"), of("a", "/y", "body"), of("a", "/x", "other")] {
         assert_ne!(of("a", "/x", "body"), other);
     }
-    // A field does not run into the next.
+    // The boundary between two fields is part of the fingerprint.
     assert_ne!(of("a", "/x", "yz"), of("a", "/xy", "z"));
     let text = of("a", "/x", "body").to_string();
     assert_eq!(text.parse(), Ok(of("a", "/x", "body")));
@@ -49,16 +51,18 @@
     assert!(format!("+{}", &text[1..]).parse::<Fingerprint>().is_err());
 }
 
+/// Fails if a request is blocked after a single crash, which may be reported twice, or is not
+/// blocked after two crashes at about the same point of its answer.
 #[test]
 fn one_crash_makes_a_suspect_and_two_at_one_point_block() {
     let mut table = PoisonTable::default();
     assert_eq!(table.status(NOW, request("q")), PoisonStatus::Clear);
     table.apply(NOW, vec![crash("q", 1, 0)]);
     assert_matches!(table.status(NOW, request("q")), PoisonStatus::Suspect { .. });
-    // The same crash, told again, is no second one.
+    // A repeated report of the same crash does not count again.
     assert!(table.apply(NOW, vec![crash("q", 1, 0)]).is_empty());
-    let news = table.apply(NOW, vec![crash("q", 2, 3)]);
-    assert_matches!(news.as_slice(), [(_, true)]);
+    let added = table.apply(NOW, vec![crash("q", 2, 3)]);
+    assert_matches!(added.as_slice(), [(_, true)]);
     let later = NOW.after(Duration::from_secs(10));
     assert_matches!(
         table.status(later, request("q")),
@@ -69,27 +73,32 @@
     );
 }
 
+/// Fails if the second crash of an upstream that was restarted is taken for its first one, or if
+/// one crash that two processes observe counts twice.
 #[test]
-fn an_upstream_that_is_back_and_ends_again_counts_again() {
+fn a_restarted_upstream_that_crashes_again_counts_again() {
     let mut table = PoisonTable::default();
     assert_eq!(table.crash_count(request("q"), &upstream(1)), 0);
     table.apply(NOW, vec![crash("q", 1, 0)]);
     assert_eq!(table.crash_count(request("q"), &upstream(1)), 1);
     assert_eq!(table.crash_count(request("q"), &upstream(2)), 0);
-    // Whoever was there as well, and had not heard of it, saw the same end.
+    // Another process that had requests there but did not know of the first crash observes the same
+    // one.
     assert!(table.apply(NOW, vec![crash("q", 1, 2)]).is_empty());
-    let news = table.apply(NOW, vec![crash("q", 1, 0).with_prior_crashes(1)]);
-    assert_matches!(news.as_slice(), [(_, true)]);
+    let added = table.apply(NOW, vec![crash("q", 1, 0).with_prior_crashes(1)]);
+    assert_matches!(added.as_slice(), [(_, true)]);
 }
 
+/// Fails if a crash is ignored because an earlier crash of the same upstream was cleared, at a
+/// process that learned of the clearing before or after the crash.
 #[test]
-fn an_end_after_one_that_was_cleared_counts() {
+fn a_crash_after_a_cleared_crash_counts() {
     let mut table = PoisonTable::default();
     table.apply(NOW, vec![crash("q", 1, 0)]);
     table.record_served(NOW, request("q"));
     table.apply(NOW, vec![crash("q", 1, 0).with_prior_crashes(1)]);
     assert_matches!(table.status(NOW, request("q")), PoisonStatus::Suspect { .. });
-    // Of two processes that heard in another order, both believe the same.
+    // Two processes that receive the crashes in different orders end in the same state.
     let mut other = PoisonTable::default();
     other.apply(NOW, vec![crash("q", 1, 0).with_prior_crashes(1)]);
     other.apply(NOW, vec![Crash { cleared: true, ..crash("q", 1, 0) }]);
@@ -97,22 +106,26 @@
     assert_eq!(other.crashes_of(NOW, request("q")).len(), 2);
 }
 
+/// Fails if a request is blocked after fewer than four crashes that are not confirmed, or if it
+/// stays blocked after these expire. A cut network path looks like a crash.
 #[test]
-fn upstreams_that_only_cannot_be_reached_weigh_half() {
+fn unreachable_upstreams_count_half() {
     let mut table = PoisonTable::default();
     table.apply(NOW, (1..4).map(|n| crash("q", n, 0).unconfirmed()).collect());
     assert_matches!(table.status(NOW, request("q")), PoisonStatus::Suspect { .. });
     let later = NOW.after(Duration::from_secs(5));
-    let news = table.apply(later, vec![crash("q", 4, 0).unconfirmed()]);
-    assert_matches!(news.as_slice(), [(_, true)]);
-    // A cut way may have been the cause, and is mended soon.
+    let added = table.apply(later, vec![crash("q", 4, 0).unconfirmed()]);
+    assert_matches!(added.as_slice(), [(_, true)]);
+    // A cut network path may have been the cause; it is usually restored soon.
     let left = Duration::from_secs(55);
     assert_matches!(table.status(later, request("q")), PoisonStatus::Blocked { remaining: l, .. } if l == left);
     assert!(!is_blocked(&table, later.after(left), "q"));
 }
 
+/// Fails if the evidence of a crash depends on which process reports it first: one that could not
+/// reach the upstream, or one whose connection was refused.
 #[test]
-fn who_is_certain_of_an_end_says_more_than_who_is_not() {
+fn confirmed_crashes_take_precedence_over_unconfirmed_ones() {
     let all = [crash("q", 1, 0).unconfirmed(), crash("q", 1, 0), crash("q", 2, 0).unconfirmed()];
     let all = all.into_iter().chain([crash("q", 2, 0)]).collect::<Vec<_>>();
     let (mut one, mut two) = (PoisonTable::default(), PoisonTable::default());
@@ -123,45 +136,52 @@
     assert!(is_blocked(&one, NOW.after(Duration::from_secs(500)), "q"));
 }
 
+/// Fails if a stream that had run for a while counts as a request whose answer had hardly begun.
 #[test]
-fn a_stream_in_full_flow_is_a_lesser_suspect() {
+fn a_long_stream_is_no_early_suspect() {
     let mut table = PoisonTable::default();
     table.apply(NOW, vec![crash("q", 1, 0), crash("r", 1, 50)]);
     assert_eq!(table.status(NOW, request("q")), PoisonStatus::Suspect { early: true });
     assert_eq!(table.status(NOW, request("r")), PoisonStatus::Suspect { early: false });
 }
 
+/// Fails if a long stream is blocked because it was running at two crashes by accident, or if it is
+/// not blocked after a third.
 #[test]
-fn a_stream_that_came_on_between_two_crashes_is_not_blocked_by_them() {
+fn two_crashes_at_distant_points_do_not_block() {
     let mut table = PoisonTable::default();
     table.apply(NOW, vec![crash("q", 1, 20), crash("q", 2, 60)]);
     assert_matches!(table.status(NOW, request("q")), PoisonStatus::Suspect { .. });
-    // A third is one too many, wherever the stream was.
+    // A third crash blocks it, at any point of the answer.
     table.apply(NOW, vec![crash("q", 3, 100)]);
     assert!(is_blocked(&table, NOW, "q"));
 }
 
+/// Fails if a crash still counts against a request that has completed since, for instance because
+/// an older report of the crash arrives late.
 #[test]
-fn a_request_that_is_served_whole_had_no_part_in_it() {
+fn a_completed_request_is_cleared() {
     let mut table = PoisonTable::default();
     table.apply(NOW, vec![crash("q", 1, 0)]);
     let cleared = table.record_served(NOW, request("q"));
     assert_eq!(cleared.len(), 1);
     assert_eq!(table.status(NOW, request("q")), PoisonStatus::Clear);
-    // Older word of the crash does not bring it back, and another crash is the first.
+    // An older report of the crash does not count again, and a crash of another upstream is the
+    // first one.
     table.apply(NOW, vec![crash("q", 1, 0), crash("q", 2, 0)]);
     assert_matches!(table.status(NOW, request("q")), PoisonStatus::Suspect { .. });
 }
 
+/// Fails if processes that receive the same crashes in different orders end in different states.
 #[test]
-fn the_order_of_news_does_not_matter() {
+fn the_order_of_crashes_does_not_matter() {
     let cleared = Crash { cleared: true, ..crash("q", 3, 0) };
     let all = [crash("q", 1, 0), crash("q", 3, 0), cleared, crash("q", 2, 1), crash("r", 2, 0)];
     let mut digests = Vec::new();
-    for turn in 0..all.len() {
+    for offset in 0..all.len() {
         let mut table = PoisonTable::default();
         for n in 0..all.len() {
-            table.apply(NOW, vec![all[(n * 2 + turn) % all.len()].clone()]);
+            table.apply(NOW, vec![all[(n * 2 + offset) % all.len()].clone()]);
         }
         assert!(is_blocked(&table, NOW, "q"));
         digests.push(table.digest(NOW));
@@ -169,8 +189,10 @@
     assert!(digests.iter().all(|digest| *digest == digests[0] && *digest != 0), "{digests:?}");
 }
 
+/// Fails if processes keep different crashes of a request that has more than the limit. Their
+/// digests would then differ for as long as the request is blocked.
 #[test]
-fn of_many_crashes_all_processes_remember_the_same() {
+fn all_processes_keep_the_same_of_many_crashes() {
     let all: Vec<_> = (0..40).map(|n| crash("q", n, 0)).collect();
     let (mut one, mut two) = (PoisonTable::default(), PoisonTable::default());
     one.apply(NOW, all.clone());
@@ -179,8 +201,10 @@
     assert_eq!(one.blocked_crashes(NOW).len(), 8);
 }
 
+/// Fails if two processes that have compared their tables still differ, or if the one that lacks a
+/// clearing keeps a request blocked.
 #[test]
-fn two_tables_that_tell_each_other_all_believe_the_same() {
+fn two_tables_agree_after_an_exchange() {
     let (mut one, mut two) = (PoisonTable::default(), PoisonTable::default());
     one.apply(NOW, vec![crash("q", 1, 0), crash("q", 2, 0)]);
     two.apply(NOW, vec![crash("r", 1, 0), crash("r", 2, 0), crash("q", 1, 0)]);
@@ -191,61 +215,67 @@
     one.apply(NOW, two.missing_from(NOW, &theirs));
     assert_eq!(one.digest(NOW), two.digest(NOW));
     assert!(is_blocked(&one, NOW, "r"));
-    assert!(!is_blocked(&one, NOW, "q"), "it was served whole at the other");
+    assert!(!is_blocked(&one, NOW, "q"), "it completed at the other process");
     assert!(
         two.missing_from(NOW, &one.blocked_crashes(NOW)).iter().all(|c| c.request == request("q"))
     );
 }
 
+/// Fails if a block never expires, for instance because processes send it back to others that have
+/// already dropped it.
 #[test]
-fn a_block_ends_after_a_while_and_is_not_told_on_at_its_end() {
+fn a_block_expires_and_is_not_shared_shortly_before() {
     let mut table = PoisonTable::default();
     table.apply(NOW, vec![crash("q", 1, 0), crash("q", 2, 0)]);
     let late = NOW.after(Duration::from_secs(597));
     assert!(is_blocked(&table, late, "q"));
-    assert!(table.blocked_crashes(late).is_empty(), "nobody else is told");
+    assert!(table.blocked_crashes(late).is_empty(), "it is not sent to others");
     let end = NOW.after(Duration::from_secs(601));
     assert_eq!(table.status(end, request("q")), PoisonStatus::Clear);
     table.sweep(end);
     assert!(table.is_empty());
-    // What is as old as that is no news.
+    // A crash of that age is not applied at all.
     let old = Crash { age: Duration::from_secs(601), ..crash("q", 1, 0) };
     assert!(table.apply(end, vec![old]).is_empty());
 }
 
+/// Fails if a crash from before the start of a process counts as new there, since its time lies
+/// before the zero of the local clock.
 #[test]
-fn word_of_a_crash_older_than_the_process_keeps_its_age() {
+fn a_received_crash_keeps_its_age() {
     let mut table = PoisonTable::default();
     let early = Time::from_millis(1000);
-    let told = |n| Crash { age: Duration::from_secs(300), ..crash("q", n, 0) };
-    table.apply(early, vec![told(1), told(2)]);
+    let received = |n| Crash { age: Duration::from_secs(300), ..crash("q", n, 0) };
+    table.apply(early, vec![received(1), received(2)]);
     assert_matches!(
         table.status(early, request("q")),
         PoisonStatus::Blocked { age, .. } if age == Duration::from_secs(300)
     );
 }
 
+/// Fails if one account with many crashes, or many accounts with a few each, displace the blocked
+/// request of another account, or if the table has no room for the next blocked request.
 #[test]
-fn one_account_crowds_no_other_out() {
+fn one_account_does_not_displace_others() {
     let mut table = PoisonTable::default();
-    let mut of = |name: &str, n: u32, upstreams: &[u32]| {
+    let mut record = |name: &str, n: u32, upstreams: &[u32]| {
         let owner = account(name);
         let body = n.to_be_bytes();
         let request = Fingerprint::of(Some(&owner), "POST", ("host", "/x"), &[], &body);
-        let seen = |u: &u32| Crash::new(request, Some(&owner), &upstream(*u), 0);
-        // Each a little later than the one before.
+        let crash = |u: &u32| Crash::new(request, Some(&owner), &upstream(*u), 0);
+        // Each request crashes a little later than the one before.
         let now = NOW.after(Duration::from_millis(u64::from(n)));
-        table.apply(now, upstreams.iter().map(seen).collect());
+        table.apply(now, upstreams.iter().map(crash).collect());
         request
     };
-    let theirs = of("quiet", 0, &[1, 2]);
+    let theirs = record("quiet", 0, &[1, 2]);
     let mut last = theirs;
     for n in 0..3000 {
-        last = of("busy", n, &[n, n + 1]);
+        last = record("busy", n, &[n, n + 1]);
     }
     for name in 0..100 {
         for n in 0..20 {
-            of(&format!("many-{name}"), n, &[n]);
+            record(&format!("many-{name}"), n, &[n]);
         }
     }
     assert!(table.len() <= 512, "{}", table.len());
--- a/crates/badgerfield-core/tests/rollout_beliefs.rs
+++ b/crates/badgerfield-core/tests/rollout_beliefs.rs
@@ -1,5 +1,5 @@
-//! Beliefs about roll-outs: whatever the order in which news arrives, all believe the same, and
-//! nobody takes a step back.
+//! Known rollouts: processes that receive the same updates in any order have the same state, and no
+//! rollout goes back to an earlier phase.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -16,7 +16,7 @@
         span: Duration::from_secs(60),
     };
     let service = format!("service-{service}").parse().expect("a service");
-    // Every third order withdraws the one before.
+    // Every third revision withdraws the order.
     let order = (!revision.is_multiple_of(3)).then_some(order);
     let refused = BTreeSet::new();
     let stage =
@@ -24,7 +24,7 @@
     KnownRollout { change: OrderChange { service, revision, order }, stage }
 }
 
-fn news() -> impl Strategy<Value = Vec<KnownRollout>> {
+fn updates() -> impl Strategy<Value = Vec<KnownRollout>> {
     let phase = prop_oneof![
         Just(None),
         Just(Some(RolloutPhase::Canary)),
@@ -37,20 +37,23 @@
     proptest::collection::vec(one, 0..20)
 }
 
-/// Returns what a process knows of a service, in the order in which it may only grow.
-fn place(beliefs: &KnownRollouts, service: u8) -> Option<(u64, Option<RolloutPhase>)> {
+/// Returns the revision and phase of a service's rollout, which may only increase.
+fn revision_and_phase(
+    known_rollouts: &KnownRollouts,
+    service: u8,
+) -> Option<(u64, Option<RolloutPhase>)> {
     let service = format!("service-{service}").parse().expect("a service");
-    beliefs.get(&service).map(|known| (known.change.revision, known.phase()))
+    known_rollouts.get(&service).map(|known| (known.change.revision, known.phase()))
 }
 
 proptest! {
-    /// Fails if the order of arrival matters, if what was heard twice counts twice, or if a
-    /// digest does not stand for what is known.
+    /// Fails if the state depends on the order of updates, or on an update that arrives twice, or
+    /// if equal states have different digests.
     #[test]
-    fn all_believe_the_same_in_the_end(news in news(), seed in any::<u64>()) {
+    fn the_order_of_updates_does_not_matter(updates in updates(), seed in any::<u64>()) {
         let mut one = KnownRollouts::default();
-        one.apply(news.clone());
-        let mut shuffled = news.clone();
+        one.apply(updates.clone());
+        let mut shuffled = updates.clone();
         let len = shuffled.len().max(1);
         for n in 0..shuffled.len() {
             let other = usize::try_from(seed.rotate_left(u32::try_from(n).expect("few"))
@@ -58,39 +61,40 @@
             shuffled.swap(n, other);
         }
         let mut other = KnownRollouts::default();
-        for known in shuffled.into_iter().chain(news) {
+        for known in shuffled.into_iter().chain(updates) {
             other.apply([known]);
         }
         prop_assert_eq!(one.all(), other.all());
         prop_assert_eq!(one.digest(), other.digest());
     }
 
-    /// Fails if a process goes back to an older order, or to an earlier phase of one.
+    /// Fails if an update or a snapshot takes a process back to an older order or to an earlier
+    /// phase.
     #[test]
-    fn nothing_steps_back(news in news(), whole in 1..8_u64) {
-        let mut beliefs = KnownRollouts::default();
-        for (n, known) in news.into_iter().enumerate() {
-            let before: Vec<_> = (0..3).map(|service| place(&beliefs, service)).collect();
+    fn no_rollout_returns_to_an_earlier_phase(updates in updates(), snapshot_revision in 1..8_u64) {
+        let mut known_rollouts = KnownRollouts::default();
+        for (n, known) in updates.into_iter().enumerate() {
+            let before: Vec<_> = (0..3).map(|service| revision_and_phase(&known_rollouts, service)).collect();
             if n % 5 == 4 {
                 let orders = known.change.order.is_some().then_some(known.change);
-                beliefs.apply_snapshot(whole, orders.into_iter().collect());
+                known_rollouts.apply_snapshot(snapshot_revision, orders.into_iter().collect());
             } else {
-                beliefs.apply([known]);
+                known_rollouts.apply([known]);
             }
             for service in 0..3_u8 {
-                prop_assert!(place(&beliefs, service) >= before[usize::from(service)]);
+                prop_assert!(revision_and_phase(&known_rollouts, service) >= before[usize::from(service)]);
             }
         }
     }
 }
 
-/// Fails if a read of all orders that is older than an order withdraws that.
+/// Fails if a snapshot of all orders withdraws an order that is newer than the snapshot.
 #[test]
-fn an_old_read_withdraws_nothing_newer() {
-    let mut beliefs = KnownRollouts::default();
-    beliefs.apply([known(0, 5, Some(RolloutPhase::Canary))]);
-    assert_eq!(beliefs.apply_snapshot(4, Vec::new()), Vec::new());
-    let turned = beliefs.apply_snapshot(9, Vec::new());
-    assert_eq!(turned.len(), 1);
-    assert_eq!(turned[0].target(), None);
+fn an_old_snapshot_withdraws_no_newer_order() {
+    let mut known_rollouts = KnownRollouts::default();
+    known_rollouts.apply([known(0, 5, Some(RolloutPhase::Canary))]);
+    assert_eq!(known_rollouts.apply_snapshot(4, Vec::new()), Vec::new());
+    let changed = known_rollouts.apply_snapshot(9, Vec::new());
+    assert_eq!(changed.len(), 1);
+    assert_eq!(changed[0].target(), None);
 }
--- a/crates/badgerfield-core/tests/rollout_recorder.rs
+++ b/crates/badgerfield-core/tests/rollout_recorder.rs
@@ -1,4 +1,5 @@
-//! The steps of a roll-out's record: two judges at once, one that wakes, writes that come late.
+//! The steps of a rollout's record: concurrent judges, lost replies, records that others removed,
+//! and final states.
 
 use std::time::Duration;
 
@@ -21,7 +22,7 @@
     KnownRollout { change: OrderChange { service, revision, order: Some(order) }, stage }
 }
 
-fn at<'a>(
+fn context<'a>(
     known: &'a KnownRollout,
     millis: u64,
     rank: u32,
@@ -63,41 +64,46 @@
     }
 }
 
-/// Fails if a judge writes before it has read, or a later judge before its turn.
+/// Fails if a judge writes before it has read the record, or a judge of a higher rank writes while
+/// the first judge still has time to.
 #[test]
-fn a_judge_reads_first_and_waits_for_its_turn() {
+fn a_judge_reads_the_record_first_and_waits_for_its_rank() {
     let known = known(7, None);
     let mut recorder = Recorder::default();
-    assert_eq!(recorder.next_call(&at(&known, 100, 1, &[])), Some(RecorderCall::Read));
-    assert_eq!(recorder.next_call(&at(&known, 5000, 1, &[])), None, "one call at a time");
+    assert_eq!(recorder.next_call(&context(&known, 100, 1, &[])), Some(RecorderCall::Read));
+    assert_eq!(recorder.next_call(&context(&known, 5000, 1, &[])), None, "one call at a time");
     assert_eq!(recorder.apply_record(0, None, &known), None);
-    assert_eq!(recorder.next_call(&at(&known, 5100, 1, &[])), None, "the first judge's turn");
-    let call = recorder.next_call(&at(&known, 6600, 1, &[]));
+    assert_eq!(
+        recorder.next_call(&context(&known, 5100, 1, &[])),
+        None,
+        "the first judge may still write"
+    );
+    let call = recorder.next_call(&context(&known, 6600, 1, &[]));
     assert!(matches!(call, Some(RecorderCall::Write(0, record)) if record.order == 7));
 }
 
-/// Fails if a write that got no answer is repeated blind, or if what a judge finds then is
-/// written over.
+/// Fails if a judge repeats a write whose reply was lost without reading the record, or overwrites
+/// the record that it then finds.
 #[test]
-fn a_write_without_an_answer_is_looked_up() {
+fn a_write_without_a_reply_is_followed_by_a_read() {
     let known = known(7, None);
     let mut recorder = Recorder::default();
-    recorder.next_call(&at(&known, 0, 0, &[]));
+    recorder.next_call(&context(&known, 0, 0, &[]));
     recorder.apply_record(0, None, &known);
     assert!(matches!(
-        recorder.next_call(&at(&known, 100, 0, &[])),
+        recorder.next_call(&context(&known, 100, 0, &[])),
         Some(RecorderCall::Write(0, _))
     ));
     recorder.invalidate();
-    assert_eq!(recorder.next_call(&at(&known, 700, 0, &[])), Some(RecorderCall::Read));
+    assert_eq!(recorder.next_call(&context(&known, 700, 0, &[])), Some(RecorderCall::Read));
     let stage = recorder.apply_record(9, Some(record(7, RolloutState::InProgress, false)), &known);
     assert_eq!(stage.map(|stage| stage.phase), Some(RolloutPhase::Canary));
-    assert_eq!(recorder.next_call(&at(&known, 1300, 0, &[])), None);
+    assert_eq!(recorder.next_call(&context(&known, 1300, 0, &[])), None);
 }
 
-/// Fails if the end of a roll-out can be followed by another one, by any judge.
+/// Fails if any judge replaces a record with a final state.
 #[test]
-fn an_end_is_final() {
+fn a_final_state_is_never_replaced() {
     for state in [RolloutState::RolledBack, RolloutState::Completed] {
         let record = record(7, state, true);
         let rejected = RolloutProgress {
@@ -106,136 +112,144 @@
         };
         let known = known(7, Some(rejected));
         let mut recorder = Recorder::default();
-        recorder.next_call(&at(&known, 0, 0, &[]));
+        recorder.next_call(&context(&known, 0, 0, &[]));
         recorder.apply_record(3, Some(record), &known);
-        assert_eq!(recorder.next_call(&at(&known, 60_000, 0, &[])), None);
+        assert_eq!(recorder.next_call(&context(&known, 60_000, 0, &[])), None);
     }
 }
 
-/// Fails if an order is completed before every member has moved, or on a count from before the
-/// rule was in force, or on a view that is older than that.
+/// Fails if an order completes before all members have moved. A member may still have requests at
+/// another version, its count may be from before the rule was in force, and the view may be older
+/// than the last confirmation and lack a new member.
 #[test]
-fn the_end_waits_for_every_member_of_a_new_view() {
+fn completion_waits_for_every_member_of_a_new_view() {
     let record = record(7, RolloutState::InProgress, true);
     let known = known(7, Some(RolloutProgress::from_record(&record)));
     let members = [ME, PEER];
     let mut recorder = Recorder::default();
-    recorder.next_call(&at(&known, 0, 0, &members));
+    recorder.next_call(&context(&known, 0, 0, &members));
     recorder.apply_record(3, Some(record), &known);
     let age = Duration::from_secs(30);
     recorder.judge.apply_report(ME, tally(true, 0), age);
     recorder.judge.apply_report(PEER, tally(false, 0), age);
-    assert_eq!(recorder.next_call(&at(&known, 35_000, 0, &members)), None);
+    assert_eq!(recorder.next_call(&context(&known, 35_000, 0, &members)), None);
     recorder.judge.apply_report(PEER, tally(true, 1), age);
-    assert_eq!(recorder.next_call(&at(&known, 36_000, 0, &members)), None);
+    assert_eq!(recorder.next_call(&context(&known, 36_000, 0, &members)), None);
     recorder.judge.apply_report(PEER, tally(true, 0), age);
-    let old_view = StepContext { view_requested: None, ..at(&known, 37_000, 0, &members) };
+    let old_view = StepContext { view_requested: None, ..context(&known, 37_000, 0, &members) };
     assert_eq!(recorder.next_call(&old_view), Some(RecorderCall::ReadView));
-    let call = recorder.next_call(&at(&known, 38_000, 0, &members));
+    let call = recorder.next_call(&context(&known, 38_000, 0, &members));
     assert!(
         matches!(call, Some(RecorderCall::Write(3, next)) if next.state == RolloutState::Completed)
     );
 }
 
-/// Fails if the record of an order follows one of a newer order, or leaves out that the target
-/// of the last one was never completed.
+/// Fails if the record of an order replaces the record of a newer one, or omits the target of an
+/// earlier order that never completed from the refused versions.
 #[test]
-fn a_record_follows_only_older_orders() {
+fn a_record_replaces_only_those_of_older_orders() {
     let newer = record(9, RolloutState::InProgress, false);
     let order = known(7, None);
     let mut recorder = Recorder::default();
-    recorder.next_call(&at(&order, 0, 0, &[]));
+    recorder.next_call(&context(&order, 0, 0, &[]));
     recorder.apply_record(3, Some(newer), &order);
-    assert_eq!(recorder.next_call(&at(&order, 1000, 0, &[])), None);
+    assert_eq!(recorder.next_call(&context(&order, 1000, 0, &[])), None);
 
     let mut last = record(5, RolloutState::RolledBack, false);
     last.target = "v1-bad".parse().expect("a version");
     let mut recorder = Recorder::default();
-    recorder.next_call(&at(&order, 0, 0, &[]));
+    recorder.next_call(&context(&order, 0, 0, &[]));
     recorder.apply_record(3, Some(last.clone()), &order);
-    let call = recorder.next_call(&at(&order, 1000, 0, &[]));
+    let call = recorder.next_call(&context(&order, 1000, 0, &[]));
     assert!(
         matches!(call, Some(RecorderCall::Write(3, next)) if next.refused.contains(&last.target))
     );
 }
 
-/// Fails if a judge writes on and on, without a pause, on a revision that is gone.
+/// Fails if a judge keeps writing, without a pause, to a revision that no longer exists because an
+/// operator removed the record.
 #[test]
-fn a_record_that_was_removed_is_read_anew_and_written_again() {
+fn a_removed_record_is_read_and_written_again() {
     let known = known(7, None);
     let members = [ME];
     let mut recorder = Recorder::default();
     let step =
-        |recorder: &mut Recorder, millis| recorder.next_call(&at(&known, millis, 0, &members));
+        |recorder: &mut Recorder, millis| recorder.next_call(&context(&known, millis, 0, &members));
     assert_eq!(step(&mut recorder, 1_000), Some(RecorderCall::Read));
     recorder.apply_record(5, Some(record(3, RolloutState::Completed, true)), &known);
     assert!(matches!(step(&mut recorder, 1_050), Some(RecorderCall::Write(5, _))));
-    // Somebody removed it meanwhile.
+    // An operator has removed it.
     recorder.apply_record(0, None, &known);
-    assert_eq!(step(&mut recorder, 1_100), None, "it does not ask again at once");
+    assert_eq!(step(&mut recorder, 1_100), None, "it does not read again at once");
     assert_eq!(step(&mut recorder, 1_600), Some(RecorderCall::Read));
     recorder.apply_record(0, None, &known);
     assert!(matches!(step(&mut recorder, 1_650), Some(RecorderCall::Write(0, _))));
 }
 
-/// Makes a judge that has read this record, and the order it is of.
-fn reader(record: RolloutRecord, known: &KnownRollout) -> Recorder {
+/// Returns a recorder that has read this record.
+fn recorder_with(record: RolloutRecord, known: &KnownRollout) -> Recorder {
     let mut recorder = Recorder::default();
-    recorder.next_call(&at(known, 0, 0, &[]));
+    recorder.next_call(&context(known, 0, 0, &[]));
     recorder.apply_record(3, Some(record), known);
     recorder
 }
 
-/// Makes a tally in which the target answered so many requests, and failed so many.
-fn tried(answers: u32, failed: u32) -> RolloutTally {
+/// Returns a tally with this many answers and failed answers of the target.
+fn tally_with_answers(answers: u32, failed: u32) -> RolloutTally {
     let target = AnswerCounts { answers, failed, slow: 0 };
     let others = AnswerCounts { answers: 1000, failed: 0, slow: 0 };
     let routes = vec![RouteTally { route: "chat".into(), target, others }];
     RolloutTally { routes, upstreams: vec![(0, target)], ..tally(false, 0) }
 }
 
-/// Fails if all requests move to a version that failed, since nobody found it bad before.
+/// Fails if all requests move to a version that failed but was not judged bad during the canary.
 #[test]
-fn the_last_look_decides_before_all_requests_move() {
-    let tried_record = record(7, RolloutState::InProgress, false);
+fn the_final_verdict_decides_before_all_requests_move() {
+    let canary_record = record(7, RolloutState::InProgress, false);
     for (failed, state, moving) in
         [(29, RolloutState::RolledBack, false), (0, RolloutState::InProgress, true)]
     {
-        let known = known(7, Some(RolloutProgress::from_record(&tried_record)));
-        let mut recorder = reader(tried_record.clone(), &known);
-        recorder.judge.apply_report(ME, tried(29, failed), Duration::from_secs(39));
-        let call = recorder.next_call(&at(&known, 39_000, 0, &[ME]));
+        let known = known(7, Some(RolloutProgress::from_record(&canary_record)));
+        let mut recorder = recorder_with(canary_record.clone(), &known);
+        recorder.judge.apply_report(ME, tally_with_answers(29, failed), Duration::from_secs(39));
+        let call = recorder.next_call(&context(&known, 39_000, 0, &[ME]));
         let is_next = |next: &RolloutRecord| (next.state, next.moving) == (state, moving);
         assert!(matches!(&call, Some(RecorderCall::Write(3, next)) if is_next(next)), "{call:?}");
     }
 }
 
-/// Fails if a version that was found bad keeps a record that is in progress.
+/// Fails if the record stays in progress after a judge has found the version bad.
 #[test]
 fn a_rejected_version_is_recorded_as_rolled_back() {
-    let open = record(7, RolloutState::InProgress, false);
+    let unfinished = record(7, RolloutState::InProgress, false);
     let stage = RolloutProgress {
         phase: RolloutPhase::Rejected,
         reason: RolloutReason::Failures,
-        ..RolloutProgress::from_record(&open)
+        ..RolloutProgress::from_record(&unfinished)
     };
     let known = known(7, Some(stage));
-    let call = reader(open, &known).next_call(&at(&known, 1000, 0, &[ME]));
-    let is_back = |next: &RolloutRecord| {
+    let call = recorder_with(unfinished, &known).next_call(&context(&known, 1000, 0, &[ME]));
+    let is_rolled_back = |next: &RolloutRecord| {
         (next.state, next.reason) == (RolloutState::RolledBack, RolloutReason::Failures)
     };
-    assert!(matches!(&call, Some(RecorderCall::Write(3, next)) if is_back(next)), "{call:?}");
+    assert!(
+        matches!(&call, Some(RecorderCall::Write(3, next)) if is_rolled_back(next)),
+        "{call:?}"
+    );
 }
 
-/// Fails if the record of an order that was withdrawn stays in progress.
+/// Fails if the record of a withdrawn order stays in progress.
 #[test]
 fn a_withdrawn_order_is_recorded_as_rolled_back() {
     let mut known = known(9, None);
     known.change.order = None;
-    let open = record(7, RolloutState::InProgress, false);
-    let call = reader(open, &known).next_call(&at(&known, 1000, 0, &[ME]));
-    let is_back = |next: &RolloutRecord| {
+    let unfinished = record(7, RolloutState::InProgress, false);
+    let call = recorder_with(unfinished, &known).next_call(&context(&known, 1000, 0, &[ME]));
+    let is_rolled_back = |next: &RolloutRecord| {
         (next.state, next.reason) == (RolloutState::RolledBack, RolloutReason::Withdrawn)
     };
-    assert!(matches!(&call, Some(RecorderCall::Write(3, next)) if is_back(next)), "{call:?}");
+    assert!(
+        matches!(&call, Some(RecorderCall::Write(3, next)) if is_rolled_back(next)),
+        "{call:?}"
+    );
 }
--- a/crates/badgerfield-core/tests/tally.rs
+++ b/crates/badgerfield-core/tests/tally.rs
@@ -1,4 +1,4 @@
-//! What one process counts of the requests at services that are rolled out.
+//! The counts of a process's requests to services with a rollout.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     Allowance::Share(Percent::FIVE)
 }
 
-fn seen(route: &str, is_target: bool) -> AnswerSource<'_> {
+fn source(route: &str, is_target: bool) -> AnswerSource<'_> {
     AnswerSource { route, upstream: 3, is_target }
 }
 
@@ -30,20 +30,20 @@
     Duration::from_millis(millis)
 }
 
-fn started() -> Tallies {
+fn counting() -> Tallies {
     let mut tallies = Tallies::default();
     tallies.set_rules(&[rule(7, "v2", share())]);
     tallies
 }
 
-/// Notes an answer that took so long, with no prompt to read.
+/// Records an answer after a wait of `span` milliseconds, with no prompt to read.
 fn answer(tallies: &mut Tallies, route: &str, is_target: bool, span: u64) -> AnswerSpeed {
-    let (_, tally) = tallies.get_mut(&service()).expect("it is counted");
-    tally.record_answer(&seen(route, is_target), millis(span), Duration::ZERO)
+    let (_, tally) = tallies.get_mut(&service()).expect("the service has a rule");
+    tally.record_answer(&source(route, is_target), millis(span), Duration::ZERO)
 }
 
-fn told(tallies: &Tallies) -> RolloutTally {
-    let (rule, tally) = tallies.iter().next().expect("it is counted");
+fn snapshot(tallies: &Tallies) -> RolloutTally {
+    let (rule, tally) = tallies.iter().next().expect("the service has a rule");
     tally.snapshot(rule, 0, 0, false)
 }
 
@@ -51,6 +51,7 @@
     AnswerCounts { answers, failed, slow }
 }
 
+/// Fails if answers of a service without a rollout are counted.
 #[test]
 fn nothing_is_counted_without_a_rule() {
     let mut tallies = Tallies::default();
@@ -58,9 +59,11 @@
     assert!(tallies.get_mut(&service()).is_none());
 }
 
+/// Fails if answers of a route with long waits count as slow because another route is faster, or if
+/// late answers on the faster route do not.
 #[test]
-fn an_answer_is_slow_against_others_on_its_route_only() {
-    let mut tallies = started();
+fn an_answer_is_slow_only_relative_to_others_on_its_route() {
+    let mut tallies = counting();
     for _ in 0..50 {
         answer(&mut tallies, "fast", false, 40);
         answer(&mut tallies, "long", false, 400);
@@ -68,42 +71,48 @@
     assert_eq!(answer(&mut tallies, "fast", true, 300), AnswerSpeed::Slow);
     assert_eq!(answer(&mut tallies, "long", true, 300), AnswerSpeed::Normal);
     assert_eq!(answer(&mut tallies, "fast", true, 110), AnswerSpeed::Normal);
-    let sums = told(&tallies).totals();
-    assert_eq!(sums, (counts(3, 0, 1), counts(100, 0, 0)));
-    assert_eq!(told(&tallies).upstreams, vec![(3, counts(3, 0, 1))]);
+    let totals = snapshot(&tallies).totals();
+    assert_eq!(totals, (counts(3, 0, 1), counts(100, 0, 0)));
+    assert_eq!(snapshot(&tallies).upstreams, vec![(3, counts(3, 0, 1))]);
 }
 
+/// Fails if an answer counts as slow before enough answers of other versions show what is normal,
+/// or if slow answers of the target make slow ones normal.
 #[test]
-fn on_few_answers_nothing_is_slow() {
-    let mut tallies = started();
+fn no_answer_is_slow_until_the_normal_wait_is_known() {
+    let mut tallies = counting();
     for _ in 0..5 {
         answer(&mut tallies, "r", false, 40);
     }
     assert_eq!(answer(&mut tallies, "r", true, 4000), AnswerSpeed::Normal);
-    // What the target does is never what is usual.
+    // The waits of the target never count as normal.
     for _ in 0..50 {
         answer(&mut tallies, "r", true, 4000);
     }
     assert_eq!(answer(&mut tallies, "r", true, 9000), AnswerSpeed::Normal);
 }
 
+/// Fails if an answer counts as slow because its upstream, which has the prompt in no cache, has to
+/// read it first.
 #[test]
-fn reading_a_prompt_anew_is_not_slowness() {
-    let mut tallies = started();
+fn the_time_to_read_a_prompt_is_not_slowness() {
+    let mut tallies = counting();
     for _ in 0..50 {
         answer(&mut tallies, "r", false, 40);
     }
-    let (_, tally) = tallies.get_mut(&service()).expect("it is counted");
-    // 160 ms is four times what is usual, and what reading and waiting come to together.
-    let pace = tally.record_answer(&seen("r", true), millis(160), millis(100));
-    assert_eq!(pace, AnswerSpeed::Normal);
-    let pace = tally.record_answer(&seen("r", true), millis(160), millis(5));
-    assert_eq!(pace, AnswerSpeed::Slow);
+    let (_, tally) = tallies.get_mut(&service()).expect("the service has a rule");
+    // 160 ms is four times the normal wait, but hardly more than that and the prompt time together.
+    let speed = tally.record_answer(&source("r", true), millis(160), millis(100));
+    assert_eq!(speed, AnswerSpeed::Normal);
+    let speed = tally.record_answer(&source("r", true), millis(160), millis(5));
+    assert_eq!(speed, AnswerSpeed::Slow);
 }
 
+/// Fails if one late answer hides slow answers that follow it, or if answers count as slow because
+/// the load of all versions has grown.
 #[test]
-fn what_is_usual_follows_the_load_and_not_single_late_answers() {
-    let mut tallies = started();
+fn the_normal_wait_follows_the_load_but_not_single_late_answers() {
+    let mut tallies = counting();
     for _ in 0..200 {
         answer(&mut tallies, "r", false, 40);
     }
@@ -115,66 +124,73 @@
     assert_eq!(answer(&mut tallies, "r", true, 400), AnswerSpeed::Normal);
 }
 
+/// Fails if an answer is counted twice because it was slow or in time and then broke off.
 #[test]
-fn an_answer_counts_once_however_it_ends() {
-    let mut tallies = started();
+fn an_answer_is_counted_once() {
+    let mut tallies = counting();
     for _ in 0..50 {
         answer(&mut tallies, "r", false, 40);
     }
-    let target = seen("r", true);
-    // Slow, and then broken off.
-    let came = answer(&mut tallies, "r", true, 900);
-    let (_, tally) = tallies.get_mut(&service()).expect("it is counted");
-    tally.record_failure(&target, Some(came));
-    assert_eq!(told(&tallies).totals().0, counts(1, 0, 1));
-    // In time, and then broken off; and nothing at all.
-    let came = answer(&mut tallies, "r", true, 40);
-    let (_, tally) = tallies.get_mut(&service()).expect("it is counted");
-    tally.record_failure(&target, Some(came));
+    let target = source("r", true);
+    // Slow, then broken off.
+    let speed = answer(&mut tallies, "r", true, 900);
+    let (_, tally) = tallies.get_mut(&service()).expect("the service has a rule");
+    tally.record_failure(&target, Some(speed));
+    assert_eq!(snapshot(&tallies).totals().0, counts(1, 0, 1));
+    // In time, then broken off; and one that never arrived.
+    let speed = answer(&mut tallies, "r", true, 40);
+    let (_, tally) = tallies.get_mut(&service()).expect("the service has a rule");
+    tally.record_failure(&target, Some(speed));
     tally.record_failure(&target, None);
-    assert_eq!(told(&tallies).totals().0, counts(3, 2, 1));
+    assert_eq!(snapshot(&tallies).totals().0, counts(3, 2, 1));
 }
 
+/// Fails if the target is blamed for callers that disconnect early, or if late answers stay
+/// uncounted because the callers do not wait for them.
 #[test]
-fn a_caller_that_leaves_early_says_nothing_and_one_that_waited_long_does() {
-    let mut tallies = started();
+fn an_abandoned_request_counts_only_if_it_was_late() {
+    let mut tallies = counting();
     for _ in 0..50 {
         answer(&mut tallies, "r", false, 40);
     }
-    let (_, tally) = tallies.get_mut(&service()).expect("it is counted");
-    assert!(!tally.record_abandoned(&seen("r", true), millis(60), Duration::ZERO));
-    assert!(tally.record_abandoned(&seen("r", true), millis(600), Duration::ZERO));
-    assert_eq!(told(&tallies).totals().0, counts(1, 0, 1));
+    let (_, tally) = tallies.get_mut(&service()).expect("the service has a rule");
+    assert!(!tally.record_abandoned(&source("r", true), millis(60), Duration::ZERO));
+    assert!(tally.record_abandoned(&source("r", true), millis(600), Duration::ZERO));
+    assert_eq!(snapshot(&tallies).totals().0, counts(1, 0, 1));
 }
 
+/// Fails if the counts are lost when an order reaches its next phase, or if answers from before a
+/// new order count for it.
 #[test]
-fn counts_go_on_over_the_steps_of_an_order_and_begin_anew_with_the_next() {
-    let mut tallies = started();
+fn counts_last_over_all_phases_of_an_order_and_end_with_it() {
+    let mut tallies = counting();
     answer(&mut tallies, "r", true, 40);
     tallies.set_rules(&[rule(7, "v2", Allowance::All)]);
-    assert_eq!(told(&tallies).totals().0, counts(1, 0, 0));
-    // A version that an earlier order left refused beside it counts for nothing.
+    assert_eq!(snapshot(&tallies).totals().0, counts(1, 0, 0));
+    // The rule for a version that an earlier order left refused has no effect on the counts.
     let refused = rule(7, "v0", Allowance::Nothing);
     tallies.set_rules(&[refused, rule(7, "v2", share())]);
-    assert_eq!(told(&tallies).totals().0, counts(1, 0, 0));
+    assert_eq!(snapshot(&tallies).totals().0, counts(1, 0, 0));
     tallies.set_rules(&[rule(9, "v2", share())]);
-    assert_eq!((told(&tallies).revision, told(&tallies).totals().0), (9, counts(0, 0, 0)));
+    assert_eq!((snapshot(&tallies).revision, snapshot(&tallies).totals().0), (9, counts(0, 0, 0)));
     tallies.set_rules(&[]);
     assert!(tallies.is_empty());
 }
 
+/// Fails if the size of a tally, which is sent to the judges, grows with the number of routes and
+/// upstreams, or if answers beyond the bounds are lost.
 #[test]
-fn a_tally_stays_small_whatever_routes_and_upstreams_there_are() {
-    let mut tallies = started();
+fn a_tally_is_bounded_for_any_number_of_routes_and_upstreams() {
+    let mut tallies = counting();
     for n in 0..500 {
-        let (_, tally) = tallies.get_mut(&service()).expect("it is counted");
+        let (_, tally) = tallies.get_mut(&service()).expect("the service has a rule");
         let route = format!("route-{n}");
-        let seen = AnswerSource { route: &route, upstream: n, is_target: true };
-        tally.record_answer(&seen, millis(40), Duration::ZERO);
+        let source = AnswerSource { route: &route, upstream: n, is_target: true };
+        tally.record_answer(&source, millis(40), Duration::ZERO);
     }
-    let told = told(&tallies);
-    assert!(told.routes.len() <= 33 && told.upstreams.len() <= 64, "{told:?}");
-    assert_eq!(told.totals().0, counts(500, 0, 0));
+    let tally = snapshot(&tallies);
+    assert!(tally.routes.len() <= 33 && tally.upstreams.len() <= 64, "{tally:?}");
+    assert_eq!(tally.totals().0, counts(500, 0, 0));
 }
 
 fn upstream(name: &str, n: u32) -> UpstreamEntry {
@@ -194,20 +210,22 @@
     }
 }
 
-/// Returns a table with two old upstreams and a new one.
+/// Returns a table with two upstreams of the old version and one of the new version.
 fn table(now: Time) -> UpstreamTable {
     let mut table = UpstreamTable::default();
-    let replicas = vec![upstream("v1", 1), upstream("v1", 2), upstream("v2", 1)];
-    table.apply_list(now, UpstreamList { revision: 1, entries: replicas });
+    let entries = vec![upstream("v1", 1), upstream("v1", 2), upstream("v2", 1)];
+    table.apply_list(now, UpstreamList { revision: 1, entries });
     table
 }
 
+/// Fails if bad answers of the target wait for the next regular report, or if those of other
+/// versions are reported at once.
 #[test]
-fn only_bad_answers_of_the_target_are_told_at_once() {
-    // An outage of the old version must not make each of its failures a message.
+fn only_bad_answers_of_the_target_are_reported_at_once() {
+    // An outage of the old version must not cause a message for each of its failures.
     let [old, new] = ["v1-1", "v2-1"].map(|id| id.parse::<UpstreamId>().expect("a name"));
     let mut table = table(Time::default());
-    assert!(!table.record_failure(&new, "r", None), "nobody asks yet");
+    assert!(!table.record_failure(&new, "r", None), "there is no rule yet");
     table.set_rollout_rules(vec![rule(7, "v2", share())]);
     assert!(!table.record_failure(&old, "r", None));
     assert!(table.record_failure(&new, "r", None));
@@ -223,21 +241,23 @@
     assert!(table.record_abandoned(&new, "r", millis(900), 0));
 }
 
+/// Fails if a process reports that it has moved while requests are still running at another
+/// version, or on a count from before the rule was in force.
 #[test]
-fn what_is_under_way_elsewhere_is_told_with_the_rule_that_lets_nothing_more_go_there() {
+fn running_requests_are_reported_with_the_rule_in_force() {
     let now = Time::from_millis(100);
     let mut table = table(now);
     let old: UpstreamId = "v1-1".parse().expect("the name is valid");
     table.start_request(now, &old, &[]);
     table.set_rollout_rules(vec![rule(7, "v2", share())]);
-    let told = |table: &UpstreamTable| table.rollout_tallies(now)[0].clone();
-    assert_eq!((told(&table).running, told(&table).ready, told(&table).moved), (1, 1, false));
+    let tally = |table: &UpstreamTable| table.rollout_tallies(now)[0].clone();
+    assert_eq!((tally(&table).running, tally(&table).ready, tally(&table).moved), (1, 1, false));
     table.set_rollout_rules(vec![rule(7, "v2", Allowance::All)]);
-    assert_eq!((told(&table).running, told(&table).moved), (1, true));
-    // Also when the list names it no longer: a stream there has not ended.
-    let replicas = vec![upstream("v1", 2), upstream("v2", 1)];
-    table.apply_list(Time::from_millis(60_000), UpstreamList { revision: 2, entries: replicas });
-    assert_eq!(told(&table).running, 1);
+    assert_eq!((tally(&table).running, tally(&table).moved), (1, true));
+    // This also holds when the list no longer has the upstream: a stream there has not ended.
+    let entries = vec![upstream("v1", 2), upstream("v2", 1)];
+    table.apply_list(Time::from_millis(60_000), UpstreamList { revision: 2, entries });
+    assert_eq!(tally(&table).running, 1);
     table.end_request(now, &old, AttemptOutcome::Answered);
-    assert_eq!(told(&table).running, 0);
+    assert_eq!(tally(&table).running, 0);
 }
