--- a/crates/badgerfield-core/src/poison/mod.rs
+++ b/crates/badgerfield-core/src/poison/mod.rs
@@ -8,8 +8,8 @@
 //! An upstream that is only unreachable counts half as much. If a request completes after a crash,
 //! it was not the cause, and its crashes are cleared.
 //!
-//! Information only accumulates: a crash is identified by its request and its upstream, and once it is
-//! cleared it stays cleared. Therefore the order in which processes receive crashes does not
+//! Information only accumulates: a crash is identified by its request and its upstream, and once it
+//! is cleared it stays cleared. Therefore the order in which processes receive crashes does not
 //! matter, and two processes that have exchanged all they know have the same state.
 
 mod crash;
--- a/crates/badgerfield-core/src/poison/table.rs
+++ b/crates/badgerfield-core/src/poison/table.rs
@@ -8,8 +8,8 @@
 use crate::amount::Time;
 use crate::ids::UpstreamId;
 
-/// Crashes that expire within this time are no longer sent to other processes, so that none
-/// receives a crash that it has already dropped.
+/// Crashes that expire within this time are no longer sent to other processes, so that none of
+/// them receives a crash that it has already dropped.
 const MIN_SHARED_TTL: Duration = Duration::from_secs(5);
 /// Number of crashes at one point of the answer that block a request: many requests are running at
 /// one crash by accident, few at two.
@@ -294,7 +294,8 @@
         self.blocked_crashes(now).iter().fold(0, |sum, crash| sum ^ crash_digest(crash))
     }
 
-    /// Returns all crashes of blocked requests, to send them to other processes.
+    /// Returns all crashes of blocked requests, to send them to other processes. Requests whose
+    /// crashes expire within `MIN_SHARED_TTL` are left out.
     #[must_use]
     pub fn blocked_crashes(&self, now: Time) -> Vec<Crash> {
         let is_shared = |record: &Record| {
--- a/crates/badgerfield-core/src/poison_record.rs
+++ b/crates/badgerfield-core/src/poison_record.rs
@@ -56,7 +56,7 @@
 }
 
 impl PoisonRecord {
-    /// Records that a request is blocked that the record may not contain.
+    /// Marks the record as incomplete: it may not contain a request that is blocked.
     pub(crate) fn mark_dirty(&mut self) {
         self.is_dirty = true;
     }
@@ -83,13 +83,13 @@
         Some(call)
     }
 
-    /// Records that the record was read or written, and its revision.
+    /// Handles a successful call: the record was read or written and has this revision.
     pub(crate) fn set_revision(&mut self, revision: u64) {
         self.is_call_pending = false;
         self.revision = Some(revision);
     }
 
-    /// Records that a call failed: the record may have changed.
+    /// Handles a failed call: the record may have changed.
     pub(crate) fn record_failure(&mut self, was_write: bool) {
         self.is_call_pending = false;
         self.is_dirty |= was_write;
--- a/crates/badgerfield-core/src/rollout/judge.rs
+++ b/crates/badgerfield-core/src/rollout/judge.rs
@@ -19,8 +19,8 @@
 const MAX_SNAPSHOTS: usize = 6;
 /// Number of answers of other versions from which the lack of answers of the target is suspicious.
 const MIN_OTHER_ANSWERS: u32 = 200;
-/// Before all requests move, half of the processes must have counted for at least one part in this
-/// many of the time of the order. If all processes restart, their earlier counts are lost.
+/// Divisor of the order's time. Half of the processes must have counted for at least this part of
+/// it before all requests move: if all processes restart, their earlier counts are lost.
 const COUNTED_TIME_DIVISOR: u32 = 8;
 
 /// The evidence of one order.
--- a/crates/badgerfield-core/src/rollout/plan.rs
+++ b/crates/badgerfield-core/src/rollout/plan.rs
@@ -20,7 +20,7 @@
     #[must_use]
     pub fn canary_share(&self) -> Percent {
         let limit = u64::from(self.share);
-        // Seven tenths of one percent round down to zero.
+        // Seven tenths of a limit of one percent would round down to zero.
         let share = (limit * CANARY_TENTHS / 10).max(u64::from(limit > 0));
         Percent::new(share).unwrap_or(self.share)
     }
@@ -29,15 +29,15 @@
 /// Returns how long after an order all requests should begin to move, so that requests that run
 /// elsewhere end in time. A request may run for `max_duration`.
 ///
-/// A version that turns bad after this time cannot be rolled back within the limit, so the move
-/// starts as late as possible.
+/// The limits do not cover a version that turns bad after this time, so the move starts as late as
+/// possible.
 #[must_use]
 pub fn move_start(span: Duration, max_duration: Duration) -> Duration {
     let lead = max_duration.saturating_add(PROPAGATION_TIME).saturating_add(DEADLINE_MARGIN);
     span.saturating_sub(lead.min(span / 2))
 }
 
-/// Returns the latest time after an order at which the verdict before the move is reached. It
+/// Returns how long after an order its requests begin to move, or go back, at the latest. It
 /// applies if there is too little evidence at `move_start`.
 #[must_use]
 pub fn latest_move_start(span: Duration, move_start: Duration) -> Duration {
--- a/crates/badgerfield-core/src/rollout/recorder.rs
+++ b/crates/badgerfield-core/src/rollout/recorder.rs
@@ -162,7 +162,8 @@
         }
         self.last_call = Some(context.now);
         // Members that have joined meanwhile must confirm too, so the view is read again. A process
-        // that joins after that read only receives from members that know that all requests move.
+        // that joins after that read receives its state from members that know that all requests
+        // move.
         if self.all_moved_at.is_some_and(|since| {
             context.view_requested.is_none_or(|requested_at| requested_at < since)
         }) {
--- a/crates/badgerfield-core/src/rollout/table.rs
+++ b/crates/badgerfield-core/src/rollout/table.rs
@@ -16,12 +16,12 @@
 const BAD_REPORT_INTERVAL: Duration = Duration::from_millis(250);
 /// Minimum time between two reports while the target gives no more bad answers.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// Maximum rate of reports to one judge while there are no more bad answers.
+/// Intended maximum rate of reports to one judge while there are no more bad answers.
 const REPORTS_PER_SECOND: u32 = 64;
 /// Time between two reports of a process that has moved: the last step of the rollout waits for
 /// them.
 const CONFIRM_INTERVAL: Duration = Duration::from_secs(1);
-/// Time after a rollout in which no requests go to replaced versions. The list of upstreams tells
+/// Time after a rollout in which no requests go to replaced versions. The list of upstreams shows
 /// within seconds that they have been removed.
 const EXCLUSION_TIME: Duration = Duration::from_mins(1);
 /// Maximum time that a process waits after its start for a member with the same state of rollouts:
@@ -65,7 +65,7 @@
 /// The table of rollouts.
 #[derive(Debug, Default)]
 pub(crate) struct Rollouts {
-    known_rollouts: KnownRollouts,
+    known: KnownRollouts,
     local: BTreeMap<Service, LocalState>,
     rules: Vec<RolloutRule>,
     /// The sequence number of the last set of rules.
@@ -85,17 +85,17 @@
 
     /// Returns all known rollouts.
     pub(crate) fn all(&self) -> Vec<KnownRollout> {
-        self.known_rollouts.all()
+        self.known.all()
     }
 
     /// Returns the rollout of a service.
     pub(crate) fn known(&self, service: &Service) -> Option<&KnownRollout> {
-        self.known_rollouts.get(service)
+        self.known.get(service)
     }
 
     /// Returns a digest of all known rollouts.
     pub(crate) fn digest(&self) -> u64 {
-        self.known_rollouts.digest()
+        self.known.digest()
     }
 
     /// Returns whether callers may be routed to this process as far as rollouts are concerned.
@@ -109,8 +109,7 @@
 
     /// Records that a member of the view has the same state while this process is active.
     pub(crate) fn record_agreement(&mut self, is_active: bool) {
-        self.has_agreed |=
-            is_active && self.known_rollouts.all().iter().all(|known| known.stage.is_some());
+        self.has_agreed |= is_active && self.known.all().iter().all(|known| known.stage.is_some());
     }
 
     /// Ends the wait for a member with the same state if no rollout is known, or if the wait has
@@ -127,7 +126,7 @@
     /// Applies updates; returns the rollouts that they change.
     pub(crate) fn apply(&mut self, now: Time, updates: Vec<KnownRollout>) -> Vec<KnownRollout> {
         let before = self.known_before(updates.iter().map(|known| &known.change.service));
-        let changed = self.known_rollouts.apply(updates);
+        let changed = self.known.apply(updates);
         self.process_changes(now, &before, &changed);
         changed
     }
@@ -139,9 +138,9 @@
         revision: u64,
         orders: Vec<OrderChange>,
     ) -> Vec<KnownRollout> {
-        let before = self.known_rollouts.all();
+        let before = self.known.all();
         let before = before.into_iter().map(|k| (k.change.service.clone(), k)).collect();
-        let changed = self.known_rollouts.apply_snapshot(revision, orders);
+        let changed = self.known.apply_snapshot(revision, orders);
         self.process_changes(now, &before, &changed);
         changed
     }
@@ -151,8 +150,7 @@
         &self,
         services: impl Iterator<Item = &'a Service>,
     ) -> BTreeMap<Service, KnownRollout> {
-        let known =
-            services.filter_map(|service| Some((service, self.known_rollouts.get(service)?)));
+        let known = services.filter_map(|service| Some((service, self.known.get(service)?)));
         known.map(|(service, known)| (service.clone(), known.clone())).collect()
     }
 
@@ -187,7 +185,7 @@
     pub(crate) fn record_tallies(&mut self, tallies: Vec<RolloutTally>) {
         for mut tally in tallies {
             let Some((known, local)) =
-                self.known_rollouts.get(&tally.service).zip(self.local.get_mut(&tally.service))
+                self.known.get(&tally.service).zip(self.local.get_mut(&tally.service))
             else {
                 continue;
             };
@@ -216,7 +214,7 @@
         let interval = REPORT_INTERVAL.max(Duration::from_secs(1) * members / REPORTS_PER_SECOND);
         let mut reports = Vec::new();
         for (service, local) in &mut self.local {
-            let is_unfinished = self.known_rollouts.get(service).is_some_and(is_unfinished);
+            let is_unfinished = self.known.get(service).is_some_and(is_unfinished);
             let Some(tally) = local.tally.as_ref().filter(|_| is_unfinished) else {
                 continue;
             };
@@ -234,7 +232,7 @@
     /// Applies a report that this process receives as a judge.
     pub(crate) fn apply_report(&mut self, reporter: Incarnation, report: RolloutReport) {
         let RolloutReport { tally, order_age: age } = report;
-        let revision = self.known_rollouts.get(&tally.service).map(|known| known.change.revision);
+        let revision = self.known.get(&tally.service).map(|known| known.change.revision);
         if revision != Some(tally.revision) {
             return;
         }
@@ -246,7 +244,7 @@
     /// Returns the unfinished rollouts, whose records may have to be read or written, with the time
     /// when this process received each order.
     pub(crate) fn unfinished(&self) -> Vec<(KnownRollout, Time)> {
-        self.known_rollouts
+        self.known
             .all()
             .into_iter()
             .filter(is_unfinished)
@@ -288,7 +286,7 @@
     ) -> Option<RolloutRules> {
         let mut rules = Vec::new();
         for (service, local) in &self.local {
-            if let Some(known) = self.known_rollouts.get(service) {
+            if let Some(known) = self.known.get(service) {
                 local.push_rules(now, known, bound, &mut rules);
             }
         }
@@ -307,7 +305,7 @@
             let evidence = local.recorder.judge.evidence().clone();
             Some(RolloutStatus { known, age: now.since(local.received), evidence })
         };
-        self.known_rollouts.all().into_iter().filter_map(status).collect()
+        self.known.all().into_iter().filter_map(status).collect()
     }
 }
 
--- a/crates/badgerfield-core/src/rollout/tally.rs
+++ b/crates/badgerfield-core/src/rollout/tally.rs
@@ -1,8 +1,9 @@
 //! Counts of a process's requests to services with a rollout.
 //!
-//! An answer is slow if the wait for its first part is several times the normal wait of the other
-//! versions on the same route plus the time to read its prompt. Answers of the other versions are
-//! measured the same way, so a fault that affects all versions shows at both.
+//! An answer is slow if the wait for its first part is several times as long as expected. The
+//! expected wait is the normal wait of the other versions on the same route plus the time to read
+//! the prompt. Answers of the other versions are measured the same way, so a fault that affects all
+//! versions shows in the counts of both.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,7 +11,7 @@
 use super::{Allowance, AnswerCounts, RolloutRule, RolloutTally, RouteTally};
 use crate::ids::Service;
 
-/// Factor above the normal wait from which an answer is slow.
+/// Multiple of the normal wait above which an answer is slow.
 const SLOW_FACTOR: u32 = 3;
 /// Shortest wait that counts as slow: other processes on its VM may stall a process for this long.
 const MIN_SLOW_WAIT: Duration = Duration::from_millis(30);
@@ -243,11 +244,11 @@
 impl Baseline {
     /// Records the wait of an answer.
     fn record(&mut self, wait: Duration) {
-        let mean_log_ms = (wait.as_secs_f64() * 1e3).max(MIN_WAIT_MS).ln();
+        let log_ms = (wait.as_secs_f64() * 1e3).max(MIN_WAIT_MS).ln();
         self.count = self.count.saturating_add(1);
         let weight =
             f64::from(self.count).recip().max(1.0 - 0.5_f64.powf(HALF_LIFE_ANSWERS.recip()));
-        self.mean_log_ms += (mean_log_ms - self.mean_log_ms) * weight;
+        self.mean_log_ms += (log_ms - self.mean_log_ms) * weight;
     }
 
     /// Returns the mean wait, once enough answers have been recorded.
--- a/crates/badgerfield-core/tests/rollout_beliefs.rs
+++ b/crates/badgerfield-core/tests/rollout_beliefs.rs
@@ -74,7 +74,8 @@
     fn no_rollout_returns_to_an_earlier_phase(updates in updates(), snapshot_revision in 1..8_u64) {
         let mut known_rollouts = KnownRollouts::default();
         for (n, known) in updates.into_iter().enumerate() {
-            let before: Vec<_> = (0..3).map(|service| revision_and_phase(&known_rollouts, service)).collect();
+            let before: Vec<_> =
+                (0..3).map(|service| revision_and_phase(&known_rollouts, service)).collect();
             if n % 5 == 4 {
                 let orders = known.change.order.is_some().then_some(known.change);
                 known_rollouts.apply_snapshot(snapshot_revision, orders.into_iter().collect());
@@ -82,7 +83,9 @@
                 known_rollouts.apply([known]);
             }
             for service in 0..3_u8 {
-                prop_assert!(revision_and_phase(&known_rollouts, service) >= before[usize::from(service)]);
+                prop_assert!(
+                    revision_and_phase(&known_rollouts, service) >= before[usize::from(service)]
+                );
             }
         }
     }
--- a/crates/badgerfield-core/tests/rollout_recorder.rs
+++ b/crates/badgerfield-core/tests/rollout_recorder.rs
@@ -118,8 +118,8 @@
     }
 }
 
-/// Fails if an order completes before all members have moved. A member may still have requests at
-/// another version, its count may be from before the rule was in force, and the view may be older
+/// Fails if an order completes before all members have moved: a member may still have requests at
+/// another version, its count may be from before the rule was in force, or the view may be older
 /// than the last confirmation and lack a new member.
 #[test]
 fn completion_waits_for_every_member_of_a_new_view() {
--- a/crates/badgerfield-core/tests/rollout_verdict.rs
+++ b/crates/badgerfield-core/tests/rollout_verdict.rs
@@ -121,9 +121,10 @@
                     && version.only_route.is_none_or(|only| only == route)
                     && version.upstream.is_none_or(|only| only == upstream)
                     && rng.random_range(0..100) < version.extra_bad_percent;
-                let is_outage = (version.outage.0..version.outage.1).contains(&index)
+                let outage_failure = (version.outage.0..version.outage.1).contains(&index)
                     && rng.random_range(0..2) == 0;
-                let base = rng.random_range(0..1000) < version.base_failures[route] || is_outage;
+                let base =
+                    rng.random_range(0..1000) < version.base_failures[route] || outage_failure;
                 let failed = base || worse && !version.slow;
                 let count = AnswerCounts {
                     answers: 1,
--- a/crates/badgerfield-core/tests/tally.rs
+++ b/crates/badgerfield-core/tests/tally.rs
@@ -92,8 +92,8 @@
     assert_eq!(answer(&mut tallies, "r", true, 9000), AnswerSpeed::Normal);
 }
 
-/// Fails if an answer counts as slow because its upstream, which has the prompt in no cache, has to
-/// read it first.
+/// Fails if an answer counts as slow because its upstream does not have the prompt in its cache and
+/// reads it first.
 #[test]
 fn the_time_to_read_a_prompt_is_not_slowness() {
     let mut tallies = counting();
