--- a/crates/badgerfield-core/src/vm_upstreams.rs
+++ b/crates/badgerfield-core/src/vm_upstreams.rs
@@ -1,8 +1,9 @@
-//! Upstreams: what the process knows of the replicas behind it, and which one it picks.
+//! The upstreams of the VM list and the choice among them.
 //!
-//! Knowledge is late: reports lag, the VM list lags, cache knowledge ages. The table
-//! therefore adds the process's own unreported dispatches to the last report, counts
-//! any sign of leaving as leaving, and trusts a remembered prefix less as it ages.
+//! Load reports, the VM list and the recorded cache contents are always somewhat out of date.
+//! The table therefore adds this process's unreported dispatches to the last load report,
+//! treats an upstream as leaving as soon as any source says so, and counts a cached prefix
+//! for less the older its record is.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -17,26 +18,27 @@
 use crate::residency::Residency;
 use crate::template::AccountTemplate;
 
-/// How many tokens one step of the prefix digests covers.
+/// The number of prompt bytes between two prefix digests.
 pub const PREFIX_STEP: usize = 256;
-/// How many prefix digests are remembered for one upstream.
+/// The maximum number of prefix digests recorded per upstream.
 const MAX_PREFIXES: usize = 4096;
-/// The age at which a remembered prefix counts half.
-const PREFIX_HALF: Duration = Duration::from_mins(1);
-/// How many upstreams every VM prefers for a prefix that it has not sent there itself.
-const HOMES: usize = 2;
-/// How much such an upstream is trusted to have it.
-const HOME_TRUST: f64 = 0.5;
-/// The longest time for which an upstream that failed gets nothing.
-const MAX_BREAK: Duration = Duration::from_secs(20);
-/// The time for which an upstream gets nothing after its first failure.
-const FIRST_BREAK: Duration = Duration::from_millis(500);
-/// The spread of the random factor that keeps several VMs from choosing alike, in hundredths.
-const JITTER: u64 = 15;
-/// The share of one new sample in the moving average of an upstream's slowness.
-const SMOOTHING: f64 = 0.2;
-
-/// What an upstream is.
+/// The age at which a recorded prefix counts for half.
+const PREFIX_HALF_LIFE: Duration = Duration::from_mins(1);
+/// The number of upstreams that every VM prefers for a prefix, by rendezvous hashing.
+const PREFERRED_COUNT: usize = 2;
+/// The assumed probability that a preferred upstream has a prefix cached that this process
+/// has not sent there.
+const PREFERRED_HIT_RATE: f64 = 0.5;
+/// The longest time for which a failed upstream receives no requests.
+const MAX_EJECTION: Duration = Duration::from_secs(20);
+/// The time for which an upstream receives no requests after its first failure.
+const FIRST_EJECTION: Duration = Duration::from_millis(500);
+/// The range of the per-process random factor that keeps VMs from choosing the same upstream.
+const JITTER_PERCENT: u64 = 15;
+/// The weight of a new sample in the moving average of an upstream's slowdown.
+const SLOWDOWN_WEIGHT: f64 = 0.2;
+
+/// The kind of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UpstreamKind {
@@ -46,91 +48,97 @@
     Service(Service),
 }
 
-/// What is known of a model engine from the VM list.
+/// A model engine as described in the VM list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineInfo {
-    /// The model that it serves.
+    /// The model that the engine can_serve.
     pub model: Model,
-    /// The adapters that it has loaded.
+    /// The adapters that are loaded.
     #[serde(default)]
     pub adapters: BTreeSet<Adapter>,
-    /// The prompt tokens that it reads in a second.
+    /// The number of prompt tokens that the engine reads per second.
     pub prefill: TokenRate,
-    /// The output tokens that one stream gets in a second.
+    /// The number of output tokens per second and stream.
     pub decode: TokenRate,
 }
 
-/// One upstream as the VM list shows it.
+/// An upstream as described in the VM list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmUpstreamInfo {
-    /// The name.
+    /// The upstream's id.
     pub id: UpstreamId,
-    /// The address.
+    /// The address that takes requests.
     pub address: SocketAddr,
-    /// The region.
+    /// The region of the VM.
     pub region: Region,
-    /// The hardware generation.
+    /// The hardware generation of the VM.
     pub hardware: Hardware,
-    /// How many requests it runs at once.
+    /// The number of requests that the upstream runs concurrently.
     pub slots: u32,
-    /// What it is.
+    /// Whether the upstream is an engine or a plain service.
     pub kind: UpstreamKind,
 }
 
-/// One line of the VM list.
+/// An entry of the VM list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmEntry {
-    /// The VM.
+    /// The id of the VM.
     pub vm: VmId,
-    /// Whether the platform is about to take it away.
+    /// Whether the platform is about to remove the VM.
     #[serde(default)]
     pub leaving: bool,
-    /// The upstream on it, if it is not one of the system's own VMs.
+    /// The upstream on the VM; `None` for the VMs that run badgerfield itself.
     #[serde(default)]
     pub upstream: Option<VmUpstreamInfo>,
 }
 
-/// The VM list.
+/// The platform's list of VMs.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmList {
-    /// The number of the list; it only grows.
+    /// The version of the list; it never decreases.
     pub version: u64,
-    /// The VMs.
+    /// One entry per VM.
     pub vms: Vec<VmEntry>,
 }
 
-/// What an upstream says about its load.
+/// A load report of an upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests that run.
+    /// The number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// The number of queued requests.
     pub queued: u32,
-    /// Prompt tokens still to be read.
+    /// The number of prompt tokens not yet read.
     pub prefill: Tokens,
-    /// Whether the upstream is about to leave.
+    /// Whether the upstream is about to stop serving.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// What the table knows of one upstream.
+/// The state of one upstream.
 #[derive(Debug, Clone)]
 pub struct Upstream {
-    /// What the VM list says.
+    /// The description from the VM list.
     pub info: VmUpstreamInfo,
-    /// Whether any sign says that it is leaving.
+    /// Whether the VM list or a load report says that the upstream is leaving.
     pub leaving: bool,
-    report: LoadReport,
-    reported: Option<Time>,
-    own: u32,
+    last_report: LoadReport,
+    reported_at: Option<Time>,
+    /// The number of requests of this process that have not ended.
+    in_flight: u32,
+    /// The number of requests sent by this process since the last load report.
     unreported: u32,
-    reading: Tokens,
-    slowness: f64,
-    failures: u32,
-    closed: Option<Time>,
-    /// Until when it wants nothing from this process.
-    rests_until: Time,
-    prefixes: HashMap<u64, Time>,
+    /// The prompt tokens of this process's requests without a first token.
+    pending_prefill: Tokens,
+    /// The moving average of actual over expected time to the first token.
+    slowdown: f64,
+    failure_count: u32,
+    /// When the upstream receives requests again after a failure.
+    ejected_until: Option<Time>,
+    /// When the back-off ends that the upstream requested from this process.
+    back_off_until: Time,
+    /// The prefixes that this process sent to the upstream, with the time of the last dispatch.
+    cached_prefixes: HashMap<u64, Time>,
 }
 
 impl Upstream {
@@ -138,178 +146,184 @@
         Self {
             info,
             leaving,
-            report: LoadReport::default(),
-            reported: None,
-            own: 0,
+            last_report: LoadReport::default(),
+            reported_at: None,
+            in_flight: 0,
             unreported: 0,
-            reading: Tokens::ZERO,
-            slowness: 1.0,
-            failures: 0,
-            closed: None,
-            rests_until: Time::default(),
-            prefixes: HashMap::new(),
+            pending_prefill: Tokens::ZERO,
+            slowdown: 1.0,
+            failure_count: 0,
+            ejected_until: None,
+            back_off_until: Time::default(),
+            cached_prefixes: HashMap::new(),
         }
     }
 
     fn running(&self) -> u32 {
-        let reported = self.report.running.saturating_add(self.report.queued);
-        reported.saturating_add(self.unreported).max(self.own)
+        let reported = self.last_report.running.saturating_add(self.last_report.queued);
+        reported.saturating_add(self.unreported).max(self.in_flight)
     }
 
-    fn is_open(&self, now: Time) -> bool {
-        let is_closed = self.closed.is_some_and(|until| now < until);
-        !self.leaving && !is_closed && self.rests_until <= now
+    fn is_available(&self, now: Time) -> bool {
+        let is_ejected = self.ejected_until.is_some_and(|until| now < until);
+        !self.leaving && !is_ejected && self.back_off_until <= now
     }
 
-    /// Returns the share of the prompt that the cache may hold, in tokens.
-    fn cached(&self, now: Time, chat: &Chat, anchor: Option<&Anchor>) -> f64 {
+    /// Estimates how many tokens of the prompt the upstream has cached.
+    fn cached_tokens(&self, now: Time, chat: &Chat, prefix_match: Option<&PrefixMatch>) -> f64 {
         for (i, prefix) in chat.prefix_digests.iter().enumerate().rev() {
-            let Some(at) = self.prefixes.get(prefix) else {
+            let Some(at) = self.cached_prefixes.get(prefix) else {
                 continue;
             };
-            let age = now.since(*at).as_secs_f64() / PREFIX_HALF.as_secs_f64();
-            return covered(i, chat) * 0.5_f64.powf(age);
+            let age = now.since(*at).as_secs_f64() / PREFIX_HALF_LIFE.as_secs_f64();
+            return covered_tokens(i, chat) * 0.5_f64.powf(age);
         }
-        // Another VM with the same rule has probably sent the prefix there.
-        let anchor = anchor.filter(|a| a.homes.contains(&self.info.id));
-        anchor.map_or(0.0, |a| covered(a.depth, chat) * HOME_TRUST)
+        // Every VM prefers the same upstreams for a prefix, so another VM has probably sent the
+        // prefix to this one.
+        let prefix_match = prefix_match.filter(|m| m.preferred.contains(&self.info.id));
+        prefix_match.map_or(0.0, |m| covered_tokens(m.index, chat) * PREFERRED_HIT_RATE)
     }
 
-    /// Estimates the time to the first token in seconds.
-    fn estimate(&self, now: Time, work: &Work, anchor: Option<&Anchor>) -> f64 {
+    /// Estimates the time to the first token, in seconds.
+    fn estimate_ttft(&self, now: Time, work: &Work, prefix_match: Option<&PrefixMatch>) -> f64 {
         let slots = f64::from(self.info.slots.max(1));
         let excess = (f64::from(self.running()) + 1.0 - slots).max(0.0);
         let UpstreamKind::Engine(engine) = &self.info.kind else {
-            return (1.0 + f64::from(self.running())) / slots * self.slowness;
+            return (1.0 + f64::from(self.running())) / slots * self.slowdown;
         };
         let Work::Chat(chat) = work else {
             return f64::MAX;
         };
-        let prefill = real(engine.prefill.0.max(1));
-        let fresh = (real(chat.prompt_tokens.0) - self.cached(now, chat, anchor)).max(0.0);
-        let ahead = real(self.report.prefill.0.max(self.reading.0));
-        let reading = (fresh + ahead) / prefill;
-        // A stream ends, and frees its slot, after a few hundred tokens.
-        let waiting = excess / slots * 200.0 / real(engine.decode.0.max(1));
-        let batch = f64::from(self.running()) / slots / real(engine.decode.0.max(1));
-        (reading + waiting + batch) * self.slowness
+        let prefill_rate = to_f64(engine.prefill.0.max(1));
+        let uncached =
+            (to_f64(chat.prompt_tokens.0) - self.cached_tokens(now, chat, prefix_match)).max(0.0);
+        let queued = to_f64(self.last_report.prefill.0.max(self.pending_prefill.0));
+        let prefill_time = (uncached + queued) / prefill_rate;
+        // A stream ends and frees its slot after a few hundred tokens.
+        let slot_wait = excess / slots * 200.0 / to_f64(engine.decode.0.max(1));
+        let batch_delay = f64::from(self.running()) / slots / to_f64(engine.decode.0.max(1));
+        (prefill_time + slot_wait + batch_delay) * self.slowdown
     }
 }
 
-/// The longest prefix of a prompt that was seen before, and where it should be cached.
+/// The longest prefix of a prompt that this process has sent before.
 #[derive(Debug)]
-struct Anchor {
-    depth: usize,
-    homes: Vec<UpstreamId>,
+struct PrefixMatch {
+    /// The index of the prefix among the prompt's digests.
+    index: usize,
+    /// The upstreams that every VM prefers for the prefix.
+    preferred: Vec<UpstreamId>,
 }
 
-/// What a request may run on.
+/// What a request needs from an upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct VmUpstreamCriteria<'a> {
-    /// What is asked for.
+    /// The chat completion or service call.
     pub work: &'a Work,
-    /// What the template allows.
+    /// The template of the client account.
     pub template: &'a AccountTemplate,
-    /// The regions in which the request was let in to be served.
+    /// The regions that were allowed for the request when it was admitted.
     pub residency: &'a Residency,
     /// The region of this process.
     pub region: &'a Region,
-    /// Random bits that differ from process to process.
+    /// A random number that differs between processes.
     pub seed: u64,
 }
 
-/// What came of looking for an upstream.
+/// The outcome of choosing an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum VmUpstreamChoice {
-    /// This one.
+    /// The upstream to send the request to.
     Selected(UpstreamId),
-    /// All are full; one is free in about this time.
+    /// All suitable upstreams are full; the first has a free slot after about this time.
     Full(Duration),
-    /// None serves this.
+    /// No available upstream can serve the request.
     Unavailable,
 }
 
-/// All upstreams that the process knows.
+/// The upstreams of the VM list.
 #[derive(Debug, Default)]
 pub struct VmUpstreams {
-    table: BTreeMap<UpstreamId, Upstream>,
-    /// Prefixes that were seen of late, on whatever upstream.
-    seen: HashMap<u64, Time>,
-    version: u64,
+    upstreams: BTreeMap<UpstreamId, Upstream>,
+    /// Prefixes that this process sent to any upstream, with the time of the last dispatch.
+    recent_prefixes: HashMap<u64, Time>,
+    list_version: u64,
 }
 
 impl VmUpstreams {
-    /// Takes in a VM list unless it is older than the last one.
+    /// Applies a VM list and returns true, unless the list is older than the last one.
     pub fn apply_list(&mut self, list: &VmList) -> bool {
-        if list.version < self.version {
+        if list.version < self.list_version {
             return false;
         }
-        self.version = list.version;
-        let mut seen = BTreeSet::new();
+        self.list_version = list.version;
+        let mut listed = BTreeSet::new();
         for vm in &list.vms {
             let Some(info) = &vm.upstream else {
                 continue;
             };
-            seen.insert(info.id.clone());
+            listed.insert(info.id.clone());
             let leaving = vm.leaving;
             let entry = self
-                .table
+                .upstreams
                 .entry(info.id.clone())
                 .or_insert_with(|| Upstream::new(info.clone(), leaving));
-            // A report of leaving outlasts a list that lags.
+            // Stays set: a load report may say so before the list does.
             entry.leaving |= leaving;
             if entry.info.address != info.address {
                 *entry = Upstream::new(info.clone(), leaving);
             }
             entry.info = info.clone();
         }
-        self.table.retain(|id, upstream| seen.contains(id) || upstream.own > 0);
-        for (id, upstream) in &mut self.table {
-            upstream.leaving |= !seen.contains(id);
+        self.upstreams.retain(|id, upstream| listed.contains(id) || upstream.in_flight > 0);
+        for (id, upstream) in &mut self.upstreams {
+            upstream.leaving |= !listed.contains(id);
         }
         true
     }
 
-    /// Returns what is known of an upstream.
+    /// Returns the state of an upstream.
     #[must_use]
     pub fn get(&self, id: &UpstreamId) -> Option<&Upstream> {
-        self.table.get(id)
+        self.upstreams.get(id)
     }
 
-    /// Returns all upstreams in order of their names.
+    /// Returns all upstreams, ordered by id.
     pub fn iter(&self) -> impl Iterator<Item = &Upstream> {
-        self.table.values()
+        self.upstreams.values()
     }
 
-    /// Takes in a report of load.
+    /// Applies a load report.
     pub fn apply_report(&mut self, now: Time, id: &UpstreamId, report: LoadReport) {
-        let Some(upstream) = self.table.get_mut(id) else {
+        let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
-        upstream.report = report;
-        upstream.reported = Some(now);
+        upstream.last_report = report;
+        upstream.reported_at = Some(now);
         upstream.unreported = 0;
         upstream.leaving |= report.leaving;
     }
 
-    /// Picks the upstream with the shortest estimated time to the first token.
+    /// Chooses the upstream with the shortest estimated time to the first token.
+    ///
+    /// The estimate of an upstream in another region counts half as much again.
     #[must_use]
-    pub fn choose(&self, now: Time, wish: &VmUpstreamCriteria<'_>) -> VmUpstreamChoice {
-        let anchor = self.anchor(wish);
+    pub fn choose(&self, now: Time, criteria: &VmUpstreamCriteria<'_>) -> VmUpstreamChoice {
+        let prefix_match = self.match_prefix(criteria);
         let mut best: Option<(f64, &UpstreamId)> = None;
-        let mut full = None;
-        for (id, upstream) in &self.table {
-            if !serves(upstream, wish) || !upstream.is_open(now) {
+        let mut shortest_wait = None;
+        for (id, upstream) in &self.upstreams {
+            if !can_serve(upstream, criteria) || !upstream.is_available(now) {
                 continue;
             }
-            let mut cost = upstream.estimate(now, wish.work, anchor.as_ref());
+            let mut cost = upstream.estimate_ttft(now, criteria.work, prefix_match.as_ref());
             if upstream.running() >= upstream.info.slots {
-                full = Some(full.map_or(cost, |least: f64| least.min(cost)));
+                shortest_wait = Some(shortest_wait.map_or(cost, |least: f64| least.min(cost)));
                 continue;
             }
-            let far = &upstream.info.region != wish.region;
-            cost *= if far { 1.5 } else { 1.0 };
-            cost *= jitter(wish.seed, id);
+            let is_remote = &upstream.info.region != criteria.region;
+            cost *= if is_remote { 1.5 } else { 1.0 };
+            cost *= jitter_factor(criteria.seed, id);
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, id));
             }
@@ -317,102 +331,106 @@
         if let Some((_, id)) = best {
             return VmUpstreamChoice::Selected(id.clone());
         }
-        full.map_or(VmUpstreamChoice::Unavailable, |cost| VmUpstreamChoice::Full(span(cost)))
+        shortest_wait
+            .map_or(VmUpstreamChoice::Unavailable, |cost| VmUpstreamChoice::Full(to_duration(cost)))
     }
 
-    /// Finds the longest prefix that was seen before, and the upstreams that rank first
-    /// for it; every VM finds the same ones.
-    fn anchor(&self, wish: &VmUpstreamCriteria<'_>) -> Option<Anchor> {
-        let Work::Chat(chat) = wish.work else {
+    /// Finds the longest prefix of the prompt that this process has sent before, and the
+    /// upstreams that rank first for it. All VMs rank the upstreams in the same order.
+    fn match_prefix(&self, criteria: &VmUpstreamCriteria<'_>) -> Option<PrefixMatch> {
+        let Work::Chat(chat) = criteria.work else {
             return None;
         };
-        let depth = chat.prefix_digests.iter().rposition(|p| self.seen.contains_key(p))?;
-        let subject = chat.prefix_digests.get(depth)?;
-        let fits = self.table.iter().filter(|(_, upstream)| serves(upstream, wish));
-        let mut ranked: Vec<_> = fits.map(|(id, _)| id).collect();
-        ranked.sort_by_cached_key(|id| xxh3_64_with_seed(id.as_str().as_bytes(), *subject));
-        let homes = ranked.into_iter().take(HOMES).cloned().collect();
-        Some(Anchor { depth, homes })
+        let index =
+            chat.prefix_digests.iter().rposition(|p| self.recent_prefixes.contains_key(p))?;
+        let digest = chat.prefix_digests.get(index)?;
+        let candidates =
+            self.upstreams.iter().filter(|(_, upstream)| can_serve(upstream, criteria));
+        let mut ranked: Vec<_> = candidates.map(|(id, _)| id).collect();
+        ranked.sort_by_cached_key(|id| xxh3_64_with_seed(id.as_str().as_bytes(), *digest));
+        let preferred = ranked.into_iter().take(PREFERRED_COUNT).cloned().collect();
+        Some(PrefixMatch { index, preferred })
     }
 
-    /// Remembers prefixes, and forgets old ones when there are too many.
-    fn remember(&mut self, now: Time, chat: &Chat) {
-        forget_old(&mut self.seen, chat.prefix_digests.len());
+    /// Records the prefixes of a prompt that was sent; evicts the oldest if there are too many.
+    fn record_prefixes(&mut self, now: Time, chat: &Chat) {
+        evict_oldest(&mut self.recent_prefixes, chat.prefix_digests.len());
         for prefix in &chat.prefix_digests {
-            self.seen.insert(*prefix, now);
+            self.recent_prefixes.insert(*prefix, now);
         }
     }
 
-    /// Notes a dispatch.
+    /// Records that a request was sent to an upstream.
     pub fn record_dispatch(&mut self, now: Time, id: &UpstreamId, work: &Work) {
-        let Some(upstream) = self.table.get_mut(id) else {
+        let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
-        upstream.own += 1;
+        upstream.in_flight += 1;
         upstream.unreported += 1;
         let Work::Chat(chat) = work else {
             return;
         };
-        upstream.reading = upstream.reading.saturating_add(chat.prompt_tokens);
-        forget_old(&mut upstream.prefixes, chat.prefix_digests.len());
+        upstream.pending_prefill = upstream.pending_prefill.saturating_add(chat.prompt_tokens);
+        evict_oldest(&mut upstream.cached_prefixes, chat.prefix_digests.len());
         for prefix in &chat.prefix_digests {
-            upstream.prefixes.insert(*prefix, now);
+            upstream.cached_prefixes.insert(*prefix, now);
         }
-        self.remember(now, chat);
+        self.record_prefixes(now, chat);
     }
 
-    /// Notes the first token of a dispatch that took a span.
-    pub fn record_first_token(&mut self, id: &UpstreamId, work: &Work, took: Duration) {
-        let Some(upstream) = self.table.get_mut(id) else {
+    /// Records the first token of a request, which arrived `elapsed` after the dispatch.
+    pub fn record_first_token(&mut self, id: &UpstreamId, work: &Work, elapsed: Duration) {
+        let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
-        upstream.failures = 0;
-        upstream.closed = None;
+        upstream.failure_count = 0;
+        upstream.ejected_until = None;
         let (Work::Chat(chat), UpstreamKind::Engine(engine)) = (work, &upstream.info.kind) else {
             return;
         };
-        upstream.reading = upstream.reading.saturating_sub(chat.prompt_tokens);
-        let expected = real(chat.prompt_tokens.0) / real(engine.prefill.0.max(1)) + 0.02;
-        let ratio = (took.as_secs_f64() / expected).clamp(0.5, 20.0);
-        upstream.slowness = upstream.slowness * (1.0 - SMOOTHING) + ratio * SMOOTHING;
+        upstream.pending_prefill = upstream.pending_prefill.saturating_sub(chat.prompt_tokens);
+        let expected = to_f64(chat.prompt_tokens.0) / to_f64(engine.prefill.0.max(1)) + 0.02;
+        let ratio = (elapsed.as_secs_f64() / expected).clamp(0.5, 20.0);
+        upstream.slowdown = upstream.slowdown * (1.0 - SLOWDOWN_WEIGHT) + ratio * SLOWDOWN_WEIGHT;
     }
 
-    /// Notes the end of a dispatch.
+    /// Records the end of a request; `started` tells whether its first token had arrived.
     pub fn record_end(&mut self, id: &UpstreamId, work: &Work, started: bool) {
-        let Some(upstream) = self.table.get_mut(id) else {
+        let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
-        upstream.own = upstream.own.saturating_sub(1);
-        upstream.report.running = upstream.report.running.saturating_sub(1);
+        upstream.in_flight = upstream.in_flight.saturating_sub(1);
+        upstream.last_report.running = upstream.last_report.running.saturating_sub(1);
         if let Work::Chat(chat) = work
             && !started
         {
-            upstream.reading = upstream.reading.saturating_sub(chat.prompt_tokens);
+            upstream.pending_prefill = upstream.pending_prefill.saturating_sub(chat.prompt_tokens);
         }
     }
 
-    /// Takes in that an upstream wants nothing from this process for a span. A rest that it asked
-    /// for before is not cut short.
+    /// Records that an upstream asks this process for no requests for a span. An earlier back-off
+    /// that lasts longer stays in force.
     pub fn back_off(&mut self, now: Time, id: &UpstreamId, span: Duration) {
-        if let Some(upstream) = self.table.get_mut(id) {
-            upstream.rests_until = upstream.rests_until.max(now.after(span));
+        if let Some(upstream) = self.upstreams.get_mut(id) {
+            upstream.back_off_until = upstream.back_off_until.max(now.after(span));
         }
     }
 
-    /// Notes a failure: the upstream gets nothing for a while that doubles each time.
+    /// Records a failure: the upstream receives no requests for a time that doubles with each
+    /// failure in a row.
     pub fn record_failure(&mut self, now: Time, id: &UpstreamId) {
-        let Some(upstream) = self.table.get_mut(id) else {
+        let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
-        upstream.prefixes.clear();
-        let span = FIRST_BREAK.saturating_mul(1 << upstream.failures.min(6));
-        upstream.failures += 1;
-        upstream.closed = Some(now.after(span.min(MAX_BREAK)));
+        upstream.cached_prefixes.clear();
+        let ejection = FIRST_EJECTION.saturating_mul(1 << upstream.failure_count.min(6));
+        upstream.failure_count += 1;
+        upstream.ejected_until = Some(now.after(ejection.min(MAX_EJECTION)));
     }
 }
 
-/// Makes room for more prefixes by forgetting the older half.
-fn forget_old(prefixes: &mut HashMap<u64, Time>, more: usize) {
+/// Evicts the older half of the prefixes if `more` new ones would exceed [`MAX_PREFIXES`].
+fn evict_oldest(prefixes: &mut HashMap<u64, Time>, more: usize) {
     if prefixes.len() + more <= MAX_PREFIXES {
         return;
     }
@@ -422,36 +440,38 @@
     prefixes.retain(|_, at| *at > median);
 }
 
-/// Returns how many tokens the prefixes up to a place cover.
-fn covered(place: usize, chat: &Chat) -> f64 {
-    let tokens = u64::try_from((place + 1) * PREFIX_STEP).unwrap_or(u64::MAX);
-    real(tokens.min(chat.prompt_tokens.0))
+/// Returns how many tokens the prefix at an index covers, with each byte counted as a token.
+///
+/// The prompt's own length is an upper bound that counts bytes in the same way.
+fn covered_tokens(index: usize, chat: &Chat) -> f64 {
+    let tokens = u64::try_from((index + 1) * PREFIX_STEP).unwrap_or(u64::MAX);
+    to_f64(tokens.min(chat.prompt_tokens.0))
 }
 
-/// Digests the prefixes of a prompt, one every [`PREFIX_STEP`] bytes.
+/// Returns the digests of a prompt's prefixes, one every [`PREFIX_STEP`] bytes, shortest first.
 #[must_use]
 pub fn prefix_digests(prompt: &[u8]) -> Vec<u64> {
     let mut digests = Vec::new();
-    let mut last = 0_u64;
+    let mut digest = 0_u64;
     for step in prompt.chunks_exact(PREFIX_STEP) {
-        let mut bytes = last.to_be_bytes().to_vec();
+        let mut bytes = digest.to_be_bytes().to_vec();
         bytes.extend_from_slice(step);
-        last = xxh3_64(&bytes);
-        digests.push(last);
+        digest = xxh3_64(&bytes);
+        digests.push(digest);
     }
     digests
 }
 
-fn serves(upstream: &Upstream, wish: &VmUpstreamCriteria<'_>) -> bool {
-    let hardware = &wish.template.hardware;
+fn can_serve(upstream: &Upstream, criteria: &VmUpstreamCriteria<'_>) -> bool {
+    let hardware = &criteria.template.hardware;
     if !hardware.is_empty() && !hardware.contains(&upstream.info.hardware) {
         return false;
     }
     let region = Some(&upstream.info.region);
-    if !wish.residency.allows(region) || !wish.template.regions.allows(region) {
+    if !criteria.residency.allows(region) || !criteria.template.regions.allows(region) {
         return false;
     }
-    match (&upstream.info.kind, wish.work) {
+    match (&upstream.info.kind, criteria.work) {
         (UpstreamKind::Engine(engine), Work::Chat(chat)) => {
             let loaded = |a: &Adapter| engine.adapters.contains(a);
             engine.model == chat.model && chat.adapter.as_ref().is_none_or(loaded)
@@ -463,18 +483,18 @@
     }
 }
 
-fn jitter(seed: u64, id: &UpstreamId) -> f64 {
+fn jitter_factor(seed: u64, id: &UpstreamId) -> f64 {
     let mut bytes = seed.to_be_bytes().to_vec();
     bytes.extend_from_slice(id.as_str().as_bytes());
-    1.0 + real(xxh3_64(&bytes) % JITTER) / 100.0
+    1.0 + to_f64(xxh3_64(&bytes) % JITTER_PERCENT) / 100.0
 }
 
-/// Returns a number for estimates, where the last digits do not matter.
+/// Converts a number for an estimate, where the lost digits do not matter.
 #[expect(clippy::cast_precision_loss, reason = "estimates need no more than 52 bits")]
-fn real(number: u64) -> f64 {
+fn to_f64(number: u64) -> f64 {
     number as f64
 }
 
-fn span(seconds: f64) -> Duration {
+fn to_duration(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::from_mins(1))
 }
