--- a/crates/badgerfield-core/src/routing.rs
+++ b/crates/badgerfield-core/src/routing.rs
@@ -1,7 +1,7 @@
-//! Routing: which service serves a request, by its host and the longest path prefix.
+//! Routing: selects the service for a request by its host and the longest path prefix.
 //!
 //! Operators write [`Routing`] together with the templates, under one version.
-//! [`RouteTable`] is the same in the form that each request is looked up in.
+//! [`RouteTable`] indexes its routes for the lookup of requests.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -15,134 +15,134 @@
 use crate::template::{KeyDigest, TemplateSet, account_name};
 use crate::warm_up::WarmUp;
 
-/// What may happen more than once to a request of a route.
+/// Whether the requests of a route may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RetryPolicy {
-    /// The request may run any number of times.
+    /// A request may run any number of times.
     Safe,
-    /// The request runs at most once.
+    /// A request runs at most once.
     Never,
     /// The answer is a stream of events.
     Stream {
-        /// Whether another upstream may go on after the last event that arrived.
+        /// Whether another upstream can resume the stream after the last received event.
         resumes: bool,
     },
 }
 
 impl RetryPolicy {
-    /// Tells whether a request that may have run may be sent again.
+    /// Returns whether a request that may have run already may be sent again.
     #[must_use]
     pub fn is_idempotent(self) -> bool {
         matches!(self, Self::Safe | Self::Stream { resumes: true })
     }
 
-    /// Tells whether the answer is a stream of events.
+    /// Returns whether the answer is a stream of events.
     #[must_use]
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// A service that a route sends requests to, and its share of them.
+/// A service of a route, with its weight.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightedService {
     /// The service.
     pub service: Service,
-    /// Its weight among the route's services.
+    /// The weight of the service among those of the route.
     pub weight: u32,
 }
 
-/// Where the requests for one host and path prefix go.
+/// The settings of requests for one host and path prefix.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// The name that operators gave the route.
+    /// The name of the route.
     pub name: String,
     /// The host, in lower case.
     pub host: String,
-    /// The prefix that the path begins with.
+    /// The prefix of the paths that belong to the route.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may be retried.
     pub repeat: RetryPolicy,
-    /// The longest time that a request may be held.
+    /// The maximum time that a request may take.
     pub timeout: Duration,
-    /// The time within which an answer is wanted.
+    /// The target for the response time.
     pub objective: Duration,
-    /// The rank of its requests; 0 goes first.
+    /// The priority rank of its requests; 0 is the highest priority.
     pub rank: u8,
-    /// The services, each with its weight.
+    /// The services that serve the route, with their weights.
     pub split: Vec<WeightedService>,
-    /// To how many upstreams one request may be sent.
+    /// The maximum number of upstreams to which one request is sent.
     pub attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without a key.
     pub anonymous: bool,
-    /// Whether requests that share prompt parts should meet at one upstream.
+    /// Whether requests that share prompt parts are sent to the same upstream if possible.
     pub affinity: bool,
-    /// The longest wanted pause between two events.
+    /// The target for the longest pause between two events of a stream.
     pub pause: Option<Duration>,
-    /// The regions in which its requests may be served.
+    /// The regions in which requests of the route may be served.
     #[serde(default)]
     pub regions: Residency,
 }
 
 impl Route {
-    /// Chooses a service by weight; `draw` is a random number.
+    /// Chooses a service by weight, with a random number.
     #[must_use]
-    pub fn choose_service(&self, draw: u64) -> Option<&Service> {
+    pub fn choose_service(&self, random: u64) -> Option<&Service> {
         let total: u64 = self.split.iter().map(|s| u64::from(s.weight)).sum();
         if total == 0 {
             return self.split.first().map(|s| &s.service);
         }
-        let mut place = draw % total;
+        let mut position = random % total;
         for split in &self.split {
             let weight = u64::from(split.weight);
-            if place < weight {
+            if position < weight {
                 return Some(&split.service);
             }
-            place -= weight;
+            position -= weight;
         }
         None
     }
 }
 
-/// What a model engine's replicas can do.
+/// The properties of the engines of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// How many requests run at once.
+    /// The number of requests that an engine runs concurrently.
     pub slots: u32,
-    /// The memory for prompts and answers, in tokens.
+    /// The capacity of the KV cache, in tokens.
     pub memory: u64,
-    /// The bytes that one token takes when memory is moved.
+    /// The number of bytes per token when KV cache entries are transferred.
     pub token_bytes: u64,
-    /// Whether memory can be fetched from another replica.
+    /// Whether an engine can fetch KV cache entries from another engine.
     pub moves: bool,
-    /// The most tokens that one event holds.
+    /// The maximum number of tokens in one event.
     pub stride: u64,
 }
 
-/// How the upstreams of one service are talked to.
+/// The properties of the upstreams of one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceSpec {
     /// The path of the health check.
     pub health: String,
-    /// How many connections one upstream takes from all VMs together.
+    /// The maximum number of connections to one upstream from all VMs together.
     pub connections: u32,
-    /// What its engines can do; nothing for a plain service.
+    /// The properties of its engines; `None` for a plain service.
     pub engine: Option<EngineSpec>,
-    /// How its upstreams start; nothing if they are as good as warm at once.
+    /// The slow start of its upstreams; `None` if they take full load at once.
     #[serde(default)]
     pub warm_up: Option<WarmUp>,
 }
 
-/// What callers may send, and how long they may take.
+/// Limits on the requests of callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// The largest head, in bytes.
+    /// The maximum size of a request's header section, in bytes.
     pub head: usize,
-    /// The largest body, in bytes.
+    /// The maximum size of a request's body, in bytes.
     pub body: usize,
-    /// How long a head may take to arrive.
+    /// The maximum time in which the header section must arrive.
     pub head_time: Duration,
-    /// How long a connection may rest between two requests.
+    /// The maximum idle time of a connection between two requests.
     pub idle: Duration,
 }
 
@@ -157,44 +157,45 @@
     }
 }
 
-/// All routes and services.
+/// The routes and services that operators have configured.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Routing {
     /// The routes.
     pub routes: Vec<Route>,
     /// The services by name.
     pub services: BTreeMap<Service, ServiceSpec>,
-    /// What callers may send.
+    /// The limits on callers' requests.
     pub limits: CallerLimits,
-    /// The ranks of client accounts; they go before the rank of a route.
+    /// The priority ranks of client accounts, which take precedence over the rank of a route.
     pub ranks: BTreeMap<Account, u8>,
 }
 
-/// How the routes and services of a set differ from those of an older one.
+/// The changes of routes and services between two versions of a set.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutingDelta {
     /// The routes, in their order.
     pub parts: Vec<RoutePart>,
-    /// Services, limits and ranks, if they differ; it lists no routes.
+    /// The services, limits and ranks if any of them changed; its list of routes is empty.
     pub rest: Option<Routing>,
 }
 
-/// Some routes of a set that follow each other.
+/// A range of consecutive routes in the new version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RoutePart {
-    /// Routes that the older set has too.
+    /// Routes that are unchanged from the older version.
     Kept {
-        /// Where the first of them stands in the older set.
+        /// The index of the first one in the older version.
         first: usize,
-        /// How many they are.
+        /// The number of routes.
         count: usize,
     },
-    /// A route that the older set does not have.
+    /// A route that the older version does not have.
     New(Box<Route>),
 }
 
 impl RoutingDelta {
-    /// Returns the routing that this leads to from an older one; nothing if it does not fit.
+    /// Applies the changes to an older routing; returns `None` if they refer to routes that it
+    /// does not have.
     #[must_use]
     pub fn apply(&self, old: &Routing) -> Option<Routing> {
         let mut routes = Vec::new();
@@ -212,32 +213,32 @@
     }
 }
 
-/// Who sends a request, as its key tells.
+/// The sender of a request, as identified by its key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Caller {
     /// The client account.
     pub account: Account,
-    /// The budget that pays.
+    /// The budget that is charged.
     pub budget: BudgetId,
-    /// The budget's limit; nothing if the account pays for no tokens in advance.
+    /// The limit of the budget; `None` if the account is not prepaid.
     pub limit: Option<Tokens>,
-    /// The account's own rank.
+    /// The priority rank of the account, if it has one.
     pub rank: Option<u8>,
 }
 
-/// Routes and keys in the form in which requests are looked up.
+/// Routes and keys, indexed for the lookup of requests.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     hosts: HashMap<String, Vec<Arc<Route>>>,
     callers: HashMap<KeyDigest, Caller>,
     services: BTreeMap<Service, ServiceSpec>,
     limits: CallerLimits,
-    /// The regions of the accounts that are bound to some.
+    /// The allowed regions of accounts that are restricted to some.
     regions: BTreeMap<Account, Residency>,
 }
 
 impl RouteTable {
-    /// Makes the table of a set of templates.
+    /// Returns the table for a set of templates.
     #[must_use]
     pub fn new(set: &TemplateSet) -> Self {
         let mut hosts: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
@@ -260,37 +261,38 @@
             }
         }
         let services = set.routing.services.clone();
-        let bound = set.accounts.iter().filter(|(_, account)| account.regions.is_restricted());
-        let regions = bound.map(|(id, account)| (id.clone(), account.regions.clone())).collect();
+        let restricted = set.accounts.iter().filter(|(_, account)| account.regions.is_restricted());
+        let regions =
+            restricted.map(|(id, account)| (id.clone(), account.regions.clone())).collect();
         Self { hosts, callers, services, limits: set.routing.limits, regions }
     }
 
-    /// Finds the route of a host and path; a port behind the host does not count.
+    /// Returns the route for a host and path. A port in the host is ignored.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
-        let routes = match self.hosts.get(name) {
+        let hostname = host.rsplit_once(':').map_or(host, |(name, _)| name);
+        let routes = match self.hosts.get(hostname) {
             Some(routes) => routes,
-            None => self.hosts.get(&name.to_ascii_lowercase())?,
+            None => self.hosts.get(&hostname.to_ascii_lowercase())?,
         };
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// Finds who has a key.
+    /// Returns the caller that a key identifies.
     #[must_use]
     pub fn caller(&self, key: &KeyDigest) -> Option<&Caller> {
         self.callers.get(key)
     }
 
-    /// Returns the regions in which a route and a client account both let a request be served.
+    /// Returns the regions that both a route and a client account allow for a request.
     #[must_use]
     pub fn residency(&self, route: &Route, account: Option<&Account>) -> Residency {
         let own = account.and_then(|account| self.regions.get(account));
         route.regions.intersect(own.unwrap_or(&EVERYWHERE))
     }
 
-    /// Returns the regions in which a request for a host and path may be served; one that no
-    /// route takes any more is bound by its client account alone.
+    /// Returns the regions that are allowed for a request to a host and path. If no route matches
+    /// any more, only the client account restricts the regions.
     #[must_use]
     pub fn residency_at(&self, host: &str, path: &str, account: Option<&Account>) -> Residency {
         if let Some(route) = self.route(host, path) {
@@ -300,18 +302,18 @@
         own.unwrap_or(&EVERYWHERE).clone()
     }
 
-    /// Returns how the upstreams of a service are talked to.
+    /// Returns the properties of the upstreams of a service.
     #[must_use]
     pub fn service(&self, name: &Service) -> Option<&ServiceSpec> {
         self.services.get(name)
     }
 
-    /// Returns how the upstreams of each service start that has to be spared then.
+    /// Returns the slow start of each service whose upstreams need one.
     pub fn warm_ups(&self) -> impl Iterator<Item = (&Service, WarmUp)> {
         self.services.iter().filter_map(|(name, spec)| Some((name, spec.warm_up?)))
     }
 
-    /// Returns what callers may send.
+    /// Returns the limits on callers' requests.
     #[must_use]
     pub fn limits(&self) -> CallerLimits {
         self.limits
--- a/crates/badgerfield-core/src/template.rs
+++ b/crates/badgerfield-core/src/template.rs
@@ -1,4 +1,5 @@
-//! Templates: what operators write, as one value with a version.
+//! Templates: the operators' configuration of accounts, budgets and routes, stored as one
+//! versioned value.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -17,24 +18,24 @@
 use crate::residency::Residency;
 use crate::routing::{RoutePart, Routing, RoutingDelta};
 
-/// The largest priority of a client account.
+/// The maximum priority of a client account.
 pub const MAX_PRIORITY: u32 = 1000;
-/// The largest output limit of a request.
+/// The maximum output limit of a request.
 pub const MAX_OUTPUT_TOKENS: Tokens = Tokens(1 << 20);
-/// The longest time a request may wait in the queue.
-pub const MAX_WAIT: Duration = Duration::from_mins(2);
-/// How many changes the audit trail keeps.
-pub const MAX_HISTORY: usize = 200;
-/// The largest encoded set, with room left below the service's limit of 1 MB.
-pub const MAX_ENCODED: usize = 900_000;
-
-/// The SHA-256 digest of the secret with which a caller proves which budget it draws on.
+/// The maximum time that a request may wait in the queue.
+pub const MAX_QUEUE_WAIT: Duration = Duration::from_mins(2);
+/// The maximum number of changes in the audit trail.
+pub const MAX_HISTORY_LEN: usize = 200;
+/// The maximum size of an encoded set, which leaves room below the store's limit of 1 MB.
+pub const MAX_ENCODED_BYTES: usize = 900_000;
+
+/// The SHA-256 digest of the secret key with which a caller proves that it may use a budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct KeyDigest(pub [u8; 32]);
 
 impl KeyDigest {
-    /// Digests a secret.
+    /// Returns the digest of a secret.
     #[must_use]
     pub fn from_secret(secret: &str) -> Self {
         Self(Sha256::digest(secret.as_bytes()).into())
@@ -54,14 +55,14 @@
     type Err = IdError;
 
     fn from_str(text: &str) -> Result<Self, IdError> {
-        let bad = || IdError::NotHex(text.chars().take(80).collect());
+        let invalid = || IdError::NotHex(text.chars().take(80).collect());
         if text.len() != 64 || !text.is_ascii() {
-            return Err(bad());
+            return Err(invalid());
         }
         let mut bytes = [0; 32];
         for (i, byte) in bytes.iter_mut().enumerate() {
-            let digits = text.get(2 * i..2 * i + 2).ok_or_else(bad)?;
-            *byte = u8::from_str_radix(digits, 16).map_err(|_| bad())?;
+            let digits = text.get(2 * i..2 * i + 2).ok_or_else(invalid)?;
+            *byte = u8::from_str_radix(digits, 16).map_err(|_| invalid())?;
         }
         Ok(Self(bytes))
     }
@@ -81,7 +82,7 @@
     }
 }
 
-/// What operators set for one client account.
+/// The operators' settings for one client account.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountTemplate {
     /// The version of the set in which this template last changed.
@@ -96,48 +97,49 @@
     pub hardware: BTreeSet<Hardware>,
     /// The plain services that the account may call.
     pub services: BTreeSet<Service>,
-    /// The path prefixes of plain services whose calls may not be repeated.
+    /// The path prefixes of plain services whose calls must not be retried.
     pub unrepeatable: BTreeSet<String>,
-    /// The region that decides about keys without a region prefix.
+    /// The region whose VMs decide about request keys without a region prefix.
     pub home: Option<Region>,
-    /// How much of a budget the VMs hold ahead of demand.
+    /// The share of a budget that the VMs hold ahead of demand.
     pub spread: Percent,
-    /// The output limit of a request that names none.
+    /// The default output limit of a request.
     pub output_limit: Tokens,
-    /// What one call of a plain service costs.
+    /// The cost of one call of a plain service, in tokens.
     pub call_cost: Tokens,
-    /// How long a request may wait in the queue.
+    /// The maximum time that a request may wait in the queue.
     pub queue_wait: Duration,
-    /// The regions in which its requests may be served, cached and stored.
+    /// The regions in which the account's requests may be served, cached and stored.
     #[serde(default)]
     pub regions: Residency,
 }
 
-/// What operators set for one prepaid budget.
+/// The operators' settings for one prepaid budget.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetTemplate {
     /// The version of the set in which this template last changed.
     pub changed: TemplateVersion,
-    /// The tokens that may be spent in the period.
+    /// The number of tokens that may be spent in the period.
     pub limit: Tokens,
-    /// The period; a higher number renews the budget.
+    /// The number of the period; a higher number renews the budget.
     pub period: Period,
-    /// The digests of the secrets that draw on this budget.
+    /// The digests of the secret keys that may use this budget.
     pub keys: BTreeSet<KeyDigest>,
 }
 
-/// One line of the audit trail of template changes.
+/// An entry of the audit trail of template changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TemplateChange {
-    /// The version that the change made.
+    /// The version that the change created.
     pub version: TemplateVersion,
-    /// Who made it.
+    /// The author of the change.
     pub author: Author,
-    /// When, by the operator's clock, in seconds since 1970; for people to read only.
+    /// The time of the change by the operator's clock, in seconds since 1970; for information only.
     pub at: u64,
-    /// The writer's own mark, by which it finds out whether a lost reply took effect.
+    /// A mark chosen by the writer. If the reply to the write was lost, it shows whether the write
+    /// took effect.
     pub mark: String,
-    /// What changed, a line each.
+    /// The differences from the previous version, one per line.
     pub diff: Vec<String>,
 }
 
@@ -146,21 +148,21 @@
 pub struct TemplateSet {
     /// The version of the whole set.
     pub version: TemplateVersion,
-    /// The templates of the client accounts.
+    /// The templates of the client accounts, by account.
     pub accounts: BTreeMap<Account, AccountTemplate>,
-    /// The templates of the budgets.
+    /// The templates of the budgets, by budget.
     pub budgets: BTreeMap<BudgetId, BudgetTemplate>,
-    /// The latest changes, oldest first.
+    /// The latest changes, from oldest to newest.
     pub history: Vec<TemplateChange>,
     /// The routes and services.
     #[serde(default)]
     pub routing: Routing,
 }
 
-/// One fault of a set of templates.
+/// An error in a set of templates.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum TemplateFault {
-    /// A budget's account has no template.
+    /// The account of a budget has no template.
     #[error("budget {0}: no template for its account; add [account {1}]")]
     NoAccount(BudgetId, String),
     /// The priority is outside its range.
@@ -172,32 +174,32 @@
     /// The queue wait is outside its range.
     #[error("account {0}: expected a queue wait of at most 120s, found {1:?}")]
     QueueWait(Account, Duration),
-    /// The account may use nothing.
+    /// The account may use no model and no service.
     #[error("account {0}: expected at least one model or service")]
     NothingAllowed(Account),
-    /// The limit is larger than arithmetic allows.
+    /// The limit exceeds the largest amount that arithmetic allows, [`Tokens::MAX`].
     #[error("budget {0}: expected a limit of at most {max}, found {1}", max = Tokens::MAX)]
     Limit(BudgetId, Tokens),
     /// Two budgets have the same key.
     #[error("budget {0}: a key also belongs to budget {1}; every key draws on one budget")]
     SharedKey(BudgetId, BudgetId),
-    /// A budget went back to an earlier period.
+    /// The period of a budget was decreased.
     #[error("budget {id}: expected a period of at least {least}, found {found}")]
     PeriodDecreased {
-        /// The budget.
+        /// The id of the budget.
         id: BudgetId,
         /// The period in force.
         least: Period,
-        /// The period that was written.
+        /// The period in the new set.
         found: Period,
     },
-    /// The encoded set would not fit into one value.
-    #[error("expected at most {MAX_ENCODED} bytes encoded, found {0}; remove templates")]
+    /// The encoded set is larger than [`MAX_ENCODED_BYTES`].
+    #[error("expected at most {MAX_ENCODED_BYTES} bytes encoded, found {0}; remove templates")]
     TooLarge(usize),
 }
 
 impl TemplateSet {
-    /// Lists every fault of the set.
+    /// Returns all errors in the set.
     #[must_use]
     pub fn faults(&self) -> Vec<TemplateFault> {
         let mut faults = Vec::new();
@@ -229,13 +231,13 @@
         self.accounts.get(&account)
     }
 
-    /// Makes the set that follows this one, with the wanted templates in force.
+    /// Returns the next version of the set, with its templates replaced by the wanted ones.
     ///
-    /// Templates that did not change keep the version in which they last did.
+    /// An unchanged template keeps the version of its last change.
     ///
     /// # Errors
     ///
-    /// Returns every fault of the new set; nothing of it is in force then.
+    /// Returns all errors of the new set; no part of an invalid set takes effect.
     pub fn replace(
         &self,
         mut wanted: Self,
@@ -273,7 +275,7 @@
             budget.changed = old.changed;
             if budget != old {
                 budget.changed = version;
-                diff.push(describe(id, old, budget));
+                diff.push(describe_change(id, old, budget));
             }
         }
         for id in self.accounts.keys() {
@@ -293,23 +295,23 @@
         wanted.version = version;
         wanted.history.clone_from(&self.history);
         wanted.history.push(TemplateChange { version, author, at, mark, diff });
-        let excess = wanted.history.len().saturating_sub(MAX_HISTORY);
+        let excess = wanted.history.len().saturating_sub(MAX_HISTORY_LEN);
         wanted.history.drain(..excess);
         let size = wanted.encode().len();
-        if size > MAX_ENCODED {
+        if size > MAX_ENCODED_BYTES {
             return Err(vec![TemplateFault::TooLarge(size)]);
         }
         Ok(wanted)
     }
 
-    /// Tells whether every template counts as changed in this version.
+    /// Returns whether every template counts as changed in this version.
     pub(crate) fn is_rewritten(&self) -> bool {
         let accounts = self.accounts.values().all(|t| t.changed == self.version);
         accounts && self.budgets.values().all(|t| t.changed == self.version)
     }
 
     /// Marks every template as changed in this version.
-    fn rewrite(&mut self) {
+    fn mark_rewritten(&mut self) {
         for account in self.accounts.values_mut() {
             account.changed = self.version;
         }
@@ -318,18 +320,18 @@
         }
     }
 
-    /// Encodes the set as the value that the platform keeps.
+    /// Encodes the set as the value that is kept in the store.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
-        // A map with typed text keys and plain fields always has a JSON form.
+        // Serialization cannot fail: all map keys are strings and all fields have a JSON form.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Decodes and checks a value.
+    /// Decodes and validates a stored value.
     ///
     /// # Errors
     ///
-    /// Refuses what is not JSON of this shape, and a set with faults.
+    /// Returns an error if the value is not JSON of the expected form or the set has an error.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let set: Self = serde_json::from_slice(bytes)?;
         let faults = set.faults();
@@ -339,7 +341,7 @@
         Ok(set)
     }
 
-    /// Returns what changed after a version, for a process that has that version.
+    /// Returns the changes since a version, for a process that has that version.
     #[must_use]
     pub fn delta_since(&self, version: TemplateVersion) -> TemplateDelta {
         let mut delta = TemplateDelta { version: self.version, ..TemplateDelta::default() };
@@ -353,17 +355,18 @@
                 delta.budgets.push((id.clone(), budget.clone()));
             }
         }
-        delta.routing = Some(&self.routing).filter(|r| **r != Routing::default()).map(whole);
+        delta.routing = Some(&self.routing).filter(|r| **r != Routing::default()).map(full_delta);
         delta.base = version;
         delta.account_count = self.accounts.len();
         delta.budget_count = self.budgets.len();
         delta
     }
 
-    /// Puts a delta in force; tells whether it fitted.
+    /// Applies a delta and returns true, or returns false if it cannot be applied.
     ///
-    /// A delta does not fit if it is not newer, starts elsewhere, or if templates
-    /// were removed; the whole set is asked for then.
+    /// A delta cannot be applied if it is not newer, if it is based on another version, if
+    /// templates were removed, or if the resulting set is invalid. The caller must then request
+    /// the whole set.
     pub fn apply_delta(&mut self, delta: TemplateDelta) -> bool {
         if delta.version <= self.version || delta.base != self.version {
             return false;
@@ -379,11 +382,11 @@
         }
         next.version = delta.version;
         if delta.is_rewritten {
-            next.rewrite();
+            next.mark_rewritten();
         }
-        let complete =
+        let is_complete =
             next.accounts.len() == delta.account_count && next.budgets.len() == delta.budget_count;
-        if !complete || !next.faults().is_empty() {
+        if !is_complete || !next.faults().is_empty() {
             return false;
         }
         *self = next;
@@ -399,7 +402,7 @@
         if self.output_limit.is_zero() || self.output_limit > MAX_OUTPUT_TOKENS {
             faults.push(TemplateFault::OutputLimit(id.clone(), self.output_limit));
         }
-        if self.queue_wait > MAX_WAIT {
+        if self.queue_wait > MAX_QUEUE_WAIT {
             faults.push(TemplateFault::QueueWait(id.clone(), self.queue_wait));
         }
         if self.models.is_empty() && self.services.is_empty() {
@@ -408,54 +411,55 @@
     }
 }
 
-/// What changed between two versions of a set, as processes pass it on.
+/// The changes between two versions of a set, as sent between processes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TemplateDelta {
-    /// The version that the receiver must have.
+    /// The version to which the delta applies.
     pub base: TemplateVersion,
-    /// The version that the delta leads to.
+    /// The version that results from the delta.
     pub version: TemplateVersion,
     /// The account templates that changed.
     pub accounts: Vec<(Account, AccountTemplate)>,
     /// The budget templates that changed.
     pub budgets: Vec<(BudgetId, BudgetTemplate)>,
-    /// How routes and services differ, if they do.
+    /// The changes of routes and services, if any.
     pub routing: Option<RoutingDelta>,
-    /// Whether every template counts as changed in this version, as where a platform writes
-    /// them whole.
+    /// Whether every template counts as changed in this version, as with a platform that always
+    /// writes the whole set.
     pub is_rewritten: bool,
-    /// How many account templates there are, to notice removals.
+    /// The number of account templates in the new version, to detect removals.
     pub account_count: usize,
-    /// How many budget templates there are, to notice removals.
+    /// The number of budget templates in the new version, to detect removals.
     pub budget_count: usize,
 }
 
-/// Why a value is not a set of templates.
+/// The error of decoding a set of templates.
 #[derive(Debug, Error)]
 pub enum DecodeError {
-    /// The value is not JSON of the expected shape.
+    /// The value is not JSON of the expected form.
     #[error("expected a set of templates in JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// The value has a fault.
+    /// The set has an error.
     #[error("the set of templates is faulty: {0}")]
     Faulty(Box<TemplateFault>),
 }
 
-/// Describes a whole routing to a process of which nothing is known.
-fn whole(routing: &Routing) -> RoutingDelta {
+/// Returns a delta that contains all routes and services, and so applies to any older routing.
+fn full_delta(routing: &Routing) -> RoutingDelta {
     let parts = routing.routes.iter().map(|r| RoutePart::New(Box::new(r.clone()))).collect();
     let rest = Routing { routes: Vec::new(), ..routing.clone() };
     RoutingDelta { parts, rest: Some(rest) }
 }
 
-/// Returns the account part of a budget's name.
+/// Returns the account part of a budget id.
 #[must_use]
 pub fn account_name(id: &BudgetId) -> &str {
     let text = id.as_str();
     text.split_once('/').map_or(text, |(account, _)| account)
 }
 
-fn describe(id: &BudgetId, old: &BudgetTemplate, new: &BudgetTemplate) -> String {
+/// Returns the line of the audit trail for a changed budget.
+fn describe_change(id: &BudgetId, old: &BudgetTemplate, new: &BudgetTemplate) -> String {
     if old.period != new.period {
         return format!("budget {id} renewed: period {}, limit {}", new.period, new.limit);
     }
