--- a/crates/badgerfield-core/src/routing.rs
+++ b/crates/badgerfield-core/src/routing.rs
@@ -63,7 +63,7 @@
     pub prefix: String,
     /// Whether its requests may be retried.
     pub repeat: RetryPolicy,
-    /// The maximum time that a request may take.
+    /// The maximum time that the gateway holds a request.
     pub timeout: Duration,
     /// The target for the response time.
     pub objective: Duration,
--- a/crates/badgerfield-core/tests/lag.rs
+++ b/crates/badgerfield-core/tests/lag.rs
@@ -1,4 +1,7 @@
-//! How soon a fleet avoids an engine that has turned slow, and comes back to it.
+//! How soon a fleet avoids an engine that has become slow, and uses it again after recovery.
+//!
+//! Each VM sends too few requests to notice a slow engine by itself. Without the delay reports of
+//! others, it continues to send a share of its requests there.
 
 use std::time::Duration;
 
@@ -12,11 +15,11 @@
 
 const ENGINES: u32 = 20;
 const VMS: usize = 60;
-/// How often each VM gets a request.
-const EVERY_MS: u64 = 200;
-/// How long a request waits at an engine that is well, and at the slow one.
-const WELL: Duration = Duration::from_millis(40);
-const SLOW: Duration = Duration::from_millis(900);
+/// The time between two requests of a VM.
+const REQUEST_INTERVAL_MS: u64 = 200;
+/// The wait for the first event at a normal engine and at the slow one.
+const NORMAL_WAIT: Duration = Duration::from_millis(40);
+const SLOW_WAIT: Duration = Duration::from_millis(900);
 
 fn id(n: u32) -> UpstreamId {
     format!("engine-{n}").parse().expect("a name")
@@ -42,34 +45,34 @@
         warm_in: Duration::ZERO,
     };
     let mut table = UpstreamTable::default();
-    let replicas = (0..ENGINES).map(entry).collect();
-    table.apply_list(Time::default(), UpstreamList { revision: 1, entries: replicas });
+    let entries = (0..ENGINES).map(entry).collect();
+    table.apply_list(Time::default(), UpstreamList { revision: 1, entries });
     table
 }
 
-/// Plays a fleet whose first engine is slow in a span; returns how many of 100 requests went
-/// there in each second.
-fn play(seconds: u64, slow: std::ops::Range<u64>, tell: bool) -> Vec<u64> {
+/// Simulates a fleet whose first engine is slow for some seconds; returns the percentage of
+/// requests sent to this engine in each second.
+fn simulate(seconds: u64, slow: std::ops::Range<u64>, send_reports: bool) -> Vec<u64> {
     let mut tables: Vec<_> = (0..VMS).map(|_| new_table()).collect();
     let mut shares = Vec::new();
-    let mut draw: u64 = 7;
-    // Waits that end later, with the table that they belong to.
-    let mut waits: Vec<(u64, usize, UpstreamId, Duration)> = Vec::new();
+    let mut random: u64 = 7;
+    // Requests in flight: their end in milliseconds, VM, engine and wait.
+    let mut in_flight: Vec<(u64, usize, UpstreamId, Duration)> = Vec::new();
     for second in 0..seconds {
-        let (mut there, mut all) = (0, 0);
+        let (mut slow_count, mut total) = (0, 0);
         for tenth in 0..10_u64 {
             let ms = second * 1000 + tenth * 100;
             let now = Time::from_millis(ms);
-            for (_, vm, engine, span) in waits.extract_if(.., |(at, ..)| *at <= ms) {
-                tables[vm].record_first_event_wait(now, &engine, span, 0);
+            for (_, vm, engine, wait) in in_flight.extract_if(.., |(at, ..)| *at <= ms) {
+                tables[vm].record_first_event_wait(now, &engine, wait, 0);
                 tables[vm].end_request(now, &engine, AttemptOutcome::Answered);
             }
             for (vm, table) in tables.iter_mut().enumerate() {
-                let phase = u64::try_from(vm).expect("few VMs") * 100 % EVERY_MS;
-                if (ms + phase).is_multiple_of(EVERY_MS) {
-                    draw = draw.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
-                    let parts = [PromptPart { id: draw >> 20, tokens: 500 }];
-                    let wanted = UpstreamCriteria {
+                let phase = u64::try_from(vm).expect("few VMs") * 100 % REQUEST_INTERVAL_MS;
+                if (ms + phase).is_multiple_of(REQUEST_INTERVAL_MS) {
+                    random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
+                    let parts = [PromptPart { id: random >> 20, tokens: 500 }];
+                    let criteria = UpstreamCriteria {
                         service: &service(),
                         route: "chat",
                         parts: &parts,
@@ -78,49 +81,55 @@
                         tried: &[],
                         resumed_version: None,
                         max_connections: 5,
-                        random: draw.rotate_left(17),
+                        random: random.rotate_left(17),
                         rendezvous_key: None,
                     };
-                    let chosen = table.choose(now, &wanted).expect("there are engines").id;
+                    let chosen = table.choose(now, &criteria).expect("there are engines").id;
                     table.start_request(now, &chosen, &parts);
                     let is_slow = chosen == id(0) && slow.contains(&second);
-                    let span = if is_slow { SLOW } else { WELL };
-                    all += 1;
-                    there += u64::from(chosen == id(0));
-                    let end = ms + u64::try_from(span.as_millis()).expect("short");
-                    waits.push((end, vm, chosen, span));
+                    let wait = if is_slow { SLOW_WAIT } else { NORMAL_WAIT };
+                    total += 1;
+                    slow_count += u64::from(chosen == id(0));
+                    let end = ms + u64::try_from(wait.as_millis()).expect("short");
+                    in_flight.push((end, vm, chosen, wait));
                 }
             }
-            // Signs of life go to a few members four times in ten tenths.
-            if tell && tenth.is_multiple_of(4) {
-                let turn = usize::try_from(second * 10 + tenth).expect("short");
+            // Each VM sends heartbeats to a few others three times a second.
+            if send_reports && tenth.is_multiple_of(4) {
+                let round = usize::try_from(second * 10 + tenth).expect("short");
                 for from in 0..VMS {
-                    let notes = tables[from].delay_reports(now, turn);
+                    let reports = tables[from].delay_reports(now, round);
                     for step in [1, 2, 4, 8, 16, 32] {
-                        tables[(from + step) % VMS].apply_delay_reports(now, &notes);
+                        tables[(from + step) % VMS].apply_delay_reports(now, &reports);
                     }
                 }
             }
         }
-        shares.push(there * 100 / all);
+        shares.push(slow_count * 100 / total);
     }
     shares
 }
 
 #[test]
-fn a_fleet_avoids_an_engine_that_turns_slow_within_two_seconds() {
-    let alone = play(14, 2..8, false);
-    let told = play(14, 2..8, true);
-    println!("percent at the slow engine, by second: alone {alone:?}, told {told:?}");
-    // Evenly spread it would get 5 in 100.
+fn a_fleet_avoids_an_engine_that_becomes_slow_within_two_seconds() {
+    let without_reports = simulate(14, 2..8, false);
+    let with_reports = simulate(14, 2..8, true);
+    println!(
+        "percent at the slow engine by second: {without_reports:?} without reports, \
+         {with_reports:?} with reports"
+    );
+    // With an even distribution, the engine would get 5 of 100 requests.
     let sum = |shares: &[u64]| shares.iter().sum::<u64>();
-    assert!(sum(&told[4..8]) <= 4, "{told:?}");
-    assert!(sum(&alone[4..8]) >= 2 * sum(&told[4..8]).max(1), "{alone:?} {told:?}");
+    assert!(sum(&with_reports[4..8]) <= 4, "{with_reports:?}");
+    assert!(
+        sum(&without_reports[4..8]) >= 2 * sum(&with_reports[4..8]).max(1),
+        "{without_reports:?} {with_reports:?}"
+    );
 }
 
 #[test]
-fn an_engine_that_is_well_again_is_used_again() {
-    let told = play(24, 2..8, true);
-    let late: u64 = told[18..24].iter().sum();
-    assert!(late >= 12, "{told:?}");
+fn an_engine_is_used_again_after_recovery() {
+    let with_reports = simulate(24, 2..8, true);
+    let late: u64 = with_reports[18..24].iter().sum();
+    assert!(late >= 12, "{with_reports:?}");
 }
--- a/crates/badgerfield-core/tests/mix.rs
+++ b/crates/badgerfield-core/tests/mix.rs
@@ -1,4 +1,4 @@
-//! How engines are divided between long and short prompts, and what is learned of them.
+//! The division of engines between long and short prompts, and the estimated read rate.
 
 use std::time::Duration;
 
@@ -9,9 +9,9 @@
 };
 
 const SLOTS: u32 = 12;
-/// Prompt tokens of the two routes.
-const LONG: u32 = 9000;
-const SHORT: u32 = 800;
+/// The prompt lengths of the two routes, in tokens.
+const LONG_PROMPT: u32 = 9000;
+const SHORT_PROMPT: u32 = 800;
 
 fn service() -> Service {
     "pool".parse().expect("the name is valid")
@@ -21,26 +21,30 @@
     Time::from_millis(millis)
 }
 
-/// Lets requests of both routes come and go at engines that read a token in so many
-/// milliseconds; returns the time of the last.
+/// Records requests of both routes at engines that read a token in `read_ms` milliseconds;
+/// returns the time after the last.
 fn serve(mix: &mut RequestMix, count: u64, read_ms: f64) -> Time {
     for n in 0..count {
         let now = at(n * 100);
-        for (route, prompt) in [("long", LONG), ("short", SHORT)] {
+        for (route, prompt) in [("long", LONG_PROMPT), ("short", SHORT_PROMPT)] {
             let prompt = u64::from(prompt);
-            // Prompts of one route differ.
-            let own = prompt / 3 + (n % 7) * prompt / 20;
+            // The prompts of a route differ in their unshared parts.
+            let unshared = prompt / 3 + (n % 7) * prompt / 20;
             mix.record_arrival(
                 now,
                 route,
-                PromptSize { total_tokens: prompt, unshared_tokens: own },
+                PromptSize { total_tokens: prompt, unshared_tokens: unshared },
             );
-            let wait = 60.0 + f64::from(u32::try_from(own).expect("few tokens")) * read_ms;
+            let wait = 60.0 + f64::from(u32::try_from(unshared).expect("few tokens")) * read_ms;
             let first = Duration::from_secs_f64(wait / 1e3);
             let stream = Duration::from_millis(if route == "long" { 400 } else { 2000 });
             mix.record_timing(
                 route,
-                &ObservedTiming { uncached_tokens: own, time_to_first: first, stream_time: stream },
+                &ObservedTiming {
+                    uncached_tokens: unshared,
+                    time_to_first: first,
+                    stream_time: stream,
+                },
             );
         }
     }
@@ -48,26 +52,30 @@
 }
 
 #[test]
-fn read_rates_follow_engines_three_times_slower_or_faster() {
+fn read_rate_estimate_fits_engines_three_times_slower_or_faster() {
     for read_ms in [0.01, 0.03, 0.09] {
         let mut mix = RequestMix::default();
         serve(&mut mix, 40, read_ms);
-        let learned = mix.ms_per_token();
-        assert!((learned / read_ms - 1.0).abs() < 0.1, "{learned} learned, {read_ms} is true");
+        let estimate = mix.ms_per_token();
+        assert!(
+            (estimate / read_ms - 1.0).abs() < 0.1,
+            "estimated {estimate} ms, expected {read_ms} ms"
+        );
     }
 }
 
 #[test]
-fn a_rate_that_changes_is_learned_within_three_hundred_requests() {
+fn read_rate_estimate_follows_a_change_within_300_requests() {
     let mut mix = RequestMix::default();
     serve(&mut mix, 150, 0.02);
     serve(&mut mix, 150, 0.06);
-    let learned = mix.ms_per_token();
-    assert!(learned > 0.045, "{learned} learned after engines turned three times slower");
+    let estimate = mix.ms_per_token();
+    assert!(estimate > 0.045, "estimated {estimate} ms after engines became three times slower");
 }
 
+/// Two routes whose prompts differ by less than a factor of 2 form a single group.
 #[test]
-fn one_kind_of_prompts_divides_nothing() {
+fn prompts_of_similar_length_are_not_divided() {
     let mut mix = RequestMix::default();
     for n in 0..50 {
         let route = if n % 2 == 0 { "a" } else { "b" };
@@ -81,40 +89,41 @@
     assert_eq!(EngineDivision::from_demand(&EngineDemand::default()), None);
 }
 
+/// Engines are divided only after both groups have received enough requests.
 #[test]
-fn long_and_short_prompts_are_told_apart_once_enough_came() {
+fn long_and_short_prompts_are_separated_after_enough_requests() {
     let mut mix = RequestMix::default();
     let now = serve(&mut mix, 3, 0.03);
-    assert_eq!(mix.demand(now, &service(), SLOTS).long_threshold, 0, "six requests tell nothing");
+    assert_eq!(mix.demand(now, &service(), SLOTS).long_threshold, 0, "six requests are too few");
     let now = serve(&mut mix, 30, 0.03);
-    let needs = mix.demand(now, &service(), SLOTS);
-    let division = EngineDivision::from_demand(&needs).expect("both kinds came");
-    assert_eq!(division.group(f64::from(LONG)), PromptGroup::Long);
-    assert_eq!(division.group(f64::from(SHORT)), PromptGroup::Short);
+    let demand = mix.demand(now, &service(), SLOTS);
+    let division = EngineDivision::from_demand(&demand).expect("both groups have requests");
+    assert_eq!(division.group(f64::from(LONG_PROMPT)), PromptGroup::Long);
+    assert_eq!(division.group(f64::from(SHORT_PROMPT)), PromptGroup::Short);
 }
 
 #[test]
-fn engines_go_to_those_who_need_them() {
-    // Slow reading makes long prompts need more, slow answers make short ones need more.
+fn engines_are_divided_by_demand() {
+    // With slower reading, long prompts need more engines; with slower answers, short ones do.
     let share = |read_ms| {
         let mut mix = RequestMix::default();
         let now = serve(&mut mix, 60, read_ms);
         EngineDivision::from_demand(&mix.demand(now, &service(), SLOTS))
-            .expect("both kinds came")
+            .expect("both groups have requests")
             .short_share
     };
     assert!(share(0.1) < share(0.03), "{} {}", share(0.1), share(0.03));
-    let needs = EngineDemand { service: 1, short: 1, long: 1_000_000, long_threshold: 5000 };
-    let division = EngineDivision::from_demand(&needs).expect("both kinds need engines");
-    assert!(division.short_share >= 0.1, "a group was left without engines");
+    let demand = EngineDemand { service: 1, short: 1, long: 1_000_000, long_threshold: 5000 };
+    let division = EngineDivision::from_demand(&demand).expect("both groups have demand");
+    assert!(division.short_share >= 0.1, "a group has too few engines");
 }
 
 #[test]
 fn each_engine_takes_one_group() {
     let division = EngineDivision { long_threshold: 3000.0, short_share: 0.4 };
-    for place in [0.0, 0.2, 0.39, 0.41, 0.99] {
-        let takers =
-            [PromptGroup::Short, PromptGroup::Long].map(|group| division.takes(group, place));
-        assert_ne!(takers[0], takers[1], "at {place}");
+    for position in [0.0, 0.2, 0.39, 0.41, 0.99] {
+        let served =
+            [PromptGroup::Short, PromptGroup::Long].map(|group| division.takes(group, position));
+        assert_ne!(served[0], served[1], "at {position}");
     }
 }
--- a/crates/badgerfield-core/tests/overload.rs
+++ b/crates/badgerfield-core/tests/overload.rs
@@ -1,5 +1,5 @@
-//! A plain service that is asked for more than it can do, by a fleet of which no VM sees more
-//! than a few of its requests.
+//! A plain service near or beyond its capacity, with a fleet of which each VM handles only a few
+//! of the requests.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -13,23 +13,24 @@
 
 const VMS: usize = 48;
 const SLOTS: usize = 6;
-/// How many requests may wait at an upstream; it turns others away.
-const QUEUE: usize = 24;
-/// The mean time that an upstream of usual speed works on a request, in microseconds.
-const WORK_US: f64 = 60_000.0;
-/// The time within which callers want an answer.
+/// The maximum number of requests queued at an upstream; it rejects others.
+const MAX_QUEUED: usize = 24;
+/// The mean service time of a request at an upstream of normal speed, in microseconds.
+const SERVICE_TIME_US: f64 = 60_000.0;
+/// The target for the response time, in microseconds.
 const OBJECTIVE_US: u64 = 300_000;
-/// The time that callers wait, and how many times they come.
-const PATIENCE_US: u64 = 4_000_000;
-const COMES: u32 = 2;
-/// How often VMs tell each other what they know.
-const BEAT_US: u64 = 400_000;
+/// The maximum time that callers wait for an answer, in microseconds.
+const MAX_WAIT_US: u64 = 4_000_000;
+/// The maximum number of times that a caller sends a request.
+const MAX_CALLS: u32 = 2;
+/// The time between two heartbeats of a VM, in microseconds.
+const HEARTBEAT_INTERVAL_US: u64 = 400_000;
 const SECONDS: u64 = 20;
 
-/// A sequence of random numbers.
-struct Draws(u64);
+/// A random number generator.
+struct Rng(u64);
 
-impl Draws {
+impl Rng {
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -38,67 +39,73 @@
     }
 
     /// Returns a number between 0 and 1.
-    fn part(&mut self) -> f64 {
+    fn next_fraction(&mut self) -> f64 {
         f64::from(u32::try_from(self.next() >> 32).expect("it fits")) / f64::from(u32::MAX)
     }
 
-    /// Returns the time between two events that come so far apart in the mean.
-    fn pause(&mut self, mean: f64) -> u64 {
-        whole(-mean * self.part().max(1e-9).ln())
+    /// Returns an exponentially distributed time with the given mean.
+    fn next_interval(&mut self, mean: f64) -> u64 {
+        to_u64(-mean * self.next_fraction().max(1e-9).ln())
     }
 }
 
 #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "times are small")]
-fn whole(value: f64) -> u64 {
+fn to_u64(value: f64) -> u64 {
     value as u64
 }
 
 #[derive(Debug, Clone)]
 struct Request {
-    since: u64,
-    comes: u32,
-    /// Whether it may be sent to a second upstream.
-    again: bool,
+    arrived_at: u64,
+    /// How many times the caller has sent the request.
+    calls: u32,
+    /// Whether the request may be sent to a second upstream.
+    may_retry: bool,
     tried: Vec<UpstreamId>,
     vm: usize,
-    sent: u64,
+    sent_at: u64,
 }
 
 #[derive(Debug, Default)]
 struct Upstream {
-    working: usize,
-    waiting: VecDeque<u64>,
+    running: usize,
+    queued: VecDeque<u64>,
 }
 
 #[derive(Debug)]
-enum Turn {
-    Arrives,
-    Returns(u64),
-    Answers(usize, u64),
-    Beat(u64),
+enum Event {
+    /// A new request.
+    Arrival,
+    /// The caller of a rejected request sends it again.
+    Retry(u64),
+    /// An upstream, by index, answers a request.
+    Answer(usize, u64),
+    /// The heartbeats of a quarter of the VMs, with the number of the round.
+    Heartbeat(u64),
 }
 
-/// What callers saw, in parts of all requests.
+/// The outcome of the requests: counts, or fractions of all requests.
 #[derive(Debug, Default)]
 struct Seen {
     requests: f64,
     served: f64,
     in_time: f64,
-    /// Tries that upstreams turned away.
+    /// Attempts that upstreams rejected.
     turned_away: f64,
     tries: f64,
 }
 
-/// A fleet before a plain service.
-struct Play {
+/// A simulation of a fleet and a plain service.
+struct Simulation {
     tables: Vec<UpstreamTable>,
     speeds: Vec<f64>,
     upstreams: Vec<Upstream>,
     requests: BTreeMap<u64, Request>,
-    turns: BTreeMap<(u64, u64), Turn>,
-    next: u64,
-    draws: Draws,
-    seen: Seen,
+    /// The scheduled events, by time and number.
+    events: BTreeMap<(u64, u64), Event>,
+    last_number: u64,
+    rng: Rng,
+    counts: Seen,
 }
 
 fn id(n: usize) -> UpstreamId {
@@ -125,71 +132,77 @@
         warm_in: Duration::ZERO,
     };
     let mut table = UpstreamTable::default();
-    let replicas = (0..upstreams).map(entry).collect();
-    table.apply_list(Time::default(), UpstreamList { revision: 1, entries: replicas });
+    let entries = (0..upstreams).map(entry).collect();
+    table.apply_list(Time::default(), UpstreamList { revision: 1, entries });
     table
 }
 
-impl Play {
+impl Simulation {
     fn new(speeds: &[f64], seed: u64) -> Self {
         Self {
             tables: (0..VMS).map(|_| new_table(speeds.len())).collect(),
             speeds: speeds.to_vec(),
             upstreams: speeds.iter().map(|_| Upstream::default()).collect(),
             requests: BTreeMap::new(),
-            turns: BTreeMap::new(),
-            next: 0,
-            draws: Draws(seed),
-            seen: Seen::default(),
+            events: BTreeMap::new(),
+            last_number: 0,
+            rng: Rng(seed),
+            counts: Seen::default(),
         }
     }
 
-    fn at(&mut self, time: u64, turn: Turn) {
-        self.next += 1;
-        self.turns.insert((time, self.next), turn);
+    fn schedule(&mut self, time: u64, event: Event) {
+        self.last_number += 1;
+        self.events.insert((time, self.last_number), event);
     }
 
-    /// Plays callers that ask for so many times what the upstreams can do.
+    /// Runs the simulation with a load given as a multiple of the upstreams' capacity.
     fn run(mut self, load: f64) -> Seen {
-        let able: f64 = self.speeds.iter().map(|speed| 6.0 * speed / WORK_US).sum();
-        let mean = 1.0 / (able * load);
-        self.at(0, Turn::Arrives);
-        self.at(0, Turn::Beat(0));
+        let capacity: f64 = self.speeds.iter().map(|speed| 6.0 * speed / SERVICE_TIME_US).sum();
+        let mean = 1.0 / (capacity * load);
+        self.schedule(0, Event::Arrival);
+        self.schedule(0, Event::Heartbeat(0));
         let end = SECONDS * 1_000_000;
-        while let Some(((now, _), turn)) = self.turns.pop_first() {
-            match turn {
-                Turn::Arrives if now < end => {
-                    let again = self.draws.part() < 0.2;
-                    let request =
-                        Request { since: now, comes: 0, again, tried: vec![], vm: 0, sent: 0 };
-                    self.next += 1;
-                    let number = self.next;
+        while let Some(((now, _), event)) = self.events.pop_first() {
+            match event {
+                Event::Arrival if now < end => {
+                    let may_retry = self.rng.next_fraction() < 0.2;
+                    let request = Request {
+                        arrived_at: now,
+                        calls: 0,
+                        may_retry,
+                        tried: vec![],
+                        vm: 0,
+                        sent_at: 0,
+                    };
+                    self.last_number += 1;
+                    let number = self.last_number;
                     self.requests.insert(number, request);
-                    self.seen.requests += 1.0;
-                    self.comes(now, number);
-                    let pause = self.draws.pause(mean);
-                    self.at(now + pause, Turn::Arrives);
+                    self.counts.requests += 1.0;
+                    self.call(now, number);
+                    let interval = self.rng.next_interval(mean);
+                    self.schedule(now + interval, Event::Arrival);
                 }
-                Turn::Arrives => {}
-                Turn::Returns(number) => self.comes(now, number),
-                Turn::Answers(upstream, number) => self.answers(now, upstream, number),
-                Turn::Beat(turn) => {
+                Event::Arrival => {}
+                Event::Retry(number) => self.call(now, number),
+                Event::Answer(upstream, number) => self.answer(now, upstream, number),
+                Event::Heartbeat(round) => {
                     if now < end {
-                        self.beat(now, turn);
-                        self.at(now + BEAT_US / 4, Turn::Beat(turn + 1));
+                        self.exchange_reports(now, round);
+                        self.schedule(now + HEARTBEAT_INTERVAL_US / 4, Event::Heartbeat(round + 1));
                     }
                 }
             }
         }
-        self.seen
+        self.counts
     }
 
-    /// Lets a caller come to some VM.
-    fn comes(&mut self, now: u64, number: u64) {
-        let vm = usize::try_from(self.draws.next() % 48).expect("few VMs");
+    /// Sends a caller's request to a random VM.
+    fn call(&mut self, now: u64, number: u64) {
+        let vm = usize::try_from(self.rng.next() % 48).expect("few VMs");
         let request = self.requests.get_mut(&number).expect("it is there");
         request.vm = vm;
-        request.comes += 1;
+        request.calls += 1;
         request.tried.clear();
         self.send(now, number);
     }
@@ -197,7 +210,7 @@
     fn send(&mut self, now: u64, number: u64) {
         let time = Time(Duration::from_micros(now));
         let request = self.requests.get_mut(&number).expect("it is there");
-        let wanted = UpstreamCriteria {
+        let criteria = UpstreamCriteria {
             service: &service(),
             route: "call",
             parts: &[],
@@ -206,136 +219,137 @@
             tried: &request.tried,
             resumed_version: None,
             max_connections: 2,
-            random: self.draws.next(),
+            random: self.rng.next(),
             rendezvous_key: None,
         };
         let vm = request.vm;
-        let Some(chosen) = self.tables[vm].choose(time, &wanted) else {
-            return self.refused(now, number);
+        let Some(chosen) = self.tables[vm].choose(time, &criteria) else {
+            return self.refuse(now, number);
         };
         self.tables[vm].start_request(time, &chosen.id, &[]);
         request.tried.push(chosen.id.clone());
-        request.sent = now;
-        self.seen.tries += 1.0;
-        let place = (0..self.speeds.len()).find(|n| id(*n) == chosen.id).expect("it is listed");
-        let upstream = &mut self.upstreams[place];
-        if upstream.working < SLOTS {
-            upstream.working += 1;
-            return self.work(now, place, number);
+        request.sent_at = now;
+        self.counts.tries += 1.0;
+        let index = (0..self.speeds.len()).find(|n| id(*n) == chosen.id).expect("it is listed");
+        let upstream = &mut self.upstreams[index];
+        if upstream.running < SLOTS {
+            upstream.running += 1;
+            return self.execute(now, index, number);
         }
-        if upstream.waiting.len() < QUEUE {
-            return upstream.waiting.push_back(number);
+        if upstream.queued.len() < MAX_QUEUED {
+            return upstream.queued.push_back(number);
         }
-        self.seen.turned_away += 1.0;
+        self.counts.turned_away += 1.0;
         let request = &self.requests[&number];
-        let more = request.again && request.tried.len() < 2;
+        let may_retry = request.may_retry && request.tried.len() < 2;
         self.tables[vm].end_request(time, &chosen.id, AttemptOutcome::Full);
-        let counts = overload::rejection_wait(Duration::from_micros(OBJECTIVE_US));
-        self.tables[vm].record_response_time(time, &chosen.id, counts);
-        if more {
+        let wait = overload::rejection_wait(Duration::from_micros(OBJECTIVE_US));
+        self.tables[vm].record_response_time(time, &chosen.id, wait);
+        if may_retry {
             return self.send(now, number);
         }
-        self.refused(now, number);
+        self.refuse(now, number);
     }
 
-    fn work(&mut self, now: u64, upstream: usize, number: u64) {
-        let part = (self.draws.part() + self.draws.part()).max(0.2);
-        let took = whole(WORK_US / self.speeds[upstream] * part);
-        self.at(now + took, Turn::Answers(upstream, number));
+    fn execute(&mut self, now: u64, upstream: usize, number: u64) {
+        let factor = (self.rng.next_fraction() + self.rng.next_fraction()).max(0.2);
+        let service_time = to_u64(SERVICE_TIME_US / self.speeds[upstream] * factor);
+        self.schedule(now + service_time, Event::Answer(upstream, number));
     }
 
-    fn answers(&mut self, now: u64, place: usize, number: u64) {
+    fn answer(&mut self, now: u64, index: usize, number: u64) {
         let time = Time(Duration::from_micros(now));
         let request = self.requests.remove(&number).expect("it is there");
-        let span = Duration::from_micros(now - request.sent);
-        self.tables[request.vm].record_response_time(time, &id(place), span);
-        self.tables[request.vm].end_request(time, &id(place), AttemptOutcome::Answered);
-        self.seen.served += 1.0;
-        let in_time = now - request.since <= OBJECTIVE_US;
-        self.seen.in_time += f64::from(u8::from(in_time));
-        let next = self.upstreams[place].waiting.pop_front();
+        let response_time = Duration::from_micros(now - request.sent_at);
+        self.tables[request.vm].record_response_time(time, &id(index), response_time);
+        self.tables[request.vm].end_request(time, &id(index), AttemptOutcome::Answered);
+        self.counts.served += 1.0;
+        let in_time = now - request.arrived_at <= OBJECTIVE_US;
+        self.counts.in_time += f64::from(u8::from(in_time));
+        let next = self.upstreams[index].queued.pop_front();
         match next {
-            Some(next) => self.work(now, place, next),
-            None => self.upstreams[place].working -= 1,
+            Some(next) => self.execute(now, index, next),
+            None => self.upstreams[index].running -= 1,
         }
     }
 
-    fn refused(&mut self, now: u64, number: u64) {
+    /// Refuses a request; its caller sends it again later, unless it has given up.
+    fn refuse(&mut self, now: u64, number: u64) {
         let request = &self.requests[&number];
-        let away = overload::retry_delay(self.draws.next());
-        let back = now + whole(away.as_secs_f64() * 1e6);
-        if request.comes < COMES && back < request.since + PATIENCE_US {
-            return self.at(back, Turn::Returns(number));
+        let delay = overload::retry_delay(self.rng.next());
+        let retry_at = now + to_u64(delay.as_secs_f64() * 1e6);
+        if request.calls < MAX_CALLS && retry_at < request.arrived_at + MAX_WAIT_US {
+            return self.schedule(retry_at, Event::Retry(number));
         }
         self.requests.remove(&number);
     }
 
-    /// A quarter of the VMs tell a few others what they know.
-    fn beat(&mut self, now: u64, turn: u64) {
+    /// Sends the delay reports of a quarter of the VMs to a few others.
+    fn exchange_reports(&mut self, now: u64, round: u64) {
         let time = Time(Duration::from_micros(now));
-        let turn = usize::try_from(turn).expect("short");
-        for from in (0..VMS).filter(|vm| vm % 4 == turn % 4) {
-            let notes = self.tables[from].delay_reports(time, turn);
+        let round = usize::try_from(round).expect("short");
+        for from in (0..VMS).filter(|vm| vm % 4 == round % 4) {
+            let reports = self.tables[from].delay_reports(time, round);
             for step in [1, 2, 4, 8, 16, 32] {
-                self.tables[(from + step) % VMS].apply_delay_reports(time, &notes);
+                self.tables[(from + step) % VMS].apply_delay_reports(time, &reports);
             }
         }
     }
 }
 
-/// Plays several seeds and returns what callers saw, each in parts of all requests.
-fn shares(speeds: &[f64], load: f64) -> Seen {
+/// Runs several seeds; returns the outcome in fractions of all requests.
+fn run_seeds(speeds: &[f64], load: f64) -> Seen {
     let mut sum = Seen::default();
     for seed in 1..=6 {
-        let seen = Play::new(speeds, seed * 977).run(load);
+        let seen = Simulation::new(speeds, seed * 977).run(load);
         sum.requests += seen.requests;
         sum.served += seen.served;
         sum.in_time += seen.in_time;
         sum.turned_away += seen.turned_away;
         sum.tries += seen.tries;
     }
-    let of = |count: f64| count / sum.requests;
-    let all = Seen {
+    let fraction = |count: f64| count / sum.requests;
+    let result = Seen {
         requests: 1.0,
-        served: of(sum.served),
-        in_time: of(sum.in_time),
-        turned_away: of(sum.turned_away),
-        tries: of(sum.tries),
+        served: fraction(sum.served),
+        in_time: fraction(sum.in_time),
+        turned_away: fraction(sum.turned_away),
+        tries: fraction(sum.tries),
     };
-    println!("load {load}, speeds {speeds:?}: {all:.3?}");
-    all
+    println!("load {load}, speeds {speeds:?}: {result:.3?}");
+    result
 }
 
-/// Shows that upstreams of an overloaded service stand idle while others turn requests away:
-/// they can do 0.77 of what is asked.
+/// Guards against idle upstreams of an overloaded service while others reject requests. The
+/// upstreams can serve 0.77 of the requests.
 #[test]
 fn upstreams_of_an_overloaded_service_are_kept_busy() {
     for speeds in [&[1.0, 1.0, 1.0][..], &[1.0, 1.0, 0.6], &[1.0]] {
-        let seen = shares(speeds, 1.3);
+        let seen = run_seeds(speeds, 1.3);
         assert!(seen.served > 0.75, "{seen:?}");
     }
 }
 
-/// Shows that a slow upstream gets as much as the others, so that requests wait there which the
-/// others had room for: 0.08 and 0.14 of all came late.
+/// Guards against a slow upstream that gets as many requests as the others. Requests then wait
+/// there while the others have free slots: 0.08 and 0.14 of all answers were late.
 #[test]
-fn a_slow_upstream_gets_less_than_one_that_is_not() {
+fn a_slow_upstream_gets_fewer_requests() {
     for speeds in [&[1.0, 1.0, 0.6][..], &[1.0, 0.6]] {
-        let seen = shares(speeds, 0.9);
+        let seen = run_seeds(speeds, 0.9);
         assert!(seen.in_time > 0.95, "{seen:?}");
         assert!(seen.served > 0.995, "{seen:?}");
     }
 }
 
-/// Shows that callers who were turned away together come back together.
+/// Guards against callers that are rejected together and then retry together.
 #[test]
-fn those_who_were_turned_away_together_come_back_apart() {
-    let mut draws = Draws(7);
+fn callers_rejected_together_retry_at_different_times() {
+    let mut rng = Rng(7);
     let mut tenths = [0; 10];
     for _ in 0..1000 {
-        let after = overload::retry_delay(draws.next()).as_millis();
-        tenths[usize::try_from(after / 100).expect("short")] += 1;
+        let delay = overload::retry_delay(rng.next()).as_millis();
+        tenths[usize::try_from(delay / 100).expect("short")] += 1;
     }
     assert!(tenths.iter().all(|count| *count < 250), "{tenths:?}");
-    assert!(tenths[0] + tenths[1] == 0, "nobody is called back at once: {tenths:?}");
+    assert!(tenths[0] + tenths[1] == 0, "no caller retries at once: {tenths:?}");
 }
--- a/crates/badgerfield-core/tests/routing.rs
+++ b/crates/badgerfield-core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routes: the longest prefix of the host wins, weights split, keys come and go.
+//! The lookup of routes and keys, and the distribution of routes with the templates.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -62,7 +62,7 @@
     }
 }
 
-fn name_of(table: &RouteTable, host: &str, path: &str) -> Option<String> {
+fn route_name(table: &RouteTable, host: &str, path: &str) -> Option<String> {
     table.route(host, path).map(|route| route.name.clone())
 }
 
@@ -75,27 +75,27 @@
         route("other", "b.example", "/x/", &[("viewer", 1)]),
     ];
     let table = RouteTable::new(&set(1, routes, &[]));
-    assert_eq!(name_of(&table, "a.example", "/x/y/z").as_deref(), Some("deep"));
-    assert_eq!(name_of(&table, "a.example", "/x/yy").as_deref(), Some("mid"));
-    assert_eq!(name_of(&table, "a.example", "/q").as_deref(), Some("all"));
-    assert_eq!(name_of(&table, "A.Example:80", "/x/").as_deref(), Some("mid"));
-    assert_eq!(name_of(&table, "b.example", "/"), None);
-    assert_eq!(name_of(&table, "c.example", "/x/"), None);
+    assert_eq!(route_name(&table, "a.example", "/x/y/z").as_deref(), Some("deep"));
+    assert_eq!(route_name(&table, "a.example", "/x/yy").as_deref(), Some("mid"));
+    assert_eq!(route_name(&table, "a.example", "/q").as_deref(), Some("all"));
+    assert_eq!(route_name(&table, "A.Example:80", "/x/").as_deref(), Some("mid"));
+    assert_eq!(route_name(&table, "b.example", "/"), None);
+    assert_eq!(route_name(&table, "c.example", "/x/"), None);
 }
 
 #[test]
 fn weights_split_requests_between_services() {
     let route = route("r", "a.example", "/", &[("one", 90), ("two", 10), ("none", 0)]);
     let mut counts = BTreeMap::new();
-    for draw in 0..1000 {
-        let service = route.choose_service(draw).expect("there are services");
+    for random in 0..1000 {
+        let service = route.choose_service(random).expect("there are services");
         *counts.entry(service.to_string()).or_insert(0) += 1;
     }
     assert_eq!(counts, BTreeMap::from([("one".to_owned(), 900), ("two".to_owned(), 100)]));
 }
 
 #[test]
-fn keys_are_known_until_they_are_taken_away() {
+fn keys_are_valid_until_they_are_removed() {
     let table = RouteTable::new(&set(1, Vec::new(), &["first", "second"]));
     let caller = table.caller(&KeyDigest::from_secret("first")).expect("the key is known");
     assert_eq!(caller.account.as_str(), "tenant");
@@ -106,15 +106,15 @@
 }
 
 #[test]
-fn routes_travel_with_the_templates() {
+fn routes_are_distributed_with_the_templates() {
     let old = set(1, vec![route("old", "a.example", "/", &[("viewer", 1)])], &["key"]);
     let new = set(2, vec![route("new", "a.example", "/", &[("viewer", 1)])], &["key"]);
-    let decoded = TemplateSet::decode(&new.encode()).expect("it was just encoded");
+    let decoded = TemplateSet::decode(&new.encode()).expect("the value was encoded from a set");
     assert_eq!(decoded, new);
     let mut behind = old.clone();
     assert!(behind.apply_delta(new.delta_since(TemplateVersion(1))));
     assert_eq!(behind.routing, new.routing);
-    // A peer that is behind takes nothing back.
+    // A delta from a peer with an older version is refused.
     assert!(!behind.apply_delta(old.delta_since(TemplateVersion(0))));
     assert_eq!(behind.version, TemplateVersion(2));
 }
--- a/crates/badgerfield-core/tests/templates.rs
+++ b/crates/badgerfield-core/tests/templates.rs
@@ -1,4 +1,5 @@
-//! Templates: refused whole with every fault, and never a step back.
+//! Validation and distribution of templates: an invalid set is refused as a whole, with all of its
+//! errors, and no process returns to an older version.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -40,33 +41,33 @@
     set
 }
 
-fn next(old: &TemplateSet, wanted: TemplateSet) -> Result<TemplateSet, Vec<TemplateFault>> {
+fn next_set(old: &TemplateSet, wanted: TemplateSet) -> Result<TemplateSet, Vec<TemplateFault>> {
     old.replace(wanted, author(), 0, "mark".into())
 }
 
 #[test]
-fn lists_every_fault_and_changes_nothing() {
-    let first = next(&TemplateSet::default(), set()).expect("the set has no fault");
-    let mut bad = set();
-    let account = bad.accounts.values_mut().next().expect("there is one");
+fn an_invalid_set_is_refused_with_all_errors() {
+    let first = next_set(&TemplateSet::default(), set()).expect("the set is valid");
+    let mut invalid = set();
+    let account = invalid.accounts.values_mut().next().expect("there is one");
     account.priority = 0;
     account.output_limit = Tokens::ZERO;
-    let budget = bad.budgets.values_mut().next().expect("there is one");
+    let budget = invalid.budgets.values_mut().next().expect("there is one");
     budget.period = Period(1);
     let copy = budget.clone();
-    bad.budgets.insert("c/d".parse().expect("the name is valid"), copy);
-    let faults = next(&first, bad).expect_err("the set has faults");
+    invalid.budgets.insert("c/d".parse().expect("the name is valid"), copy);
+    let faults = next_set(&first, invalid).expect_err("the set is invalid");
     assert_eq!(faults.len(), 5, "{faults:?}");
     assert_matches!(faults[0], TemplateFault::PeriodDecreased { .. });
     assert_eq!(first.version, TemplateVersion(1));
 }
 
 #[test]
-fn only_what_changed_gets_a_new_version() {
-    let first = next(&TemplateSet::default(), set()).expect("the set has no fault");
+fn only_changed_templates_get_a_new_version() {
+    let first = next_set(&TemplateSet::default(), set()).expect("the set is valid");
     let mut wanted = set();
     wanted.budgets.values_mut().next().expect("there is one").limit = Tokens(20);
-    let second = next(&first, wanted).expect("the set has no fault");
+    let second = next_set(&first, wanted).expect("the set is valid");
     let account = second.accounts.values().next().expect("there is one");
     let budget = second.budgets.values().next().expect("there is one");
     assert_eq!((account.changed, budget.changed), (TemplateVersion(1), TemplateVersion(2)));
@@ -75,22 +76,22 @@
 }
 
 #[test]
-fn differences_lead_forward_and_never_back() {
-    let first = next(&TemplateSet::default(), set()).expect("the set has no fault");
+fn deltas_never_lead_to_an_older_version() {
+    let first = next_set(&TemplateSet::default(), set()).expect("the set is valid");
     let mut wanted = set();
     wanted.budgets.values_mut().next().expect("there is one").limit = Tokens(20);
-    let second = next(&first, wanted).expect("the set has no fault");
+    let second = next_set(&first, wanted).expect("the set is valid");
     let mut behind = first.clone();
     assert!(behind.apply_delta(second.delta_since(first.version)));
     assert_eq!(behind.version, second.version);
     assert_eq!(behind.budgets, second.budgets);
-    // An older difference, or one that starts ahead of what is here, is not taken.
+    // A delta to an older version, or based on a version that the set does not have, is refused.
     assert!(!behind.apply_delta(first.delta_since(TemplateVersion(0))));
     let mut empty = TemplateSet::default();
     assert!(!empty.apply_delta(second.delta_since(first.version)));
-    // A removal shows in the counts, so that the whole set is asked for.
+    // A removal shows in the counts, and the process then requests the whole set.
     let mut fewer = second.clone();
     fewer.budgets.clear();
-    let third = next(&second, fewer).expect("the set has no fault");
+    let third = next_set(&second, fewer).expect("the set is valid");
     assert!(!behind.apply_delta(third.delta_since(second.version)));
 }
--- a/crates/badgerfield-core/tests/warm_up.rs
+++ b/crates/badgerfield-core/tests/warm_up.rs
@@ -1,4 +1,4 @@
-//! What cold upstreams get: from each process, and from all of a fleet together.
+//! The requests to cold upstreams: from each process and from the whole fleet.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,7 +15,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// A bound such as that of the users' sheets: 9.9 * 1.5 + 5 = 19.85 requests a second.
+/// A bound as in the published data of the engines' hardware: 9.9 * 1.5 + 5 = 19.85 requests a
+/// second.
 const BOUND: WarmUpBound = WarmUpBound { overshoot: 1.5, extra_requests: 5.0 };
 const SENDERS: usize = 3;
 
@@ -49,26 +50,26 @@
     format!("vm-{n}").parse().expect("the name is valid")
 }
 
-/// Returns the table of one of several VMs.
-fn table(me: usize, vms: usize, replicas: Vec<UpstreamEntry>) -> UpstreamTable {
+/// Returns the table of VM `me` in a view of the first `vms` VMs.
+fn table(me: usize, vms: usize, entries: Vec<UpstreamEntry>) -> UpstreamTable {
     let mut table = UpstreamTable::default();
     table.set_warm_up_bound(Some(BOUND), SENDERS);
     table.set_warm_ups(BTreeMap::from([(service(), warm_up())]));
-    view(&mut table, at(0), me, vms);
-    table.apply_list(at(0), UpstreamList { revision: 1, entries: replicas });
+    set_view(&mut table, at(0), me, vms);
+    table.apply_list(at(0), UpstreamList { revision: 1, entries });
     table
 }
 
-/// Lets a table know a view of the first so many VMs.
-fn view(table: &mut UpstreamTable, now: Time, me: usize, vms: usize) {
+/// Sets a table's senders to those of a view of the first `vms` VMs.
+fn set_view(table: &mut UpstreamTable, now: Time, me: usize, vms: usize) {
     let members: Vec<_> = (0..vms).map(vm).collect();
     table.set_senders(now, Senders::new(&vm(me), &members));
 }
 
-/// Sends a request, if the table has an upstream for it.
-fn send(table: &mut UpstreamTable, now: Time, draw: u64) -> Option<UpstreamId> {
+/// Sends a request if the table has an available upstream for it.
+fn send(table: &mut UpstreamTable, now: Time, random: u64) -> Option<UpstreamId> {
     let service = service();
-    let wanted = UpstreamCriteria {
+    let criteria = UpstreamCriteria {
         service: &service,
         route: "r",
         parts: &[],
@@ -77,16 +78,16 @@
         tried: &[],
         resumed_version: None,
         max_connections: 100,
-        random: draw,
+        random,
         rendezvous_key: None,
     };
-    let id = table.choose(now, &wanted)?.id;
+    let id = table.choose(now, &criteria)?.id;
     table.start_request(now, &id, &[]);
     Some(id)
 }
 
-/// Returns the most that was sent in any second.
-fn most_in_a_second(sent: &[u64]) -> usize {
+/// Returns the largest number of requests in any second, from their times in milliseconds.
+fn max_per_second(sent: &[u64]) -> usize {
     let mut sent = sent.to_vec();
     sent.sort_unstable();
     let within =
@@ -94,8 +95,9 @@
     sent.iter().enumerate().map(within).max().unwrap_or(0)
 }
 
+/// During a view change, the senders of two views may send.
 #[test]
-fn the_parts_of_two_views_fit_into_the_bound() {
+fn shares_of_two_views_stay_within_the_bound() {
     for rate in [0.5, 2.0, 9.9, 100.0] {
         let warm_up = WarmUp { interval: Duration::from_secs_f64(1.0 / rate), ..warm_up() };
         for senders in 1..10_u32 {
@@ -103,17 +105,18 @@
             let Some(share) = SenderShare::of(&warm_up, &BOUND, count) else {
                 continue;
             };
-            let all = 2.0 * f64::from(senders) * (1.0 + share.rate);
-            assert!(all <= BOUND.max_rate(&warm_up) + 1e-6, "{rate} {senders}: {all}");
+            let total = 2.0 * f64::from(senders) * (1.0 + share.rate);
+            assert!(total <= BOUND.max_rate(&warm_up) + 1e-6, "{rate} {senders}: {total}");
             assert!(share.rate * f64::from(senders) <= rate + 1e-6);
         }
     }
     assert_eq!(SenderShare::of(&warm_up(), &BOUND, 0), None);
 }
 
+/// Observed in FAILBACK: after the restore of a failure domain, its cold upstreams received as
+/// many requests as warm ones.
 #[test]
-fn a_cold_upstream_gets_little_from_a_fleet_that_wants_to_send_much() {
-    // Seen as FAILBACK: those that came back were loaded like warm ones.
+fn a_cold_upstream_gets_few_requests_under_high_load() {
     for vms in [1, 3, 6, 87] {
         let entries = || vec![entry(1, 1, 3000), entry(2, 1, 0)];
         let mut fleet: Vec<_> = (0..vms).map(|me| table(me, vms, entries())).collect();
@@ -124,41 +127,44 @@
             let chosen = send(table, at(millis), rng.random());
             sent.extend(chosen.filter(|id| id.as_str() == "u-1").map(|_| millis));
         }
-        let most = most_in_a_second(&sent);
-        assert!(most <= 10, "{vms} VMs: {most} in a second");
+        let max = max_per_second(&sent);
+        assert!(max <= 10, "{vms} VMs: {max} in a second");
         assert!(!sent.is_empty(), "{vms} VMs: nothing was sent");
     }
 }
 
+/// VMs receive a view at different times, so the senders of an old view may send together with
+/// those of a new one.
 #[test]
-fn the_bound_holds_while_the_view_changes_all_the_time() {
+fn the_bound_holds_during_constant_view_changes() {
     let vms = 40;
     for seed in 0..20 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let entries = || vec![entry(1, 1, 60_000)];
         let mut fleet: Vec<_> = (0..vms).map(|me| table(me, vms, entries())).collect();
-        // Views come a second apart and reach each VM up to 0.9 s late.
-        let mut news: Vec<(u64, usize, usize)> = Vec::new();
-        for turn in 1..10 {
+        // There is a new view every second, and it reaches each VM up to 0.9 s late.
+        let mut views: Vec<(u64, usize, usize)> = Vec::new();
+        for second in 1..10 {
             let members = rng.random_range(2..=vms);
-            news.extend((0..vms).map(|me| (turn * 1000 + rng.random_range(0..900), me, members)));
+            views
+                .extend((0..vms).map(|me| (second * 1000 + rng.random_range(0..900), me, members)));
         }
         let mut sent = Vec::new();
         for millis in 0..10_000 {
-            for (_, me, members) in news.iter().filter(|(when, ..)| *when == millis) {
-                view(&mut fleet[*me], at(millis), *me, *members);
+            for (_, me, members) in views.iter().filter(|(when, ..)| *when == millis) {
+                set_view(&mut fleet[*me], at(millis), *me, *members);
             }
             for table in &mut fleet {
                 sent.extend(send(table, at(millis), millis).map(|_| millis));
             }
         }
-        let most = most_in_a_second(&sent);
-        assert!(most <= 19, "seed {seed}: {most} in a second");
+        let max = max_per_second(&sent);
+        assert!(max <= 19, "seed {seed}: {max} in a second");
     }
 }
 
 #[test]
-fn who_is_in_no_view_leaves_cold_upstreams_alone() {
+fn a_process_outside_the_view_sends_nothing_to_cold_upstreams() {
     let mut table = table(0, 3, vec![entry(1, 1, 3000)]);
     table.set_senders(at(0), Senders::default());
     assert_eq!(send(&mut table, at(1000), 1), None);
@@ -167,7 +173,7 @@
 }
 
 #[test]
-fn an_upstream_may_turn_cold_and_warm_at_any_moment() {
+fn an_upstream_may_become_cold_or_warm_at_any_time() {
     let mut table = table(0, 1, vec![entry(1, 1, 0)]);
     assert!(send(&mut table, at(0), 1).is_some());
     let change = |revision, warm_in| UpstreamListChanges {
@@ -175,34 +181,31 @@
         written: vec![entry(1, revision, warm_in)],
         gone: Vec::new(),
     };
-    assert_eq!(table.apply_changes(at(100), change(2, 2000)).len(), 1, "turning cold is news");
+    assert_eq!(table.apply_changes(at(100), change(2, 2000)).len(), 1, "becoming cold is a change");
     assert_eq!(send(&mut table, at(100), 1), None);
     assert_eq!(
         table.apply_changes(at(1300), change(3, 800)),
         Vec::new(),
-        "that it still is, is none"
+        "staying cold is no change"
     );
-    // The same entry read once more does not make it cold for longer.
+    // Reading the same entry again does not extend the cold phase.
     table.apply_list(at(2000), UpstreamList { revision: 4, entries: vec![entry(1, 3, 800)] });
     assert_eq!(table.time_until_warm(at(2000), &service()), Some(Duration::from_millis(100)));
-    assert_eq!(
-        table.apply_changes(at(2050), change(5, 0)).len(),
-        1,
-        "that it is warm again is news"
-    );
+    assert_eq!(table.apply_changes(at(2050), change(5, 0)).len(), 1, "becoming warm is a change");
     assert!(send(&mut table, at(2050), 1).is_some());
     assert!(send(&mut table, at(2051), 1).is_some());
 }
 
+/// The cold phase must end at the same time at all processes, however late the update arrives.
 #[test]
-fn others_learn_how_long_an_upstream_stays_cold() {
-    let mut here = table(0, 87, vec![entry(1, 1, 0)]);
-    let mut there = table(1, 87, vec![entry(1, 1, 0)]);
+fn updates_contain_the_remaining_cold_time() {
+    let mut sender = table(0, 87, vec![entry(1, 1, 0)]);
+    let mut receiver = table(1, 87, vec![entry(1, 1, 0)]);
     let written = vec![entry(1, 2, 3000)];
-    let news =
-        here.apply_changes(at(0), UpstreamListChanges { revision: 2, written, gone: Vec::new() });
-    there.apply_changes(at(700), here.changes_of(at(700), &news));
-    assert_eq!(there.time_until_warm(at(700), &service()), Some(Duration::from_millis(2300)));
+    let changed =
+        sender.apply_changes(at(0), UpstreamListChanges { revision: 2, written, gone: Vec::new() });
+    receiver.apply_changes(at(700), sender.changes_of(at(700), &changed));
+    assert_eq!(receiver.time_until_warm(at(700), &service()), Some(Duration::from_millis(2300)));
 }
 
 fn evacuation(domain: u32, revision: u64, evacuated: bool) -> DomainChange {
@@ -211,55 +214,64 @@
 }
 
 #[test]
-fn an_evacuated_domain_gets_nothing_and_comes_back_slowly() {
+fn an_evacuated_domain_gets_no_requests_and_few_after_the_restore() {
     let mut table = table(0, 1, (0..6).map(|n| entry(n, 1, 0)).collect());
-    let concerned = table.apply_evacuations(at(0), &[evacuation(1, 9, true)]);
-    assert_eq!(concerned.len(), 2);
-    for draw in 0..300 {
-        let id = send(&mut table, at(10), draw).expect("others serve");
-        assert!(!concerned.contains(&id), "{id} was sent to");
+    let affected = table.apply_evacuations(at(0), &[evacuation(1, 9, true)]);
+    assert_eq!(affected.len(), 2);
+    for random in 0..300 {
+        let id = send(&mut table, at(10), random).expect("others serve");
+        assert!(!affected.contains(&id), "{id} received a request");
         table.end_request(at(10), &id, badgerfield_core::upstream_table::AttemptOutcome::Answered);
     }
-    // One that starts there meanwhile gets nothing either.
+    // An upstream that starts in the domain meanwhile receives no requests either.
     let written = vec![entry(7, 10, 0)];
     table.apply_changes(at(20), UpstreamListChanges { revision: 10, written, gone: Vec::new() });
     assert_eq!(table.restricted_counts(at(20)), (3, 0));
     table.apply_evacuations(at(100), &[evacuation(1, 12, false)]);
-    assert_eq!(table.restricted_counts(at(100)), (0, 3), "they count as cold");
-    let mut back = 0;
-    for draw in 0..300 {
-        let id = send(&mut table, at(101 + draw * 5), draw * 7919).expect("others serve");
-        back += usize::from(["u-1", "u-4", "u-7"].contains(&id.as_str()));
+    assert_eq!(table.restricted_counts(at(100)), (0, 3), "the restored upstreams count as cold");
+    let mut restored_count = 0;
+    for random in 0..300 {
+        let id = send(&mut table, at(101 + random * 5), random * 7919).expect("others serve");
+        restored_count += usize::from(["u-1", "u-4", "u-7"].contains(&id.as_str()));
     }
-    assert!((3..=12).contains(&back), "{back} of 300 requests went to cold upstreams");
+    assert!(
+        (3..=12).contains(&restored_count),
+        "{restored_count} of 300 requests went to cold upstreams"
+    );
 }
 
 #[test]
-fn all_domains_evacuated_leave_nobody() {
+fn no_upstream_is_available_with_all_domains_evacuated() {
     let mut table = table(0, 1, (0..6).map(|n| entry(n, 1, 0)).collect());
     let all: Vec<_> = (0..3).map(|n| evacuation(n, 9, true)).collect();
     table.apply_evacuations(at(0), &all);
     assert_eq!(send(&mut table, at(10), 1), None);
-    assert_eq!(table.time_until_warm(at(10), &service()), None, "nobody knows when");
+    assert_eq!(
+        table.time_until_warm(at(10), &service()),
+        None,
+        "the time of the restore is unknown"
+    );
 }
 
 #[test]
-fn nothing_is_spared_where_the_platform_sets_no_bound() {
+fn cold_upstreams_are_not_limited_without_a_bound() {
     let mut table = table(0, 87, vec![entry(1, 1, 3000)]);
     table.set_warm_up_bound(None, SENDERS);
     assert!(send(&mut table, at(0), 1).is_some());
     assert!(send(&mut table, at(1), 1).is_some());
 }
 
+/// A new sender that sends at once may send together with senders that have not yet received
+/// the view.
 #[test]
-fn who_becomes_a_sender_waits_until_the_former_ones_have_learned_of_it() {
+fn a_new_sender_waits_until_former_senders_have_received_the_view() {
     let cold = || vec![entry(1, 1, 60_000)];
     let is_sender = |me: &usize| send(&mut table(*me, 40, cold()), at(5_000), 1).is_some();
-    let other = (0..40).find(|me| !is_sender(me)).expect("most are no senders");
-    let mut table = table(other, 40, cold());
-    // The next view has this VM alone.
-    let alone = [vm(other)];
-    table.set_senders(at(10_000), Senders::new(&vm(other), &alone));
+    let new_sender = (0..40).find(|me| !is_sender(me)).expect("most VMs are no senders");
+    let mut table = table(new_sender, 40, cold());
+    // The next view contains only this VM.
+    let members = [vm(new_sender)];
+    table.set_senders(at(10_000), Senders::new(&vm(new_sender), &members));
     let first = (10_000..13_000).find(|millis| send(&mut table, at(*millis), 1).is_some());
     let waited = first.expect("it is a sender now") - 10_000;
     assert!(waited >= 1_300, "it sent after {waited} ms");
