--- a/crates/badgerfield-core/src/template.rs
+++ b/crates/badgerfield-core/src/template.rs
@@ -161,7 +161,7 @@
 
 /// An error in a set of templates.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum TemplateFault {
+pub enum TemplateError {
     /// The account of a budget has no template.
     #[error("budget {0}: no template for its account; add [account {1}]")]
     NoAccount(BudgetId, String),
@@ -201,27 +201,27 @@
 impl TemplateSet {
     /// Returns all errors in the set.
     #[must_use]
-    pub fn faults(&self) -> Vec<TemplateFault> {
-        let mut faults = Vec::new();
+    pub fn faults(&self) -> Vec<TemplateError> {
+        let mut errors = Vec::new();
         for (id, account) in &self.accounts {
-            account.faults(id, &mut faults);
+            account.collect_errors(id, &mut errors);
         }
         let mut owners = BTreeMap::new();
         for (id, budget) in &self.budgets {
             if self.account_of(id).is_none() {
                 let account = account_name(id).to_owned();
-                faults.push(TemplateFault::NoAccount(id.clone(), account));
+                errors.push(TemplateError::NoAccount(id.clone(), account));
             }
             if budget.limit > Tokens::MAX {
-                faults.push(TemplateFault::Limit(id.clone(), budget.limit));
+                errors.push(TemplateError::Limit(id.clone(), budget.limit));
             }
             for key in &budget.keys {
                 if let Some(other) = owners.insert(*key, id) {
-                    faults.push(TemplateFault::SharedKey(id.clone(), other.clone()));
+                    errors.push(TemplateError::SharedKey(id.clone(), other.clone()));
                 }
             }
         }
-        faults
+        errors
     }
 
     /// Returns the template of the account that owns a budget.
@@ -244,7 +244,7 @@
         author: Author,
         at: u64,
         mark: String,
-    ) -> Result<Self, Vec<TemplateFault>> {
+    ) -> Result<Self, Vec<TemplateError>> {
         let version = self.version.next();
         let mut diff = Vec::new();
         for (id, account) in &mut wanted.accounts {
@@ -259,7 +259,7 @@
                 diff.push(format!("account {id} changed"));
             }
         }
-        let mut faults = Vec::new();
+        let mut errors = Vec::new();
         for (id, budget) in &mut wanted.budgets {
             budget.changed = version;
             let Some(old) = self.budgets.get(id) else {
@@ -269,7 +269,7 @@
             if budget.period < old.period {
                 let (least, found) = (old.period, budget.period);
                 let id = id.clone();
-                faults.push(TemplateFault::PeriodDecreased { id, least, found });
+                errors.push(TemplateError::PeriodDecreased { id, least, found });
                 continue;
             }
             budget.changed = old.changed;
@@ -288,9 +288,9 @@
                 diff.push(format!("budget {id} removed"));
             }
         }
-        faults.extend(wanted.faults());
-        if !faults.is_empty() {
-            return Err(faults);
+        errors.extend(wanted.faults());
+        if !errors.is_empty() {
+            return Err(errors);
         }
         wanted.version = version;
         wanted.history.clone_from(&self.history);
@@ -299,7 +299,7 @@
         wanted.history.drain(..excess);
         let size = wanted.encode().len();
         if size > MAX_ENCODED_BYTES {
-            return Err(vec![TemplateFault::TooLarge(size)]);
+            return Err(vec![TemplateError::TooLarge(size)]);
         }
         Ok(wanted)
     }
@@ -334,9 +334,9 @@
     /// Returns an error if the value is not JSON of the expected form or the set has an error.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let set: Self = serde_json::from_slice(bytes)?;
-        let faults = set.faults();
-        if let Some(fault) = faults.into_iter().next() {
-            return Err(DecodeError::Faulty(Box::new(fault)));
+        let errors = set.faults();
+        if let Some(error) = errors.into_iter().next() {
+            return Err(DecodeError::Faulty(Box::new(error)));
         }
         Ok(set)
     }
@@ -395,18 +395,18 @@
 }
 
 impl AccountTemplate {
-    fn faults(&self, id: &Account, faults: &mut Vec<TemplateFault>) {
+    fn collect_errors(&self, id: &Account, errors: &mut Vec<TemplateError>) {
         if self.priority == 0 || self.priority > MAX_PRIORITY {
-            faults.push(TemplateFault::Priority(id.clone(), self.priority));
+            errors.push(TemplateError::Priority(id.clone(), self.priority));
         }
         if self.output_limit.is_zero() || self.output_limit > MAX_OUTPUT_TOKENS {
-            faults.push(TemplateFault::OutputLimit(id.clone(), self.output_limit));
+            errors.push(TemplateError::OutputLimit(id.clone(), self.output_limit));
         }
         if self.queue_wait > MAX_QUEUE_WAIT {
-            faults.push(TemplateFault::QueueWait(id.clone(), self.queue_wait));
+            errors.push(TemplateError::QueueWait(id.clone(), self.queue_wait));
         }
         if self.models.is_empty() && self.services.is_empty() {
-            faults.push(TemplateFault::NothingAllowed(id.clone()));
+            errors.push(TemplateError::NothingAllowed(id.clone()));
         }
     }
 }
@@ -440,8 +440,8 @@
     #[error("expected a set of templates in JSON: {0}")]
     NotJson(#[from] serde_json::Error),
     /// The set has an error.
-    #[error("the set of templates is faulty: {0}")]
-    Faulty(Box<TemplateFault>),
+    #[error("invalid set of templates: {0}")]
+    Faulty(Box<TemplateError>),
 }
 
 /// Returns a delta that contains all routes and services, and so applies to any older routing.
--- a/crates/badgerfield-core/tests/templates.rs
+++ b/crates/badgerfield-core/tests/templates.rs
@@ -9,7 +9,7 @@
 use badgerfield_core::ids::{Author, Period, TemplateVersion};
 use badgerfield_core::residency::Residency;
 use badgerfield_core::template::{
-    AccountTemplate, BudgetTemplate, KeyDigest, TemplateFault, TemplateSet,
+    AccountTemplate, BudgetTemplate, KeyDigest, TemplateError, TemplateSet,
 };
 
 fn author() -> Author {
@@ -41,7 +41,7 @@
     set
 }
 
-fn next_set(old: &TemplateSet, wanted: TemplateSet) -> Result<TemplateSet, Vec<TemplateFault>> {
+fn next_set(old: &TemplateSet, wanted: TemplateSet) -> Result<TemplateSet, Vec<TemplateError>> {
     old.replace(wanted, author(), 0, "mark".into())
 }
 
@@ -56,9 +56,9 @@
     budget.period = Period(1);
     let copy = budget.clone();
     invalid.budgets.insert("c/d".parse().expect("the name is valid"), copy);
-    let faults = next_set(&first, invalid).expect_err("the set is invalid");
-    assert_eq!(faults.len(), 5, "{faults:?}");
-    assert_matches!(faults[0], TemplateFault::PeriodDecreased { .. });
+    let errors = next_set(&first, invalid).expect_err("the set is invalid");
+    assert_eq!(errors.len(), 5, "{errors:?}");
+    assert_matches!(errors[0], TemplateError::PeriodDecreased { .. });
     assert_eq!(first.version, TemplateVersion(1));
 }
 
