--- a/crates/badgerfield-core/src/queueing_delay.rs
+++ b/crates/badgerfield-core/src/queueing_delay.rs
@@ -28,9 +28,9 @@
 /// The tolerated delay as a multiple of the median delay of the service's upstreams. Where all
 /// upstreams are overloaded, none is avoided.
 const TOLERATED_RATIO: f64 = 4.0;
-/// The least delay of an engine that is reported to other processes, in milliseconds.
+/// The minimum delay of an engine that is reported to other processes, in milliseconds.
 const MIN_REPORTED_MS: f64 = 400.0;
-/// The least delay of an upstream of a plain service that is reported, in milliseconds. The
+/// The minimum delay of an upstream of a plain service that is reported, in milliseconds. The
 /// objectives of plain services are 300 ms and more, and delays begin to matter at half of that
 /// ([`crate::overload`]).
 const MIN_REPORTED_PLAIN_MS: f64 = 100.0;
--- a/crates/badgerfield-core/src/request_mix.rs
+++ b/crates/badgerfield-core/src/request_mix.rs
@@ -20,7 +20,7 @@
 const DECAY_SECS: f64 = 15.0;
 /// The number of recent requests that each group needs before engines are divided.
 const MIN_GROUP_REQUESTS: f64 = 6.0;
-/// The least ratio between the prompt lengths of two routes that separates long from short
+/// The minimum ratio between the prompt lengths of two routes that separates long from short
 /// prompts. The prompts of a single route may differ by a factor of 2.
 const MIN_GAP_RATIO: f64 = 2.5;
 /// The fraction of an engine's time that may go into reading prompts. Beyond it, requests wait
@@ -36,11 +36,11 @@
 const OWN_WEIGHT: f64 = 0.08;
 /// How long the demand received from a peer counts, since some heartbeats may be lost.
 const PEER_DEMAND_TTL: Duration = Duration::from_secs(3);
-/// The least change of a group's share of the engines that is logged.
+/// The minimum change of a group's share of the engines that is logged.
 const MIN_REPORTED_CHANGE: f64 = 0.03;
 /// The assumed duration of an answer before the first has ended, in milliseconds.
 const DEFAULT_ANSWER_MS: f64 = 1000.0;
-/// The least share of the engines that a group gets, since a few engines may fail.
+/// The minimum share of the engines that a group gets, since a few engines may fail.
 const MIN_SHARE: f64 = 0.15;
 /// The assumed time to read a prompt token before enough prompts were observed, in
 /// milliseconds. The published data of the engines' hardware gives 0.018 to 0.031.
@@ -56,10 +56,10 @@
 /// waits are caused by faults.
 const MAX_READ_WAIT_MS: f64 = 3000.0;
 
-/// The size of a prompt, as given in the request's header.
+/// The size of a prompt, as given by the header fields of the request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PromptSize {
-    /// The number of tokens of the to_u32 prompt.
+    /// The number of tokens of the whole prompt.
     pub total_tokens: u64,
     /// The number of tokens that the prompt shares with no other request.
     pub unshared_tokens: u64,
@@ -98,14 +98,14 @@
     pub short: u32,
     /// The demand of long prompts, in thousandths of an engine.
     pub long: u32,
-    /// The least length of a long prompt, in tokens; 0 if unknown.
+    /// The minimum length of a long prompt, in tokens; 0 if unknown.
     pub long_threshold: u32,
 }
 
 /// A division of the engines of a service between short and long prompts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineDivision {
-    /// The least length of a long prompt, in tokens.
+    /// The minimum length of a long prompt, in tokens.
     pub long_threshold: f64,
     /// The fraction of the engines that serves short prompts, from 0 to 1.
     pub short_share: f64,
@@ -318,8 +318,8 @@
         }
     }
 
-    /// Returns the prompt length in the middle of the widest gap between routes, in tokens;
-    /// `None` if no gap is wide enough or a side of it has too few requests.
+    /// Returns the geometric mean of the prompt lengths on both sides of the widest gap between
+    /// routes, in tokens; `None` if no gap is wide enough or a side of it has too few requests.
     fn find_threshold(&self, now: Time) -> Option<f64> {
         let mut routes: Vec<_> = self.routes.values().collect();
         routes.sort_by(|a, b| a.prompt_tokens.value.total_cmp(&b.prompt_tokens.value));
@@ -388,7 +388,7 @@
         let average = |field: fn(&EngineDemand) -> u32| {
             to_u32(f64::from(field(&own)) * OWN_WEIGHT + mean(field) * (1.0 - OWN_WEIGHT))
         };
-        // Only processes that know a threshold count for its mean.
+        // Processes without a threshold do not count for its mean.
         let thresholds = others.iter().chain([&own]).map(|d| d.long_threshold).filter(|t| *t > 0);
         let (sum, count) = thresholds.fold((0.0, 0.0), |(s, c), t| (s + f64::from(t), c + 1.0));
         let long_threshold = if count > 0.0 { to_u32(sum / count) } else { 0 };
--- a/crates/badgerfield-core/src/vm_upstreams.rs
+++ b/crates/badgerfield-core/src/vm_upstreams.rs
@@ -51,7 +51,7 @@
 /// A model engine as described in the VM list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineInfo {
-    /// The model that the engine can_serve.
+    /// The model that the engine serves.
     pub model: Model,
     /// The adapters that are loaded.
     #[serde(default)]
@@ -318,13 +318,14 @@
             }
             let mut cost = upstream.estimate_ttft(now, criteria.work, prefix_match.as_ref());
             if upstream.running() >= upstream.info.slots {
-                shortest_wait = Some(shortest_wait.map_or(cost, |least: f64| least.min(cost)));
+                shortest_wait =
+                    Some(shortest_wait.map_or(cost, |shortest: f64| shortest.min(cost)));
                 continue;
             }
             let is_remote = &upstream.info.region != criteria.region;
             cost *= if is_remote { 1.5 } else { 1.0 };
             cost *= jitter_factor(criteria.seed, id);
-            if best.is_none_or(|(least, _)| cost < least) {
+            if best.is_none_or(|(lowest, _)| cost < lowest) {
                 best = Some((cost, id));
             }
         }
@@ -429,14 +430,14 @@
     }
 }
 
-/// Evicts the older half of the prefixes if `more` new ones would exceed [`MAX_PREFIXES`].
-fn evict_oldest(prefixes: &mut HashMap<u64, Time>, more: usize) {
-    if prefixes.len() + more <= MAX_PREFIXES {
+/// Evicts the older half of the prefixes if `added` new ones would exceed [`MAX_PREFIXES`].
+fn evict_oldest(prefixes: &mut HashMap<u64, Time>, added: usize) {
+    if prefixes.len() + added <= MAX_PREFIXES {
         return;
     }
-    let mut ages: Vec<_> = prefixes.values().copied().collect();
-    ages.sort_unstable();
-    let median = ages.get(ages.len() / 2).copied().unwrap_or_default();
+    let mut times: Vec<_> = prefixes.values().copied().collect();
+    times.sort_unstable();
+    let median = times.get(times.len() / 2).copied().unwrap_or_default();
     prefixes.retain(|_, at| *at > median);
 }
 
--- a/crates/badgerfield-core/src/warm_up.rs
+++ b/crates/badgerfield-core/src/warm_up.rs
@@ -1,14 +1,14 @@
 //! Slow start: limits the requests to an upstream while it is cold.
 //!
 //! An upstream that has just started, or whose failure domain was evacuated, can take only a few
-//! requests a second for a while, and fails under more. The limit applies to the requests of all
+//! requests a second for a while, and fails under more. The bound applies to the requests of all
 //! processes of the fleet together, and no process can count the requests of the others. So only
 //! a few processes, the senders, send to a cold upstream, each at its share of the rate. They are
 //! chosen by rank among the members of the view. All other processes send nothing to the upstream
 //! until it is warm.
 //!
 //! During a view change, some processes have the old view and some the new one, and the senders
-//! of both may send. So the shares of the senders of one view add up to half of the limit. A
+//! of both may send. So the shares of the senders of one view add up to half of the bound. A
 //! process that becomes a sender first waits for [`HOLD_OFF`], by which time all processes that
 //! follow the view have received it. If a third view comes within that time, the senders of the
 //! first view have stopped before those of the third start.
@@ -29,7 +29,7 @@
 const BURST: f64 = 1.0;
 /// The number of views that may be in force at once in different processes.
 const MAX_VIEWS: f64 = 2.0;
-/// The least rate of a sender, in requests a second. With a smaller share, nobody sends.
+/// The minimum rate of a sender, in requests a second. With a smaller share, nobody sends.
 const MIN_RATE: f64 = 0.1;
 
 /// The slow start of the upstreams of a service.
@@ -37,7 +37,7 @@
 pub struct WarmUp {
     /// How long an upstream stays cold after its start.
     pub span: Duration,
-    /// The least time between requests that a cold upstream can take.
+    /// The minimum time between requests that a cold upstream can take.
     pub interval: Duration,
 }
 
--- a/crates/badgerfield-core/tests/lag.rs
+++ b/crates/badgerfield-core/tests/lag.rs
@@ -127,6 +127,8 @@
     );
 }
 
+/// Nobody would observe the recovery of an engine that all processes avoid, if the reported delay
+/// did not decay.
 #[test]
 fn an_engine_is_used_again_after_recovery() {
     let with_reports = simulate(24, 2..8, true);
--- a/crates/badgerfield-core/tests/mix.rs
+++ b/crates/badgerfield-core/tests/mix.rs
@@ -118,6 +118,7 @@
     assert!(division.short_share >= 0.1, "a group has too few engines");
 }
 
+/// An engine that serves both groups or neither would defeat the division.
 #[test]
 fn each_engine_takes_one_group() {
     let division = EngineDivision { long_threshold: 3000.0, short_share: 0.4 };
--- a/crates/badgerfield-core/tests/overload.rs
+++ b/crates/badgerfield-core/tests/overload.rs
@@ -200,7 +200,7 @@
     /// Sends a caller's request to a random VM.
     fn call(&mut self, now: u64, number: u64) {
         let vm = usize::try_from(self.rng.next() % 48).expect("few VMs");
-        let request = self.requests.get_mut(&number).expect("it is there");
+        let request = self.requests.get_mut(&number).expect("the request exists");
         request.vm = vm;
         request.calls += 1;
         request.tried.clear();
@@ -209,7 +209,7 @@
 
     fn send(&mut self, now: u64, number: u64) {
         let time = Time(Duration::from_micros(now));
-        let request = self.requests.get_mut(&number).expect("it is there");
+        let request = self.requests.get_mut(&number).expect("the request exists");
         let criteria = UpstreamCriteria {
             service: &service(),
             route: "call",
@@ -259,7 +259,7 @@
 
     fn answer(&mut self, now: u64, index: usize, number: u64) {
         let time = Time(Duration::from_micros(now));
-        let request = self.requests.remove(&number).expect("it is there");
+        let request = self.requests.remove(&number).expect("the request exists");
         let response_time = Duration::from_micros(now - request.sent_at);
         self.tables[request.vm].record_response_time(time, &id(index), response_time);
         self.tables[request.vm].end_request(time, &id(index), AttemptOutcome::Answered);
--- a/crates/badgerfield-core/tests/routing.rs
+++ b/crates/badgerfield-core/tests/routing.rs
@@ -105,6 +105,7 @@
     assert!(table.caller(&KeyDigest::from_secret("second")).is_some());
 }
 
+/// A late delta from a peer with older templates must not restore the old routes.
 #[test]
 fn routes_are_distributed_with_the_templates() {
     let old = set(1, vec![route("old", "a.example", "/", &[("viewer", 1)])], &["key"]);
--- a/crates/badgerfield-core/tests/templates.rs
+++ b/crates/badgerfield-core/tests/templates.rs
@@ -49,10 +49,10 @@
 fn an_invalid_set_is_refused_with_all_errors() {
     let first = next_set(&TemplateSet::default(), set()).expect("the set is valid");
     let mut invalid = set();
-    let account = invalid.accounts.values_mut().next().expect("there is one");
+    let account = invalid.accounts.values_mut().next().expect("the set is not empty");
     account.priority = 0;
     account.output_limit = Tokens::ZERO;
-    let budget = invalid.budgets.values_mut().next().expect("there is one");
+    let budget = invalid.budgets.values_mut().next().expect("the set is not empty");
     budget.period = Period(1);
     let copy = budget.clone();
     invalid.budgets.insert("c/d".parse().expect("the name is valid"), copy);
@@ -62,24 +62,26 @@
     assert_eq!(first.version, TemplateVersion(1));
 }
 
+/// Other processes receive only the templates that changed after their version.
 #[test]
 fn only_changed_templates_get_a_new_version() {
     let first = next_set(&TemplateSet::default(), set()).expect("the set is valid");
     let mut wanted = set();
-    wanted.budgets.values_mut().next().expect("there is one").limit = Tokens(20);
+    wanted.budgets.values_mut().next().expect("the set is not empty").limit = Tokens(20);
     let second = next_set(&first, wanted).expect("the set is valid");
-    let account = second.accounts.values().next().expect("there is one");
-    let budget = second.budgets.values().next().expect("there is one");
+    let account = second.accounts.values().next().expect("the set is not empty");
+    let budget = second.budgets.values().next().expect("the set is not empty");
     assert_eq!((account.changed, budget.changed), (TemplateVersion(1), TemplateVersion(2)));
     assert_eq!(second.history.len(), 2);
     assert_eq!(second.history[1].diff, ["budget a/b: limit 10 to 20"]);
 }
 
+/// Deltas may arrive late, out of order or after a missed version.
 #[test]
 fn deltas_never_lead_to_an_older_version() {
     let first = next_set(&TemplateSet::default(), set()).expect("the set is valid");
     let mut wanted = set();
-    wanted.budgets.values_mut().next().expect("there is one").limit = Tokens(20);
+    wanted.budgets.values_mut().next().expect("the set is not empty").limit = Tokens(20);
     let second = next_set(&first, wanted).expect("the set is valid");
     let mut behind = first.clone();
     assert!(behind.apply_delta(second.delta_since(first.version)));
--- a/crates/badgerfield-core/tests/warm_up.rs
+++ b/crates/badgerfield-core/tests/warm_up.rs
@@ -163,6 +163,7 @@
     }
 }
 
+/// A process outside the view has no rank among the senders.
 #[test]
 fn a_process_outside_the_view_sends_nothing_to_cold_upstreams() {
     let mut table = table(0, 3, vec![entry(1, 1, 3000)]);
@@ -213,6 +214,7 @@
     DomainChange { domain, revision, evacuated }
 }
 
+/// The upstreams of a restored failure domain are cold and fail under full load.
 #[test]
 fn an_evacuated_domain_gets_no_requests_and_few_after_the_restore() {
     let mut table = table(0, 1, (0..6).map(|n| entry(n, 1, 0)).collect());
