--- a/crates/badgerfield-core/src/warm_up.rs
+++ b/crates/badgerfield-core/src/warm_up.rs
@@ -22,14 +22,14 @@
 use crate::ids::VmId;
 
 /// How long a process sends nothing after it has become a sender. It equals the second over
-/// which the limit applies, and must exceed the time in which a view reaches all VMs
+/// which the bound applies, and must exceed the time in which a view reaches all VMs
 /// (`tests/warm_up.rs` assumes up to 0.9 s).
 pub const HOLD_OFF: Duration = Duration::from_secs(1);
 /// The number of requests that a sender may send at once.
 const BURST: f64 = 1.0;
 /// The number of views that may be in force at once in different processes.
 const MAX_VIEWS: f64 = 2.0;
-/// The minimum rate of a sender, in requests a second. With a smaller share, nobody sends.
+/// The minimum rate of a sender, in requests a second. No sender sends if its share is smaller.
 const MIN_RATE: f64 = 0.1;
 
 /// The slow start of the upstreams of a service.
