--- a/crates/badgerfield-node/src/adapter.rs
+++ b/crates/badgerfield-node/src/adapter.rs
@@ -205,7 +205,7 @@
     fn read(&self, head: &HeaderMap) -> Result<RequestHeaders, HeaderError>;
 
     /// Turns a caller's head into that of a call to an upstream.
-    fn write_headers(&self, head: &mut HeaderMap, terms: &UpstreamHeaders<'_>);
+    fn write_headers(&self, head: &mut HeaderMap, headers: &UpstreamHeaders<'_>);
 
     /// Tells what the head of an upstream's answer to a request means.
     fn verdict(&self, id: &str, status: StatusCode, head: &HeaderMap) -> ResponseKind;
--- a/crates/badgerfield-node/src/gateway/admit.rs
+++ b/crates/badgerfield-node/src/gateway/admit.rs
@@ -17,99 +17,102 @@
 
 use crate::adapter::RequestHeaders;
 use crate::driver::Driver;
-use crate::gateway::attempt::{Original, strip};
-use crate::gateway::flow::{COME_BACK, Exchange, Sending};
-use crate::gateway::record::{self, Timing};
+use crate::gateway::attempt::{Original, strip_hop_by_hop};
+use crate::gateway::exchange::{Exchange, LastDispatch, RETRY_DELAY};
+use crate::gateway::poison;
+use crate::gateway::request_log::{self, Timing};
 use crate::gateway::reservation::Reservation;
-use crate::gateway::state::{Gateway, InForce, OpenRequest};
-use crate::gateway::suspicion;
+use crate::gateway::state::{Gateway, OpenRequest, RouteSnapshot};
 
 /// How soon a caller should try another VM when this one stops.
-const ELSEWHERE: Duration = Duration::from_millis(50);
+const STOPPING_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// The request's id, where its head told it, and why it is not let in.
-pub(super) type NotAdmitted = (Option<String>, Refusal);
+pub(super) type AdmitError = (Option<String>, Refusal);
 
 /// Lets a request in, or says why not.
 pub(super) async fn admit(
     driver: Arc<Driver>,
     gateway: Arc<Gateway>,
     request: Request<Incoming>,
-    arrived: Time,
+    arrived_at: Time,
     open: OpenRequest,
-) -> Result<Exchange, NotAdmitted> {
+) -> Result<Exchange, AdmitError> {
     let in_force = gateway.in_force();
     let not_run = |cause| (None, Refusal::not_run(cause));
     if in_force.version.0 == 0 {
-        return Err((None, Refusal::not_run(Cause::NotReady).with_retry_after(COME_BACK)));
+        return Err((None, Refusal::not_run(Cause::NotReady).with_retry_after(RETRY_DELAY)));
     }
     let (mut head, body) = request.into_parts();
-    let terms = gateway.adapter.dialect.read(&head.headers);
-    let terms = terms.map_err(|error| {
+    let headers = gateway.adapter.dialect.read(&head.headers);
+    let headers = headers.map_err(|error| {
         log::debug!(target: crate::logs::REQUESTS, "refused a head: {error}");
         not_run(Cause::BadRequest)
     })?;
-    let id = terms.id.clone();
+    let id = headers.id.clone();
     let not_run = |cause| (Some(id.clone()), Refusal::not_run(cause));
     if driver.refuses_new() {
-        return Err((Some(id), Refusal::not_run(Cause::Stopping).with_retry_after(ELSEWHERE)));
+        return Err((
+            Some(id),
+            Refusal::not_run(Cause::Stopping).with_retry_after(STOPPING_RETRY_DELAY),
+        ));
     }
     let table = &in_force.table;
-    let host = host_of(&head.headers, &head.uri);
+    let host = request_host(&head.headers, &head.uri);
     let route = table.route(&host, head.uri.path()).ok_or_else(|| not_run(Cause::NoRoute))?;
-    let caller = caller_of(table, route, &terms).map_err(&not_run)?;
+    let caller = find_caller(table, route, &headers).map_err(&not_run)?;
     let account_id = caller.as_ref().map(|caller| &caller.account);
     let account = account_id.map(Account::as_str);
-    let residency = residency_of(&gateway, &in_force, &id, route, account_id)
+    let residency = check_residency(&gateway, &in_force, &id, route, account_id)
         .map_err(|refusal| (Some(id.clone()), refusal))?;
-    record::admitted(&id, &route.name, account, in_force.version);
+    request_log::admitted(&id, &route.name, account, in_force.version);
 
-    let patience = terms.patience.unwrap_or(route.timeout).min(route.timeout);
-    let ends = arrived.after(patience);
-    strip(&mut head.headers);
-    let body = read_body(&driver, body, table.limits().body, ends).await.map_err(&not_run)?;
-    let timing = Timing { body: driver.now().since(arrived), ..Timing::default() };
+    let max_wait = headers.patience.unwrap_or(route.timeout).min(route.timeout);
+    let deadline = arrived_at.after(max_wait);
+    strip_hop_by_hop(&mut head.headers);
+    let body = read_body(&driver, body, table.limits().body, deadline).await.map_err(&not_run)?;
+    let timing = Timing { body: driver.now().since(arrived_at), ..Timing::default() };
 
     let original = Original { id: id.clone(), head, body };
-    let fingerprint = suspicion::check(&driver, account_id, route, &terms, &original)
+    let fingerprint = poison::check_blocked(&driver, account_id, route, &headers, &original)
         .map_err(|refusal| (Some(id.clone()), refusal))?;
 
     let service =
         route.choose_service(rand::random()).ok_or_else(|| not_run(Cause::NoUpstream))?.clone();
     let spec = table.service(&service).cloned().ok_or_else(|| not_run(Cause::NoUpstream))?;
-    let objective = if route.objective.is_zero() { patience } else { route.objective };
+    let objective = if route.objective.is_zero() { max_wait } else { route.objective };
     let wait = objective * driver.settings.pacing.policy.budget_wait_percent / 100;
-    let until = ends.min(arrived.after(wait));
-    let reservation = reserve(&driver, &terms, caller.as_ref(), until).await;
+    let reserve_deadline = deadline.min(arrived_at.after(wait));
+    let reservation = reserve(&driver, &headers, caller.as_ref(), reserve_deadline).await;
     let reservation = reservation.map_err(|refusal| (Some(id.clone()), refusal))?;
     driver.gateway_counts().admitted.inc();
     let now = driver.now();
     gateway.retries().count_request(now, &service);
-    let divides = driver.settings.pacing.policy.divide_engines;
-    if let Some(size) = size_of(&terms).filter(|_| divides) {
+    let divides_engines = driver.settings.pacing.policy.divide_engines;
+    if let Some(size) = prompt_size(&headers).filter(|_| divides_engines) {
         gateway.replicas().record_arrival(now, &service, &route.name, size);
     }
     Ok(Exchange {
         route: Arc::clone(route),
         driver,
         original,
-        terms,
+        headers,
         spec,
         reservation,
         service,
         caller,
         admission: Admission { version: in_force.version, residency },
-        arrived,
-        ends,
+        arrived_at,
+        deadline,
         tried: Vec::new(),
         attempts: 0,
-        trying: None,
-        sent: Sending { at: arrived, life: 0 },
+        current_upstream: None,
+        last_dispatch: LastDispatch { at: arrived_at, prior_crashes: 0 },
         may_have_run: false,
-        unseen: false,
+        has_unseen_output: false,
         fingerprint,
         timing,
-        unread: 0,
+        uncached_tokens: 0,
         version: None,
         gateway,
         ended: false,
@@ -118,19 +121,19 @@
 }
 
 /// Returns what a request asks of an engine; nothing if it is not for one.
-fn size_of(terms: &RequestHeaders) -> Option<PromptSize> {
-    let own = terms.parts.last()?.tokens;
-    let prompt = terms.parts.iter().map(|part| part.tokens).sum();
-    Some(PromptSize { total_tokens: prompt, unshared_tokens: own })
+fn prompt_size(headers: &RequestHeaders) -> Option<PromptSize> {
+    let unshared = headers.parts.last()?.tokens;
+    let prompt = headers.parts.iter().map(|part| part.tokens).sum();
+    Some(PromptSize { total_tokens: prompt, unshared_tokens: unshared })
 }
 
 /// Returns the regions in which a request may be served, or why there are none.
 ///
 /// A bound that leaves no region holds until operators change it: the caller need not come
 /// back. A region of which no failure domain is known may be in the next settings.
-fn residency_of(
+fn check_residency(
     gateway: &Gateway,
-    in_force: &InForce,
+    in_force: &RouteSnapshot,
     id: &str,
     route: &Route,
     account: Option<&Account>,
@@ -138,33 +141,33 @@
     let residency = in_force.table.residency(route, account);
     let checked = residency.check(gateway.replicas().regions());
     checked.map_err(|fault| {
-        record::outside(id, &route.name, &fault, in_force.version);
+        request_log::outside(id, &route.name, &fault, in_force.version);
         match fault {
             ResidencyError::NoRegion => Refusal::not_run(Cause::NoRegionAllowed),
             ResidencyError::Unknown(_) => {
-                Refusal::not_run(Cause::RegionUnknown).with_retry_after(COME_BACK)
+                Refusal::not_run(Cause::RegionUnknown).with_retry_after(RETRY_DELAY)
             }
         }
     })?;
     Ok(residency)
 }
 
-fn host_of(head: &HeaderMap, uri: &hyper::Uri) -> String {
+fn request_host(head: &HeaderMap, uri: &hyper::Uri) -> String {
     let host = head.get(header::HOST).and_then(|value| value.to_str().ok());
     host.or_else(|| uri.authority().map(hyper::http::uri::Authority::as_str))
         .unwrap_or_default()
         .to_owned()
 }
 
-fn caller_of(
+fn find_caller(
     table: &RouteTable,
     route: &Route,
-    terms: &RequestHeaders,
+    headers: &RequestHeaders,
 ) -> Result<Option<Caller>, Cause> {
     if route.anonymous {
         return Ok(None);
     }
-    let key = terms.key.as_ref().ok_or(Cause::UnknownCaller)?;
+    let key = headers.key.as_ref().ok_or(Cause::UnknownCaller)?;
     let caller = table.caller(&KeyDigest::from_secret(key)).ok_or(Cause::UnknownCaller)?;
     Ok(Some(caller.clone()))
 }
@@ -173,9 +176,9 @@
     driver: &Driver,
     body: Incoming,
     limit: usize,
-    ends: Time,
+    deadline: Time,
 ) -> Result<Bytes, Cause> {
-    let whole = driver.clock.timeout_at(ends, Limited::new(body, limit).collect()).await;
+    let whole = driver.clock.timeout_at(deadline, Limited::new(body, limit).collect()).await;
     match whole {
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Cause::BodyTooLarge),
@@ -187,21 +190,21 @@
 /// Sets aside the most that a request can cost, if its account pays in advance.
 async fn reserve(
     driver: &Arc<Driver>,
-    terms: &RequestHeaders,
+    headers: &RequestHeaders,
     caller: Option<&Caller>,
-    until: Time,
+    reserve_deadline: Time,
 ) -> Result<Option<Reservation>, Refusal> {
     let Some(caller) = caller.filter(|caller| caller.limit.is_some()) else {
         return Ok(None);
     };
-    let Some((prompt, output)) = terms.tokens else {
+    let Some((prompt, output)) = headers.tokens else {
         return Ok(None);
     };
     let amount = Tokens(prompt.saturating_add(output));
     let started = driver.now();
-    let result = Reservation::make(driver, &caller.budget, amount, until).await;
+    let result = Reservation::acquire(driver, &caller.budget, amount, reserve_deadline).await;
     let took = driver.now().since(started);
     let outcome = result.as_ref().map(|_| ());
-    record::reserved(&terms.id, caller.budget.as_str(), amount.0, took, outcome);
+    request_log::reserved(&headers.id, caller.budget.as_str(), amount.0, took, outcome);
     result.map(Some)
 }
--- a/crates/badgerfield-node/src/gateway/statements.rs
+++ b/crates/badgerfield-node/src/gateway/announcements.rs
@@ -10,19 +10,19 @@
 
 use crate::adapter::UpstreamAnnouncement;
 use crate::driver::Driver;
-use crate::gateway::record;
+use crate::gateway::request_log;
 use crate::gateway::state::Gateway;
 
 impl Driver {
     /// Takes in what the head of an answer says of the upstream that was asked.
-    pub(crate) fn hear_upstream(
+    pub(crate) fn apply_announcement(
         self: &Arc<Self>,
         gateway: &Gateway,
         id: &str,
         (upstream, process): (&UpstreamId, u32),
         (status, head): (StatusCode, &HeaderMap),
     ) {
-        let Some(statement) = gateway.adapter.dialect.parse_announcement(upstream, status, head)
+        let Some(announcement) = gateway.adapter.dialect.parse_announcement(upstream, status, head)
         else {
             return;
         };
@@ -30,34 +30,34 @@
         if !gateway.replicas().is_current_process(upstream, process) {
             return;
         }
-        if statement.is_unreadable() {
-            self.note_unreadable(gateway, upstream);
+        if announcement.is_unreadable() {
+            self.record_invalid_header(gateway, upstream);
         }
-        let UpstreamAnnouncement { limit, leaving, back_off: rest } = statement;
+        let UpstreamAnnouncement { limit, leaving, back_off } = announcement;
         if leaving {
-            self.hear_leaving(gateway, id, upstream);
+            self.record_leaving(gateway, id, upstream);
         }
-        if let Some(rest) = rest.value() {
-            gateway.replicas().record_back_off(self.now(), upstream, rest);
-            record::asks_rest(id, upstream, rest);
+        if let Some(back_off) = back_off.value() {
+            gateway.replicas().record_back_off(self.now(), upstream, back_off);
+            request_log::back_off(id, upstream, back_off);
         }
-        self.hear_limit(gateway, id, upstream, limit.value());
+        self.record_limit(gateway, id, upstream, limit.value());
     }
 
-    fn hear_leaving(&self, gateway: &Gateway, id: &str, upstream: &UpstreamId) {
-        let (is_news, (revision, learned)) = {
-            let mut replicas = gateway.replicas();
-            (replicas.record_leaving(upstream), replicas.last_update())
+    fn record_leaving(&self, gateway: &Gateway, id: &str, upstream: &UpstreamId) {
+        let (is_new, (revision, updated_at)) = {
+            let mut upstreams = gateway.replicas();
+            (upstreams.record_leaving(upstream), upstreams.last_update())
         };
-        if !is_news {
+        if !is_new {
             return;
         }
-        let list_age = learned.map_or(Duration::ZERO, |learned| self.now().since(learned));
-        record::says_leaving(id, upstream, revision, list_age);
+        let list_age = updated_at.map_or(Duration::ZERO, |updated_at| self.now().since(updated_at));
+        request_log::leaving(id, upstream, revision, list_age);
         gateway.connections.close(std::slice::from_ref(upstream));
     }
 
-    fn hear_limit(
+    fn record_limit(
         self: &Arc<Self>,
         gateway: &Gateway,
         id: &str,
@@ -68,26 +68,26 @@
         let Some(change) = change else {
             return;
         };
-        record::limit_named(id, &change);
-        let notes = gateway.replicas().limit_reports(self.now());
-        self.feed(Event::LimitReports(notes));
+        request_log::limit_announced(id, &change);
+        let reports = gateway.replicas().limit_reports(self.now());
+        self.feed(Event::LimitReports(reports));
     }
 
     /// Takes in what another process knows of the limits that upstreams name.
-    pub(crate) fn learn_limits(&self, from: Incarnation, notes: &[LimitReport]) {
+    pub(crate) fn learn_limits(&self, from: Incarnation, reports: &[LimitReport]) {
         let Some(gateway) = self.gateway() else {
             return;
         };
-        let changes = gateway.replicas().apply_limit_reports(self.now(), notes);
+        let changes = gateway.replicas().apply_limit_reports(self.now(), reports);
         for change in &changes {
-            record::limit_learned(from, change);
+            request_log::limit_received(from, change);
         }
     }
 
-    fn note_unreadable(&self, gateway: &Gateway, upstream: &UpstreamId) {
+    fn record_invalid_header(&self, gateway: &Gateway, upstream: &UpstreamId) {
         self.gateway_counts().unreadable.inc();
         if gateway.replicas().record_unreadable(upstream) {
-            record::unreadable_statement(upstream);
+            request_log::invalid_announcement(upstream);
         }
     }
 }
--- a/crates/badgerfield-node/src/gateway/attempt.rs
+++ b/crates/badgerfield-node/src/gateway/attempt.rs
@@ -17,9 +17,9 @@
 
 use crate::adapter::{ResponseKind, UpstreamHeaders};
 use crate::driver::Driver;
-use crate::gateway::connections::{Connection, SendError, named_keep};
+use crate::gateway::connections::{Connection, SendError, keep_alive_timeout};
+use crate::gateway::rollout_sample::RolloutSample;
 use crate::gateway::state::Gateway;
-use crate::gateway::trial::Trial;
 
 /// The headers that concern one connection only, by RFC 9110, section 7.6.1.
 const HOP_BY_HOP: [HeaderName; 9] = [
@@ -35,7 +35,7 @@
 ];
 
 /// Removes the headers that concern one connection only.
-pub(crate) fn strip(head: &mut HeaderMap) {
+pub(crate) fn strip_hop_by_hop(head: &mut HeaderMap) {
     let named: Vec<HeaderName> = head
         .get_all(header::CONNECTION)
         .iter()
@@ -80,22 +80,22 @@
     /// The request may have run, and no answer to it came.
     Broken(&'static str),
     /// The head of an answer came.
-    Answered(Box<Answered>),
+    Answered(Box<UpstreamResponse>),
 }
 
 /// An answer whose head has come.
 #[derive(Debug)]
-pub(crate) struct Answered {
+pub(crate) struct UpstreamResponse {
     pub(crate) head: response::Parts,
     pub(crate) body: Incoming,
     /// Whether the protocol tells where the body ends; otherwise its connection's end does.
     pub(crate) framed: bool,
-    pub(crate) hold: UpstreamHold,
+    pub(crate) guard: UpstreamGuard,
 }
 
 /// An upstream that works for a request; tells the table how it went when dropped.
 #[derive(Debug)]
-pub(crate) struct UpstreamHold {
+pub(crate) struct UpstreamGuard {
     driver: Arc<Driver>,
     gateway: Arc<Gateway>,
     pub(crate) id: UpstreamId,
@@ -103,33 +103,33 @@
     /// Stands for its process.
     process: u32,
     /// When the request was handed to it.
-    sent: Time,
-    health: AttemptOutcome,
+    sent_at: Time,
+    outcome: AttemptOutcome,
     connection: Option<Connection>,
-    keep: Option<Duration>,
-    closes: bool,
+    keep_alive: Option<Duration>,
+    closes_connection: bool,
     /// How long the first event has been waited for; nothing once it has come, or where that
     /// tells nothing.
-    wait: Option<Wait>,
+    wait: Option<FirstEventWait>,
     /// What is told of the answer while its service is rolled out.
-    trial: Option<Trial>,
+    sample: Option<RolloutSample>,
 }
 
 /// A wait for the first event of an engine's answer.
 #[derive(Debug, Clone, Copy)]
-struct Wait {
+struct FirstEventWait {
     since: Time,
     /// The prompt tokens that the engine is expected to read first.
-    unread: u64,
+    uncached_tokens: u64,
 }
 
-impl UpstreamHold {
+impl UpstreamGuard {
     /// Makes a hold of an upstream; `unread` is what an engine is expected to read.
     pub(crate) fn new(
         driver: &Arc<Driver>,
         gateway: &Arc<Gateway>,
         chosen: &ChosenUpstream,
-        unread: Option<u64>,
+        uncached_tokens: Option<u64>,
         route: &Arc<Route>,
     ) -> Self {
         let now = driver.now();
@@ -139,180 +139,181 @@
             id: chosen.id.clone(),
             address: chosen.address,
             process: chosen.process,
-            sent: now,
-            health: AttemptOutcome::Unknown,
+            sent_at: now,
+            outcome: AttemptOutcome::Unknown,
             connection: None,
-            keep: None,
-            closes: false,
-            wait: unread.map(|unread| Wait { since: now, unread }),
-            trial: gateway
+            keep_alive: None,
+            closes_connection: false,
+            wait: uncached_tokens
+                .map(|uncached_tokens| FirstEventWait { since: now, uncached_tokens }),
+            sample: gateway
                 .rolls_out()
-                .then(|| Trial::new(now, &chosen.id, route, unread.unwrap_or(0))),
+                .then(|| RolloutSample::new(now, &chosen.id, route, uncached_tokens.unwrap_or(0))),
         }
     }
 
     /// Notes that an event of the answer has come; the first one tells how long it took.
-    pub(crate) fn note_first_event(&mut self) {
+    pub(crate) fn record_first_event(&mut self) {
         if let Some(wait) = self.wait.take() {
-            self.tell_wait(wait);
+            self.record_wait(wait);
         }
-        self.tell_trial(Trial::note_answer);
+        self.update_sample(RolloutSample::record_answer);
     }
 
     /// Notes that the answer does not come, or broke off.
-    pub(crate) fn note_failed(&mut self) {
-        self.note(AttemptOutcome::Failed);
-        self.tell_trial(Trial::note_failed);
+    pub(crate) fn record_failure(&mut self) {
+        self.set_outcome(AttemptOutcome::Failed);
+        self.update_sample(RolloutSample::record_failure);
     }
 
     /// Notes that nothing of the request was run, so that it tells nothing of a version.
-    pub(crate) fn note_unrun(&mut self, health: AttemptOutcome) {
+    pub(crate) fn record_not_run(&mut self, outcome: AttemptOutcome) {
         self.wait = None;
-        self.trial = None;
-        self.note(health);
+        self.sample = None;
+        self.set_outcome(outcome);
     }
 
     /// Tells what is known of the answer now; of a bad one of the target the process speaks at
     /// once.
-    fn tell_trial(&mut self, note: fn(&mut Trial, &Gateway) -> bool) {
-        let Some(trial) = &mut self.trial else {
+    fn update_sample(&mut self, update: fn(&mut RolloutSample, &Gateway) -> bool) {
+        let Some(sample) = &mut self.sample else {
             return;
         };
-        if note(trial, &self.gateway) {
+        if update(sample, &self.gateway) {
             self.driver.tell_bad_answer();
         }
     }
 
-    fn tell_wait(&self, wait: Wait) {
+    fn record_wait(&self, wait: FirstEventWait) {
         let now = self.driver.now();
         if !self.gateway.clock.stood_still_since(wait.since) {
             self.gateway.replicas().record_first_event_wait(
                 now,
                 &self.id,
                 now.since(wait.since),
-                wait.unread,
+                wait.uncached_tokens,
             );
         }
     }
 
     /// Finds out whether the upstream was evacuated, has begun to leave or has named a limit while
     /// a connection to it was opened.
-    fn check_usable(&self) -> Result<(), Unsent> {
+    fn check_usable(&self) -> Result<(), RequestError> {
         let now = self.driver.now();
-        let mut replicas = self.gateway.replicas();
-        if !replicas.is_usable(now, &self.id) {
-            return Err(Unsent::NotSent);
+        let mut upstreams = self.gateway.replicas();
+        if !upstreams.is_usable(now, &self.id) {
+            return Err(RequestError::NotSent);
         }
-        if !replicas.can_still_send(now, &self.id, self.sent) {
-            return Err(Unsent::NotAdmitted);
+        if !upstreams.can_still_send(now, &self.id, self.sent_at) {
+            return Err(RequestError::NotAdmitted);
         }
         Ok(())
     }
 
     /// Notes how the upstream is doing.
-    pub(crate) fn note(&mut self, health: AttemptOutcome) {
-        self.health = health;
+    pub(crate) fn set_outcome(&mut self, outcome: AttemptOutcome) {
+        self.outcome = outcome;
     }
 
     /// Ends the work well: the whole answer has come, and the connection may be kept.
     pub(crate) fn finish(mut self) {
-        self.health = AttemptOutcome::Answered;
-        self.note_first_event();
+        self.outcome = AttemptOutcome::Answered;
+        self.record_first_event();
         let Some(connection) = self.connection.take() else {
             return;
         };
         // A connection to a process that has ended must not serve for the one that has its id now.
         let is_current = self.gateway.replicas().is_current_process(&self.id, self.process);
-        if is_current && !self.closes {
-            self.gateway.connections.keep(self.id.clone(), connection, self.keep);
+        if is_current && !self.closes_connection {
+            self.gateway.connections.keep(self.id.clone(), connection, self.keep_alive);
         }
     }
 }
 
-impl Drop for UpstreamHold {
+impl Drop for UpstreamGuard {
     fn drop(&mut self) {
         // Whoever gave up has waited at least so long.
         if let Some(wait) = self.wait.take() {
-            self.tell_wait(wait);
+            self.record_wait(wait);
         }
-        self.tell_trial(Trial::note_end);
+        self.update_sample(RolloutSample::record_end);
         // What a process that stood still takes for silence may be its own.
-        let is_unsure = self.health == AttemptOutcome::Failed
-            && self.gateway.clock.stood_still_since(self.sent);
-        let health = if is_unsure { AttemptOutcome::Unknown } else { self.health };
+        let is_uncertain = self.outcome == AttemptOutcome::Failed
+            && self.gateway.clock.stood_still_since(self.sent_at);
+        let outcome = if is_uncertain { AttemptOutcome::Unknown } else { self.outcome };
         let now = self.driver.now();
-        self.gateway.replicas().end_request(now, &self.id, health);
+        self.gateway.replicas().end_request(now, &self.id, outcome);
     }
 }
 
 /// Sends a request to an upstream and waits for the head of its answer, until it is given up or
 /// blocked.
 pub(crate) async fn attempt(
-    mut hold: UpstreamHold,
+    mut guard: UpstreamGuard,
     original: &Original,
-    terms: &UpstreamHeaders<'_>,
-    given_up: impl Future<Output = ()>,
+    headers: &UpstreamHeaders<'_>,
+    timed_out: impl Future<Output = ()>,
     blocked: impl Future<Output = ()>,
 ) -> AttemptEnd {
-    let gateway = Arc::clone(&hold.gateway);
-    let request = call_of(&gateway, original, terms);
+    let gateway = Arc::clone(&guard.gateway);
+    let request = upstream_request(&gateway, original, headers);
     let sent = tokio::select! {
-        sent = send(&hold, request) => sent,
-        () = given_up => {
-            hold.note_failed();
+        sent = send(&guard, request) => sent,
+        () = timed_out => {
+            guard.record_failure();
             return AttemptEnd::Broken(SILENT);
         }
         () = blocked => {
-            hold.note_unrun(AttemptOutcome::Unknown);
+            guard.record_not_run(AttemptOutcome::Unknown);
             return AttemptEnd::Broken(BLOCKED);
         }
     };
     let (mut response, connection) = match sent {
-        Ok(found) => found,
-        Err(Unsent::NotSent) => {
-            hold.note_unrun(AttemptOutcome::Failed);
+        Ok(answer) => answer,
+        Err(RequestError::NotSent) => {
+            guard.record_not_run(AttemptOutcome::Failed);
             return AttemptEnd::NotSent("unreachable");
         }
-        Err(Unsent::NotAdmitted) => {
-            hold.note_unrun(AttemptOutcome::Unknown);
+        Err(RequestError::NotAdmitted) => {
+            guard.record_not_run(AttemptOutcome::Unknown);
             return AttemptEnd::NotSent("not_admitted");
         }
-        Err(Unsent::Broken) => {
-            hold.wait = None;
-            hold.note_failed();
+        Err(RequestError::Broken) => {
+            guard.wait = None;
+            guard.record_failure();
             return AttemptEnd::Broken(BROKEN);
         }
     };
     let head = (response.status(), response.headers());
-    let dialect = &gateway.adapter.dialect;
-    let verdict = dialect.verdict(&original.id, head.0, head.1);
-    if verdict != ResponseKind::Foreign {
-        let asked = (&hold.id, hold.process);
-        hold.driver.hear_upstream(&gateway, &original.id, asked, head);
+    let protocol = &gateway.adapter.dialect;
+    let kind = protocol.verdict(&original.id, head.0, head.1);
+    if kind != ResponseKind::Foreign {
+        let sender = (&guard.id, guard.process);
+        guard.driver.apply_announcement(&gateway, &original.id, sender, head);
     }
-    match verdict {
+    match kind {
         ResponseKind::NotRun => {
-            hold.note_unrun(AttemptOutcome::Full);
+            guard.record_not_run(AttemptOutcome::Full);
             return AttemptEnd::NotRun(response.status());
         }
         ResponseKind::Foreign => {
-            hold.wait = None;
-            hold.note_failed();
+            guard.wait = None;
+            guard.record_failure();
             return AttemptEnd::Broken("foreign");
         }
         ResponseKind::Answer => {}
     }
-    hold.keep = named_keep(response.headers());
-    hold.closes = closes(response.headers());
-    hold.connection = Some(connection);
+    guard.keep_alive = keep_alive_timeout(response.headers());
+    guard.closes_connection = closes_connection(response.headers());
+    guard.connection = Some(connection);
     let framed = is_framed(response.headers());
-    strip(response.headers_mut());
+    strip_hop_by_hop(response.headers_mut());
     let (head, body) = response.into_parts();
-    AttemptEnd::Answered(Box::new(Answered { head, body, framed, hold }))
+    AttemptEnd::Answered(Box::new(UpstreamResponse { head, body, framed, guard }))
 }
 
 /// Why there is no head of an answer.
-enum Unsent {
+enum RequestError {
     NotSent,
     /// The upstream takes no more at present.
     NotAdmitted,
@@ -320,39 +321,40 @@
 }
 
 async fn send(
-    hold: &UpstreamHold,
+    guard: &UpstreamGuard,
     request: Request<Full<Bytes>>,
-) -> Result<(hyper::Response<Incoming>, Connection), Unsent> {
-    let connections = &hold.gateway.connections;
-    let address = hold.address;
-    let mut connection = connections.take(&hold.id, address).await.map_err(|_| Unsent::NotSent)?;
-    hold.check_usable()?;
+) -> Result<(hyper::Response<Incoming>, Connection), RequestError> {
+    let connections = &guard.gateway.connections;
+    let address = guard.address;
+    let mut connection =
+        connections.take(&guard.id, address).await.map_err(|_| RequestError::NotSent)?;
+    guard.check_usable()?;
     let request = match connection.send(request).await {
         Ok(response) => return Ok((response, connection)),
-        Err(SendError::Broken) => return Err(Unsent::Broken),
+        Err(SendError::Broken) => return Err(RequestError::Broken),
         Err(SendError::NotSent(request)) if connection.reused => request,
-        Err(SendError::NotSent(_)) => return Err(Unsent::NotSent),
+        Err(SendError::NotSent(_)) => return Err(RequestError::NotSent),
     };
     // The kept connection was closed before anything was sent on it.
-    let mut connection = connections.open(address).await.map_err(|_| Unsent::NotSent)?;
-    hold.check_usable()?;
+    let mut connection = connections.open(address).await.map_err(|_| RequestError::NotSent)?;
+    guard.check_usable()?;
     match connection.send(*request).await {
         Ok(response) => Ok((response, connection)),
-        Err(SendError::Broken) => Err(Unsent::Broken),
-        Err(SendError::NotSent(_)) => Err(Unsent::NotSent),
+        Err(SendError::Broken) => Err(RequestError::Broken),
+        Err(SendError::NotSent(_)) => Err(RequestError::NotSent),
     }
 }
 
-fn call_of(
+fn upstream_request(
     gateway: &Gateway,
     original: &Original,
-    terms: &UpstreamHeaders<'_>,
+    headers: &UpstreamHeaders<'_>,
 ) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(original.body.clone()));
     *request.method_mut() = original.head.method.clone();
     *request.uri_mut() = original.head.uri.clone();
     *request.headers_mut() = original.head.headers.clone();
-    gateway.adapter.dialect.write_headers(request.headers_mut(), terms);
+    gateway.adapter.dialect.write_headers(request.headers_mut(), headers);
     request
 }
 
@@ -361,7 +363,7 @@
     head.contains_key(header::CONTENT_LENGTH) || head.contains_key(header::TRANSFER_ENCODING)
 }
 
-fn closes(head: &HeaderMap) -> bool {
+fn closes_connection(head: &HeaderMap) -> bool {
     let values = head.get_all(header::CONNECTION);
     values.iter().any(|v| v.to_str().is_ok_and(|v| v.to_ascii_lowercase().contains("close")))
 }
--- a/crates/badgerfield-node/src/gateway/connections.rs
+++ b/crates/badgerfield-node/src/gateway/connections.rs
@@ -21,27 +21,27 @@
 use crate::sync::lock;
 
 /// How long a connection may take to open.
-const CONNECT: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long an idle connection is kept if the upstream names no time.
-const KEEP: Duration = Duration::from_secs(4);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
 /// How much earlier than the upstream a connection is given up.
-const KEEP_MARGIN: Duration = Duration::from_millis(900);
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(900);
 /// After how long without a sign of life the other end is probed.
-const PROBE: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// How long the other end may leave bytes or probes unanswered.
-const SILENCE: Duration = Duration::from_millis(2500);
+const USER_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// How long the address of an upstream that broke off may take to say whether anybody still
 /// listens there: an answer takes a round trip, and a caller waits for it.
-pub(crate) const LISTENS: Duration = Duration::from_millis(150);
+pub(crate) const LISTEN_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// How long a connection that came up is watched before its upstream counts as one that lives:
 /// a caller whose answer broke off waits for it.
-const STAYS: Duration = Duration::from_millis(20);
+const MIN_OPEN_TIME: Duration = Duration::from_millis(20);
 
 /// How long an upstream is watched that may end yet: what makes it end does so soon, and a machine
 /// that is busy may take its time to close what a process had open.
-pub(crate) const WATCH: Duration = Duration::from_secs(1);
+pub(crate) const CRASH_WATCH_TIME: Duration = Duration::from_secs(1);
 
 /// Why no connection could be had.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -54,7 +54,7 @@
 
 /// What an address says when it is asked whether anybody listens there.
 #[derive(Debug)]
-pub(crate) enum Listening {
+pub(crate) enum ProbeResult {
     /// It takes connections, such as this one.
     Open(Connection),
     /// Nobody does: the process has ended.
@@ -63,7 +63,7 @@
     Unknown,
 }
 
-impl Listening {
+impl ProbeResult {
     /// Returns its name in the log.
     pub(crate) fn as_str(&self) -> &'static str {
         match self {
@@ -101,15 +101,15 @@
 impl Connection {
     /// Opens a connection.
     async fn open(address: SocketAddr) -> Result<Self, ConnectError> {
-        let stream = tokio::time::timeout(CONNECT, TcpStream::connect(address)).await;
+        let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream = stream.map_err(|_| ConnectError::Failed)?.map_err(|error| {
             let is_refused = error.kind() == std::io::ErrorKind::ConnectionRefused;
             if is_refused { ConnectError::Refused } else { ConnectError::Failed }
         })?;
-        guard(&stream);
-        let shaken =
+        configure_socket(&stream);
+        let handshake =
             http1::Builder::new().max_buf_size(64 * 1024).handshake(TokioIo::new(stream)).await;
-        let (sender, connection) = shaken.map_err(|_| ConnectError::Failed)?;
+        let (sender, connection) = handshake.map_err(|_| ConnectError::Failed)?;
         let task = tokio::spawn(async move {
             // How a connection ends is seen by the request on it.
             let _ = connection.await;
@@ -134,7 +134,7 @@
     }
 
     /// Waits until the connection is ready for another request; `false` if it closes.
-    async fn is_clean(&mut self) -> bool {
+    async fn becomes_ready(&mut self) -> bool {
         tokio::time::timeout(Duration::from_millis(20), self.sender.ready())
             .await
             .is_ok_and(|ready| ready.is_ok())
@@ -144,7 +144,7 @@
 #[derive(Debug)]
 struct Idle {
     connection: Connection,
-    until: Time,
+    expires_at: Time,
 }
 
 /// The idle connections to all upstreams.
@@ -177,70 +177,70 @@
     }
 
     /// Finds out whether anybody listens at the address of an upstream that broke off.
-    pub(crate) async fn listening(&self, address: SocketAddr) -> Listening {
-        match self.knock(address).await {
-            Listening::Open(mut connection) => {
+    pub(crate) async fn probe_listener(&self, address: SocketAddr) -> ProbeResult {
+        match self.probe_once(address).await {
+            ProbeResult::Open(mut connection) => {
                 // A process that ends may close its connections a moment before it stops to listen.
-                match tokio::time::timeout(STAYS, &mut connection.task).await {
-                    Ok(_) => self.knock(address).await,
-                    Err(_) => Listening::Open(connection),
+                match tokio::time::timeout(MIN_OPEN_TIME, &mut connection.task).await {
+                    Ok(_) => self.probe_once(address).await,
+                    Err(_) => ProbeResult::Open(connection),
                 }
             }
             other => other,
         }
     }
 
-    async fn knock(&self, address: SocketAddr) -> Listening {
-        match tokio::time::timeout(LISTENS, Connection::open(address)).await {
-            Ok(Ok(connection)) => Listening::Open(connection),
-            Ok(Err(ConnectError::Refused)) => Listening::Refused,
-            Ok(Err(ConnectError::Failed)) | Err(_) => Listening::Unknown,
+    async fn probe_once(&self, address: SocketAddr) -> ProbeResult {
+        match tokio::time::timeout(LISTEN_TIMEOUT, Connection::open(address)).await {
+            Ok(Ok(connection)) => ProbeResult::Open(connection),
+            Ok(Err(ConnectError::Refused)) => ProbeResult::Refused,
+            Ok(Err(ConnectError::Failed)) | Err(_) => ProbeResult::Unknown,
         }
     }
 
     /// Tells whether an upstream ends while it is watched, by a connection to it.
-    pub(crate) async fn ends_soon(self: &Arc<Self>, id: &UpstreamId, address: SocketAddr) -> bool {
+    pub(crate) async fn exits_soon(self: &Arc<Self>, id: &UpstreamId, address: SocketAddr) -> bool {
         match self.take(id, address).await {
-            Ok(connection) => self.ends_after_all(id, address, connection, WATCH).await,
+            Ok(connection) => self.exits_within(id, address, connection, CRASH_WATCH_TIME).await,
             Err(error) => error == ConnectError::Refused,
         }
     }
 
     /// Tells whether an upstream that took a connection ends all the same within a span. A
     /// connection that stays open is kept for the next request.
-    pub(crate) async fn ends_after_all(
+    pub(crate) async fn exits_within(
         self: &Arc<Self>,
         id: &UpstreamId,
         address: SocketAddr,
         mut connection: Connection,
         span: Duration,
     ) -> bool {
-        let until = self.clock.now().after(span);
-        let mut pause = STAYS;
+        let expires_at = self.clock.now().after(span);
+        let mut delay = MIN_OPEN_TIME;
         loop {
-            let left = until.since(self.clock.now());
-            if tokio::time::timeout(left, &mut connection.task).await.is_err() {
+            let remaining = expires_at.since(self.clock.now());
+            if tokio::time::timeout(remaining, &mut connection.task).await.is_err() {
                 self.keep(id.clone(), connection, None);
                 return false;
             }
             // A process that ends may let connections in until the last moment, and one that lives
             // may close any.
-            tokio::time::sleep(pause).await;
-            pause = pause.saturating_mul(2);
-            connection = match self.knock(address).await {
-                Listening::Open(connection) => connection,
-                Listening::Refused => return true,
-                Listening::Unknown => return false,
+            tokio::time::sleep(delay).await;
+            delay = delay.saturating_mul(2);
+            connection = match self.probe_once(address).await {
+                ProbeResult::Open(connection) => connection,
+                ProbeResult::Refused => return true,
+                ProbeResult::Unknown => return false,
             };
         }
     }
 
     fn take_idle(&self, id: &UpstreamId) -> Option<Connection> {
         let mut idle = lock(&self.idle);
-        let line = idle.get_mut(id)?;
+        let list = idle.get_mut(id)?;
         let now = self.clock.now();
-        while let Some(mut last) = line.pop() {
-            if last.until <= now || last.connection.sender.is_closed() {
+        while let Some(mut last) = list.pop() {
+            if last.expires_at <= now || last.connection.sender.is_closed() {
                 continue;
             }
             if !last.connection.sender.is_ready() {
@@ -257,20 +257,21 @@
         self: &Arc<Self>,
         id: UpstreamId,
         mut connection: Connection,
-        named: Option<Duration>,
+        keep_alive: Option<Duration>,
     ) {
-        let span = named.map_or(KEEP, |span| span.saturating_sub(KEEP_MARGIN));
+        let span =
+            keep_alive.map_or(DEFAULT_KEEP_ALIVE, |span| span.saturating_sub(KEEP_ALIVE_MARGIN));
         if span.is_zero() {
             return;
         }
         let connections = Arc::clone(self);
         tokio::spawn(async move {
-            if !connection.is_clean().await {
+            if !connection.becomes_ready().await {
                 return;
             }
-            let until = connections.clock.now().after(span);
+            let expires_at = connections.clock.now().after(span);
             let mut idle = lock(&connections.idle);
-            idle.entry(id).or_default().push(Idle { connection, until });
+            idle.entry(id).or_default().push(Idle { connection, expires_at });
         });
     }
 
@@ -286,25 +287,26 @@
     pub(crate) fn sweep(&self, wanted: impl Fn(&UpstreamId) -> bool) {
         let now = self.clock.now();
         let mut idle = lock(&self.idle);
-        idle.retain(|id, line| {
-            line.retain(|i| i.until > now && !i.connection.sender.is_closed());
-            !line.is_empty() && wanted(id)
+        idle.retain(|id, list| {
+            list.retain(|i| i.expires_at > now && !i.connection.sender.is_closed());
+            !list.is_empty() && wanted(id)
         });
     }
 }
 
 /// Makes a socket notice that its other end is gone.
-pub(crate) fn guard(stream: &TcpStream) {
+pub(crate) fn configure_socket(stream: &TcpStream) {
     // A socket that cannot be tuned still works; timeouts above it notice later.
     let _ = stream.set_nodelay(true);
     let socket = SockRef::from(stream);
-    let probes = TcpKeepalive::new().with_time(PROBE).with_interval(PROBE).with_retries(2);
+    let probes =
+        TcpKeepalive::new().with_time(PROBE_INTERVAL).with_interval(PROBE_INTERVAL).with_retries(2);
     let _ = socket.set_tcp_keepalive(&probes);
-    let _ = socket.set_tcp_user_timeout(Some(SILENCE));
+    let _ = socket.set_tcp_user_timeout(Some(USER_TIMEOUT));
 }
 
 /// Reads the time for which an upstream keeps an idle connection.
-pub(crate) fn named_keep(head: &hyper::HeaderMap) -> Option<Duration> {
+pub(crate) fn keep_alive_timeout(head: &hyper::HeaderMap) -> Option<Duration> {
     let text = head.get("keep-alive")?.to_str().ok()?;
     let timeout = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
     timeout.trim().parse().ok().map(Duration::from_secs)
--- a/crates/badgerfield-node/src/gateway/directory.rs
+++ b/crates/badgerfield-node/src/gateway/directory.rs
@@ -17,14 +17,14 @@
 use crate::adapter::DirectoryRequest;
 use crate::caller_api::listen;
 use crate::driver::{Driver, StartError};
-use crate::gateway::connections::guard;
+use crate::gateway::connections::configure_socket;
 use crate::gateway::state::Gateway;
 use crate::http::{self, Body};
 
 /// How long callers keep an answer of the directory.
-const KEEP: Duration = Duration::from_secs(1);
+const CACHE_TIME: Duration = Duration::from_secs(1);
 /// How long to rest when no connection can be accepted, as while file descriptors are used up.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// The most addresses in one answer.
 const MAX_ADDRESSES: usize = 64;
 
@@ -45,14 +45,14 @@
         tokio::spawn(async move {
             loop {
                 let Ok((stream, _)) = listener.accept().await else {
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 };
-                guard(&stream);
+                configure_socket(&stream);
                 let (driver, gateway) = (Arc::clone(&driver), Arc::clone(&gateway));
                 tokio::spawn(async move {
                     let service = service_fn(move |request| {
-                        let response = answer(&driver, &gateway, &request);
+                        let response = respond(&driver, &gateway, &request);
                         async move { Ok::<_, Infallible>(response) }
                     });
                     let io = TokioIo::new(stream);
@@ -70,7 +70,7 @@
     gateway.in_force().version.0 > 0 && !gateway.is_stopping() && !gateway.replicas().is_empty()
 }
 
-fn answer(driver: &Driver, gateway: &Gateway, request: &Request<Incoming>) -> Response<Body> {
+fn respond(driver: &Driver, gateway: &Gateway, request: &Request<Incoming>) -> Response<Body> {
     if request.method() != Method::GET {
         return http::json_response(
             StatusCode::METHOD_NOT_ALLOWED,
@@ -84,19 +84,19 @@
         }
         return response;
     }
-    let Some(ask) = gateway.adapter.dialect.parse_directory_request(request.uri()) else {
+    let Some(query) = gateway.adapter.dialect.parse_directory_request(request.uri()) else {
         return http::json_response(
             StatusCode::NOT_FOUND,
             &json!({ "error": "expected a question" }),
         );
     };
     let members = driver.node.available_members(driver.now());
-    let addresses = choose(&members, &place_of(gateway, ask));
+    let addresses = choose_addresses(&members, &caller_location(gateway, query));
     if addresses.is_empty() {
         let error = json!({ "error": "no VM is ready; come back later" });
         return http::json_response(StatusCode::SERVICE_UNAVAILABLE, &error);
     }
-    let text = gateway.adapter.dialect.directory_answer(&addresses, KEEP);
+    let text = gateway.adapter.dialect.directory_answer(&addresses, CACHE_TIME);
     let mut response = Response::new(http::full(text));
     let json = hyper::header::HeaderValue::from_static("application/json");
     response.headers_mut().insert(hyper::header::CONTENT_TYPE, json);
@@ -104,15 +104,15 @@
 }
 
 /// Returns where a caller stands: a question that names no region may name a known domain.
-fn place_of(gateway: &Gateway, ask: DirectoryRequest) -> Location {
-    let DirectoryRequest { domain, region } = ask;
-    let of_domain = || gateway.replicas().regions().region(domain.as_ref()?).cloned();
-    let region = region.or_else(of_domain);
+fn caller_location(gateway: &Gateway, query: DirectoryRequest) -> Location {
+    let DirectoryRequest { domain, region } = query;
+    let region_of_domain = || gateway.replicas().regions().region(domain.as_ref()?).cloned();
+    let region = region.or_else(region_of_domain);
     Location { domain, region }
 }
 
 /// Returns the addresses of the VMs that a caller is sent to.
-fn choose(members: &[Member], caller: &Location) -> Vec<SocketAddr> {
-    let near = nearest(members, caller).into_iter();
-    near.map(|member| member.caller).take(MAX_ADDRESSES).collect()
+fn choose_addresses(members: &[Member], caller: &Location) -> Vec<SocketAddr> {
+    let nearest_members = nearest(members, caller).into_iter();
+    nearest_members.map(|member| member.caller).take(MAX_ADDRESSES).collect()
 }
--- a/crates/badgerfield-node/src/gateway/dispatch.rs
+++ b/crates/badgerfield-node/src/gateway/dispatch.rs
@@ -9,23 +9,23 @@
 use hyper::StatusCode;
 
 use crate::adapter::UpstreamHeaders;
-use crate::gateway::attempt::{Answered, AttemptEnd, BROKEN, UpstreamHold, attempt};
-use crate::gateway::flow::{Exchange, Sending};
-use crate::gateway::record;
+use crate::gateway::attempt::{AttemptEnd, BROKEN, UpstreamGuard, UpstreamResponse, attempt};
+use crate::gateway::exchange::{Exchange, LastDispatch};
+use crate::gateway::request_log;
 
 /// The least time in which an upstream can be asked for anything.
-const LEAST_TIME: Duration = Duration::from_millis(15);
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(15);
 /// How many upstreams may be unreachable before a request is given up.
 const MAX_UNREACHABLE: u32 = 4;
 /// How many times the objective an idempotent request waits for one upstream's answer.
-const PATIENCE: u32 = 2;
+const OBJECTIVE_TIMEOUT_FACTOR: u32 = 2;
 /// The bytes that an answer's token takes with its part of an event's frame: some four letters,
 /// and as much around them where an event holds a few tokens.
-const TOKEN_BYTES: u64 = 8;
+const BYTES_PER_TOKEN: u64 = 8;
 /// The bytes that a plain answer is expected to have, its head included.
-const PLAIN_BYTES: u64 = 1000;
+const PLAIN_ANSWER_BYTES: u64 = 1000;
 /// The part of an upstream's connections, in hundredths, that all VMs together use.
-const CONNECTION_PERCENT: u64 = 80;
+const MAX_CONNECTION_PERCENT: u64 = 80;
 
 impl Exchange {
     /// Sends the request to upstreams until one answers.
@@ -33,56 +33,61 @@
     /// # Errors
     ///
     /// Returns the refusal that is the request's final answer.
-    pub(crate) async fn dispatch(&mut self, last: Option<u64>) -> Result<Box<Answered>, Refusal> {
+    pub(crate) async fn dispatch(
+        &mut self,
+        last: Option<u64>,
+    ) -> Result<Box<UpstreamResponse>, Refusal> {
         let mut unreachable = 0;
         loop {
             let now = self.now();
             let vms = self.driver.node.member_count();
-            if let Err(cause) = self.check_tries(now, vms, unreachable) {
-                return Err(self.give_up(cause));
+            if let Err(cause) = self.check_attempts(now, vms, unreachable) {
+                return Err(self.final_refusal(cause));
             }
-            let left = self.ends.since(now);
+            let remaining = self.deadline.since(now);
             let chosen = match self.choose(now, vms, last.is_some()) {
                 Ok(chosen) => chosen,
-                Err(cause) => return Err(self.give_up(cause)),
+                Err(cause) => return Err(self.final_refusal(cause)),
             };
             if self.attempts > 0 {
                 self.gateway.retries().try_take(now, &self.service, vms);
             }
             self.tried.push(chosen.id.clone());
-            let terms = UpstreamHeaders {
+            let headers = UpstreamHeaders {
                 upstream: &chosen.id,
-                remaining: left,
+                remaining,
                 account: self.caller.as_ref().map(|caller| &caller.account),
                 rank: self.rank(),
                 last_event: last,
                 fetch_from: None,
             };
-            self.sent = Sending { at: now, life: self.life_of(&chosen.id) };
-            self.unread = chosen.uncached_tokens.saturating_add(self.own_tokens());
-            self.timing.note_sent(self.took());
+            self.last_dispatch =
+                LastDispatch { at: now, prior_crashes: self.crash_count(&chosen.id) };
+            self.uncached_tokens = chosen.uncached_tokens.saturating_add(self.unshared_tokens());
+            self.timing.record_sent(self.elapsed());
             // Only engines read prompts; what waits elsewhere is counted as under way.
-            let reading = self.spec.engine.as_ref().map(|_| self.unread);
+            let engine_tokens = self.spec.engine.as_ref().map(|_| self.uncached_tokens);
             let (driver, gateway) = (&self.driver, &self.gateway);
-            let hold = UpstreamHold::new(driver, gateway, &chosen, reading, &self.route);
-            self.trying = Some((chosen.id.clone(), chosen.address));
-            let given_up = self.until_given_up(left, last.is_some());
-            let end = attempt(hold, &self.original, &terms, given_up, self.until_blocked()).await;
-            self.trying = None;
+            let guard = UpstreamGuard::new(driver, gateway, &chosen, engine_tokens, &self.route);
+            self.current_upstream = Some((chosen.id.clone(), chosen.address));
+            let timed_out = self.wait_until_timeout(remaining, last.is_some());
+            let end =
+                attempt(guard, &self.original, &headers, timed_out, self.until_blocked()).await;
+            self.current_upstream = None;
             let outcome = match end {
-                AttemptEnd::Answered(answered) => {
+                AttemptEnd::Answered(response) => {
                     self.attempts += 1;
                     self.may_have_run = true;
-                    self.timing.head = Some(self.took());
+                    self.timing.head = Some(self.elapsed());
                     self.version.clone_from(&chosen.version);
-                    self.note_answered(&chosen.id, self.now().since(now));
-                    if answered.head.status.is_server_error() && self.may_try_again(vms) {
-                        let mut answered = answered;
-                        answered.hold.note_failed();
+                    self.record_response_time(&chosen.id, self.now().since(now));
+                    if response.head.status.is_server_error() && self.can_retry(vms) {
+                        let mut response = response;
+                        response.guard.record_failure();
                         "failed"
                     } else {
-                        self.note_prompt(answered.head.status);
-                        return Ok(answered);
+                        self.record_prompt(response.head.status);
+                        return Ok(response);
                     }
                 }
                 AttemptEnd::NotSent(why) => {
@@ -92,33 +97,43 @@
                 }
                 AttemptEnd::NotRun(status) => {
                     self.attempts += 1;
-                    self.note_not_run(&chosen.id, status);
-                    not_run_word(status)
+                    self.record_rejection(&chosen.id, status);
+                    not_run_outcome(status)
                 }
                 AttemptEnd::Broken(why) => {
                     self.attempts += 1;
                     self.may_have_run = true;
-                    let has_ended =
-                        why == BROKEN && self.note_broken(&chosen.id, chosen.address, last).await;
-                    self.unseen |= !has_ended;
+                    let has_crashed =
+                        why == BROKEN && self.detect_crash(&chosen.id, chosen.address, last).await;
+                    self.has_unseen_output |= !has_crashed;
                     why
                 }
             };
             let id = &self.original.id;
-            record::attempt_failed(id, self.attempts, &chosen.id, outcome, self.now().since(now));
+            request_log::attempt_failed(
+                id,
+                self.attempts,
+                &chosen.id,
+                outcome,
+                self.now().since(now),
+            );
             if self.may_have_run && !self.route.repeat.is_idempotent() {
-                let late = self.ends <= self.now();
-                return Err(self.give_up(if late { Cause::OutOfTime } else { Cause::BrokenOff }));
+                let late = self.deadline <= self.now();
+                return Err(self.final_refusal(if late {
+                    Cause::OutOfTime
+                } else {
+                    Cause::BrokenOff
+                }));
             }
         }
     }
 
     /// Tells whether another upstream may be tried, after so many that could not be reached.
-    fn check_tries(&self, now: Time, vms: usize, unreachable: u32) -> Result<(), Cause> {
-        if self.ends.since(now) < LEAST_TIME {
+    fn check_attempts(&self, now: Time, vms: usize, unreachable: u32) -> Result<(), Cause> {
+        if self.deadline.since(now) < MIN_ATTEMPT_TIME {
             return Err(Cause::OutOfTime);
         }
-        if !self.has_tries() || unreachable >= MAX_UNREACHABLE {
+        if !self.has_attempts_left() || unreachable >= MAX_UNREACHABLE {
             return Err(Cause::TriesSpent);
         }
         let is_repeat = self.attempts > 0;
@@ -130,7 +145,7 @@
 
     /// Returns the regions in which it may be served, by the version that it was let in with
     /// and by the newest.
-    fn residency(&self) -> Residency {
+    fn current_residency(&self) -> Residency {
         let newest = self.gateway.in_force();
         self.admission.current_residency(newest.version, || {
             // The caller's head may have lost its host: what concerns one connection is dropped.
@@ -141,43 +156,48 @@
     }
 
     fn choose(&self, now: Time, vms: usize, resumes: bool) -> Result<ChosenUpstream, Cause> {
-        let residency = self.residency();
+        let residency = self.current_residency();
         // What is chosen is begun under the same lock: what a cold upstream may get is counted.
-        let mut replicas = self.gateway.replicas();
-        replicas.record_request(now, &self.service);
-        if let Err(fault) = residency.check(replicas.regions()) {
-            drop(replicas);
-            record::outside(&self.original.id, &self.route.name, &fault, self.admission.version);
+        let mut upstreams = self.gateway.replicas();
+        upstreams.record_request(now, &self.service);
+        if let Err(fault) = residency.check(upstreams.regions()) {
+            drop(upstreams);
+            request_log::outside(
+                &self.original.id,
+                &self.route.name,
+                &fault,
+                self.admission.version,
+            );
             return Err(Cause::RegionUnknown);
         }
-        let alike = self.check_standing()?;
-        let wanted = self.wanted(&residency, alike, vms, resumes);
-        let chosen = replicas.choose(now, &wanted).ok_or(Cause::NoUpstream)?;
-        let list = replicas.last_update();
-        replicas.start_request(now, &chosen.id, &self.terms.parts);
-        replicas.record_sent(now, &wanted, &chosen.id);
-        drop(replicas);
+        let rendezvous_key = self.check_poison()?;
+        let criteria = self.criteria(&residency, rendezvous_key, vms, resumes);
+        let chosen = upstreams.choose(now, &criteria).ok_or(Cause::NoUpstream)?;
+        let list = upstreams.last_update();
+        upstreams.start_request(now, &chosen.id, &self.headers.parts);
+        upstreams.record_sent(now, &criteria, &chosen.id);
+        drop(upstreams);
         self.driver.gateway_counts().count_sent(chosen.distance, chosen.crossing);
-        record::chosen(&self.original.id, self.attempts + 1, &chosen, list, now);
+        request_log::chosen(&self.original.id, self.attempts + 1, &chosen, list, now);
         Ok(chosen)
     }
 
     /// Returns what is wanted of an upstream.
-    fn wanted<'a>(
+    fn criteria<'a>(
         &'a self,
         residency: &'a Residency,
-        alike: Option<u64>,
+        rendezvous_key: Option<u64>,
         vms: usize,
         resumes: bool,
     ) -> UpstreamCriteria<'a> {
         let vms = u64::try_from(vms).unwrap_or(u64::MAX).saturating_add(1);
-        let connections = u64::from(self.spec.connections) * CONNECTION_PERCENT / 100 / vms;
+        let connections = u64::from(self.spec.connections) * MAX_CONNECTION_PERCENT / 100 / vms;
         UpstreamCriteria {
-            rendezvous_key: alike,
+            rendezvous_key,
             service: &self.service,
             route: &self.route.name,
-            parts: &self.terms.parts,
-            bytes: self.bytes_across(),
+            parts: &self.headers.parts,
+            bytes: self.transfer_bytes(),
             residency,
             tried: &self.tried,
             resumed_version: self.version.as_ref().filter(|_| resumes),
@@ -191,70 +211,70 @@
     /// That is of use only if another can be tried then; otherwise the request may stand in the
     /// upstream's queue, and is served late. Giving up without that cost 276 of 326 streams their
     /// answer where few upstreams were left, and their budgets 4.4 million tokens.
-    async fn until_given_up(&self, left: Duration, resumes: bool) {
-        let (started, tries) = (self.now(), self.attempts + 1);
-        let ends = started.after(left);
-        let patience = self.route.objective.saturating_mul(PATIENCE);
-        let looks = self.route.repeat.is_idempotent() && !patience.is_zero();
-        while looks && self.now().after(patience) < ends {
-            let since = self.now();
-            self.driver.clock.sleep(patience).await;
-            if self.driver.clock.stood_still_since(since) {
+    async fn wait_until_timeout(&self, remaining: Duration, resumes: bool) {
+        let (started, attempts) = (self.now(), self.attempts + 1);
+        let deadline = started.after(remaining);
+        let timeout = self.route.objective.saturating_mul(OBJECTIVE_TIMEOUT_FACTOR);
+        let can_time_out = self.route.repeat.is_idempotent() && !timeout.is_zero();
+        while can_time_out && self.now().after(timeout) < deadline {
+            let wait_start = self.now();
+            self.driver.clock.sleep(timeout).await;
+            if self.driver.clock.stood_still_since(wait_start) {
                 // The upstream may have answered, and was not heard.
                 continue;
             }
-            if self.has_another(tries, resumes) {
+            if self.has_other_upstream(attempts, resumes) {
                 return;
             }
             let silent = self.now().since(started);
-            record::waits_on(&self.original.id, tries, self.tried.last(), silent);
+            request_log::waits_on(&self.original.id, attempts, self.tried.last(), silent);
         }
-        self.driver.clock.sleep_until(ends).await;
+        self.driver.clock.sleep_until(deadline).await;
     }
 
     /// Tells whether another upstream can be tried now, after so many tries.
-    pub(crate) fn has_another(&self, tries: u32, resumes: bool) -> bool {
+    pub(crate) fn has_other_upstream(&self, attempts: u32, resumes: bool) -> bool {
         let (now, vms) = (self.now(), self.driver.node.member_count());
-        let is_left = self.gateway.retries().remaining(now, &self.service, vms) >= 1.0;
-        if !is_left || tries >= self.route.attempts {
+        let has_retries = self.gateway.retries().remaining(now, &self.service, vms) >= 1.0;
+        if !has_retries || attempts >= self.route.attempts {
             return false;
         }
-        let residency = self.residency();
-        let wanted = self.wanted(&residency, None, vms, resumes);
-        self.gateway.replicas().choose(now, &wanted).is_some()
+        let residency = self.current_residency();
+        let criteria = self.criteria(&residency, None, vms, resumes);
+        self.gateway.replicas().choose(now, &criteria).is_some()
     }
 
     /// Returns the rank of the request: that of its account goes before the route's.
     fn rank(&self) -> u8 {
-        let own = self.caller.as_ref().and_then(|caller| caller.rank);
-        own.unwrap_or(self.route.rank)
+        let account_rank = self.caller.as_ref().and_then(|caller| caller.rank);
+        account_rank.unwrap_or(self.route.rank)
     }
 
-    fn may_try_again(&self, vms: usize) -> bool {
+    fn can_retry(&self, vms: usize) -> bool {
         let now = self.now();
         self.route.repeat.is_idempotent()
-            && self.has_tries()
+            && self.has_attempts_left()
             && self.gateway.retries().remaining(now, &self.service, vms) >= 1.0
     }
 
     /// Returns how many bytes are expected to cross between this VM and an upstream: the
     /// request's body and the answer.
-    fn bytes_across(&self) -> u64 {
+    fn transfer_bytes(&self) -> u64 {
         let body = u64::try_from(self.original.body.len()).unwrap_or(u64::MAX);
-        let answer = match self.terms.tokens {
-            Some((_, output)) => output.saturating_mul(TOKEN_BYTES),
-            None => PLAIN_BYTES,
+        let response = match self.headers.tokens {
+            Some((_, output)) => output.saturating_mul(BYTES_PER_TOKEN),
+            None => PLAIN_ANSWER_BYTES,
         };
-        body.saturating_add(answer)
+        body.saturating_add(response)
     }
 
-    fn own_tokens(&self) -> u64 {
-        self.terms.parts.last().map_or(0, |part| part.tokens)
+    fn unshared_tokens(&self) -> u64 {
+        self.headers.parts.last().map_or(0, |part| part.tokens)
     }
 }
 
 /// Names why an upstream did not run a request.
-fn not_run_word(status: StatusCode) -> &'static str {
+fn not_run_outcome(status: StatusCode) -> &'static str {
     match status {
         StatusCode::MISDIRECTED_REQUEST => "not_run_other_upstream",
         StatusCode::TOO_MANY_REQUESTS => "not_run_too_many",
--- a/crates/badgerfield-node/src/gateway/flow.rs
+++ b/crates/badgerfield-node/src/gateway/exchange.rs
@@ -8,7 +8,7 @@
 //! 6. pass the answer on: whole if it is plain, event by event if it is a stream;
 //! 7. settle what it cost.
 //!
-//! Every request ends in one [`record::ended`] line. A refusal that says "not run" is
+//! Every request ends in one [`request_log::ended`] line. A refusal that says "not run" is
 //! only made while no upstream can have started on the request.
 
 use std::net::SocketAddr;
@@ -34,35 +34,35 @@
 use crate::adapter::RequestHeaders;
 use crate::driver::Driver;
 use crate::gateway::admit::admit;
-use crate::gateway::attempt::{Answered, BROKEN, CUT, Original};
-use crate::gateway::record::{self, Timing};
-use crate::gateway::refusals::{end_refused, refuse};
+use crate::gateway::attempt::{BROKEN, CUT, Original, UpstreamResponse};
+use crate::gateway::refusals::{record_refused, refusal_response};
 use crate::gateway::relay;
+use crate::gateway::request_log::{self, Timing};
 use crate::gateway::reservation::Reservation;
 use crate::gateway::state::{Gateway, OpenRequest};
 
 /// The largest plain answer that is passed on, in bytes.
-const MAX_PLAIN: usize = 16 << 20;
+const MAX_PLAIN_BYTES: usize = 16 << 20;
 /// How many events may be on their way from an upstream when its answer ends early.
-pub(super) const UNDER_WAY: u64 = 4;
+pub(super) const MAX_IN_FLIGHT_EVENTS: u64 = 4;
 /// When to come back if this process cannot serve yet, or no upstream can be had.
-pub(super) const COME_BACK: Duration = Duration::from_millis(500);
+pub(super) const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// The answer broke off: its connection must not end as if it were whole.
 #[derive(Debug, Clone, Copy, Error)]
 #[error("the answer broke off before it was whole")]
-pub(crate) struct BrokenOff;
+pub(crate) struct ResponseTruncated;
 
 /// The body of an answer.
-pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, BrokenOff>;
+pub(crate) type ResponseBody = UnsyncBoxBody<Bytes, ResponseTruncated>;
 
 /// A request's sending to an upstream.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Sending {
+pub(super) struct LastDispatch {
     /// When it was.
     pub(super) at: Time,
     /// How often the upstream was known to have ended under the request then.
-    pub(super) life: u32,
+    pub(super) prior_crashes: u32,
 }
 
 /// A request on its way.
@@ -71,7 +71,7 @@
     pub(crate) driver: Arc<Driver>,
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) original: Original,
-    pub(crate) terms: RequestHeaders,
+    pub(crate) headers: RequestHeaders,
     pub(crate) route: Arc<Route>,
     pub(crate) spec: ServiceSpec,
     pub(crate) reservation: Option<Reservation>,
@@ -79,22 +79,22 @@
     pub(super) caller: Option<Caller>,
     /// What bound it when it was let in.
     pub(super) admission: Admission,
-    pub(super) arrived: Time,
-    pub(super) ends: Time,
+    pub(super) arrived_at: Time,
+    pub(super) deadline: Time,
     pub(super) tried: Vec<UpstreamId>,
     pub(super) attempts: u32,
     /// The upstream that is tried at present, until the head of its answer has come.
-    pub(super) trying: Option<(UpstreamId, SocketAddr)>,
+    pub(super) current_upstream: Option<(UpstreamId, SocketAddr)>,
     /// Its last sending to an upstream.
-    pub(super) sent: Sending,
+    pub(super) last_dispatch: LastDispatch,
     pub(super) may_have_run: bool,
     /// Whether an upstream may have made more of an answer than is known here.
-    pub(super) unseen: bool,
+    pub(super) has_unseen_output: bool,
     /// What stands for the request, once that was asked.
     pub(super) fingerprint: OnceLock<Fingerprint>,
     pub(super) timing: Timing,
     /// The prompt tokens that the upstream is expected to read.
-    pub(super) unread: u64,
+    pub(super) uncached_tokens: u64,
     /// The version that answered last, where the service has several.
     pub(super) version: Option<SoftwareVersion>,
     /// Whether its end was recorded.
@@ -107,13 +107,13 @@
         if self.ended {
             return;
         }
-        if let Some((upstream, address)) = &self.trying {
-            self.watch_left(upstream, *address);
+        if let Some((upstream, address)) = &self.current_upstream {
+            self.watch_abandoned(upstream, *address);
         }
         // The caller left before there was any answer; without this line its tokens seem to be
         // set aside for ever.
         let upstream = self.tried.last().cloned();
-        self.end("caller_left", 0, upstream.as_ref(), 0);
+        self.record_end("caller_left", 0, upstream.as_ref(), 0);
     }
 }
 
@@ -122,17 +122,17 @@
     driver: Arc<Driver>,
     gateway: Arc<Gateway>,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
-    let arrived = driver.now();
-    let open = gateway.open();
+) -> Response<ResponseBody> {
+    let arrived_at = driver.now();
+    let open = gateway.track_request();
     let stopping = gateway.is_stopping();
-    let admitted = admit(Arc::clone(&driver), gateway, request, arrived, open).await;
+    let admitted = admit(Arc::clone(&driver), gateway, request, arrived_at, open).await;
     let mut response = match admitted {
         Ok(exchange) => run(exchange).await,
         Err((id, refusal)) => {
             let id = id.as_deref().unwrap_or("-");
-            end_refused(id, &refusal, 0, None, driver.now().since(arrived));
-            refuse(&refusal)
+            record_refused(id, &refusal, 0, None, driver.now().since(arrived_at));
+            refusal_response(&refusal)
         }
     };
     if stopping {
@@ -143,34 +143,34 @@
 }
 
 /// Steps 5 to 7: the upstream, the answer and the bill.
-async fn run(mut exchange: Exchange) -> Response<AnswerBody> {
+async fn run(mut exchange: Exchange) -> Response<ResponseBody> {
     loop {
-        let answered = match exchange.dispatch(None).await {
-            Ok(answered) => answered,
+        let response = match exchange.dispatch(None).await {
+            Ok(response) => response,
             Err(refusal) => return exchange.refuse(&refusal),
         };
-        if exchange.route.repeat.is_stream() && answered.head.status.is_success() {
-            return relay::start(exchange, answered);
+        if exchange.route.repeat.is_stream() && response.head.status.is_success() {
+            return relay::start(exchange, response);
         }
-        let (upstream, address) = (answered.hold.id.clone(), answered.hold.address);
-        match exchange.collect(answered).await {
+        let (upstream, address) = (response.guard.id.clone(), response.guard.address);
+        match exchange.collect(response).await {
             Ok((head, body)) => {
-                exchange.note_whole();
-                exchange.end("served", head.status.as_u16(), Some(&upstream), 0);
+                exchange.record_served();
+                exchange.record_end("served", head.status.as_u16(), Some(&upstream), 0);
                 let body = Full::new(body).map_err(|never| match never {}).boxed_unsync();
                 return Response::from_parts(head, body);
             }
             Err(why) => {
                 // What makes an upstream end may do so in the middle of an answer, too.
                 let has_ended = why == CUT
-                    || (why == BROKEN && exchange.note_broken(&upstream, address, None).await);
-                exchange.unseen |= !has_ended;
-                record::attempt_failed(
+                    || (why == BROKEN && exchange.detect_crash(&upstream, address, None).await);
+                exchange.has_unseen_output |= !has_ended;
+                request_log::attempt_failed(
                     &exchange.original.id,
                     exchange.attempts,
                     &upstream,
                     why,
-                    exchange.took(),
+                    exchange.elapsed(),
                 );
                 if !exchange.route.repeat.is_idempotent() {
                     return exchange.refuse(&Refusal::may_have_run(Cause::BrokenOff));
@@ -187,117 +187,117 @@
     }
 
     /// Returns how long ago the request came.
-    pub(crate) fn took(&self) -> Duration {
-        self.now().since(self.arrived)
+    pub(crate) fn elapsed(&self) -> Duration {
+        self.now().since(self.arrived_at)
     }
 
     /// Returns when the request must have its final answer.
-    pub(crate) fn ends(&self) -> Time {
-        self.ends
+    pub(crate) fn deadline(&self) -> Time {
+        self.deadline
     }
 
     /// Tells whether another upstream might be tried, as far as the route says.
-    pub(crate) fn has_tries(&self) -> bool {
+    pub(crate) fn has_attempts_left(&self) -> bool {
         self.attempts < self.route.attempts
     }
 
     /// Notes that an upstream has read the prompt.
-    pub(super) fn note_prompt(&mut self, status: StatusCode) {
-        let prompt = self.terms.tokens.map_or(0, |(prompt, _)| prompt);
+    pub(super) fn record_prompt(&mut self, status: StatusCode) {
+        let prompt = self.headers.tokens.map_or(0, |(prompt, _)| prompt);
         if let Some(reservation) = self.reservation.as_mut().filter(|_| status.is_success()) {
-            reservation.used(Tokens(prompt));
+            reservation.record_used(Tokens(prompt));
         }
     }
 
     /// Reads a plain answer whole.
     async fn collect(
         &mut self,
-        answered: Box<Answered>,
+        response: Box<UpstreamResponse>,
     ) -> Result<(response::Parts, Bytes), &'static str> {
-        let Answered { head, body, framed, mut hold } = *answered;
-        let whole = Limited::new(body, MAX_PLAIN).collect();
-        match self.driver.clock.timeout_at(self.ends, whole).await {
+        let UpstreamResponse { head, body, framed, mut guard } = *response;
+        let whole = Limited::new(body, MAX_PLAIN_BYTES).collect();
+        match self.driver.clock.timeout_at(self.deadline, whole).await {
             // Where only the connection tells where the body ends, an upstream that ends cuts it off
             // in good order.
-            Ok(Ok(_)) if !framed && self.note_broken(&hold.id, hold.address, None).await => {
-                hold.note_failed();
+            Ok(Ok(_)) if !framed && self.detect_crash(&guard.id, guard.address, None).await => {
+                guard.record_failure();
                 Err(CUT)
             }
             Ok(Ok(whole)) => {
                 if head.status.is_server_error() {
-                    hold.note_failed();
-                    drop(hold);
+                    guard.record_failure();
+                    drop(guard);
                 } else {
-                    hold.finish();
+                    guard.finish();
                 }
                 Ok((head, whole.to_bytes()))
             }
             Ok(Err(_)) => {
-                hold.note_failed();
+                guard.record_failure();
                 Err(BROKEN)
             }
             Err(_) => {
-                hold.note_failed();
+                guard.record_failure();
                 Err("late")
             }
         }
     }
 
     /// Makes the final refusal: "not run" only if no upstream can have started.
-    pub(super) fn give_up(&mut self, cause: Cause) -> Refusal {
+    pub(super) fn final_refusal(&mut self, cause: Cause) -> Refusal {
         if self.may_have_run {
-            self.count_unseen();
+            self.charge_unseen();
             let cause = if cause == Cause::OutOfTime { cause } else { Cause::BrokenOff };
             return Refusal::may_have_run(cause);
         }
         let cause = if cause == Cause::OutOfTime { Cause::Overloaded } else { cause };
-        let after = match cause {
-            Cause::NoUpstream => self.upstream_in(),
+        let retry_after = match cause {
+            Cause::NoUpstream => self.time_until_upstream(),
             Cause::EndsUpstreams => self.blocked_for(),
             _ => None,
         };
-        let after = after.unwrap_or_else(|| overload::retry_delay(rand::random()));
-        Refusal::not_run(cause).with_retry_after(after)
+        let retry_after = retry_after.unwrap_or_else(|| overload::retry_delay(rand::random()));
+        Refusal::not_run(cause).with_retry_after(retry_after)
     }
 
     /// Returns when the first upstream that is cold, rests or has a limit takes a request again, if
     /// that is known; callers that are held back by the last two come one after the other.
-    fn upstream_in(&self) -> Option<Duration> {
+    fn time_until_upstream(&self) -> Option<Duration> {
         let now = self.now();
-        let (warm_in, admits_in) = {
-            let replicas = self.gateway.replicas();
+        let (until_warm, until_admitted) = {
+            let upstreams = self.gateway.replicas();
             (
-                replicas.time_until_warm(now, &self.service),
-                replicas.time_until_admitted(now, &self.service),
+                upstreams.time_until_warm(now, &self.service),
+                upstreams.time_until_admitted(now, &self.service),
             )
         };
         let spread = overload::retry_delay(rand::random());
-        let admits_in = admits_in.map(|span| span.saturating_add(spread));
-        warm_in.into_iter().chain(admits_in).min()
+        let until_admitted = until_admitted.map(|span| span.saturating_add(spread));
+        until_warm.into_iter().chain(until_admitted).min()
     }
 
     /// Counts what an upstream may have handed out that did not arrive here: all that is set
     /// aside, unless each upstream that worked on it has ended. Those had sent what they made,
     /// but for a few events on their way.
-    fn count_unseen(&mut self) {
-        let (prompt, _) = self.terms.tokens.unwrap_or_default();
-        let under_way = self.stride().saturating_mul(UNDER_WAY);
-        let unseen = self.unseen;
+    fn charge_unseen(&mut self) {
+        let (prompt, _) = self.headers.tokens.unwrap_or_default();
+        let in_flight = self.tokens_per_event().saturating_mul(MAX_IN_FLIGHT_EVENTS);
+        let has_unseen_output = self.has_unseen_output;
         if let Some(reservation) = self.reservation.as_mut() {
-            let all = reservation.reserved();
-            let few = Tokens(prompt.saturating_add(under_way));
-            reservation.used(if unseen { all } else { few });
+            let reserved = reservation.reserved();
+            let in_flight_tokens = Tokens(prompt.saturating_add(in_flight));
+            reservation.record_used(if has_unseen_output { reserved } else { in_flight_tokens });
         }
     }
 
-    fn refuse(&mut self, refusal: &Refusal) -> Response<AnswerBody> {
+    fn refuse(&mut self, refusal: &Refusal) -> Response<ResponseBody> {
         let status = refusal.cause.status();
-        self.end(refusal.cause.code(), status, self.tried.last().cloned().as_ref(), 0);
-        refuse(refusal)
+        self.record_end(refusal.cause.code(), status, self.tried.last().cloned().as_ref(), 0);
+        refusal_response(refusal)
     }
 
     /// Records the end of the request.
-    pub(crate) fn end(
+    pub(crate) fn record_end(
         &mut self,
         outcome: &str,
         status: u16,
@@ -306,15 +306,15 @@
     ) {
         self.ended = true;
         let reservation = self.reservation.as_ref();
-        let tokens = reservation.map_or((0, 0), |r| (r.reserved().0, r.spent().0));
-        self.driver.gateway_counts().count_end(outcome, self.took());
-        record::ended(&record::End {
+        let tokens = reservation.map_or((0, 0), |r| (r.reserved().0, r.used().0));
+        self.driver.gateway_counts().count_end(outcome, self.elapsed());
+        request_log::ended(&request_log::RequestEnd {
             id: &self.original.id,
             outcome,
             status,
             attempts: self.attempts,
             upstream,
-            took: self.took(),
+            took: self.elapsed(),
             events,
             tokens,
             timing: self.timing,
@@ -322,12 +322,12 @@
     }
 
     /// Returns how many tokens one event of a stream holds.
-    pub(crate) fn stride(&self) -> u64 {
+    pub(crate) fn tokens_per_event(&self) -> u64 {
         self.spec.engine.as_ref().map_or(1, |engine| engine.stride)
     }
 
     /// Notes how an engine served a stream whole, for those that come after it.
-    pub(crate) fn observe(&self) {
+    pub(crate) fn record_stream_timing(&self) {
         let Timing { sent: Some(sent), first: Some(first), last: Some(last), .. } = self.timing
         else {
             return;
@@ -336,16 +336,16 @@
         if self.attempts != 1 {
             return;
         }
-        let seen = ObservedTiming {
-            uncached_tokens: self.unread,
+        let timing = ObservedTiming {
+            uncached_tokens: self.uncached_tokens,
             time_to_first: first.saturating_sub(sent),
             stream_time: last.saturating_sub(first),
         };
-        self.gateway.replicas().record_timing(&self.service, &self.route.name, &seen);
+        self.gateway.replicas().record_timing(&self.service, &self.route.name, &timing);
     }
 
     /// Notes that events came from an upstream.
-    pub(crate) fn note_events(&mut self) {
-        self.timing.note_events(self.took());
+    pub(crate) fn record_events(&mut self) {
+        self.timing.record_events(self.elapsed());
     }
 }
--- a/crates/badgerfield-node/src/gateway/listener.rs
+++ b/crates/badgerfield-node/src/gateway/listener.rs
@@ -14,17 +14,17 @@
 
 use crate::caller_api::listen;
 use crate::driver::{Driver, StartError};
-use crate::gateway::connections::guard;
+use crate::gateway::connections::configure_socket;
 use crate::gateway::state::Gateway;
-use crate::gateway::{directory, flow};
+use crate::gateway::{directory, exchange};
 
 /// The smallest buffer for a head that the HTTP library takes, in bytes.
-const LEAST_HEAD: usize = 8 * 1024;
+const MIN_HEAD_BUFFER_BYTES: usize = 8 * 1024;
 /// How long callers may still come after the order to stop: they keep what the
 /// directory said for a while.
-const LINGER: Duration = Duration::from_millis(3500);
+const LINGER_TIME: Duration = Duration::from_millis(3500);
 /// How long accepting rests after it failed, as it does without descriptors.
-const PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Serves requests on routes until the process ends, if the settings ask for that.
 ///
@@ -37,25 +37,25 @@
     };
     directory::serve(driver, &gateway, settings.directory_address, settings.ready).await?;
     let listener = listen(settings.request_address).await?;
-    let places = Arc::new(Semaphore::new(settings.connections));
+    let connection_slots = Arc::new(Semaphore::new(settings.connections));
     let driver = Arc::clone(driver);
     tokio::spawn(async move {
         loop {
-            let Ok(place) = Arc::clone(&places).acquire_owned().await else {
+            let Ok(slot) = Arc::clone(&connection_slots).acquire_owned().await else {
                 return;
             };
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
-                () = driver.lingered(LINGER) => return,
+                () = driver.lingered(LINGER_TIME) => return,
             };
             let Ok((stream, _)) = accepted else {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             let (driver, gateway) = (Arc::clone(&driver), Arc::clone(&gateway));
             tokio::spawn(async move {
-                connection(driver, gateway, stream).await;
-                drop(place);
+                serve_connection(driver, gateway, stream).await;
+                drop(slot);
             });
         }
     });
@@ -64,62 +64,67 @@
 
 /// What is known of one connection's use.
 #[derive(Debug)]
-struct Use {
+struct ConnectionActivity {
     started: Time,
-    open: AtomicUsize,
+    open_requests: AtomicUsize,
     /// When the last request ended, in milliseconds after the start.
-    last: AtomicU64,
+    last_end_ms: AtomicU64,
 }
 
-impl Use {
-    fn note(&self, now: Time) {
+impl ConnectionActivity {
+    fn record_end(&self, now: Time) {
         let millis = u64::try_from(now.since(self.started).as_millis()).unwrap_or(u64::MAX);
-        self.last.store(millis, Ordering::Relaxed);
+        self.last_end_ms.store(millis, Ordering::Relaxed);
     }
 
     /// Returns when the connection has rested for too long, if nothing comes.
-    fn rests_until(&self, now: Time, idle: Duration) -> Time {
-        if self.open.load(Ordering::Relaxed) > 0 {
+    fn idle_deadline(&self, now: Time, idle: Duration) -> Time {
+        if self.open_requests.load(Ordering::Relaxed) > 0 {
             return now.after(idle);
         }
-        self.started.after(Duration::from_millis(self.last.load(Ordering::Relaxed))).after(idle)
+        self.started
+            .after(Duration::from_millis(self.last_end_ms.load(Ordering::Relaxed)))
+            .after(idle)
     }
 }
 
-async fn connection(driver: Arc<Driver>, gateway: Arc<Gateway>, stream: TcpStream) {
-    guard(&stream);
-    let used =
-        Arc::new(Use { started: driver.now(), open: AtomicUsize::new(0), last: AtomicU64::new(0) });
+async fn serve_connection(driver: Arc<Driver>, gateway: Arc<Gateway>, stream: TcpStream) {
+    configure_socket(&stream);
+    let activity = Arc::new(ConnectionActivity {
+        started: driver.now(),
+        open_requests: AtomicUsize::new(0),
+        last_end_ms: AtomicU64::new(0),
+    });
     let limits = gateway.in_force().table.limits();
     let service = {
-        let (driver, gateway, used) =
-            (Arc::clone(&driver), Arc::clone(&gateway), Arc::clone(&used));
+        let (driver, gateway, activity) =
+            (Arc::clone(&driver), Arc::clone(&gateway), Arc::clone(&activity));
         service_fn(move |request| {
             let (driver, gateway) = (Arc::clone(&driver), Arc::clone(&gateway));
-            let used = Arc::clone(&used);
+            let activity = Arc::clone(&activity);
             async move {
-                used.open.fetch_add(1, Ordering::Relaxed);
-                let response = flow::serve(Arc::clone(&driver), gateway, request).await;
-                used.open.fetch_sub(1, Ordering::Relaxed);
-                used.note(driver.now());
+                activity.open_requests.fetch_add(1, Ordering::Relaxed);
+                let response = exchange::serve(Arc::clone(&driver), gateway, request).await;
+                activity.open_requests.fetch_sub(1, Ordering::Relaxed);
+                activity.record_end(driver.now());
                 Ok::<_, Infallible>(response)
             }
         })
     };
     let served = http1::Builder::new()
-        .max_buf_size(limits.head.max(LEAST_HEAD))
+        .max_buf_size(limits.head.max(MIN_HEAD_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut served = std::pin::pin!(served);
     loop {
         let idle = gateway.in_force().table.limits().idle;
-        let rests_until = used.rests_until(driver.now(), idle);
+        let idle_deadline = activity.idle_deadline(driver.now(), idle);
         tokio::select! {
             // How a connection ends matters to its requests only.
             _ = &mut served => return,
-            () = driver.lingered(LINGER) => break,
-            () = driver.clock.sleep_until(rests_until) => {
+            () = driver.lingered(LINGER_TIME) => break,
+            () = driver.clock.sleep_until(idle_deadline) => {
                 let now = driver.now();
-                if used.rests_until(now, idle) <= now {
+                if activity.idle_deadline(now, idle) <= now {
                     break;
                 }
             }
--- a/crates/badgerfield-node/src/gateway/mod.rs
+++ b/crates/badgerfield-node/src/gateway/mod.rs
@@ -19,18 +19,18 @@
 //! What the heads look like is the business of the [`crate::adapter`].
 
 mod admit;
+mod announcements;
 pub(crate) mod attempt;
 pub(crate) mod connections;
 pub(crate) mod directory;
 mod dispatch;
-pub(crate) mod flow;
+pub(crate) mod exchange;
 pub mod listener;
 mod overload;
-pub(crate) mod record;
+mod poison;
 mod refusals;
 pub(crate) mod relay;
+pub(crate) mod request_log;
 pub(crate) mod reservation;
+pub(crate) mod rollout_sample;
 pub(crate) mod state;
-mod statements;
-mod suspicion;
-pub(crate) mod trial;
--- a/crates/badgerfield-node/src/gateway/overload.rs
+++ b/crates/badgerfield-node/src/gateway/overload.rs
@@ -6,7 +6,7 @@
 use badgerfield_core::overload;
 use hyper::StatusCode;
 
-use crate::gateway::flow::Exchange;
+use crate::gateway::exchange::Exchange;
 
 impl Exchange {
     /// Returns the time within which an answer is wanted, if the request goes to a plain
@@ -17,14 +17,14 @@
     }
 
     /// Notes how long an upstream took to answer.
-    pub(super) fn note_answered(&self, id: &UpstreamId, span: Duration) {
+    pub(super) fn record_response_time(&self, id: &UpstreamId, span: Duration) {
         if self.plain_objective().is_some() {
             self.gateway.replicas().record_response_time(self.now(), id, span);
         }
     }
 
     /// Notes that an upstream did not run the request.
-    pub(super) fn note_not_run(&self, id: &UpstreamId, status: StatusCode) {
+    pub(super) fn record_rejection(&self, id: &UpstreamId, status: StatusCode) {
         let full = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS];
         if let Some(objective) = self.plain_objective().filter(|_| full.contains(&status)) {
             let span = overload::rejection_wait(objective);
--- a/crates/badgerfield-node/src/gateway/suspicion.rs
+++ b/crates/badgerfield-node/src/gateway/poison.rs
@@ -16,42 +16,42 @@
 use crate::adapter::RequestHeaders;
 use crate::driver::Driver;
 use crate::gateway::attempt::Original;
-use crate::gateway::connections::{LISTENS, Listening, WATCH};
-use crate::gateway::flow::Exchange;
-use crate::gateway::record;
+use crate::gateway::connections::{CRASH_WATCH_TIME, LISTEN_TIMEOUT, ProbeResult};
+use crate::gateway::exchange::Exchange;
+use crate::gateway::request_log;
 
 /// Returns what stands for a request, whoever sends it again.
 pub(super) fn fingerprint(
     account: Option<&Account>,
     route: &Route,
-    terms: &RequestHeaders,
+    headers: &RequestHeaders,
     original: &Original,
 ) -> Fingerprint {
     let head = &original.head;
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
     let address = (route.host.as_str(), path);
-    Fingerprint::of(account, head.method.as_str(), address, &terms.parts, &original.body)
+    Fingerprint::of(account, head.method.as_str(), address, &headers.parts, &original.body)
 }
 
 /// Refuses a request under which upstreams have ended, before anything is set aside for it;
 /// returns what stands for it, if that had to be made.
-pub(super) fn check(
+pub(super) fn check_blocked(
     driver: &Driver,
     account: Option<&Account>,
     route: &Route,
-    terms: &RequestHeaders,
+    headers: &RequestHeaders,
     original: &Original,
 ) -> Result<OnceLock<Fingerprint>, Refusal> {
     if !driver.node.has_suspects() {
         return Ok(OnceLock::new());
     }
-    let request = fingerprint(account, route, terms, original);
-    let standing = driver.node.request_status(driver.now(), request);
-    let PoisonStatus::Blocked { upstreams, age, remaining: left } = standing else {
+    let request = fingerprint(account, route, headers, original);
+    let poison_status = driver.node.request_status(driver.now(), request);
+    let PoisonStatus::Blocked { upstreams, age, remaining } = poison_status else {
         return Ok(OnceLock::from(request));
     };
-    record::blocked(&original.id, request, &upstreams, age);
-    Err(Refusal::not_run(Cause::EndsUpstreams).with_retry_after(left))
+    request_log::blocked(&original.id, request, &upstreams, age);
+    Err(Refusal::not_run(Cause::EndsUpstreams).with_retry_after(remaining))
 }
 
 impl Exchange {
@@ -59,11 +59,11 @@
     /// requests is never.
     pub(super) fn fingerprint(&self) -> Fingerprint {
         let account = self.caller.as_ref().map(|caller| &caller.account);
-        let make = || fingerprint(account, &self.route, &self.terms, &self.original);
+        let make = || fingerprint(account, &self.route, &self.headers, &self.original);
         *self.fingerprint.get_or_init(make)
     }
 
-    fn standing(&self) -> PoisonStatus {
+    fn poison_status(&self) -> PoisonStatus {
         if !self.driver.node.has_suspects() {
             return PoisonStatus::Clear;
         }
@@ -71,7 +71,7 @@
     }
 
     /// Returns how often an upstream is known to have ended under the request.
-    pub(super) fn life_of(&self, upstream: &UpstreamId) -> u32 {
+    pub(super) fn crash_count(&self, upstream: &UpstreamId) -> u32 {
         if !self.driver.node.has_suspects() {
             return 0;
         }
@@ -84,17 +84,17 @@
     /// # Errors
     ///
     /// Fails if the request is blocked.
-    pub(super) fn check_standing(&self) -> Result<Option<u64>, Cause> {
-        match self.standing() {
+    pub(super) fn check_poison(&self) -> Result<Option<u64>, Cause> {
+        match self.poison_status() {
             PoisonStatus::Clear => Ok(None),
             PoisonStatus::Suspect { early } => {
                 let request = self.fingerprint();
-                record::suspect(&self.original.id, request, self.attempts + 1, early);
+                request_log::suspect(&self.original.id, request, self.attempts + 1, early);
                 // A stream in full flow goes where its parts are and work is least.
                 Ok(early.then(|| request.rendezvous_key()))
             }
             PoisonStatus::Blocked { upstreams, age, .. } => {
-                record::blocked(&self.original.id, self.fingerprint(), &upstreams, age);
+                request_log::blocked(&self.original.id, self.fingerprint(), &upstreams, age);
                 Err(Cause::EndsUpstreams)
             }
         }
@@ -102,17 +102,17 @@
 
     /// Returns how much longer the request is blocked, if it is.
     pub(super) fn blocked_for(&self) -> Option<Duration> {
-        match self.standing() {
-            PoisonStatus::Blocked { remaining: left, .. } => Some(left),
+        match self.poison_status() {
+            PoisonStatus::Blocked { remaining, .. } => Some(remaining),
             PoisonStatus::Clear | PoisonStatus::Suspect { .. } => None,
         }
     }
 
     /// Waits until the request is blocked, if that comes to pass.
     pub(super) async fn until_blocked(&self) {
-        let mut line = self.gateway.blocked();
-        while !matches!(self.standing(), PoisonStatus::Blocked { .. }) {
-            if line.changed().await.is_err() {
+        let mut changes = self.gateway.subscribe_blocked();
+        while !matches!(self.poison_status(), PoisonStatus::Blocked { .. }) {
+            if changes.changed().await.is_err() {
                 // The gateway is gone, and with it whoever could block anything.
                 std::future::pending::<()>().await;
             }
@@ -120,16 +120,16 @@
     }
 
     /// Returns when the upstream was last known to be at work on the request.
-    fn heard_at(&self) -> Time {
-        let heard = self.timing.last.map(|last| self.arrived.after(last));
-        heard.map_or(self.sent.at, |at| at.max(self.sent.at))
+    fn last_contact(&self) -> Time {
+        let last_event = self.timing.last.map(|last| self.arrived_at.after(last));
+        last_event.map_or(self.last_dispatch.at, |at| at.max(self.last_dispatch.at))
     }
 
     /// Finds out whether an upstream that broke off has ended, and holds that against the
     /// request; tells whether it has.
     ///
     /// A connection that breaks alone is no evidence: upstreams that live break some off.
-    pub(super) async fn note_broken(
+    pub(super) async fn detect_crash(
         &self,
         upstream: &UpstreamId,
         address: SocketAddr,
@@ -138,43 +138,42 @@
         let id = &self.original.id;
         // An upstream that came to a planned end while this process stood still is as silent as
         // one that ended under the request.
-        if self.driver.clock.stood_still_since(self.heard_at()) {
-            record::broke(id, upstream, "not_asked", Duration::ZERO);
+        if self.driver.clock.stood_still_since(self.last_contact()) {
+            request_log::broke(id, upstream, "not_asked", Duration::ZERO);
             return false;
         }
         let account = self.caller.as_ref().map(|caller| &caller.account);
         let crash = || {
             Crash::new(self.fingerprint(), account, upstream, last.unwrap_or(0))
-                .with_prior_crashes(self.sent.life)
+                .with_prior_crashes(self.last_dispatch.prior_crashes)
         };
         let connections = &self.gateway.connections;
-        let asked = self.now();
-        let listening = connections.listening(address).await;
-        record::broke(id, upstream, listening.as_str(), self.now().since(asked));
-        match listening {
-            Listening::Refused => {
+        let probed_at = self.now();
+        let probe_result = connections.probe_listener(address).await;
+        request_log::broke(id, upstream, probe_result.as_str(), self.now().since(probed_at));
+        match probe_result {
+            ProbeResult::Refused => {
                 self.driver.feed(Event::UpstreamCrashed(crash()));
                 true
             }
-            Listening::Open(connection) => {
+            ProbeResult::Open(connection) => {
                 // The request goes on meanwhile.
                 let (driver, crash) = (Arc::clone(&self.driver), crash());
                 let connections = Arc::clone(connections);
-                let place = Arc::clone(&self.gateway.watches).try_acquire_owned().ok();
-                let span = if place.is_some() { WATCH } else { LISTENS };
+                let permit = Arc::clone(&self.gateway.crash_watches).try_acquire_owned().ok();
+                let span = if permit.is_some() { CRASH_WATCH_TIME } else { LISTEN_TIMEOUT };
                 tokio::spawn(async move {
-                    let ends = connections
-                        .ends_after_all(&crash.upstream, address, connection, span)
-                        .await;
-                    if ends && !driver.clock.stood_still_since(asked) {
+                    let has_exited =
+                        connections.exits_within(&crash.upstream, address, connection, span).await;
+                    if has_exited && !driver.clock.stood_still_since(probed_at) {
                         driver.feed(Event::UpstreamCrashed(crash));
                     }
-                    drop(place);
+                    drop(permit);
                 });
                 false
             }
             // What takes its host with it refuses no connection.
-            Listening::Unknown => {
+            ProbeResult::Unknown => {
                 self.driver.feed(Event::UpstreamCrashed(crash().unconfirmed()));
                 false
             }
@@ -183,30 +182,31 @@
 
     /// Watches an upstream for a while that works on the request though its caller has left: it may
     /// end under it yet, and the same caller may come back.
-    pub(super) fn watch_left(&self, upstream: &UpstreamId, address: SocketAddr) {
-        let watches = Arc::clone(&self.gateway.watches);
-        let (Ok(place), Ok(runtime)) = (watches.try_acquire_owned(), Handle::try_current()) else {
+    pub(super) fn watch_abandoned(&self, upstream: &UpstreamId, address: SocketAddr) {
+        let crash_watches = Arc::clone(&self.gateway.crash_watches);
+        let (Ok(permit), Ok(runtime)) = (crash_watches.try_acquire_owned(), Handle::try_current())
+        else {
             // Of many at once it is enough to watch some; without a runtime the process ends.
             return;
         };
         let account = self.caller.as_ref().map(|caller| &caller.account);
-        let crash =
-            Crash::new(self.fingerprint(), account, upstream, 0).with_prior_crashes(self.sent.life);
+        let crash = Crash::new(self.fingerprint(), account, upstream, 0)
+            .with_prior_crashes(self.last_dispatch.prior_crashes);
         let (driver, connections) =
             (Arc::clone(&self.driver), Arc::clone(&self.gateway.connections));
         let since = self.now();
         runtime.spawn(async move {
-            let ends = connections.ends_soon(&crash.upstream, address).await;
-            if ends && !driver.clock.stood_still_since(since) {
+            let has_exited = connections.exits_soon(&crash.upstream, address).await;
+            if has_exited && !driver.clock.stood_still_since(since) {
                 driver.feed(Event::UpstreamCrashed(crash));
             }
-            drop(place);
+            drop(permit);
         });
     }
 
     /// Notes that the request was served whole: no crash that it was at was its doing.
-    pub(super) fn note_whole(&self) {
-        if self.standing() != PoisonStatus::Clear {
+    pub(super) fn record_served(&self) {
+        if self.poison_status() != PoisonStatus::Clear {
             self.driver.feed(Event::SuspectServed(self.fingerprint()));
         }
     }
--- a/crates/badgerfield-node/src/gateway/refusals.rs
+++ b/crates/badgerfield-node/src/gateway/refusals.rs
@@ -9,18 +9,18 @@
 use hyper::{Response, StatusCode, header};
 use serde_json::json;
 
-use crate::gateway::flow::AnswerBody;
-use crate::gateway::record::{self, Timing};
+use crate::gateway::exchange::ResponseBody;
+use crate::gateway::request_log::{self, Timing};
 
 /// Records the end of a request that is refused.
-pub(super) fn end_refused(
+pub(super) fn record_refused(
     id: &str,
     refusal: &Refusal,
     attempts: u32,
     upstream: Option<&UpstreamId>,
     took: Duration,
 ) {
-    record::ended(&record::End {
+    request_log::ended(&request_log::RequestEnd {
         id,
         outcome: refusal.cause.code(),
         status: refusal.cause.status(),
@@ -34,7 +34,7 @@
 }
 
 /// Makes the answer of a refusal.
-pub(super) fn refuse(refusal: &Refusal) -> Response<AnswerBody> {
+pub(super) fn refusal_response(refusal: &Refusal) -> Response<ResponseBody> {
     let cause = refusal.cause;
     let text = json!({
         "error": {
@@ -49,9 +49,9 @@
     *response.status_mut() = status.unwrap_or(StatusCode::BAD_GATEWAY);
     let head = response.headers_mut();
     head.insert(header::CONTENT_TYPE, header::HeaderValue::from_static("application/json"));
-    let after = refusal.retry_after.filter(|_| refusal.outcome == Outcome::NotRun);
-    let after = after.map(|span| format!("{:.3}", span.as_secs_f64()));
-    if let Some(value) = after.and_then(|text| text.parse().ok()) {
+    let retry_after = refusal.retry_after.filter(|_| refusal.outcome == Outcome::NotRun);
+    let retry_after = retry_after.map(|span| format!("{:.3}", span.as_secs_f64()));
+    if let Some(value) = retry_after.and_then(|text| text.parse().ok()) {
         head.insert(header::RETRY_AFTER, value);
     }
     response
--- a/crates/badgerfield-node/src/gateway/relay.rs
+++ b/crates/badgerfield-node/src/gateway/relay.rs
@@ -10,12 +10,12 @@
 use hyper::Response;
 use hyper::body::{Frame, Incoming};
 
-use crate::gateway::attempt::{Answered, BLOCKED, BROKEN, CUT, SILENT, UpstreamHold};
-use crate::gateway::flow::{AnswerBody, BrokenOff, Exchange, UNDER_WAY};
-use crate::gateway::record;
+use crate::gateway::attempt::{BLOCKED, BROKEN, CUT, SILENT, UpstreamGuard, UpstreamResponse};
+use crate::gateway::exchange::{Exchange, MAX_IN_FLIGHT_EVENTS, ResponseBody, ResponseTruncated};
+use crate::gateway::request_log;
 
 /// How many times the wanted pause a resumable stream waits for one upstream.
-const PATIENCE: u32 = 4;
+const PAUSE_TIMEOUT_FACTOR: u32 = 4;
 
 /// A stream on its way to the caller.
 #[derive(Debug)]
@@ -32,13 +32,13 @@
 struct Source {
     body: Incoming,
     framed: bool,
-    hold: UpstreamHold,
+    guard: UpstreamGuard,
     /// Whether an event has come from it.
     has_begun: bool,
 }
 
 /// What came of waiting for the upstream.
-enum Step {
+enum ReadResult {
     Data(Bytes),
     End,
     Broken(&'static str),
@@ -46,11 +46,11 @@
 }
 
 /// Starts to pass a stream on.
-pub(crate) fn start(exchange: Exchange, answered: Box<Answered>) -> Response<AnswerBody> {
-    let Answered { head, body, framed, hold } = *answered;
-    let scanner = EventScanner::resume_after(exchange.terms.last_event);
+pub(crate) fn start(exchange: Exchange, response: Box<UpstreamResponse>) -> Response<ResponseBody> {
+    let UpstreamResponse { head, body, framed, guard } = *response;
+    let scanner = EventScanner::resume_after(exchange.headers.last_event);
     let status = head.status.as_u16();
-    let source = Some(Source { body, framed, hold, has_begun: false });
+    let source = Some(Source { body, framed, guard, has_begun: false });
     let relay = Relay { exchange, source, scanner, status, ended: false };
     let parts = stream::unfold(relay, |mut relay| async move {
         let part = relay.next().await?;
@@ -61,81 +61,81 @@
 
 impl Relay {
     /// Returns the next bytes for the caller, or nothing after the last.
-    async fn next(&mut self) -> Option<Result<Bytes, BrokenOff>> {
+    async fn next(&mut self) -> Option<Result<Bytes, ResponseTruncated>> {
         loop {
             if self.ended {
                 return None;
             }
-            match self.step().await {
-                Step::Data(bytes) => {
-                    let whole = self.scanner.push(&bytes);
+            match self.read().await {
+                ReadResult::Data(bytes) => {
+                    let events = self.scanner.push(&bytes);
                     if self.scanner.partial_event().len() > MAX_EVENT_BYTES {
-                        return Some(self.break_off("event_too_large"));
+                        return Some(self.fail("event_too_large"));
                     }
-                    if whole.is_empty() {
+                    if events.is_empty() {
                         continue;
                     }
-                    self.exchange.note_events();
-                    self.note_begun();
-                    self.count(0);
-                    return Some(Ok(whole));
+                    self.exchange.record_events();
+                    self.record_begun();
+                    self.record_usage(0);
+                    return Some(Ok(events));
                 }
                 // The upstream said that its answer is whole, whatever its form.
-                Step::End if self.source.as_ref().is_some_and(|source| source.framed) => {
-                    let rest = self.scanner.take_partial();
+                ReadResult::End if self.source.as_ref().is_some_and(|source| source.framed) => {
+                    let tail = self.scanner.take_partial();
                     self.finish();
-                    return (!rest.is_empty()).then_some(Ok(rest));
+                    return (!tail.is_empty()).then_some(Ok(tail));
                 }
-                Step::End
+                ReadResult::End
                     if self.scanner.partial_event().is_empty()
-                        && !self.ends_with_upstream().await =>
+                        && !self.has_upstream_crashed().await =>
                 {
                     self.finish();
                     return None;
                 }
-                Step::End => {
-                    if let Some(broken) = self.go_on(CUT).await {
-                        return Some(broken);
+                ReadResult::End => {
+                    if let Some(failure) = self.resume_elsewhere(CUT).await {
+                        return Some(failure);
                     }
                 }
-                Step::Broken(why) => {
-                    if let Some(broken) = self.go_on(why).await {
-                        return Some(broken);
+                ReadResult::Broken(why) => {
+                    if let Some(failure) = self.resume_elsewhere(why).await {
+                        return Some(failure);
                     }
                 }
-                Step::OutOfTime => return Some(self.break_off("out_of_time")),
+                ReadResult::OutOfTime => return Some(self.fail("out_of_time")),
             }
         }
     }
 
     /// Notes that an event has come from the upstream; the first one tells that it runs the request.
-    fn note_begun(&mut self) {
+    fn record_begun(&mut self) {
         let Some(source) = self.source.as_mut().filter(|source| !source.has_begun) else {
             return;
         };
         source.has_begun = true;
-        source.hold.note_first_event();
+        source.guard.record_first_event();
         let exchange = &self.exchange;
-        let (id, took) = (&exchange.original.id, exchange.took());
-        record::begun(id, exchange.attempts, &source.hold.id, took);
+        let (id, took) = (&exchange.original.id, exchange.elapsed());
+        request_log::begun(id, exchange.attempts, &source.guard.id, took);
     }
 
     /// Waits for the upstream.
-    async fn step(&mut self) -> Step {
-        let (started, ends) = (self.exchange.now(), self.exchange.ends());
+    async fn read(&mut self) -> ReadResult {
+        let (started, deadline) = (self.exchange.now(), self.exchange.deadline());
         loop {
-            let since = self.exchange.now();
-            let until = self.patience(since).min(ends);
+            let wait_start = self.exchange.now();
+            let read_deadline = self.read_deadline(wait_start).min(deadline);
             let Some(source) = self.source.as_mut() else {
-                return Step::Broken("no_upstream");
+                return ReadResult::Broken("no_upstream");
             };
-            let upstream = &source.hold.id;
+            let upstream = &source.guard.id;
             let exchange = &self.exchange;
             let clock = &exchange.driver.clock;
-            let frame = clock.timeout_at(until, source.body.frame());
-            let waits = !source.has_begun;
+            let frame = clock.timeout_at(read_deadline, source.body.frame());
+            let is_blockable = !source.has_begun;
             let blocked = async move {
-                if waits {
+                if is_blockable {
                     exchange.until_blocked().await;
                 } else {
                     // What has begun to come is no danger to the upstream that sends it.
@@ -144,21 +144,23 @@
             };
             let frame = tokio::select! {
                 frame = frame => frame,
-                () = blocked => return Step::Broken(BLOCKED),
+                () = blocked => return ReadResult::Broken(BLOCKED),
             };
             return match frame {
-                Ok(Some(Ok(frame))) => Step::Data(frame.into_data().unwrap_or_default()),
-                Ok(Some(Err(_))) => Step::Broken(BROKEN),
-                Ok(None) => Step::End,
-                Err(_) if exchange.now() >= ends => Step::OutOfTime,
+                Ok(Some(Ok(frame))) => ReadResult::Data(frame.into_data().unwrap_or_default()),
+                Ok(Some(Err(_))) => ReadResult::Broken(BROKEN),
+                Ok(None) => ReadResult::End,
+                Err(_) if exchange.now() >= deadline => ReadResult::OutOfTime,
                 // The upstream may have gone on, and was not heard.
-                Err(_) if clock.stood_still_since(since) => continue,
-                Err(_) if exchange.has_another(exchange.attempts, true) => Step::Broken(SILENT),
+                Err(_) if clock.stood_still_since(wait_start) => continue,
+                Err(_) if exchange.has_other_upstream(exchange.attempts, true) => {
+                    ReadResult::Broken(SILENT)
+                }
                 Err(_) => {
                     // It may go on yet, and nobody else can.
-                    let (id, tries) = (&exchange.original.id, exchange.attempts);
+                    let (id, attempts) = (&exchange.original.id, exchange.attempts);
                     let silent = exchange.now().since(started);
-                    record::waits_on(id, tries, Some(upstream), silent);
+                    request_log::waits_on(id, attempts, Some(upstream), silent);
                     continue;
                 }
             };
@@ -166,93 +168,101 @@
     }
 
     /// Returns until when the next bytes of this upstream are waited for, from now on.
-    fn patience(&self, now: Time) -> Time {
-        let ends = self.exchange.ends();
+    fn read_deadline(&self, now: Time) -> Time {
+        let deadline = self.exchange.deadline();
         let route = &self.exchange.route;
-        let Some(pause) = route.pause.filter(|_| self.resumes()) else {
-            return ends;
+        let Some(pause) = route.pause.filter(|_| self.can_resume()) else {
+            return deadline;
         };
         let span = if self.scanner.event_count() == 0 { route.objective.max(pause) } else { pause };
-        now.after(span.saturating_mul(PATIENCE))
+        now.after(span.saturating_mul(PAUSE_TIMEOUT_FACTOR))
     }
 
-    fn resumes(&self) -> bool {
-        self.exchange.route.repeat.is_idempotent() && self.exchange.has_tries()
+    fn can_resume(&self) -> bool {
+        self.exchange.route.repeat.is_idempotent() && self.exchange.has_attempts_left()
     }
 
     /// Tells whether an answer whose end only its connection tells ended because its upstream did.
-    async fn ends_with_upstream(&self) -> bool {
+    async fn has_upstream_crashed(&self) -> bool {
         let Some(source) = &self.source else {
             return false;
         };
-        let (id, address) = (&source.hold.id, source.hold.address);
-        self.exchange.note_broken(id, address, self.scanner.last_event_id()).await
+        let (id, address) = (&source.guard.id, source.guard.address);
+        self.exchange.detect_crash(id, address, self.scanner.last_event_id()).await
     }
 
     /// Goes on at another upstream; returns the end of the answer if that cannot be.
-    async fn go_on(&mut self, why: &'static str) -> Option<Result<Bytes, BrokenOff>> {
+    async fn resume_elsewhere(
+        &mut self,
+        why: &'static str,
+    ) -> Option<Result<Bytes, ResponseTruncated>> {
         let Some(mut source) = self.source.take() else {
-            return Some(self.break_off(why));
+            return Some(self.fail(why));
         };
         if why == BLOCKED {
-            source.hold.note_unrun(AttemptOutcome::Unknown);
+            source.guard.record_not_run(AttemptOutcome::Unknown);
         } else {
-            source.hold.note_failed();
+            source.guard.record_failure();
         }
-        let (from, address) = (source.hold.id.clone(), source.hold.address);
+        let (from, address) = (source.guard.id.clone(), source.guard.address);
         // The earlier upstream stops its work when its connection closes.
         drop(source);
-        let is_cut = why == BROKEN || why == CUT;
-        let has_ended =
-            is_cut && self.exchange.note_broken(&from, address, self.scanner.last_event_id()).await;
+        let is_disconnected = why == BROKEN || why == CUT;
+        let has_crashed = is_disconnected
+            && self.exchange.detect_crash(&from, address, self.scanner.last_event_id()).await;
         // One that lives may have made more than came here.
-        self.exchange.unseen |= !has_ended;
-        if !self.resumes() {
-            return Some(self.break_off(why));
+        self.exchange.has_unseen_output |= !has_crashed;
+        if !self.can_resume() {
+            return Some(self.fail(why));
         }
         self.scanner.discard_partial();
         let last = self.scanner.last_event_id();
-        record::resumed(&self.exchange.original.id, &from, last, why);
+        request_log::resumed(&self.exchange.original.id, &from, last, why);
         match self.exchange.dispatch(last).await {
-            Ok(answered) if answered.head.status.is_success() => {
-                let Answered { body, framed, hold, .. } = *answered;
-                self.source = Some(Source { body, framed, hold, has_begun: false });
+            Ok(response) if response.head.status.is_success() => {
+                let UpstreamResponse { body, framed, guard, .. } = *response;
+                self.source = Some(Source { body, framed, guard, has_begun: false });
                 None
             }
-            Ok(_) => Some(self.break_off("resume_failed")),
-            Err(refusal) => Some(self.break_off(refusal.cause.code())),
+            Ok(_) => Some(self.fail("resume_failed")),
+            Err(refusal) => Some(self.fail(refusal.cause.code())),
         }
     }
 
     /// Notes what was handed out, with some events that may be on their way.
-    fn count(&mut self, under_way: u64) {
-        let (prompt, output) = self.exchange.terms.tokens.unwrap_or_default();
-        let events = self.scanner.event_count() + under_way;
-        let made = events.saturating_mul(self.exchange.stride()).min(output);
+    fn record_usage(&mut self, in_flight: u64) {
+        let (prompt, output) = self.exchange.headers.tokens.unwrap_or_default();
+        let events = self.scanner.event_count() + in_flight;
+        let generated = events.saturating_mul(self.exchange.tokens_per_event()).min(output);
         let Some(reservation) = self.exchange.reservation.as_mut() else {
             return;
         };
-        reservation.used(Tokens(prompt.saturating_add(made)));
+        reservation.record_used(Tokens(prompt.saturating_add(generated)));
     }
 
     fn finish(&mut self) {
         self.ended = true;
         let source = self.source.take();
-        let upstream = source.as_ref().map(|source| source.hold.id.clone());
+        let upstream = source.as_ref().map(|source| source.guard.id.clone());
         if let Some(source) = source {
-            source.hold.finish();
+            source.guard.finish();
         }
-        self.exchange.observe();
-        self.exchange.note_whole();
-        self.exchange.end("served", self.status, upstream.as_ref(), self.scanner.event_count());
+        self.exchange.record_stream_timing();
+        self.exchange.record_served();
+        self.exchange.record_end(
+            "served",
+            self.status,
+            upstream.as_ref(),
+            self.scanner.event_count(),
+        );
     }
 
-    fn break_off(&mut self, why: &str) -> Result<Bytes, BrokenOff> {
+    fn fail(&mut self, why: &str) -> Result<Bytes, ResponseTruncated> {
         self.ended = true;
-        let upstream = self.source.take().map(|source| source.hold.id.clone());
-        self.count(UNDER_WAY);
-        self.exchange.end(why, self.status, upstream.as_ref(), self.scanner.event_count());
-        Err(BrokenOff)
+        let upstream = self.source.take().map(|source| source.guard.id.clone());
+        self.record_usage(MAX_IN_FLIGHT_EVENTS);
+        self.exchange.record_end(why, self.status, upstream.as_ref(), self.scanner.event_count());
+        Err(ResponseTruncated)
     }
 }
 
@@ -262,13 +272,13 @@
             return;
         }
         // The caller has left; closing the connection tells the upstream.
-        self.count(UNDER_WAY);
+        self.record_usage(MAX_IN_FLIGHT_EVENTS);
         let source = self.source.take();
         if let Some(source) = source.as_ref().filter(|source| !source.has_begun) {
-            self.exchange.watch_left(&source.hold.id, source.hold.address);
+            self.exchange.watch_abandoned(&source.guard.id, source.guard.address);
         }
-        let upstream = source.map(|source| source.hold.id.clone());
-        self.exchange.end(
+        let upstream = source.map(|source| source.guard.id.clone());
+        self.exchange.record_end(
             "caller_left",
             self.status,
             upstream.as_ref(),
--- a/crates/badgerfield-node/src/gateway/record.rs
+++ b/crates/badgerfield-node/src/gateway/request_log.rs
@@ -126,22 +126,22 @@
 }
 
 /// Records that an upstream names another limit than before in its answer to a request.
-pub(crate) fn limit_named(id: &str, change: &LimitChange) {
+pub(crate) fn limit_announced(id: &str, change: &LimitChange) {
     let LimitChange { upstream, .. } = change;
-    let (limit, before) = (named(change.limit), named(change.before));
+    let (limit, before) = (format_limit(change.limit), format_limit(change.before));
     log::info!(target: REQUESTS, "limit id={id} upstream={upstream} limit={limit} before={before}");
 }
 
 /// Records that an upstream names another limit than before, as another process has told.
-pub(crate) fn limit_learned(from: Incarnation, change: &LimitChange) {
+pub(crate) fn limit_received(from: Incarnation, change: &LimitChange) {
     let LimitChange { upstream, .. } = change;
-    let (limit, before) = (named(change.limit), named(change.before));
+    let (limit, before) = (format_limit(change.limit), format_limit(change.before));
     log::info!(target: REQUESTS, "limit from={from} upstream={upstream} limit={limit} before={before}");
 }
 
 /// Records that an upstream says in its answer to a request that it is about to leave, and how old
 /// the list of upstreams is that is known.
-pub(crate) fn says_leaving(id: &str, upstream: &UpstreamId, list: u64, list_age: Duration) {
+pub(crate) fn leaving(id: &str, upstream: &UpstreamId, list: u64, list_age: Duration) {
     let age = list_age.as_millis();
     log::info!(
         target: REQUESTS,
@@ -150,18 +150,18 @@
 }
 
 /// Records for how long an upstream that turns a request away wants nothing more from this VM.
-pub(crate) fn asks_rest(id: &str, upstream: &UpstreamId, rest: Duration) {
+pub(crate) fn back_off(id: &str, upstream: &UpstreamId, rest: Duration) {
     let rest = rest.as_millis();
     log::info!(target: REQUESTS, "rest id={id} upstream={upstream} rest_ms={rest}");
 }
 
 /// Writes a limit in requests a second.
-fn named(limit: Option<RateLimit>) -> String {
+fn format_limit(limit: Option<RateLimit>) -> String {
     limit.map_or_else(|| "-".to_owned(), |limit| limit.to_string())
 }
 
 /// Records that an upstream states something of itself that cannot be read.
-pub(crate) fn unreadable_statement(upstream: &UpstreamId) {
+pub(crate) fn invalid_announcement(upstream: &UpstreamId) {
     log::warn!(target: REQUESTS, "unreadable upstream={upstream} outcome=ignored");
 }
 
@@ -180,7 +180,7 @@
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct End<'a> {
+pub(crate) struct RequestEnd<'a> {
     pub(crate) id: &'a str,
     pub(crate) outcome: &'a str,
     pub(crate) status: u16,
@@ -206,19 +206,19 @@
     /// When the last event came.
     pub(crate) last: Option<Duration>,
     /// The longest pause between two events.
-    pub(crate) pause: Duration,
+    pub(crate) longest_pause: Duration,
 }
 
 impl Timing {
     /// Notes that the request is sent to an upstream, so long after it came.
-    pub(crate) fn note_sent(&mut self, at: Duration) {
+    pub(crate) fn record_sent(&mut self, at: Duration) {
         self.sent.get_or_insert(at);
     }
 
     /// Notes that events came, so long after the request.
-    pub(crate) fn note_events(&mut self, at: Duration) {
+    pub(crate) fn record_events(&mut self, at: Duration) {
         if let Some(last) = self.last {
-            self.pause = self.pause.max(at.saturating_sub(last));
+            self.longest_pause = self.longest_pause.max(at.saturating_sub(last));
         }
         self.first.get_or_insert(at);
         self.last = Some(at);
@@ -231,13 +231,13 @@
 }
 
 /// Records the end of a request.
-pub(crate) fn ended(end: &End<'_>) {
-    let End { id, outcome, status, attempts, events, .. } = end;
+pub(crate) fn ended(end: &RequestEnd<'_>) {
+    let RequestEnd { id, outcome, status, attempts, events, .. } = end;
     let upstream = end.upstream.map_or("-", UpstreamId::as_str);
     let took = end.took.as_millis();
     let (reserved, used) = end.tokens;
     let timing = &end.timing;
-    let (body, pause) = (timing.body.as_millis(), timing.pause.as_millis());
+    let (body, pause) = (timing.body.as_millis(), timing.longest_pause.as_millis());
     let [sent, head, first] = [timing.sent, timing.head, timing.first].map(millis_or_none);
     log::info!(
         target: REQUESTS,
--- a/crates/badgerfield-node/src/gateway/reservation.rs
+++ b/crates/badgerfield-node/src/gateway/reservation.rs
@@ -27,30 +27,30 @@
     /// # Errors
     ///
     /// Returns the refusal if there are none.
-    pub(crate) async fn make(
+    pub(crate) async fn acquire(
         driver: &Arc<Driver>,
         budget: &BudgetId,
         amount: Tokens,
-        until: Time,
+        deadline: Time,
     ) -> Result<Self, Refusal> {
         let (id, answer) = driver.await_reservation();
-        let ask = ReserveRequest { id, budget: budget.clone(), amount, deadline: until };
-        let mut wait = Wait { driver, ask: Some(ask.clone()), answer };
-        driver.feed(Event::Reserve(ask));
-        let result = (&mut wait.answer).await;
-        wait.ask = None;
+        let request = ReserveRequest { id, budget: budget.clone(), amount, deadline };
+        let mut pending = PendingReservation { driver, request: Some(request.clone()), answer };
+        driver.feed(Event::Reserve(request));
+        let result = (&mut pending.answer).await;
+        pending.request = None;
         let period = result.unwrap_or(Err(Refusal::not_run(Cause::Stopping)))?;
         let (driver, budget) = (Arc::clone(driver), budget.clone());
         Ok(Self { driver, budget, period, reserved: amount, used: Tokens::ZERO })
     }
 
     /// Notes how much was used so far; less than before changes nothing.
-    pub(crate) fn used(&mut self, tokens: Tokens) {
+    pub(crate) fn record_used(&mut self, tokens: Tokens) {
         self.used = self.used.max(tokens).min(self.reserved);
     }
 
     /// Returns how much was noted as used.
-    pub(crate) fn spent(&self) -> Tokens {
+    pub(crate) fn used(&self) -> Tokens {
         self.used
     }
 
@@ -72,24 +72,24 @@
 }
 
 /// The wait for an answer; gives the tokens back if the request goes meanwhile.
-struct Wait<'a> {
+struct PendingReservation<'a> {
     driver: &'a Arc<Driver>,
-    ask: Option<ReserveRequest>,
+    request: Option<ReserveRequest>,
     answer: oneshot::Receiver<Result<Period, Refusal>>,
 }
 
-impl Drop for Wait<'_> {
+impl Drop for PendingReservation<'_> {
     fn drop(&mut self) {
-        let Some(ask) = self.ask.take() else {
+        let Some(request) = self.request.take() else {
             return;
         };
-        self.driver.feed(Event::CancelReserve(ask.clone()));
+        self.driver.feed(Event::CancelReserve(request.clone()));
         // The answer is there now: either the wish was withdrawn, or tokens had come.
         if let Ok(Ok(period)) = self.answer.try_recv() {
             self.driver.feed(Event::ReservationEnded(ReservationEnd {
-                budget: ask.budget,
+                budget: request.budget,
                 period,
-                reserved: ask.amount,
+                reserved: request.amount,
                 used: Tokens::ZERO,
             }));
         }
--- a/crates/badgerfield-node/src/gateway/state.rs
+++ b/crates/badgerfield-node/src/gateway/state.rs
@@ -19,11 +19,11 @@
 
 /// How many upstreams are watched at once that may end yet. Each takes a connection, of which an
 /// upstream has few when it is overloaded and breaks many off.
-const MAX_WATCHES: usize = 4;
+const MAX_CRASH_WATCHES: usize = 4;
 
 /// The routes in force, with the version that they came with.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct InForce {
+pub(crate) struct RouteSnapshot {
     pub(crate) version: TemplateVersion,
     pub(crate) table: Arc<RouteTable>,
 }
@@ -36,44 +36,44 @@
     pub(crate) adapter: RouteAdapter,
     pub(crate) connections: Arc<Connections>,
     pub(crate) clock: Arc<Clock>,
-    routes: Mutex<InForce>,
-    replicas: Mutex<UpstreamTable>,
+    routes: Mutex<RouteSnapshot>,
+    upstreams: Mutex<UpstreamTable>,
     retries: Mutex<RetryBudget>,
-    open: AtomicUsize,
+    open_requests: AtomicUsize,
     stopping: AtomicBool,
     /// Whether any service is rolled out.
     rolls_out: AtomicBool,
     /// When a bad answer of a version that is rolled out was told of last.
-    told_at: Mutex<Option<Time>>,
+    bad_answer_reported_at: Mutex<Option<Time>>,
     /// How often lags of upstreams were noted for others.
-    turn: AtomicUsize,
+    delay_report_turn: AtomicUsize,
     /// Places for watches of upstreams that may end yet.
-    pub(crate) watches: Arc<Semaphore>,
+    pub(crate) crash_watches: Arc<Semaphore>,
     /// How many requests were blocked so far: whoever sends one looks again when it changes.
     blocked: watch::Sender<usize>,
 }
 
 impl Gateway {
-    pub(crate) fn new(adapter: RouteAdapter, bound: RetryLimits, clock: Arc<Clock>) -> Self {
+    pub(crate) fn new(adapter: RouteAdapter, limits: RetryLimits, clock: Arc<Clock>) -> Self {
         Self {
             adapter,
             connections: Arc::new(Connections::new(Arc::clone(&clock))),
             clock,
             routes: Mutex::default(),
-            replicas: Mutex::default(),
-            retries: Mutex::new(RetryBudget::new(bound)),
-            open: AtomicUsize::new(0),
+            upstreams: Mutex::default(),
+            retries: Mutex::new(RetryBudget::new(limits)),
+            open_requests: AtomicUsize::new(0),
             stopping: AtomicBool::new(false),
             rolls_out: AtomicBool::new(false),
-            told_at: Mutex::default(),
-            turn: AtomicUsize::new(0),
-            watches: Arc::new(Semaphore::new(MAX_WATCHES)),
+            bad_answer_reported_at: Mutex::default(),
+            delay_report_turn: AtomicUsize::new(0),
+            crash_watches: Arc::new(Semaphore::new(MAX_CRASH_WATCHES)),
             blocked: watch::Sender::new(0),
         }
     }
 
     /// Returns the routes in force.
-    pub(crate) fn in_force(&self) -> InForce {
+    pub(crate) fn in_force(&self) -> RouteSnapshot {
         lock(&self.routes).clone()
     }
 
@@ -81,13 +81,13 @@
     pub(crate) fn put_in_force(&self, version: TemplateVersion, table: RouteTable) {
         let mut routes = lock(&self.routes);
         if version > routes.version {
-            *routes = InForce { version, table: Arc::new(table) };
+            *routes = RouteSnapshot { version, table: Arc::new(table) };
         }
     }
 
     /// Locks the table of upstreams.
     pub(crate) fn replicas(&self) -> MutexGuard<'_, UpstreamTable> {
-        lock(&self.replicas)
+        lock(&self.upstreams)
     }
 
     /// Locks the retry budget.
@@ -96,19 +96,19 @@
     }
 
     /// Counts a request as open until the guard is dropped.
-    pub(crate) fn open(self: &Arc<Self>) -> OpenRequest {
-        self.open.fetch_add(1, Ordering::Relaxed);
+    pub(crate) fn track_request(self: &Arc<Self>) -> OpenRequest {
+        self.open_requests.fetch_add(1, Ordering::Relaxed);
         OpenRequest { gateway: Arc::clone(self) }
     }
 
     /// Returns how many requests are open.
     pub(crate) fn open_count(&self) -> usize {
-        self.open.load(Ordering::Relaxed)
+        self.open_requests.load(Ordering::Relaxed)
     }
 
     /// Returns the number of the next turn of noting lags.
     pub(crate) fn next_turn(&self) -> usize {
-        self.turn.fetch_add(1, Ordering::Relaxed)
+        self.delay_report_turn.fetch_add(1, Ordering::Relaxed)
     }
 
     /// Notes that more requests are blocked.
@@ -117,7 +117,7 @@
     }
 
     /// Returns a line that tells when more requests are blocked.
-    pub(crate) fn blocked(&self) -> watch::Receiver<usize> {
+    pub(crate) fn subscribe_blocked(&self) -> watch::Receiver<usize> {
         self.blocked.subscribe()
     }
 
@@ -128,11 +128,11 @@
 
     /// Tells whether a bad answer may be told of at once, so long after the last one, and takes
     /// it that it is.
-    pub(crate) fn may_tell(&self, now: Time, pause: Duration) -> bool {
-        let mut told_at = lock(&self.told_at);
-        let is_due = told_at.is_none_or(|at| now.since(at) >= pause);
+    pub(crate) fn may_tell(&self, now: Time, interval: Duration) -> bool {
+        let mut bad_answer_reported_at = lock(&self.bad_answer_reported_at);
+        let is_due = bad_answer_reported_at.is_none_or(|at| now.since(at) >= interval);
         if is_due {
-            *told_at = Some(now);
+            *bad_answer_reported_at = Some(now);
         }
         is_due
     }
@@ -140,10 +140,10 @@
     /// Divides requests between versions by these rules, and by no others; returns those that
     /// are new or differ.
     pub(crate) fn set_rollouts(&self, rules: RolloutRules) -> Vec<RolloutRule> {
-        let mut replicas = self.replicas();
-        let news = replicas.apply_rule_set(rules);
-        self.rolls_out.store(!replicas.rollout_rules().is_empty(), Ordering::Relaxed);
-        news
+        let mut upstreams = self.replicas();
+        let changed = upstreams.apply_rule_set(rules);
+        self.rolls_out.store(!upstreams.rollout_rules().is_empty(), Ordering::Relaxed);
+        changed
     }
 
     /// Tells whether the process is stopping.
@@ -175,6 +175,6 @@
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.gateway.open.fetch_sub(1, Ordering::Relaxed);
+        self.gateway.open_requests.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/crates/badgerfield-node/src/http.rs
+++ b/crates/badgerfield-node/src/http.rs
@@ -20,12 +20,12 @@
 pub type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
 /// How long a connection may take to open.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// After how long without a sign of life the other end of a connection is probed, so that
 /// a long wait on it ends soon after a cut.
-const PROBE: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// The largest answer that is read whole, in bytes.
-const MAX_ANSWER: usize = 16_000_000;
+const MAX_ANSWER_BYTES: usize = 16_000_000;
 
 /// Why a call got no usable answer.
 #[derive(Debug, Error)]
@@ -53,10 +53,10 @@
 #[must_use]
 pub fn client() -> HttpClient {
     let mut connector = HttpConnector::new();
-    connector.set_connect_timeout(Some(CONNECT));
+    connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
     connector.set_nodelay(true);
-    connector.set_keepalive(Some(PROBE));
-    connector.set_keepalive_interval(Some(PROBE));
+    connector.set_keepalive(Some(PROBE_INTERVAL));
+    connector.set_keepalive_interval(Some(PROBE_INTERVAL));
     connector.set_keepalive_retries(Some(2));
     Client::builder(TokioExecutor::new())
         .pool_idle_timeout(Duration::from_secs(20))
@@ -74,8 +74,8 @@
 pub fn json_response(status: StatusCode, value: &Value) -> Response<Body> {
     let mut response = Response::new(full(value.to_string()));
     *response.status_mut() = status;
-    let media = header::HeaderValue::from_static("application/json");
-    response.headers_mut().insert(header::CONTENT_TYPE, media);
+    let content_type = header::HeaderValue::from_static("application/json");
+    response.headers_mut().insert(header::CONTENT_TYPE, content_type);
     response
 }
 
@@ -91,7 +91,7 @@
 ) -> Result<Value, CallError> {
     let uri = request.uri().clone();
     let lost = |_| CallError::Lost(uri.clone());
-    let work = async {
+    let call = async {
         let response = client.request(request).await;
         let response = response.map_err(|error| {
             if error.is_connect() {
@@ -100,20 +100,20 @@
             CallError::Lost(uri.clone())
         })?;
         let status = response.status();
-        let body = read_body(response.into_body(), MAX_ANSWER).await;
+        let body = read_body(response.into_body(), MAX_ANSWER_BYTES).await;
         let body = body.ok_or_else(|| CallError::Lost(uri.clone()))?;
         if !status.is_success() {
             return Err(CallError::Status { uri: uri.clone(), status });
         }
         serde_json::from_slice(&body).map_err(|_| CallError::NotJson(uri.clone()))
     };
-    tokio::time::timeout(timeout, work).await.map_err(lost)?
+    tokio::time::timeout(timeout, call).await.map_err(lost)?
 }
 
 /// Reads a body up to a limit; nothing if it is longer or breaks off.
 pub async fn read_body(body: Incoming, limit: usize) -> Option<Bytes> {
-    let whole = Limited::new(body, limit).collect().await.ok()?;
-    Some(whole.to_bytes())
+    let body = Limited::new(body, limit).collect().await.ok()?;
+    Some(body.to_bytes())
 }
 
 /// An upstream says when to come back in a form that cannot be read.
--- a/crates/badgerfield-node/src/suspects.rs
+++ b/crates/badgerfield-node/src/suspects.rs
@@ -17,7 +17,7 @@
 use crate::logs::REQUESTS;
 
 /// How long an address may take to refuse a connection.
-const REFUSES: Duration = Duration::from_millis(150);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
 impl Outgoing {
     /// Returns what stands for the request, whoever sends it again.
@@ -47,8 +47,8 @@
             return Ok(());
         }
         let request = outgoing.fingerprint();
-        let standing = self.node.request_status(self.now(), request);
-        let PoisonStatus::Blocked { upstreams, age, remaining: left } = standing else {
+        let status = self.node.request_status(self.now(), request);
+        let PoisonStatus::Blocked { upstreams, age, remaining } = status else {
             return Ok(());
         };
         let upstreams: Vec<_> = upstreams.iter().map(UpstreamId::as_str).collect();
@@ -58,7 +58,7 @@
             upstreams.join(","),
             age.as_millis()
         );
-        Err(Refusal::not_run(Cause::EndsUpstreams).with_retry_after(left))
+        Err(Refusal::not_run(Cause::EndsUpstreams).with_retry_after(remaining))
     }
 
     /// Returns how often an upstream is known to have ended under a request.
@@ -74,14 +74,14 @@
         self: &Arc<Self>,
         outgoing: &Outgoing,
         (upstream, address): (&UpstreamId, SocketAddr),
-        (life, point): (u32, u64),
+        (prior_crashes, events_sent): (u32, u64),
     ) {
         if !is_refused(address).await {
             return;
         }
         let account = self.node.find_account(&outgoing.secret);
-        let crash = Crash::new(outgoing.fingerprint(), account.as_ref(), upstream, point);
-        self.feed(Event::UpstreamCrashed(crash.with_prior_crashes(life)));
+        let crash = Crash::new(outgoing.fingerprint(), account.as_ref(), upstream, events_sent);
+        self.feed(Event::UpstreamCrashed(crash.with_prior_crashes(prior_crashes)));
     }
 
     /// Notes that a request was served whole.
@@ -98,7 +98,7 @@
 
 /// Tells whether nobody listens at an address.
 async fn is_refused(address: SocketAddr) -> bool {
-    let connected = tokio::time::timeout(REFUSES, TcpStream::connect(address)).await;
+    let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let error = connected.ok().and_then(Result::err);
     error.is_some_and(|error| error.kind() == std::io::ErrorKind::ConnectionRefused)
 }
