--- a/crates/badgerfield-node/src/adapter.rs
+++ b/crates/badgerfield-node/src/adapter.rs
@@ -1,7 +1,7 @@
-//! The border to the surroundings: what an adapter translates, and nothing more.
+//! The interface between the product and its platform.
 //!
-//! An adapter knows the names and forms that its platform uses. Decisions, state and
-//! recovery stay on this side of the border.
+//! An adapter translates the names and formats of one platform. Decisions, state and recovery are
+//! not part of it.
 
 use std::fmt::Debug;
 use std::net::SocketAddr;
@@ -18,62 +18,61 @@
 use hyper::{HeaderMap, StatusCode, Uri};
 use thiserror::Error;
 
-/// Everything that one platform needs translated.
+/// The adapter of one platform.
 #[derive(Debug, Clone)]
 pub struct PlatformAdapter {
-    /// The platform's key-value service.
+    /// The store of the platform.
     pub store: Arc<dyn KeyValueStore>,
-    /// The platform's list of upstreams, and the forms of requests on routes; nothing
-    /// where the process takes no requests on routes.
+    /// The adapter for requests on routes; `None` if the process does not serve them.
     pub route_adapter: Option<RouteAdapter>,
 }
 
-/// What requests on routes need translated.
+/// The parts of an adapter that requests on routes use.
 #[derive(Debug, Clone)]
 pub struct RouteAdapter {
-    /// The platform's list of upstreams.
+    /// The list of upstreams of the platform.
     pub discovery: Arc<dyn Discovery>,
-    /// The forms of requests, of calls to upstreams and of the directory.
+    /// The formats of requests, of calls to upstreams and of the directory.
     pub dialect: Arc<dyn Protocol>,
 }
 
-/// What came of waiting for a change.
+/// The result of waiting for a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WatchResult<T> {
-    /// There is a change; its revision is where the next wait goes on.
+    /// A change. Its revision is where the next wait continues.
     Changed(T),
-    /// Nothing changed up to this revision of the service.
+    /// Nothing has changed up to this revision of the store.
     Quiet(u64),
-    /// The wait failed, or changes may have been missed: what is watched is to be read.
+    /// The wait failed or changes may have been missed. The watched values must be read again.
     Lost,
 }
 
-/// A key-value service with compare-and-swap.
+/// A key-value store with compare-and-swap.
 pub trait KeyValueStore: Debug + Send + Sync {
-    /// Carries out a call.
+    /// Executes a call.
     fn call<'a>(&'a self, call: &'a StoreCall) -> BoxFuture<'a, StoreResult>;
 
-    /// Waits for changes that operators make, after a revision of the service.
+    /// Waits for changes by operators after a revision of the store.
     ///
-    /// A service without watches never answers.
+    /// Never returns if the store does not support watches.
     fn watch_operator_changes(&self, after: u64) -> BoxFuture<'_, WatchResult<OperatorChanges>>;
 }
 
-/// Why the list of upstreams could not be read.
+/// The reason why the list of upstreams could not be read.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum DiscoveryError {
-    /// The platform did not answer, or not in time.
-    #[error("the platform does not answer")]
+    /// The platform did not respond in time.
+    #[error("the platform did not respond")]
     NoAnswer,
-    /// The platform turned the call away.
-    #[error("the platform turned the call away with status {0}")]
+    /// The platform rejected the call.
+    #[error("the platform rejected the call with status {0}")]
     Refused(u16),
-    /// The answer cannot be read.
+    /// The response cannot be parsed.
     #[error("expected a list of upstreams, found {0}")]
     Unreadable(String),
 }
 
-/// The platform's list of upstreams.
+/// The list of upstreams of a platform.
 pub trait Discovery: Debug + Send + Sync {
     /// Reads the whole list.
     fn list(&self) -> BoxFuture<'_, Result<UpstreamList, DiscoveryError>>;
@@ -82,102 +81,102 @@
     fn watch(&self, after: u64) -> BoxFuture<'_, WatchResult<UpstreamListChanges>>;
 }
 
-/// What a caller's head says about its request.
+/// The headers of a caller's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestHeaders {
-    /// The caller's name for this request.
+    /// The id that the caller gave the request.
     pub id: String,
-    /// How long the caller waits.
+    /// The maximum time that the caller waits for the response.
     pub patience: Option<Duration>,
-    /// The caller's key.
+    /// The API key of the caller.
     pub key: Option<String>,
-    /// The tokens of the prompt, and the most tokens of the answer.
+    /// The number of prompt tokens, and the maximum number of output tokens.
     pub tokens: Option<(u64, u64)>,
     /// The parts of the prompt.
     pub parts: Vec<PromptPart>,
-    /// The last event that the caller has, of a stream that it takes up again.
+    /// The last event that the caller received of a stream that it resumes.
     pub last_event: Option<u64>,
 }
 
-/// Why a caller's head cannot be used.
+/// The reason why the headers of a request cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum HeaderError {
-    /// A header must be there.
+    /// A required header is missing.
     #[error("expected the header {0}")]
     Missing(&'static str),
-    /// A header is there more than once.
+    /// A header is present more than once.
     #[error("expected the header {0} once")]
     Twice(&'static str),
-    /// A header has another form.
+    /// A header has an invalid format.
     #[error("expected {expected} in the header {name}")]
     Malformed {
-        /// The header.
+        /// The name of the header.
         name: &'static str,
-        /// What it should hold.
+        /// The expected format.
         expected: &'static str,
     },
 }
 
-/// What one call to an upstream says beside the caller's own head.
+/// The headers that a call to an upstream has in addition to the caller's own.
 #[derive(Debug, Clone, Copy)]
 pub struct UpstreamHeaders<'a> {
-    /// The upstream that is meant.
+    /// The upstream that the call is for.
     pub upstream: &'a UpstreamId,
-    /// How much time is left.
+    /// The time left until the deadline.
     pub remaining: Duration,
     /// The client account that the request belongs to.
     pub account: Option<&'a Account>,
-    /// The rank of the request; 0 goes first.
+    /// The rank of the request; 0 is the highest.
     pub rank: u8,
-    /// The last event that arrived, of a stream that goes on elsewhere.
+    /// The last event that arrived of a stream that is resumed at this upstream.
     pub last_event: Option<u64>,
-    /// An upstream that has the shared parts of the prompt in its memory.
+    /// An upstream that has the shared parts of the prompt in its KV cache.
     pub fetch_from: Option<SocketAddr>,
 }
 
-/// What the head of an upstream's answer says.
+/// The meaning of the head of an upstream's response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// It is the answer to this request.
+    /// The response to this request.
     Answer,
     /// The upstream did not run the request, and never will.
     NotRun,
-    /// It is the answer to another request, or no proper answer.
+    /// The response to another request, or an invalid response.
     Foreign,
 }
 
-/// What the head of an upstream's answer says of the upstream itself.
+/// The announcements of an upstream in the head of its response.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct UpstreamAnnouncement {
-    /// How many requests a second it takes from all VMs together.
+    /// The rate limit of the upstream for all VMs together.
     pub limit: ParsedHeader<RateLimit>,
-    /// Whether it is about to leave.
+    /// Whether the upstream is about to leave.
     pub leaving: bool,
-    /// For how long it wants nothing more from this VM, if it turns the request away.
+    /// How long the upstream asks this VM to back off, if it rejects the request.
     pub back_off: ParsedHeader<Duration>,
 }
 
 impl UpstreamAnnouncement {
-    /// Tells whether it holds anything that cannot be read.
+    /// Returns whether any of the headers cannot be parsed.
     pub fn is_unreadable(&self) -> bool {
         self.limit == ParsedHeader::Invalid || self.back_off == ParsedHeader::Invalid
     }
 }
 
-/// A value that an upstream may state.
+/// The parsed value of an optional header.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum ParsedHeader<T> {
-    /// It states none.
+    /// The header is absent.
     #[default]
     Absent,
-    /// It states this one.
+    /// The header has this value.
     Value(T),
-    /// It states one that cannot be read.
+    /// The header cannot be parsed.
     Invalid,
 }
 
 impl<T> ParsedHeader<T> {
-    /// Returns the value, if there is one that can be read.
+    /// Returns the value, if the header is present and valid.
     pub fn value(self) -> Option<T> {
         match self {
             Self::Value(value) => Some(value),
@@ -186,7 +185,7 @@
     }
 }
 
-/// A caller's question which VMs to use.
+/// A request to the directory, which VMs to use.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DirectoryRequest {
     /// The failure domain that the caller is in or near.
@@ -195,23 +194,23 @@
     pub region: Option<Region>,
 }
 
-/// The forms of requests on routes.
+/// The formats that a platform uses for requests on routes.
 pub trait Protocol: Debug + Send + Sync {
-    /// Reads what a caller's head says.
+    /// Parses the headers of a caller's request.
     ///
     /// # Errors
     ///
-    /// Refuses what is missing, stands twice, or has another form.
+    /// Fails if a header is missing, duplicated or invalid.
     fn read(&self, head: &HeaderMap) -> Result<RequestHeaders, HeaderError>;
 
-    /// Turns a caller's head into that of a call to an upstream.
+    /// Converts the headers of a caller's request to those of a call to an upstream.
     fn write_headers(&self, head: &mut HeaderMap, headers: &UpstreamHeaders<'_>);
 
-    /// Tells what the head of an upstream's answer to a request means.
+    /// Classifies the response of an upstream to the request `id` by its head.
     fn verdict(&self, id: &str, status: StatusCode, head: &HeaderMap) -> ResponseKind;
 
-    /// Reads what the head of an answer says of the upstream that was asked; nothing if another
-    /// one has answered in its place.
+    /// Parses the announcements in the head of a response. Returns `None` if it comes from another
+    /// upstream than `asked`.
     fn parse_announcement(
         &self,
         asked: &UpstreamId,
@@ -219,9 +218,10 @@
         head: &HeaderMap,
     ) -> Option<UpstreamAnnouncement>;
 
-    /// Reads a question to the directory; nothing if it is none.
+    /// Parses a request to the directory. Returns `None` if the address is not one of the
+    /// directory.
     fn parse_directory_request(&self, uri: &Uri) -> Option<DirectoryRequest>;
 
-    /// Writes the answer of the directory as JSON.
+    /// Formats the response of the directory as JSON.
     fn directory_answer(&self, addresses: &[SocketAddr], keep: Duration) -> Bytes;
 }
--- a/crates/badgerfield-node/src/gateway/admit.rs
+++ b/crates/badgerfield-node/src/gateway/admit.rs
@@ -1,4 +1,5 @@
-//! Steps 1 to 4 of a request: what is asked for, by whom, with which body, and who pays.
+//! Steps 1 to 4 of a request: find its route, authenticate the caller, read the body and reserve
+//! tokens.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,13 +25,13 @@
 use crate::gateway::reservation::Reservation;
 use crate::gateway::state::{Gateway, OpenRequest, RouteSnapshot};
 
-/// How soon a caller should try another VM when this one stops.
+/// How soon a caller should try another VM when this one is stopping.
 const STOPPING_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The request's id, where its head told it, and why it is not let in.
+/// The id of the request, if its head could be parsed, and the refusal.
 pub(super) type AdmitError = (Option<String>, Refusal);
 
-/// Lets a request in, or says why not.
+/// Admits a request, or returns the refusal.
 pub(super) async fn admit(
     driver: Arc<Driver>,
     gateway: Arc<Gateway>,
@@ -46,7 +47,7 @@
     let (mut head, body) = request.into_parts();
     let headers = gateway.adapter.dialect.read(&head.headers);
     let headers = headers.map_err(|error| {
-        log::debug!(target: crate::logs::REQUESTS, "refused a head: {error}");
+        log::debug!(target: crate::logs::REQUESTS, "rejected request headers: {error}");
         not_run(Cause::BadRequest)
     })?;
     let id = headers.id.clone();
@@ -120,17 +121,17 @@
     })
 }
 
-/// Returns what a request asks of an engine; nothing if it is not for one.
+/// Returns the size of the prompt, or `None` if the request is not for an engine.
 fn prompt_size(headers: &RequestHeaders) -> Option<PromptSize> {
     let unshared = headers.parts.last()?.tokens;
     let prompt = headers.parts.iter().map(|part| part.tokens).sum();
     Some(PromptSize { total_tokens: prompt, unshared_tokens: unshared })
 }
 
-/// Returns the regions in which a request may be served, or why there are none.
+/// Returns the regions in which a request may be served, or the refusal if there are none.
 ///
-/// A bound that leaves no region holds until operators change it: the caller need not come
-/// back. A region of which no failure domain is known may be in the next settings.
+/// A restriction that leaves no region holds until operators change it, so the caller is not asked
+/// to retry. A region without a known failure domain may be part of the next settings.
 fn check_residency(
     gateway: &Gateway,
     in_force: &RouteSnapshot,
@@ -187,7 +188,7 @@
     }
 }
 
-/// Sets aside the most that a request can cost, if its account pays in advance.
+/// Reserves the most tokens that a request can cost, if its account pays in advance.
 async fn reserve(
     driver: &Arc<Driver>,
     headers: &RequestHeaders,
--- a/crates/badgerfield-node/src/gateway/announcements.rs
+++ b/crates/badgerfield-node/src/gateway/announcements.rs
@@ -1,4 +1,4 @@
-//! What upstreams say of themselves in their answers.
+//! Announcements of upstreams in their response headers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::gateway::state::Gateway;
 
 impl Driver {
-    /// Takes in what the head of an answer says of the upstream that was asked.
+    /// Applies the announcements in the head of a response from `upstream`.
     pub(crate) fn apply_announcement(
         self: &Arc<Self>,
         gateway: &Gateway,
@@ -26,7 +26,8 @@
         else {
             return;
         };
-        // The answer of a process that has ended says nothing of the one that has its id now.
+        // The response of a process that has exited says nothing about the process that has its id
+        // now.
         if !gateway.replicas().is_current_process(upstream, process) {
             return;
         }
@@ -73,7 +74,7 @@
         self.feed(Event::LimitReports(reports));
     }
 
-    /// Takes in what another process knows of the limits that upstreams name.
+    /// Applies the rate limits that another process reported.
     pub(crate) fn learn_limits(&self, from: Incarnation, reports: &[LimitReport]) {
         let Some(gateway) = self.gateway() else {
             return;
--- a/crates/badgerfield-node/src/gateway/attempt.rs
+++ b/crates/badgerfield-node/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a request at one upstream.
+//! One attempt to serve a request at one upstream.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 use crate::gateway::rollout_sample::RolloutSample;
 use crate::gateway::state::Gateway;
 
-/// The headers that concern one connection only, by RFC 9110, section 7.6.1.
+/// The hop-by-hop headers, by RFC 9110, section 7.6.1.
 const HOP_BY_HOP: [HeaderName; 9] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -34,7 +34,7 @@
     header::CONTENT_LENGTH,
 ];
 
-/// Removes the headers that concern one connection only.
+/// Removes the hop-by-hop headers.
 pub(crate) fn strip_hop_by_hop(head: &mut HeaderMap) {
     let named: Vec<HeaderName> = head
         .get_all(header::CONNECTION)
@@ -53,13 +53,14 @@
     head.remove("proxy-connection");
 }
 
-/// How a try ends whose request was blocked meanwhile: the upstream is spared what waits there.
+/// The outcome of an attempt that was cancelled because its request was blocked. Waiting requests
+/// are withdrawn to protect the upstream.
 pub(crate) const BLOCKED: &str = "blocked";
-/// How a try ends whose connection broke.
+/// The outcome of an attempt whose connection failed.
 pub(crate) const BROKEN: &str = "broken";
-/// How a try ends whose connection closed in good order before the answer was whole.
+/// The outcome of an attempt whose connection closed normally before the response was complete.
 pub(crate) const CUT: &str = "cut";
-/// How a try ends whose upstream said nothing for too long.
+/// The outcome of an attempt whose upstream sent nothing within the timeout.
 pub(crate) const SILENT: &str = "silent";
 
 /// A request as the caller sent it.
@@ -70,52 +71,52 @@
     pub(crate) body: Bytes,
 }
 
-/// How a try ended, up to the head of an answer.
+/// The end of an attempt, up to the head of a response.
 #[derive(Debug)]
 pub(crate) enum AttemptEnd {
     /// Nothing was sent, for this reason.
     NotSent(&'static str),
     /// The upstream did not run the request.
     NotRun(StatusCode),
-    /// The request may have run, and no answer to it came.
+    /// The request may have run, but no response arrived.
     Broken(&'static str),
-    /// The head of an answer came.
+    /// The head of a response arrived.
     Answered(Box<UpstreamResponse>),
 }
 
-/// An answer whose head has come.
+/// A response whose head has arrived.
 #[derive(Debug)]
 pub(crate) struct UpstreamResponse {
     pub(crate) head: response::Parts,
     pub(crate) body: Incoming,
-    /// Whether the protocol tells where the body ends; otherwise its connection's end does.
+    /// Whether the headers determine the end of the body. Otherwise it ends with the connection.
     pub(crate) framed: bool,
     pub(crate) guard: UpstreamGuard,
 }
 
-/// An upstream that works for a request; tells the table how it went when dropped.
+/// An upstream that works on a request. Reports the outcome to the table of upstreams on drop.
 #[derive(Debug)]
 pub(crate) struct UpstreamGuard {
     driver: Arc<Driver>,
     gateway: Arc<Gateway>,
     pub(crate) id: UpstreamId,
     pub(crate) address: SocketAddr,
-    /// Stands for its process.
+    /// The number that identifies the process of the upstream.
     process: u32,
-    /// When the request was handed to it.
+    /// When the request was sent to the upstream.
     sent_at: Time,
     outcome: AttemptOutcome,
     connection: Option<Connection>,
     keep_alive: Option<Duration>,
     closes_connection: bool,
-    /// How long the first event has been waited for; nothing once it has come, or where that
-    /// tells nothing.
+    /// The wait for the first event; `None` once it has arrived, or if the wait is not to be
+    /// recorded.
     wait: Option<FirstEventWait>,
-    /// What is told of the answer while its service is rolled out.
+    /// The sample of this attempt, if a rollout is in progress.
     sample: Option<RolloutSample>,
 }
 
-/// A wait for the first event of an engine's answer.
+/// A wait for the first event of an engine's response.
 #[derive(Debug, Clone, Copy)]
 struct FirstEventWait {
     since: Time,
@@ -124,7 +125,8 @@
 }
 
 impl UpstreamGuard {
-    /// Makes a hold of an upstream; `unread` is what an engine is expected to read.
+    /// Creates the guard of a chosen upstream. `uncached_tokens` is the number of prompt tokens
+    /// that an engine is expected to read.
     pub(crate) fn new(
         driver: &Arc<Driver>,
         gateway: &Arc<Gateway>,
@@ -152,7 +154,7 @@
         }
     }
 
-    /// Notes that an event of the answer has come; the first one tells how long it took.
+    /// Records the arrival of an event. The first event ends the wait of this attempt.
     pub(crate) fn record_first_event(&mut self) {
         if let Some(wait) = self.wait.take() {
             self.record_wait(wait);
@@ -160,21 +162,20 @@
         self.update_sample(RolloutSample::record_answer);
     }
 
-    /// Notes that the answer does not come, or broke off.
+    /// Records that no response arrived or that the response ended early.
     pub(crate) fn record_failure(&mut self) {
         self.set_outcome(AttemptOutcome::Failed);
         self.update_sample(RolloutSample::record_failure);
     }
 
-    /// Notes that nothing of the request was run, so that it tells nothing of a version.
+    /// Records that no part of the request was run. The attempt then says nothing about a version.
     pub(crate) fn record_not_run(&mut self, outcome: AttemptOutcome) {
         self.wait = None;
         self.sample = None;
         self.set_outcome(outcome);
     }
 
-    /// Tells what is known of the answer now; of a bad one of the target the process speaks at
-    /// once.
+    /// Updates the sample of the attempt, and reports a bad response of the target at once.
     fn update_sample(&mut self, update: fn(&mut RolloutSample, &Gateway) -> bool) {
         let Some(sample) = &mut self.sample else {
             return;
@@ -196,8 +197,8 @@
         }
     }
 
-    /// Finds out whether the upstream was evacuated, has begun to leave or has named a limit while
-    /// a connection to it was opened.
+    /// Checks whether the upstream was evacuated, started to leave or announced a rate limit while
+    /// the connection was being opened.
     fn check_usable(&self) -> Result<(), RequestError> {
         let now = self.driver.now();
         let mut upstreams = self.gateway.replicas();
@@ -210,19 +211,20 @@
         Ok(())
     }
 
-    /// Notes how the upstream is doing.
+    /// Sets the outcome that is reported on drop.
     pub(crate) fn set_outcome(&mut self, outcome: AttemptOutcome) {
         self.outcome = outcome;
     }
 
-    /// Ends the work well: the whole answer has come, and the connection may be kept.
+    /// Ends the attempt successfully: the response is complete, and the connection may be reused.
     pub(crate) fn finish(mut self) {
         self.outcome = AttemptOutcome::Answered;
         self.record_first_event();
         let Some(connection) = self.connection.take() else {
             return;
         };
-        // A connection to a process that has ended must not serve for the one that has its id now.
+        // A connection to a process that has exited must not be reused for the process that has its
+        // id now.
         let is_current = self.gateway.replicas().is_current_process(&self.id, self.process);
         if is_current && !self.closes_connection {
             self.gateway.connections.keep(self.id.clone(), connection, self.keep_alive);
@@ -232,12 +234,12 @@
 
 impl Drop for UpstreamGuard {
     fn drop(&mut self) {
-        // Whoever gave up has waited at least so long.
+        // A wait that was given up lasted at least this long.
         if let Some(wait) = self.wait.take() {
             self.record_wait(wait);
         }
         self.update_sample(RolloutSample::record_end);
-        // What a process that stood still takes for silence may be its own.
+        // After this process was stalled, a timeout may be its own delay.
         let is_uncertain = self.outcome == AttemptOutcome::Failed
             && self.gateway.clock.stood_still_since(self.sent_at);
         let outcome = if is_uncertain { AttemptOutcome::Unknown } else { self.outcome };
@@ -246,8 +248,8 @@
     }
 }
 
-/// Sends a request to an upstream and waits for the head of its answer, until it is given up or
-/// blocked.
+/// Sends a request to an upstream and waits for the head of its response, until the attempt times
+/// out or the request is blocked.
 pub(crate) async fn attempt(
     mut guard: UpstreamGuard,
     original: &Original,
@@ -312,10 +314,10 @@
     AttemptEnd::Answered(Box::new(UpstreamResponse { head, body, framed, guard }))
 }
 
-/// Why there is no head of an answer.
+/// The reason why no head of a response arrived.
 enum RequestError {
     NotSent,
-    /// The upstream takes no more at present.
+    /// The upstream accepts no more requests at present.
     NotAdmitted,
     Broken,
 }
@@ -335,7 +337,7 @@
         Err(SendError::NotSent(request)) if connection.reused => request,
         Err(SendError::NotSent(_)) => return Err(RequestError::NotSent),
     };
-    // The kept connection was closed before anything was sent on it.
+    // The reused connection was closed before the request was sent on it.
     let mut connection = connections.open(address).await.map_err(|_| RequestError::NotSent)?;
     guard.check_usable()?;
     match connection.send(*request).await {
@@ -358,7 +360,7 @@
     request
 }
 
-/// Tells whether a head says where its body ends.
+/// Returns whether the headers determine the end of the body.
 fn is_framed(head: &HeaderMap) -> bool {
     head.contains_key(header::CONTENT_LENGTH) || head.contains_key(header::TRANSFER_ENCODING)
 }
--- a/crates/badgerfield-node/src/gateway/connections.rs
+++ b/crates/badgerfield-node/src/gateway/connections.rs
@@ -1,4 +1,5 @@
-//! Connections to upstreams: kept for later requests, and never shared by two at once.
+//! Connections to upstreams. Idle ones are kept for later requests; each serves one request at a
+//! time.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,51 +21,51 @@
 use crate::clock::Clock;
 use crate::sync::lock;
 
-/// How long a connection may take to open.
+/// The timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long an idle connection is kept if the upstream names no time.
+/// How long an idle connection is kept if the upstream announces no timeout.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
-/// How much earlier than the upstream a connection is given up.
+/// How much earlier than the upstream this process closes an idle connection.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(900);
-/// After how long without a sign of life the other end is probed.
+/// The idle time before keepalive probes are sent, and the interval between them.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// How long the other end may leave bytes or probes unanswered.
+/// How long the peer may leave sent bytes or probes unacknowledged.
 const USER_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// How long the address of an upstream that broke off may take to say whether anybody still
-/// listens there: an answer takes a round trip, and a caller waits for it.
+/// How long the address of an upstream may take to accept or refuse a connection after an earlier
+/// one failed. A reply takes one round trip, and a caller waits for it.
 pub(crate) const LISTEN_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How long a connection that came up is watched before its upstream counts as one that lives:
-/// a caller whose answer broke off waits for it.
+/// How long a new connection must stay open before its upstream counts as running. A caller whose
+/// response ended early waits for this.
 const MIN_OPEN_TIME: Duration = Duration::from_millis(20);
 
-/// How long an upstream is watched that may end yet: what makes it end does so soon, and a machine
-/// that is busy may take its time to close what a process had open.
+/// How long an upstream is watched for a crash. A poison request crashes an upstream soon, but a
+/// busy VM may take longer to close the sockets of the process.
 pub(crate) const CRASH_WATCH_TIME: Duration = Duration::from_secs(1);
 
-/// Why no connection could be had.
+/// The reason why a connection could not be opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ConnectError {
-    /// Nobody listens there: the process has ended.
+    /// No process listens at the address: the upstream has exited.
     Refused,
-    /// It did not come up, for another reason or for none that is known.
+    /// The connection failed for another or an unknown reason.
     Failed,
 }
 
-/// What an address says when it is asked whether anybody listens there.
+/// The result of probing whether a process listens at an address.
 #[derive(Debug)]
 pub(crate) enum ProbeResult {
-    /// It takes connections, such as this one.
+    /// The address accepts connections, such as this one.
     Open(Connection),
-    /// Nobody does: the process has ended.
+    /// No process listens at the address: the upstream has exited.
     Refused,
-    /// No word came in time.
+    /// The address did not reply in time.
     Unknown,
 }
 
 impl ProbeResult {
-    /// Returns its name in the log.
+    /// Returns the value for the log.
     pub(crate) fn as_str(&self) -> &'static str {
         match self {
             Self::Open(_) => "open",
@@ -74,12 +75,12 @@
     }
 }
 
-/// An open connection that one request has for itself; dropping it closes it.
+/// An open connection that is used by one request. It is closed on drop.
 #[derive(Debug)]
 pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
-    /// Whether it has served a request before.
+    /// Whether the connection has served an earlier request.
     pub(crate) reused: bool,
 }
 
@@ -89,12 +90,12 @@
     }
 }
 
-/// Why a request got no head of an answer.
+/// The reason why no head of a response arrived.
 #[derive(Debug)]
 pub(crate) enum SendError {
-    /// Nothing was sent; here is the request again.
+    /// Nothing was sent. The request is returned.
     NotSent(Box<Request<Full<Bytes>>>),
-    /// It may have arrived.
+    /// The request may have arrived.
     Broken,
 }
 
@@ -111,13 +112,13 @@
             http1::Builder::new().max_buf_size(64 * 1024).handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|_| ConnectError::Failed)?;
         let task = tokio::spawn(async move {
-            // How a connection ends is seen by the request on it.
+            // The request on the connection sees how it ends.
             let _ = connection.await;
         });
         Ok(Self { sender, task, reused: false })
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of its response.
     pub(crate) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -133,7 +134,7 @@
         })
     }
 
-    /// Waits until the connection is ready for another request; `false` if it closes.
+    /// Waits until the connection is ready for another request. Returns `false` if it closes.
     async fn becomes_ready(&mut self) -> bool {
         tokio::time::timeout(Duration::from_millis(20), self.sender.ready())
             .await
@@ -159,7 +160,7 @@
         Self { clock, idle: Mutex::default() }
     }
 
-    /// Takes an idle connection to an upstream, or opens one.
+    /// Takes an idle connection to an upstream, or opens a new one.
     pub(crate) async fn take(
         &self,
         id: &UpstreamId,
@@ -176,11 +177,12 @@
         Connection::open(address).await
     }
 
-    /// Finds out whether anybody listens at the address of an upstream that broke off.
+    /// Probes whether a process still listens at the address of an upstream after its connection
+    /// failed.
     pub(crate) async fn probe_listener(&self, address: SocketAddr) -> ProbeResult {
         match self.probe_once(address).await {
             ProbeResult::Open(mut connection) => {
-                // A process that ends may close its connections a moment before it stops to listen.
+                // A process that exits may close its connections shortly before it stops listening.
                 match tokio::time::timeout(MIN_OPEN_TIME, &mut connection.task).await {
                     Ok(_) => self.probe_once(address).await,
                     Err(_) => ProbeResult::Open(connection),
@@ -198,7 +200,7 @@
         }
     }
 
-    /// Tells whether an upstream ends while it is watched, by a connection to it.
+    /// Returns whether an upstream exits while it is watched over a connection.
     pub(crate) async fn exits_soon(self: &Arc<Self>, id: &UpstreamId, address: SocketAddr) -> bool {
         match self.take(id, address).await {
             Ok(connection) => self.exits_within(id, address, connection, CRASH_WATCH_TIME).await,
@@ -206,8 +208,8 @@
         }
     }
 
-    /// Tells whether an upstream that took a connection ends all the same within a span. A
-    /// connection that stays open is kept for the next request.
+    /// Returns whether an upstream that accepted a connection exits within a span. If the
+    /// connection stays open, it is kept for the next request.
     pub(crate) async fn exits_within(
         self: &Arc<Self>,
         id: &UpstreamId,
@@ -223,8 +225,8 @@
                 self.keep(id.clone(), connection, None);
                 return false;
             }
-            // A process that ends may let connections in until the last moment, and one that lives
-            // may close any.
+            // A process that exits may accept connections until the end, and one that keeps running
+            // may close any of them.
             tokio::time::sleep(delay).await;
             delay = delay.saturating_mul(2);
             connection = match self.probe_once(address).await {
@@ -252,7 +254,7 @@
         None
     }
 
-    /// Keeps a connection whose request has ended well, once it is ready for another.
+    /// Keeps the connection of a successful request once it is ready for another one.
     pub(crate) fn keep(
         self: &Arc<Self>,
         id: UpstreamId,
@@ -283,7 +285,8 @@
         }
     }
 
-    /// Closes connections that were idle for too long, and those to upstreams that are gone.
+    /// Closes connections whose idle time is over, and connections to upstreams that are not
+    /// `wanted`.
     pub(crate) fn sweep(&self, wanted: impl Fn(&UpstreamId) -> bool) {
         let now = self.clock.now();
         let mut idle = lock(&self.idle);
@@ -294,9 +297,9 @@
     }
 }
 
-/// Makes a socket notice that its other end is gone.
+/// Configures a socket so that it detects the loss of its peer.
 pub(crate) fn configure_socket(stream: &TcpStream) {
-    // A socket that cannot be tuned still works; timeouts above it notice later.
+    // A socket without these options still works: timeouts at higher layers detect the loss later.
     let _ = stream.set_nodelay(true);
     let socket = SockRef::from(stream);
     let probes =
@@ -305,7 +308,7 @@
     let _ = socket.set_tcp_user_timeout(Some(USER_TIMEOUT));
 }
 
-/// Reads the time for which an upstream keeps an idle connection.
+/// Parses the time for which an upstream keeps an idle connection open.
 pub(crate) fn keep_alive_timeout(head: &hyper::HeaderMap) -> Option<Duration> {
     let text = head.get("keep-alive")?.to_str().ok()?;
     let timeout = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
--- a/crates/badgerfield-node/src/gateway/directory.rs
+++ b/crates/badgerfield-node/src/gateway/directory.rs
@@ -1,4 +1,4 @@
-//! The directory, and whether this process is ready.
+//! The directory of VMs and the readiness endpoint.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -21,18 +21,19 @@
 use crate::gateway::state::Gateway;
 use crate::http::{self, Body};
 
-/// How long callers keep an answer of the directory.
+/// How long callers cache a response of the directory.
 const CACHE_TIME: Duration = Duration::from_secs(1);
-/// How long to rest when no connection can be accepted, as while file descriptors are used up.
+/// The delay after an error of accepting a connection, for example when file descriptors are
+/// exhausted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// The most addresses in one answer.
+/// The maximum number of addresses in one response.
 const MAX_ADDRESSES: usize = 64;
 
-/// Answers questions to the directory at one address, and for readiness at another.
+/// Serves the directory at one address and the readiness endpoint at another.
 ///
 /// # Errors
 ///
-/// Fails if an address is taken.
+/// Fails if an address is in use.
 pub(crate) async fn serve(
     driver: &Arc<Driver>,
     gateway: &Arc<Gateway>,
@@ -56,7 +57,7 @@
                         async move { Ok::<_, Infallible>(response) }
                     });
                     let io = TokioIo::new(stream);
-                    // A caller that breaks off needs no answer.
+                    // A caller that disconnects needs no response.
                     let _ = http1::Builder::new().serve_connection(io, service).await;
                 });
             }
@@ -65,7 +66,7 @@
     Ok(())
 }
 
-/// Tells whether this process can serve callers.
+/// Returns whether this process can serve callers.
 pub(crate) fn is_ready(gateway: &Gateway) -> bool {
     gateway.in_force().version.0 > 0 && !gateway.is_stopping() && !gateway.replicas().is_empty()
 }
@@ -87,13 +88,13 @@
     let Some(query) = gateway.adapter.dialect.parse_directory_request(request.uri()) else {
         return http::json_response(
             StatusCode::NOT_FOUND,
-            &json!({ "error": "expected a question" }),
+            &json!({ "error": "expected a directory query" }),
         );
     };
     let members = driver.node.available_members(driver.now());
     let addresses = choose_addresses(&members, &caller_location(gateway, query));
     if addresses.is_empty() {
-        let error = json!({ "error": "no VM is ready; come back later" });
+        let error = json!({ "error": "no VM is ready; retry later" });
         return http::json_response(StatusCode::SERVICE_UNAVAILABLE, &error);
     }
     let text = gateway.adapter.dialect.directory_answer(&addresses, CACHE_TIME);
@@ -103,7 +104,8 @@
     response
 }
 
-/// Returns where a caller stands: a question that names no region may name a known domain.
+/// Returns the location of a caller. Without a region in the query, it is that of the failure
+/// domain, if known.
 fn caller_location(gateway: &Gateway, query: DirectoryRequest) -> Location {
     let DirectoryRequest { domain, region } = query;
     let region_of_domain = || gateway.replicas().regions().region(domain.as_ref()?).cloned();
@@ -111,7 +113,7 @@
     Location { domain, region }
 }
 
-/// Returns the addresses of the VMs that a caller is sent to.
+/// Returns the addresses of the VMs for a caller, nearest first.
 fn choose_addresses(members: &[Member], caller: &Location) -> Vec<SocketAddr> {
     let nearest_members = nearest(members, caller).into_iter();
     nearest_members.map(|member| member.caller).take(MAX_ADDRESSES).collect()
--- a/crates/badgerfield-node/src/gateway/dispatch.rs
+++ b/crates/badgerfield-node/src/gateway/dispatch.rs
@@ -1,4 +1,5 @@
-//! Step 5 of a request: it is sent to an upstream, and to another where that is allowed.
+//! Step 5 of a request: it is sent to an upstream, and to another one where the route allows
+//! retries.
 
 use std::time::Duration;
 
@@ -13,26 +14,27 @@
 use crate::gateway::exchange::{Exchange, LastDispatch};
 use crate::gateway::request_log;
 
-/// The least time in which an upstream can be asked for anything.
+/// The minimum time for an attempt: with less time left, no upstream is tried.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(15);
-/// How many upstreams may be unreachable before a request is given up.
+/// The maximum number of unreachable upstreams before a request is refused.
 const MAX_UNREACHABLE: u32 = 4;
-/// How many times the objective an idempotent request waits for one upstream's answer.
+/// The timeout for the response of one upstream to an idempotent request, in multiples of the
+/// objective.
 const OBJECTIVE_TIMEOUT_FACTOR: u32 = 2;
-/// The bytes that an answer's token takes with its part of an event's frame: some four letters,
-/// and as much around them where an event holds a few tokens.
+/// The bytes of a token in a response, with its share of the event framing: about four letters, and
+/// as much framing where an event holds a few tokens.
 const BYTES_PER_TOKEN: u64 = 8;
-/// The bytes that a plain answer is expected to have, its head included.
+/// The expected size of a plain response with its head, in bytes.
 const PLAIN_ANSWER_BYTES: u64 = 1000;
-/// The part of an upstream's connections, in hundredths, that all VMs together use.
+/// The share of an upstream's connections that all VMs together may use, in percent.
 const MAX_CONNECTION_PERCENT: u64 = 80;
 
 impl Exchange {
-    /// Sends the request to upstreams until one answers.
+    /// Sends the request to upstreams until one responds.
     ///
     /// # Errors
     ///
-    /// Returns the refusal that is the request's final answer.
+    /// Returns the refusal that ends the request.
     pub(crate) async fn dispatch(
         &mut self,
         last: Option<u64>,
@@ -65,7 +67,7 @@
                 LastDispatch { at: now, prior_crashes: self.crash_count(&chosen.id) };
             self.uncached_tokens = chosen.uncached_tokens.saturating_add(self.unshared_tokens());
             self.timing.record_sent(self.elapsed());
-            // Only engines read prompts; what waits elsewhere is counted as under way.
+            // Only engines read prompts. At plain services, waiting requests count as in flight.
             let engine_tokens = self.spec.engine.as_ref().map(|_| self.uncached_tokens);
             let (driver, gateway) = (&self.driver, &self.gateway);
             let guard = UpstreamGuard::new(driver, gateway, &chosen, engine_tokens, &self.route);
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Tells whether another upstream may be tried, after so many that could not be reached.
+    /// Returns whether another upstream may be tried, given the number of unreachable ones so far.
     fn check_attempts(&self, now: Time, vms: usize, unreachable: u32) -> Result<(), Cause> {
         if self.deadline.since(now) < MIN_ATTEMPT_TIME {
             return Err(Cause::OutOfTime);
@@ -143,12 +145,12 @@
         Ok(())
     }
 
-    /// Returns the regions in which it may be served, by the version that it was let in with
-    /// and by the newest.
+    /// Returns the regions in which the request may be served, by the template version of its
+    /// admission and by the newest one.
     fn current_residency(&self) -> Residency {
         let newest = self.gateway.in_force();
         self.admission.current_residency(newest.version, || {
-            // The caller's head may have lost its host: what concerns one connection is dropped.
+            // The head may have lost its host, because headers of a single connection are removed.
             let path = self.original.head.uri.path();
             let account = self.caller.as_ref().map(|caller| &caller.account);
             newest.table.residency_at(&self.route.host, path, account)
@@ -157,7 +159,8 @@
 
     fn choose(&self, now: Time, vms: usize, resumes: bool) -> Result<ChosenUpstream, Cause> {
         let residency = self.current_residency();
-        // What is chosen is begun under the same lock: what a cold upstream may get is counted.
+        // Choosing an upstream and starting the request happen under the same lock, because the
+        // requests that a cold upstream may get are counted.
         let mut upstreams = self.gateway.replicas();
         upstreams.record_request(now, &self.service);
         if let Err(fault) = residency.check(upstreams.regions()) {
@@ -182,7 +185,7 @@
         Ok(chosen)
     }
 
-    /// Returns what is wanted of an upstream.
+    /// Returns the criteria for choosing an upstream.
     fn criteria<'a>(
         &'a self,
         residency: &'a Residency,
@@ -206,11 +209,12 @@
         }
     }
 
-    /// Waits until the upstream of the present try is given up because it says nothing.
+    /// Waits until the current attempt times out because its upstream is silent.
     ///
-    /// That is of use only if another can be tried then; otherwise the request may stand in the
-    /// upstream's queue, and is served late. Giving up without that cost 276 of 326 streams their
-    /// answer where few upstreams were left, and their budgets 4.4 million tokens.
+    /// A timeout only helps if another upstream can be tried at that time. Otherwise the request
+    /// may be queued at the upstream and is served late. Timing out without an alternative cost 276
+    /// of 326 streams their response when few upstreams were left, and their budgets 4.4 million
+    /// tokens.
     async fn wait_until_timeout(&self, remaining: Duration, resumes: bool) {
         let (started, attempts) = (self.now(), self.attempts + 1);
         let deadline = started.after(remaining);
@@ -220,7 +224,7 @@
             let wait_start = self.now();
             self.driver.clock.sleep(timeout).await;
             if self.driver.clock.stood_still_since(wait_start) {
-                // The upstream may have answered, and was not heard.
+                // The upstream may have responded while this process was stalled.
                 continue;
             }
             if self.has_other_upstream(attempts, resumes) {
@@ -232,7 +236,7 @@
         self.driver.clock.sleep_until(deadline).await;
     }
 
-    /// Tells whether another upstream can be tried now, after so many tries.
+    /// Returns whether another upstream can be tried now, after `attempts` attempts.
     pub(crate) fn has_other_upstream(&self, attempts: u32, resumes: bool) -> bool {
         let (now, vms) = (self.now(), self.driver.node.member_count());
         let has_retries = self.gateway.retries().remaining(now, &self.service, vms) >= 1.0;
@@ -244,7 +248,7 @@
         self.gateway.replicas().choose(now, &criteria).is_some()
     }
 
-    /// Returns the rank of the request: that of its account goes before the route's.
+    /// Returns the rank of the request. The rank of the account overrides that of the route.
     fn rank(&self) -> u8 {
         let account_rank = self.caller.as_ref().and_then(|caller| caller.rank);
         account_rank.unwrap_or(self.route.rank)
@@ -257,8 +261,8 @@
             && self.gateway.retries().remaining(now, &self.service, vms) >= 1.0
     }
 
-    /// Returns how many bytes are expected to cross between this VM and an upstream: the
-    /// request's body and the answer.
+    /// Returns the expected number of bytes between this VM and an upstream: the body of the
+    /// request and the response.
     fn transfer_bytes(&self) -> u64 {
         let body = u64::try_from(self.original.body.len()).unwrap_or(u64::MAX);
         let response = match self.headers.tokens {
@@ -273,7 +277,7 @@
     }
 }
 
-/// Names why an upstream did not run a request.
+/// Returns the log value for the reason why an upstream did not run a request.
 fn not_run_outcome(status: StatusCode) -> &'static str {
     match status {
         StatusCode::MISDIRECTED_REQUEST => "not_run_other_upstream",
--- a/crates/badgerfield-node/src/gateway/exchange.rs
+++ b/crates/badgerfield-node/src/gateway/exchange.rs
@@ -1,15 +1,15 @@
-//! The steps of one request, from its head to its bill.
+//! The steps of one request, from its head to settlement.
 //!
-//! 1. read the head: what the caller asks for, and which route it takes;
-//! 2. check the key: whose request it is;
-//! 3. read the body;
-//! 4. set aside the most that it can cost;
-//! 5. send it to an upstream, and to another where that is allowed;
-//! 6. pass the answer on: whole if it is plain, event by event if it is a stream;
-//! 7. settle what it cost.
+//! 1. Read the head and find the route.
+//! 2. Authenticate the caller by its key.
+//! 3. Read the body.
+//! 4. Reserve the most tokens that the request can cost.
+//! 5. Send it to an upstream, and to another one where the route allows retries.
+//! 6. Forward the response: whole if it is plain, event by event if it is a stream.
+//! 7. Settle the cost.
 //!
-//! Every request ends in one [`request_log::ended`] line. A refusal that says "not run" is
-//! only made while no upstream can have started on the request.
+//! Every request ends with one [`request_log::ended`] line. A refusal with the outcome "not run" is
+//! only returned if no upstream can have started on the request.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, OnceLock};
@@ -41,31 +41,32 @@
 use crate::gateway::reservation::Reservation;
 use crate::gateway::state::{Gateway, OpenRequest};
 
-/// The largest plain answer that is passed on, in bytes.
+/// The maximum size of a plain response, in bytes.
 const MAX_PLAIN_BYTES: usize = 16 << 20;
-/// How many events may be on their way from an upstream when its answer ends early.
+/// The maximum number of events in flight from an upstream when its response ends early.
 pub(super) const MAX_IN_FLIGHT_EVENTS: u64 = 4;
-/// When to come back if this process cannot serve yet, or no upstream can be had.
+/// How long a caller should wait before retrying while this process cannot serve yet or no upstream
+/// is available.
 pub(super) const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// The answer broke off: its connection must not end as if it were whole.
+/// The response ended early. Its connection must not close as if the response were complete.
 #[derive(Debug, Clone, Copy, Error)]
-#[error("the answer broke off before it was whole")]
+#[error("the response ended before it was complete")]
 pub(crate) struct ResponseTruncated;
 
-/// The body of an answer.
+/// The body of a response.
 pub(crate) type ResponseBody = UnsyncBoxBody<Bytes, ResponseTruncated>;
 
-/// A request's sending to an upstream.
+/// The last dispatch of a request to an upstream.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LastDispatch {
-    /// When it was.
+    /// When the request was sent.
     pub(super) at: Time,
-    /// How often the upstream was known to have ended under the request then.
+    /// How many crashes of the upstream under this request were known at that time.
     pub(super) prior_crashes: u32,
 }
 
-/// A request on its way.
+/// A request in progress.
 #[derive(Debug)]
 pub(crate) struct Exchange {
     pub(crate) driver: Arc<Driver>,
@@ -77,27 +78,27 @@
     pub(crate) reservation: Option<Reservation>,
     pub(super) service: Service,
     pub(super) caller: Option<Caller>,
-    /// What bound it when it was let in.
+    /// The template version and the regions that the request was admitted with.
     pub(super) admission: Admission,
     pub(super) arrived_at: Time,
     pub(super) deadline: Time,
     pub(super) tried: Vec<UpstreamId>,
     pub(super) attempts: u32,
-    /// The upstream that is tried at present, until the head of its answer has come.
+    /// The upstream of the current attempt, until the head of its response arrives.
     pub(super) current_upstream: Option<(UpstreamId, SocketAddr)>,
-    /// Its last sending to an upstream.
+    /// The last dispatch to an upstream.
     pub(super) last_dispatch: LastDispatch,
     pub(super) may_have_run: bool,
-    /// Whether an upstream may have made more of an answer than is known here.
+    /// Whether an upstream may have generated output that did not arrive here.
     pub(super) has_unseen_output: bool,
-    /// What stands for the request, once that was asked.
+    /// The fingerprint of the request, once computed.
     pub(super) fingerprint: OnceLock<Fingerprint>,
     pub(super) timing: Timing,
     /// The prompt tokens that the upstream is expected to read.
     pub(super) uncached_tokens: u64,
-    /// The version that answered last, where the service has several.
+    /// The version that responded last, if the service has several versions.
     pub(super) version: Option<SoftwareVersion>,
-    /// Whether its end was recorded.
+    /// Whether the end of the request has been recorded.
     pub(super) ended: bool,
     pub(super) _open: OpenRequest,
 }
@@ -110,8 +111,8 @@
         if let Some((upstream, address)) = &self.current_upstream {
             self.watch_abandoned(upstream, *address);
         }
-        // The caller left before there was any answer; without this line its tokens seem to be
-        // set aside for ever.
+        // The caller disconnected before any response. Without this log line its tokens would
+        // appear to be reserved forever.
         let upstream = self.tried.last().cloned();
         self.record_end("caller_left", 0, upstream.as_ref(), 0);
     }
@@ -142,7 +143,7 @@
     response
 }
 
-/// Steps 5 to 7: the upstream, the answer and the bill.
+/// Runs steps 5 to 7: dispatch, response and settlement.
 async fn run(mut exchange: Exchange) -> Response<ResponseBody> {
     loop {
         let response = match exchange.dispatch(None).await {
@@ -161,7 +162,7 @@
                 return Response::from_parts(head, body);
             }
             Err(why) => {
-                // What makes an upstream end may do so in the middle of an answer, too.
+                // A poison request may also crash an upstream in the middle of the response.
                 let has_ended = why == CUT
                     || (why == BROKEN && exchange.detect_crash(&upstream, address, None).await);
                 exchange.has_unseen_output |= !has_ended;
@@ -181,27 +182,27 @@
 }
 
 impl Exchange {
-    /// Returns the present time of the process.
+    /// Returns the current time of the process.
     pub(crate) fn now(&self) -> Time {
         self.driver.now()
     }
 
-    /// Returns how long ago the request came.
+    /// Returns the time since the request arrived.
     pub(crate) fn elapsed(&self) -> Duration {
         self.now().since(self.arrived_at)
     }
 
-    /// Returns when the request must have its final answer.
+    /// Returns the time by which the request must have its final response.
     pub(crate) fn deadline(&self) -> Time {
         self.deadline
     }
 
-    /// Tells whether another upstream might be tried, as far as the route says.
+    /// Returns whether the attempt limit of the route allows another attempt.
     pub(crate) fn has_attempts_left(&self) -> bool {
         self.attempts < self.route.attempts
     }
 
-    /// Notes that an upstream has read the prompt.
+    /// Records that an upstream has read the prompt.
     pub(super) fn record_prompt(&mut self, status: StatusCode) {
         let prompt = self.headers.tokens.map_or(0, |(prompt, _)| prompt);
         if let Some(reservation) = self.reservation.as_mut().filter(|_| status.is_success()) {
@@ -209,7 +210,7 @@
         }
     }
 
-    /// Reads a plain answer whole.
+    /// Reads a plain response to its end.
     async fn collect(
         &mut self,
         response: Box<UpstreamResponse>,
@@ -217,8 +218,8 @@
         let UpstreamResponse { head, body, framed, mut guard } = *response;
         let whole = Limited::new(body, MAX_PLAIN_BYTES).collect();
         match self.driver.clock.timeout_at(self.deadline, whole).await {
-            // Where only the connection tells where the body ends, an upstream that ends cuts it off
-            // in good order.
+            // Without framing, the body ends with its connection, so a crash of the upstream looks
+            // like a normal end.
             Ok(Ok(_)) if !framed && self.detect_crash(&guard.id, guard.address, None).await => {
                 guard.record_failure();
                 Err(CUT)
@@ -243,7 +244,7 @@
         }
     }
 
-    /// Makes the final refusal: "not run" only if no upstream can have started.
+    /// Returns the final refusal. Its outcome is "not run" only if no upstream can have started.
     pub(super) fn final_refusal(&mut self, cause: Cause) -> Refusal {
         if self.may_have_run {
             self.charge_unseen();
@@ -260,8 +261,9 @@
         Refusal::not_run(cause).with_retry_after(retry_after)
     }
 
-    /// Returns when the first upstream that is cold, rests or has a limit takes a request again, if
-    /// that is known; callers that are held back by the last two come one after the other.
+    /// Returns the time until the first upstream that is cold, backing off or rate-limited accepts
+    /// a request again, if it is known. A random delay spreads the callers that wait for the last
+    /// two.
     fn time_until_upstream(&self) -> Option<Duration> {
         let now = self.now();
         let (until_warm, until_admitted) = {
@@ -276,9 +278,10 @@
         until_warm.into_iter().chain(until_admitted).min()
     }
 
-    /// Counts what an upstream may have handed out that did not arrive here: all that is set
-    /// aside, unless each upstream that worked on it has ended. Those had sent what they made,
-    /// but for a few events on their way.
+    /// Records the tokens that upstreams may have generated without their arriving here.
+    ///
+    /// This is the whole reservation, unless every upstream that worked on the request has crashed:
+    /// a crashed upstream had sent all its output except for a few events in flight.
     fn charge_unseen(&mut self) {
         let (prompt, _) = self.headers.tokens.unwrap_or_default();
         let in_flight = self.tokens_per_event().saturating_mul(MAX_IN_FLIGHT_EVENTS);
@@ -321,18 +324,19 @@
         });
     }
 
-    /// Returns how many tokens one event of a stream holds.
+    /// Returns the number of tokens in one event of a stream.
     pub(crate) fn tokens_per_event(&self) -> u64 {
         self.spec.engine.as_ref().map_or(1, |engine| engine.stride)
     }
 
-    /// Notes how an engine served a stream whole, for those that come after it.
+    /// Records the timing of a stream that an engine served completely, for the requests that
+    /// follow.
     pub(crate) fn record_stream_timing(&self) {
         let Timing { sent: Some(sent), first: Some(first), last: Some(last), .. } = self.timing
         else {
             return;
         };
-        // Two engines that shared a stream tell nothing about one.
+        // The timing of a stream that two engines shared describes neither of them.
         if self.attempts != 1 {
             return;
         }
@@ -344,7 +348,7 @@
         self.gateway.replicas().record_timing(&self.service, &self.route.name, &timing);
     }
 
-    /// Notes that events came from an upstream.
+    /// Records the arrival of events from an upstream.
     pub(crate) fn record_events(&mut self) {
         self.timing.record_events(self.elapsed());
     }
--- a/crates/badgerfield-node/src/gateway/listener.rs
+++ b/crates/badgerfield-node/src/gateway/listener.rs
@@ -1,4 +1,4 @@
-//! Takes connections of callers, and closes them in good order.
+//! Accepts connections of callers and shuts them down gracefully.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -18,19 +18,20 @@
 use crate::gateway::state::Gateway;
 use crate::gateway::{directory, exchange};
 
-/// The smallest buffer for a head that the HTTP library takes, in bytes.
+/// The smallest buffer for a request head that the HTTP library accepts, in bytes.
 const MIN_HEAD_BUFFER_BYTES: usize = 8 * 1024;
-/// How long callers may still come after the order to stop: they keep what the
-/// directory said for a while.
+/// How long connections are still accepted after the process was told to stop, because callers
+/// cache responses of the directory.
 const LINGER_TIME: Duration = Duration::from_millis(3500);
-/// How long accepting rests after it failed, as it does without descriptors.
+/// The delay after an error of accepting a connection, for example when file descriptors are
+/// exhausted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves requests on routes until the process ends, if the settings ask for that.
+/// Serves requests on routes until the process exits, if the settings enable them.
 ///
 /// # Errors
 ///
-/// Fails if an address is taken.
+/// Fails if an address is in use.
 pub async fn serve(driver: &Arc<Driver>) -> Result<(), StartError> {
     let Some((gateway, settings)) = driver.gateway().cloned().zip(driver.settings.gateway) else {
         return Ok(());
@@ -62,7 +63,7 @@
     Ok(())
 }
 
-/// What is known of one connection's use.
+/// The activity of one connection.
 #[derive(Debug)]
 struct ConnectionActivity {
     started: Time,
@@ -77,7 +78,7 @@
         self.last_end_ms.store(millis, Ordering::Relaxed);
     }
 
-    /// Returns when the connection has rested for too long, if nothing comes.
+    /// Returns when the connection reaches its idle timeout if no request arrives.
     fn idle_deadline(&self, now: Time, idle: Duration) -> Time {
         if self.open_requests.load(Ordering::Relaxed) > 0 {
             return now.after(idle);
@@ -119,7 +120,7 @@
         let idle = gateway.in_force().table.limits().idle;
         let idle_deadline = activity.idle_deadline(driver.now(), idle);
         tokio::select! {
-            // How a connection ends matters to its requests only.
+            // An error of the connection is handled by its requests.
             _ = &mut served => return,
             () = driver.lingered(LINGER_TIME) => break,
             () = driver.clock.sleep_until(idle_deadline) => {
--- a/crates/badgerfield-node/src/gateway/mod.rs
+++ b/crates/badgerfield-node/src/gateway/mod.rs
@@ -1,22 +1,22 @@
-//! Requests on routes: any method, plain or streamed, served by upstreams.
+//! Requests on routes: any HTTP method, plain or streamed, served by upstreams.
 //!
 //! A request passes through these modules:
 //!
-//! - [`listener`] takes connections of callers;
-//! - `admit` lets a request in, or says why not; `reservation` sets aside what it can cost;
-//! - `flow` holds its steps from there to its bill;
-//! - `dispatch` chooses upstreams, one after the other where that is allowed;
-//! - `attempt` is one try at one upstream, over one of the `connections`;
-//! - `relay` passes a streamed answer on;
-//! - `suspicion` says whether it may be sent, if an upstream has ended while it was there;
-//! - `refusals` makes the answer where it is refused.
+//! - [`listener`] accepts connections of callers;
+//! - `admit` admits or refuses a request; `reservation` reserves the most tokens that it can cost;
+//! - `exchange` holds its state and its steps from admission to settlement;
+//! - `dispatch` chooses upstreams, one after the other where the route allows retries;
+//! - `attempt` is one attempt at one upstream, over one of the `connections`;
+//! - `relay` forwards a streamed response;
+//! - `poison` detects crashes of upstreams that serve the request, and blocks poison requests;
+//! - `refusals` builds the response of a refused request.
 //!
-//! Beside them, `state` holds what all requests share; `record` writes a line of the log for each
-//! step; `trial` notes what a try tells of a version that is rolled out, and `overload` what it
-//! tells of the load of a plain service; `statements` takes in what upstreams say of themselves in
-//! their answers; `directory` tells callers which VMs to use.
+//! `state` holds the shared state of all requests, and `request_log` writes one log line for each
+//! step. `rollout_sample` measures attempts at services with a rollout, and `overload` measures the
+//! load of plain services. `announcements` applies what upstreams announce in their response
+//! headers, and `directory` tells callers which VMs to use.
 //!
-//! What the heads look like is the business of the [`crate::adapter`].
+//! The [`crate::adapter`] defines the formats of headers.
 
 mod admit;
 mod announcements;
--- a/crates/badgerfield-node/src/gateway/overload.rs
+++ b/crates/badgerfield-node/src/gateway/overload.rs
@@ -1,4 +1,4 @@
-//! What a request tells of the load of a plain service ([`badgerfield_core::overload`]).
+//! Measures the load of plain services by their requests ([`badgerfield_core::overload`]).
 
 use std::time::Duration;
 
@@ -9,21 +9,21 @@
 use crate::gateway::exchange::Exchange;
 
 impl Exchange {
-    /// Returns the time within which an answer is wanted, if the request goes to a plain
-    /// service and its route says so.
+    /// Returns the objective for the response time, if the request goes to a plain service and its
+    /// route has one.
     fn plain_objective(&self) -> Option<Duration> {
         let objective = self.route.objective;
         (self.spec.engine.is_none() && !objective.is_zero()).then_some(objective)
     }
 
-    /// Notes how long an upstream took to answer.
+    /// Records the response time of an upstream.
     pub(super) fn record_response_time(&self, id: &UpstreamId, span: Duration) {
         if self.plain_objective().is_some() {
             self.gateway.replicas().record_response_time(self.now(), id, span);
         }
     }
 
-    /// Notes that an upstream did not run the request.
+    /// Records that an upstream rejected the request without running it.
     pub(super) fn record_rejection(&self, id: &UpstreamId, status: StatusCode) {
         let full = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS];
         if let Some(objective) = self.plain_objective().filter(|_| full.contains(&status)) {
--- a/crates/badgerfield-node/src/gateway/poison.rs
+++ b/crates/badgerfield-node/src/gateway/poison.rs
@@ -1,5 +1,5 @@
-//! What is held against a request on its way: whether it may be sent, what comes of an upstream
-//! that breaks off under it, and word that it is blocked meanwhile.
+//! Detection of poison requests on routes: crashes of upstreams are recorded for the requests that
+//! they served, and blocked requests are refused or cancelled.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, OnceLock};
@@ -20,7 +20,7 @@
 use crate::gateway::exchange::Exchange;
 use crate::gateway::request_log;
 
-/// Returns what stands for a request, whoever sends it again.
+/// Returns the fingerprint of a request, which is the same whenever the request is sent again.
 pub(super) fn fingerprint(
     account: Option<&Account>,
     route: &Route,
@@ -33,8 +33,8 @@
     Fingerprint::of(account, head.method.as_str(), address, &headers.parts, &original.body)
 }
 
-/// Refuses a request under which upstreams have ended, before anything is set aside for it;
-/// returns what stands for it, if that had to be made.
+/// Refuses a blocked request before any tokens are reserved for it. Returns its fingerprint if it
+/// had to be computed.
 pub(super) fn check_blocked(
     driver: &Driver,
     account: Option<&Account>,
@@ -55,8 +55,8 @@
 }
 
 impl Exchange {
-    /// Returns what stands for the request; it is made when it is first needed, which for most
-    /// requests is never.
+    /// Returns the fingerprint of the request. It is computed on first use, which most requests
+    /// never need.
     pub(super) fn fingerprint(&self) -> Fingerprint {
         let account = self.caller.as_ref().map(|caller| &caller.account);
         let make = || fingerprint(account, &self.route, &self.headers, &self.original);
@@ -70,7 +70,7 @@
         self.driver.node.request_status(self.now(), self.fingerprint())
     }
 
-    /// Returns how often an upstream is known to have ended under the request.
+    /// Returns the number of known crashes of an upstream while serving the request.
     pub(super) fn crash_count(&self, upstream: &UpstreamId) -> u32 {
         if !self.driver.node.has_suspects() {
             return 0;
@@ -78,8 +78,8 @@
         self.driver.node.crash_count(self.fingerprint(), upstream)
     }
 
-    /// Returns the number by which all VMs choose alike for the request, if an upstream has
-    /// ended while it was there.
+    /// Returns the key by which all VMs choose the same upstream, if an upstream has crashed while
+    /// serving the request.
     ///
     /// # Errors
     ///
@@ -90,7 +90,8 @@
             PoisonStatus::Suspect { early } => {
                 let request = self.fingerprint();
                 request_log::suspect(&self.original.id, request, self.attempts + 1, early);
-                // A stream in full flow goes where its parts are and work is least.
+                // A stream under which an upstream crashed late is routed by cached prompt parts
+                // and load.
                 Ok(early.then(|| request.rendezvous_key()))
             }
             PoisonStatus::Blocked { upstreams, age, .. } => {
@@ -108,27 +109,27 @@
         }
     }
 
-    /// Waits until the request is blocked, if that comes to pass.
+    /// Waits until the request is blocked. Never returns if that does not happen.
     pub(super) async fn until_blocked(&self) {
         let mut changes = self.gateway.subscribe_blocked();
         while !matches!(self.poison_status(), PoisonStatus::Blocked { .. }) {
             if changes.changed().await.is_err() {
-                // The gateway is gone, and with it whoever could block anything.
+                // The gateway was dropped, so no request can be blocked any more.
                 std::future::pending::<()>().await;
             }
         }
     }
 
-    /// Returns when the upstream was last known to be at work on the request.
+    /// Returns when the upstream was last known to work on the request.
     fn last_contact(&self) -> Time {
         let last_event = self.timing.last.map(|last| self.arrived_at.after(last));
         last_event.map_or(self.last_dispatch.at, |at| at.max(self.last_dispatch.at))
     }
 
-    /// Finds out whether an upstream that broke off has ended, and holds that against the
-    /// request; tells whether it has.
+    /// Detects whether an upstream has crashed after its connection failed, and records a crash for
+    /// the request. Returns whether it has crashed.
     ///
-    /// A connection that breaks alone is no evidence: upstreams that live break some off.
+    /// A failed connection alone is no evidence: running upstreams close some connections early.
     pub(super) async fn detect_crash(
         &self,
         upstream: &UpstreamId,
@@ -136,8 +137,8 @@
         last: Option<u64>,
     ) -> bool {
         let id = &self.original.id;
-        // An upstream that came to a planned end while this process stood still is as silent as
-        // one that ended under the request.
+        // While this process was stalled, the upstream may have been stopped as planned, which
+        // looks the same as a crash.
         if self.driver.clock.stood_still_since(self.last_contact()) {
             request_log::broke(id, upstream, "not_asked", Duration::ZERO);
             return false;
@@ -157,7 +158,7 @@
                 true
             }
             ProbeResult::Open(connection) => {
-                // The request goes on meanwhile.
+                // The request continues in the meantime.
                 let (driver, crash) = (Arc::clone(&self.driver), crash());
                 let connections = Arc::clone(connections);
                 let permit = Arc::clone(&self.gateway.crash_watches).try_acquire_owned().ok();
@@ -172,7 +173,8 @@
                 });
                 false
             }
-            // What takes its host with it refuses no connection.
+            // A failure of the whole host refuses no connection, so the crash is recorded as
+            // unconfirmed.
             ProbeResult::Unknown => {
                 self.driver.feed(Event::UpstreamCrashed(crash().unconfirmed()));
                 false
@@ -180,13 +182,14 @@
         }
     }
 
-    /// Watches an upstream for a while that works on the request though its caller has left: it may
-    /// end under it yet, and the same caller may come back.
+    /// Watches an upstream that still works on the request after its caller disconnected. It may
+    /// crash under the request later, and the caller may send the request again.
     pub(super) fn watch_abandoned(&self, upstream: &UpstreamId, address: SocketAddr) {
         let crash_watches = Arc::clone(&self.gateway.crash_watches);
         let (Ok(permit), Ok(runtime)) = (crash_watches.try_acquire_owned(), Handle::try_current())
         else {
-            // Of many at once it is enough to watch some; without a runtime the process ends.
+            // With many callers leaving at once, watching some upstreams is enough. Without a
+            // runtime, the process is exiting.
             return;
         };
         let account = self.caller.as_ref().map(|caller| &caller.account);
@@ -204,7 +207,7 @@
         });
     }
 
-    /// Notes that the request was served whole: no crash that it was at was its doing.
+    /// Records that the request was served completely, and so caused none of the crashes under it.
     pub(super) fn record_served(&self) {
         if self.poison_status() != PoisonStatus::Clear {
             self.driver.feed(Event::SuspectServed(self.fingerprint()));
--- a/crates/badgerfield-node/src/gateway/refusals.rs
+++ b/crates/badgerfield-node/src/gateway/refusals.rs
@@ -1,4 +1,4 @@
-//! The answers of refusals.
+//! The responses of refused requests.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::gateway::exchange::ResponseBody;
 use crate::gateway::request_log::{self, Timing};
 
-/// Records the end of a request that is refused.
+/// Logs the end of a request that was refused.
 pub(super) fn record_refused(
     id: &str,
     refusal: &Refusal,
@@ -33,7 +33,7 @@
     });
 }
 
-/// Makes the answer of a refusal.
+/// Builds the response of a refusal.
 pub(super) fn refusal_response(refusal: &Refusal) -> Response<ResponseBody> {
     let cause = refusal.cause;
     let text = json!({
--- a/crates/badgerfield-node/src/gateway/relay.rs
+++ b/crates/badgerfield-node/src/gateway/relay.rs
@@ -1,5 +1,5 @@
-//! Passes a streamed answer on, event by event, and lets it go on at another upstream
-//! where the route allows that.
+//! Forwards a streamed response event by event, and resumes it at another upstream where the route
+//! allows that.
 
 use badgerfield_core::amount::{Time, Tokens};
 use badgerfield_core::event_stream::{EventScanner, MAX_EVENT_BYTES};
@@ -14,10 +14,10 @@
 use crate::gateway::exchange::{Exchange, MAX_IN_FLIGHT_EVENTS, ResponseBody, ResponseTruncated};
 use crate::gateway::request_log;
 
-/// How many times the wanted pause a resumable stream waits for one upstream.
+/// The timeout for the next event of a resumable stream, in multiples of the longest wanted pause.
 const PAUSE_TIMEOUT_FACTOR: u32 = 4;
 
-/// A stream on its way to the caller.
+/// A stream that is forwarded to the caller.
 #[derive(Debug)]
 struct Relay {
     exchange: Exchange,
@@ -27,17 +27,17 @@
     ended: bool,
 }
 
-/// The upstream that a stream comes from.
+/// The upstream connection that a stream is read from.
 #[derive(Debug)]
 struct Source {
     body: Incoming,
     framed: bool,
     guard: UpstreamGuard,
-    /// Whether an event has come from it.
+    /// Whether an event has arrived from this upstream.
     has_begun: bool,
 }
 
-/// What came of waiting for the upstream.
+/// The result of reading from the upstream.
 enum ReadResult {
     Data(Bytes),
     End,
@@ -45,7 +45,7 @@
     OutOfTime,
 }
 
-/// Starts to pass a stream on.
+/// Starts to forward a stream.
 pub(crate) fn start(exchange: Exchange, response: Box<UpstreamResponse>) -> Response<ResponseBody> {
     let UpstreamResponse { head, body, framed, guard } = *response;
     let scanner = EventScanner::resume_after(exchange.headers.last_event);
@@ -60,7 +60,7 @@
 }
 
 impl Relay {
-    /// Returns the next bytes for the caller, or nothing after the last.
+    /// Returns the next bytes for the caller, or `None` after the last.
     async fn next(&mut self) -> Option<Result<Bytes, ResponseTruncated>> {
         loop {
             if self.ended {
@@ -80,7 +80,7 @@
                     self.record_usage(0);
                     return Some(Ok(events));
                 }
-                // The upstream said that its answer is whole, whatever its form.
+                // The framing shows that the response is complete, whatever its format.
                 ReadResult::End if self.source.as_ref().is_some_and(|source| source.framed) => {
                     let tail = self.scanner.take_partial();
                     self.finish();
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Notes that an event has come from the upstream; the first one tells that it runs the request.
+    /// Records the arrival of events. The first event shows that the upstream runs the request.
     fn record_begun(&mut self) {
         let Some(source) = self.source.as_mut().filter(|source| !source.has_begun) else {
             return;
@@ -120,7 +120,7 @@
         request_log::begun(id, exchange.attempts, &source.guard.id, took);
     }
 
-    /// Waits for the upstream.
+    /// Reads the next part of the response from the upstream.
     async fn read(&mut self) -> ReadResult {
         let (started, deadline) = (self.exchange.now(), self.exchange.deadline());
         loop {
@@ -138,7 +138,7 @@
                 if is_blockable {
                     exchange.until_blocked().await;
                 } else {
-                    // What has begun to come is no danger to the upstream that sends it.
+                    // Once events arrive, the request is no danger to the upstream that sends them.
                     std::future::pending::<()>().await;
                 }
             };
@@ -151,13 +151,13 @@
                 Ok(Some(Err(_))) => ReadResult::Broken(BROKEN),
                 Ok(None) => ReadResult::End,
                 Err(_) if exchange.now() >= deadline => ReadResult::OutOfTime,
-                // The upstream may have gone on, and was not heard.
+                // The upstream may have sent data while this process was stalled.
                 Err(_) if clock.stood_still_since(wait_start) => continue,
                 Err(_) if exchange.has_other_upstream(exchange.attempts, true) => {
                     ReadResult::Broken(SILENT)
                 }
                 Err(_) => {
-                    // It may go on yet, and nobody else can.
+                    // The upstream may still continue, and no other one is available.
                     let (id, attempts) = (&exchange.original.id, exchange.attempts);
                     let silent = exchange.now().since(started);
                     request_log::waits_on(id, attempts, Some(upstream), silent);
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Returns until when the next bytes of this upstream are waited for, from now on.
+    /// Returns the deadline for the next bytes of this upstream.
     fn read_deadline(&self, now: Time) -> Time {
         let deadline = self.exchange.deadline();
         let route = &self.exchange.route;
@@ -182,7 +182,7 @@
         self.exchange.route.repeat.is_idempotent() && self.exchange.has_attempts_left()
     }
 
-    /// Tells whether an answer whose end only its connection tells ended because its upstream did.
+    /// Returns whether an unframed response ended because its upstream crashed.
     async fn has_upstream_crashed(&self) -> bool {
         let Some(source) = &self.source else {
             return false;
@@ -191,7 +191,7 @@
         self.exchange.detect_crash(id, address, self.scanner.last_event_id()).await
     }
 
-    /// Goes on at another upstream; returns the end of the answer if that cannot be.
+    /// Resumes the stream at another upstream. Returns the final error if that is not possible.
     async fn resume_elsewhere(
         &mut self,
         why: &'static str,
@@ -205,12 +205,12 @@
             source.guard.record_failure();
         }
         let (from, address) = (source.guard.id.clone(), source.guard.address);
-        // The earlier upstream stops its work when its connection closes.
+        // The earlier upstream stops its work when the connection closes.
         drop(source);
         let is_disconnected = why == BROKEN || why == CUT;
         let has_crashed = is_disconnected
             && self.exchange.detect_crash(&from, address, self.scanner.last_event_id()).await;
-        // One that lives may have made more than came here.
+        // An upstream that has not crashed may have generated more than arrived here.
         self.exchange.has_unseen_output |= !has_crashed;
         if !self.can_resume() {
             return Some(self.fail(why));
@@ -229,7 +229,8 @@
         }
     }
 
-    /// Notes what was handed out, with some events that may be on their way.
+    /// Records the tokens that were generated, including `in_flight` events that may not have
+    /// arrived.
     fn record_usage(&mut self, in_flight: u64) {
         let (prompt, output) = self.exchange.headers.tokens.unwrap_or_default();
         let events = self.scanner.event_count() + in_flight;
@@ -271,7 +272,7 @@
         if self.ended {
             return;
         }
-        // The caller has left; closing the connection tells the upstream.
+        // The caller disconnected. The upstream is notified by closing its connection.
         self.record_usage(MAX_IN_FLIGHT_EVENTS);
         let source = self.source.take();
         if let Some(source) = source.as_ref().filter(|source| !source.has_begun) {
--- a/crates/badgerfield-node/src/gateway/request_log.rs
+++ b/crates/badgerfield-node/src/gateway/request_log.rs
@@ -1,5 +1,5 @@
-//! The record of decisions: one line for each, with the request's id, what decided it,
-//! how old that was, and the outcome.
+//! The log of requests: one line for each decision, with the id of the request, the data that
+//! decided it, the age of that data and the outcome.
 
 use std::time::Duration;
 
@@ -15,18 +15,18 @@
 
 use crate::logs::REQUESTS;
 
-/// Records that a request was let in.
+/// Logs that a request was admitted.
 pub(crate) fn admitted(id: &str, route: &str, account: Option<&str>, version: TemplateVersion) {
     let account = account.unwrap_or("-");
     log::info!(target: REQUESTS, "admitted id={id} route={route} account={account} templates={version}");
 }
 
-/// Records that a request may be served in no known region.
+/// Logs that a request may not be served in any known region.
 pub(crate) fn outside(id: &str, route: &str, fault: &ResidencyError, version: TemplateVersion) {
     log::warn!(target: REQUESTS, "outside id={id} route={route} templates={version} fault={fault:?}");
 }
 
-/// Records what setting tokens aside came to.
+/// Logs the outcome of a token reservation.
 pub(crate) fn reserved(
     id: &str,
     budget: &str,
@@ -39,7 +39,7 @@
     log::info!(target: REQUESTS, "reserved id={id} budget={budget} tokens={tokens} took_ms={took} outcome={outcome}");
 }
 
-/// Records which upstream was chosen, and which nearly was.
+/// Logs the chosen upstream and the runner-up.
 pub(crate) fn chosen(
     id: &str,
     attempt: u32,
@@ -72,7 +72,7 @@
     );
 }
 
-/// Records how one try at an upstream ended, if it brought no answer.
+/// Logs the outcome of an attempt without a response.
 pub(crate) fn attempt_failed(
     id: &str,
     attempt: u32,
@@ -87,7 +87,7 @@
     );
 }
 
-/// Records that an upstream that says nothing is not left, since no other can be tried now.
+/// Logs that a request stays at a silent upstream because no other one can be tried now.
 pub(crate) fn waits_on(id: &str, attempt: u32, upstream: Option<&UpstreamId>, silent: Duration) {
     let upstream = upstream.map_or("-", UpstreamId::as_str);
     let silent = silent.as_millis();
@@ -97,8 +97,8 @@
     );
 }
 
-/// Records what the address of an upstream that broke off says when it is asked whether anybody
-/// listens there; it is not asked after the process has stood still.
+/// Logs whether the address of an upstream still accepts connections after its connection failed.
+/// The address is not probed if this process was stalled in the meantime.
 pub(crate) fn broke(id: &str, upstream: &UpstreamId, listening: &str, took: Duration) {
     let took = took.as_millis();
     log::info!(
@@ -107,7 +107,7 @@
     );
 }
 
-/// Records that a request is sent on at which an upstream has ended.
+/// Logs that a suspect is sent to an upstream: an upstream has crashed while serving the request.
 pub(crate) fn suspect(id: &str, request: Fingerprint, attempt: u32, early: bool) {
     log::info!(
         target: REQUESTS,
@@ -115,7 +115,7 @@
     );
 }
 
-/// Records that a request is not sent on, since upstreams have ended under it.
+/// Logs that a request is not sent because upstreams have crashed while serving it.
 pub(crate) fn blocked(id: &str, request: Fingerprint, upstreams: &[UpstreamId], age: Duration) {
     let upstreams: Vec<_> = upstreams.iter().map(UpstreamId::as_str).collect();
     let (upstreams, age) = (upstreams.join(","), age.as_millis());
@@ -125,22 +125,22 @@
     );
 }
 
-/// Records that an upstream names another limit than before in its answer to a request.
+/// Logs that an upstream announced a changed rate limit in its response to a request.
 pub(crate) fn limit_announced(id: &str, change: &LimitChange) {
     let LimitChange { upstream, .. } = change;
     let (limit, before) = (format_limit(change.limit), format_limit(change.before));
     log::info!(target: REQUESTS, "limit id={id} upstream={upstream} limit={limit} before={before}");
 }
 
-/// Records that an upstream names another limit than before, as another process has told.
+/// Logs a changed rate limit of an upstream that another process reported.
 pub(crate) fn limit_received(from: Incarnation, change: &LimitChange) {
     let LimitChange { upstream, .. } = change;
     let (limit, before) = (format_limit(change.limit), format_limit(change.before));
     log::info!(target: REQUESTS, "limit from={from} upstream={upstream} limit={limit} before={before}");
 }
 
-/// Records that an upstream says in its answer to a request that it is about to leave, and how old
-/// the list of upstreams is that is known.
+/// Logs that an upstream announced in its response to a request that it is leaving, and the age of
+/// the known list of upstreams.
 pub(crate) fn leaving(id: &str, upstream: &UpstreamId, list: u64, list_age: Duration) {
     let age = list_age.as_millis();
     log::info!(
@@ -149,36 +149,36 @@
     );
 }
 
-/// Records for how long an upstream that turns a request away wants nothing more from this VM.
+/// Logs that an upstream rejected a request and asked this VM to back off.
 pub(crate) fn back_off(id: &str, upstream: &UpstreamId, rest: Duration) {
     let rest = rest.as_millis();
     log::info!(target: REQUESTS, "rest id={id} upstream={upstream} rest_ms={rest}");
 }
 
-/// Writes a limit in requests a second.
+/// Formats a limit in requests per second.
 fn format_limit(limit: Option<RateLimit>) -> String {
     limit.map_or_else(|| "-".to_owned(), |limit| limit.to_string())
 }
 
-/// Records that an upstream states something of itself that cannot be read.
+/// Logs that an announcement of an upstream cannot be parsed.
 pub(crate) fn invalid_announcement(upstream: &UpstreamId) {
     log::warn!(target: REQUESTS, "unreadable upstream={upstream} outcome=ignored");
 }
 
-/// Records that the first event of a stream has come from an upstream, so long after the request:
-/// what was set aside for its prompt is used from then on.
+/// Logs the arrival of the first event of a stream and the time since the request arrived. From
+/// then on, the tokens reserved for the prompt count as used.
 pub(crate) fn begun(id: &str, attempt: u32, upstream: &UpstreamId, took: Duration) {
     let took = took.as_millis();
     log::info!(target: REQUESTS, "begun id={id} attempt={attempt} upstream={upstream} took_ms={took}");
 }
 
-/// Records that a stream goes on at another upstream.
+/// Logs that a stream is resumed at another upstream.
 pub(crate) fn resumed(id: &str, from: &UpstreamId, last: Option<u64>, why: &str) {
     let last = last.map_or_else(|| "-".to_owned(), |last| last.to_string());
     log::info!(target: REQUESTS, "resumed id={id} from={from} last_event={last} why={why}");
 }
 
-/// How a request ended.
+/// The end of a request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RequestEnd<'a> {
     pub(crate) id: &'a str,
@@ -192,30 +192,30 @@
     pub(crate) timing: Timing,
 }
 
-/// When the steps of a request were done, from its arrival on.
+/// The times at which the steps of a request were completed, measured from its arrival.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct Timing {
-    /// When its body had been read whole.
+    /// When the whole body had been read.
     pub(crate) body: Duration,
-    /// When it was sent to an upstream first.
+    /// When the request was first sent to an upstream.
     pub(crate) sent: Option<Duration>,
-    /// When the head of the last upstream's answer came.
+    /// When the head of the last upstream's response arrived.
     pub(crate) head: Option<Duration>,
-    /// When the first event came.
+    /// When the first event arrived.
     pub(crate) first: Option<Duration>,
-    /// When the last event came.
+    /// When the last event arrived.
     pub(crate) last: Option<Duration>,
     /// The longest pause between two events.
     pub(crate) longest_pause: Duration,
 }
 
 impl Timing {
-    /// Notes that the request is sent to an upstream, so long after it came.
+    /// Records that the request is sent to an upstream, `at` after its arrival.
     pub(crate) fn record_sent(&mut self, at: Duration) {
         self.sent.get_or_insert(at);
     }
 
-    /// Notes that events came, so long after the request.
+    /// Records that events arrived, `at` after the request.
     pub(crate) fn record_events(&mut self, at: Duration) {
         if let Some(last) = self.last {
             self.longest_pause = self.longest_pause.max(at.saturating_sub(last));
@@ -225,12 +225,12 @@
     }
 }
 
-/// Writes a span that may not have come to pass.
+/// Formats a span in milliseconds, or `-` if there is none.
 fn millis_or_none(span: Option<Duration>) -> String {
     span.map_or_else(|| "-".to_owned(), |span| span.as_millis().to_string())
 }
 
-/// Records the end of a request.
+/// Logs the end of a request.
 pub(crate) fn ended(end: &RequestEnd<'_>) {
     let RequestEnd { id, outcome, status, attempts, events, .. } = end;
     let upstream = end.upstream.map_or("-", UpstreamId::as_str);
--- a/crates/badgerfield-node/src/gateway/reservation.rs
+++ b/crates/badgerfield-node/src/gateway/reservation.rs
@@ -1,4 +1,4 @@
-//! Tokens set aside for one request: settled once, whatever becomes of the request.
+//! Tokens that are reserved for one request and settled exactly once, however the request ends.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 
 use crate::driver::Driver;
 
-/// Tokens that are set aside; what was not used is given back when this is dropped.
+/// Reserved tokens. Unused ones are returned on drop.
 #[derive(Debug)]
 pub(crate) struct Reservation {
     driver: Arc<Driver>,
@@ -22,11 +22,11 @@
 }
 
 impl Reservation {
-    /// Sets tokens aside, waiting for them until a given time.
+    /// Reserves tokens, waiting for them until a deadline.
     ///
     /// # Errors
     ///
-    /// Returns the refusal if there are none.
+    /// Returns the refusal if there are no tokens.
     pub(crate) async fn acquire(
         driver: &Arc<Driver>,
         budget: &BudgetId,
@@ -44,17 +44,17 @@
         Ok(Self { driver, budget, period, reserved: amount, used: Tokens::ZERO })
     }
 
-    /// Notes how much was used so far; less than before changes nothing.
+    /// Records the number of tokens used so far. A smaller number than before has no effect.
     pub(crate) fn record_used(&mut self, tokens: Tokens) {
         self.used = self.used.max(tokens).min(self.reserved);
     }
 
-    /// Returns how much was noted as used.
+    /// Returns the recorded number of used tokens.
     pub(crate) fn used(&self) -> Tokens {
         self.used
     }
 
-    /// Returns how much is set aside.
+    /// Returns the number of reserved tokens.
     pub(crate) fn reserved(&self) -> Tokens {
         self.reserved
     }
@@ -71,7 +71,7 @@
     }
 }
 
-/// The wait for an answer; gives the tokens back if the request goes meanwhile.
+/// A pending reservation. Returns the tokens if the request is dropped before it uses them.
 struct PendingReservation<'a> {
     driver: &'a Arc<Driver>,
     request: Option<ReserveRequest>,
@@ -84,7 +84,8 @@
             return;
         };
         self.driver.feed(Event::CancelReserve(request.clone()));
-        // The answer is there now: either the wish was withdrawn, or tokens had come.
+        // The result is available now: either the request was cancelled, or tokens had been
+        // reserved.
         if let Ok(Ok(period)) = self.answer.try_recv() {
             self.driver.feed(Event::ReservationEnded(ReservationEnd {
                 budget: request.budget,
--- a/crates/badgerfield-node/src/gateway/rollout_sample.rs
+++ b/crates/badgerfield-node/src/gateway/rollout_sample.rs
@@ -1,5 +1,4 @@
-//! What one try of a request tells of the version that answers it, while its service is rolled
-//! out.
+//! Measures how a version responds to one attempt while its service has a rollout.
 
 use std::sync::Arc;
 
@@ -10,7 +9,7 @@
 
 use crate::gateway::state::Gateway;
 
-/// One try, from when it was sent on.
+/// One attempt, from its dispatch on.
 #[derive(Debug)]
 pub(crate) struct RolloutSample {
     upstream: UpstreamId,
@@ -18,9 +17,9 @@
     sent_at: Time,
     /// The prompt tokens that the upstream is expected to read.
     uncached_tokens: u64,
-    /// How the first part of the answer came, once it has.
+    /// The speed of the first part of the response, once it has arrived.
     speed: Option<AnswerSpeed>,
-    /// Whether the try has failed or come to its end, so that nothing more of it counts.
+    /// Whether the attempt has failed or ended, so that nothing more is counted.
     is_finished: bool,
 }
 
@@ -41,14 +40,14 @@
         }
     }
 
-    /// Tells whether it says nothing more of the version: it is over, or the process stood still
-    /// meanwhile, so that its own delay would be taken for the version's.
+    /// Returns whether the attempt no longer counts: it is finished, or this process was stalled
+    /// during it, so that the measured delay may be its own.
     fn is_excluded(&self, gateway: &Gateway) -> bool {
         self.is_finished || gateway.clock.stood_still_since(self.sent_at)
     }
 
-    /// Notes that the first part of the answer has come; tells whether it is a bad answer
-    /// of the version that is rolled out.
+    /// Records the arrival of the first part of the response. Returns whether it is a bad response
+    /// of the target.
     pub(crate) fn record_answer(&mut self, gateway: &Gateway) -> bool {
         if self.speed.is_some() || self.is_excluded(gateway) {
             return false;
@@ -61,8 +60,8 @@
         recorded.is_some_and(|(_, is_bad)| is_bad)
     }
 
-    /// Notes that the answer does not come, or broke off; tells whether it is a bad
-    /// answer of the version that is rolled out.
+    /// Records that no response arrived or that the response ended early. Returns whether it is a
+    /// bad response of the target.
     pub(crate) fn record_failure(&mut self, gateway: &Gateway) -> bool {
         if self.is_excluded(gateway) {
             return false;
@@ -71,8 +70,8 @@
         gateway.replicas().record_failure(&self.upstream, &self.route.name, self.speed)
     }
 
-    /// Notes that the request is at its end, whatever came of it; tells whether it is a bad answer
-    /// of the version that is rolled out.
+    /// Records that the request has ended, whatever its outcome. Returns whether it is a bad
+    /// response of the target.
     pub(crate) fn record_end(&mut self, gateway: &Gateway) -> bool {
         if self.speed.is_some() || self.is_excluded(gateway) {
             return false;
--- a/crates/badgerfield-node/src/gateway/state.rs
+++ b/crates/badgerfield-node/src/gateway/state.rs
@@ -1,4 +1,4 @@
-//! What the gateway keeps between requests.
+//! The state that all requests of the gateway share.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -17,20 +17,20 @@
 use crate::gateway::connections::Connections;
 use crate::sync::lock;
 
-/// How many upstreams are watched at once that may end yet. Each takes a connection, of which an
-/// upstream has few when it is overloaded and breaks many off.
+/// The maximum number of upstreams that are watched for a crash at once. Each watch takes a
+/// connection, and an overloaded upstream has few of them and closes many early.
 const MAX_CRASH_WATCHES: usize = 4;
 
-/// The routes in force, with the version that they came with.
+/// The routes in force, with the template version that they belong to.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct RouteSnapshot {
     pub(crate) version: TemplateVersion,
     pub(crate) table: Arc<RouteTable>,
 }
 
-/// The gateway's tables.
+/// The tables of the gateway.
 ///
-/// No two of the locks are held at once, and none across an `.await`.
+/// No two of the locks are held at the same time, and none across an `.await`.
 #[derive(Debug)]
 pub(crate) struct Gateway {
     pub(crate) adapter: RouteAdapter,
@@ -41,15 +41,16 @@
     retries: Mutex<RetryBudget>,
     open_requests: AtomicUsize,
     stopping: AtomicBool,
-    /// Whether any service is rolled out.
+    /// Whether any service has a rollout.
     rolls_out: AtomicBool,
-    /// When a bad answer of a version that is rolled out was told of last.
+    /// When a bad response of a rollout's target was last reported.
     bad_answer_reported_at: Mutex<Option<Time>>,
-    /// How often lags of upstreams were noted for others.
+    /// How many delay reports have been prepared for peers.
     delay_report_turn: AtomicUsize,
-    /// Places for watches of upstreams that may end yet.
+    /// Permits for watching upstreams for a crash.
     pub(crate) crash_watches: Arc<Semaphore>,
-    /// How many requests were blocked so far: whoever sends one looks again when it changes.
+    /// The number of requests blocked so far. Waiting requests check their own status when it
+    /// changes.
     blocked: watch::Sender<usize>,
 }
 
@@ -77,7 +78,7 @@
         lock(&self.routes).clone()
     }
 
-    /// Puts newer routes in force; never steps back.
+    /// Replaces the routes in force if the version is newer.
     pub(crate) fn put_in_force(&self, version: TemplateVersion, table: RouteTable) {
         let mut routes = lock(&self.routes);
         if version > routes.version {
@@ -101,33 +102,33 @@
         OpenRequest { gateway: Arc::clone(self) }
     }
 
-    /// Returns how many requests are open.
+    /// Returns the number of open requests.
     pub(crate) fn open_count(&self) -> usize {
         self.open_requests.load(Ordering::Relaxed)
     }
 
-    /// Returns the number of the next turn of noting lags.
+    /// Returns the sequence number of the next delay report.
     pub(crate) fn next_turn(&self) -> usize {
         self.delay_report_turn.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Notes that more requests are blocked.
+    /// Notifies waiting requests that `count` more requests are blocked.
     pub(crate) fn note_blocked(&self, count: usize) {
         self.blocked.send_modify(|blocked| *blocked += count);
     }
 
-    /// Returns a line that tells when more requests are blocked.
+    /// Returns a receiver that is notified when more requests are blocked.
     pub(crate) fn subscribe_blocked(&self) -> watch::Receiver<usize> {
         self.blocked.subscribe()
     }
 
-    /// Tells whether any service is rolled out; else nothing is counted for that.
+    /// Returns whether any service has a rollout. Without one, no responses are counted.
     pub(crate) fn rolls_out(&self) -> bool {
         self.rolls_out.load(Ordering::Relaxed)
     }
 
-    /// Tells whether a bad answer may be told of at once, so long after the last one, and takes
-    /// it that it is.
+    /// Returns whether a bad response may be reported now, at least `interval` after the last
+    /// report, and records the report if so.
     pub(crate) fn may_tell(&self, now: Time, interval: Duration) -> bool {
         let mut bad_answer_reported_at = lock(&self.bad_answer_reported_at);
         let is_due = bad_answer_reported_at.is_none_or(|at| now.since(at) >= interval);
@@ -137,8 +138,8 @@
         is_due
     }
 
-    /// Divides requests between versions by these rules, and by no others; returns those that
-    /// are new or differ.
+    /// Replaces the rules that divide requests between versions. Returns the rules that are new or
+    /// have changed.
     pub(crate) fn set_rollouts(&self, rules: RolloutRules) -> Vec<RolloutRule> {
         let mut upstreams = self.replicas();
         let changed = upstreams.apply_rule_set(rules);
@@ -146,28 +147,28 @@
         changed
     }
 
-    /// Tells whether the process is stopping.
+    /// Returns whether the process is stopping.
     pub(crate) fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Notes that the process is stopping.
+    /// Marks the process as stopping.
     pub(crate) fn stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
 
-    /// Closes idle connections that are of no more use.
+    /// Closes idle connections that will not be reused.
     pub(crate) fn sweep(&self, now: Time) {
         self.connections.sweep(|id| self.is_usable(now, id));
     }
 
-    /// Tells whether an upstream may still get requests.
+    /// Returns whether an upstream may still receive requests.
     pub(crate) fn is_usable(&self, now: Time, id: &UpstreamId) -> bool {
         self.replicas().is_usable(now, id)
     }
 }
 
-/// An open request, counted while this lives.
+/// An open request, which is counted until this guard is dropped.
 #[derive(Debug)]
 pub(crate) struct OpenRequest {
     gateway: Arc<Gateway>,
--- a/crates/badgerfield-node/src/http.rs
+++ b/crates/badgerfield-node/src/http.rs
@@ -1,4 +1,4 @@
-//! Small helpers for HTTP, shared by servers and clients.
+//! Helpers for HTTP that servers and clients share.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -14,29 +14,29 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// The body of an answer.
+/// The body of a response.
 pub type Body = UnsyncBoxBody<Bytes, Infallible>;
 /// A client for the platform and upstreams.
 pub type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// How long a connection may take to open.
+/// The timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// After how long without a sign of life the other end of a connection is probed, so that
-/// a long wait on it ends soon after a cut.
+/// The idle time before keepalive probes are sent, and the interval between them. They end a long
+/// wait soon after the network is cut.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// The largest answer that is read whole, in bytes.
+/// The maximum size of a response that is read into memory, in bytes.
 const MAX_ANSWER_BYTES: usize = 16_000_000;
 
-/// Why a call got no usable answer.
+/// The reason why a call failed.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// No connection could be made: nothing was sent.
+    /// No connection could be opened, and nothing was sent.
     #[error("cannot connect to {0}")]
     Connect(Uri),
-    /// The call took too long, or broke off.
+    /// The call timed out, or its connection failed.
     #[error("no answer from {0}")]
     Lost(Uri),
-    /// The answer has another status than expected.
+    /// The response has an error status.
     #[error("{uri} answered {status}")]
     Status {
         /// The address.
@@ -44,12 +44,12 @@
         /// The status.
         status: StatusCode,
     },
-    /// The answer is not what was expected.
+    /// The response is not JSON.
     #[error("expected JSON from {0}")]
     NotJson(Uri),
 }
 
-/// Makes a client.
+/// Creates a client.
 #[must_use]
 pub fn client() -> HttpClient {
     let mut connector = HttpConnector::new();
@@ -63,13 +63,13 @@
         .build(connector)
 }
 
-/// Makes a whole body.
+/// Creates a body from bytes.
 #[must_use]
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).boxed_unsync()
 }
 
-/// Makes an answer in JSON.
+/// Creates a response with a JSON body.
 #[must_use]
 pub fn json_response(status: StatusCode, value: &Value) -> Response<Body> {
     let mut response = Response::new(full(value.to_string()));
@@ -79,11 +79,12 @@
     response
 }
 
-/// Sends JSON and reads JSON.
+/// Sends a request with a JSON body and parses the JSON response.
 ///
 /// # Errors
 ///
-/// Tells apart what was not sent from what may have taken effect.
+/// [`CallError::Connect`] means that nothing was sent. After other errors the call may have taken
+/// effect.
 pub async fn call_json(
     client: &HttpClient,
     request: Request<Full<Bytes>>,
@@ -110,23 +111,23 @@
     tokio::time::timeout(timeout, call).await.map_err(lost)?
 }
 
-/// Reads a body up to a limit; nothing if it is longer or breaks off.
+/// Reads a body up to a limit. Returns `None` if it is longer or ends early.
 pub async fn read_body(body: Incoming, limit: usize) -> Option<Bytes> {
     let body = Limited::new(body, limit).collect().await.ok()?;
     Some(body.to_bytes())
 }
 
-/// An upstream says when to come back in a form that cannot be read.
+/// The error for a `retry-after` header that cannot be parsed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("expected seconds in the header retry-after")]
 pub struct InvalidRetryAfter;
 
-/// Reads after how long to come back, in seconds with or without fractions. Dates are not read:
-/// the time of day here may be off by seconds.
+/// Parses the `retry-after` header in seconds, with or without a fraction. Dates are not supported,
+/// because the wall clock of this VM may be off by seconds.
 ///
 /// # Errors
 ///
-/// Refuses what is no such number, or stands twice.
+/// Fails if the header is not a number or is present more than once.
 pub fn retry_after(head: &HeaderMap) -> Result<Option<Duration>, InvalidRetryAfter> {
     let mut values = head.get_all(header::RETRY_AFTER).iter();
     let Some(value) = values.next() else {
--- a/crates/badgerfield-node/src/suspects.rs
+++ b/crates/badgerfield-node/src/suspects.rs
@@ -1,6 +1,7 @@
-//! What is held against requests of the product's own interface at which upstreams have ended.
+//! Detection of poison requests on the caller API.
 //!
-//! The table is that of requests on routes, so that what one VM sees all of them know.
+//! It uses the same table of suspects as requests on routes, so all VMs learn of the crashes that
+//! one VM records.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,11 +17,12 @@
 use crate::driver::Driver;
 use crate::logs::REQUESTS;
 
-/// How long an address may take to refuse a connection.
+/// The timeout for a connection that checks whether a process listens at an address.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
 impl Outgoing {
-    /// Returns what stands for the request, whoever sends it again.
+    /// Returns the fingerprint of the request, which is the same whenever the request is sent
+    /// again.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         let secret = self.secret.to_string();
         match &self.target {
@@ -41,7 +43,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the refusal, which says that the request was not run.
+    /// Returns the refusal, with the outcome that the request was not run.
     pub(crate) fn check_outgoing(&self, outgoing: &Outgoing) -> Result<(), Refusal> {
         if !self.node.has_suspects() {
             return Ok(());
@@ -61,7 +63,7 @@
         Err(Refusal::not_run(Cause::EndsUpstreams).with_retry_after(remaining))
     }
 
-    /// Returns how often an upstream is known to have ended under a request.
+    /// Returns the number of known crashes of an upstream while serving a request.
     pub(crate) fn life_of(&self, outgoing: &Outgoing, upstream: &UpstreamId) -> u32 {
         if !self.node.has_suspects() {
             return 0;
@@ -69,7 +71,7 @@
         self.node.crash_count(outgoing.fingerprint(), upstream)
     }
 
-    /// Holds it against a request if an upstream that broke off under it has ended.
+    /// Records a crash for a request if the upstream has exited after its connection failed.
     pub(crate) async fn note_outgoing_broken(
         self: &Arc<Self>,
         outgoing: &Outgoing,
@@ -84,7 +86,7 @@
         self.feed(Event::UpstreamCrashed(crash.with_prior_crashes(prior_crashes)));
     }
 
-    /// Notes that a request was served whole.
+    /// Records that a request was served completely.
     pub(crate) fn note_outgoing_whole(self: &Arc<Self>, outgoing: &Outgoing) {
         if !self.node.has_suspects() {
             return;
@@ -96,7 +98,7 @@
     }
 }
 
-/// Tells whether nobody listens at an address.
+/// Returns whether an address refuses connections.
 async fn is_refused(address: SocketAddr) -> bool {
     let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let error = connected.ok().and_then(Result::err);
