--- a/crates/badgerfield-node/src/adapter.rs
+++ b/crates/badgerfield-node/src/adapter.rs
@@ -185,7 +185,7 @@
     }
 }
 
-/// A request to the directory, which VMs to use.
+/// A request to the directory for the VMs to use.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DirectoryRequest {
     /// The failure domain that the caller is in or near.
--- a/crates/badgerfield-node/src/gateway/admit.rs
+++ b/crates/badgerfield-node/src/gateway/admit.rs
@@ -37,7 +37,7 @@
     gateway: Arc<Gateway>,
     request: Request<Incoming>,
     arrived_at: Time,
-    open: OpenRequest,
+    open_request: OpenRequest,
 ) -> Result<Exchange, AdmitError> {
     let in_force = gateway.in_force();
     let not_run = |cause| (None, Refusal::not_run(cause));
@@ -82,8 +82,8 @@
         route.choose_service(rand::random()).ok_or_else(|| not_run(Cause::NoUpstream))?.clone();
     let spec = table.service(&service).cloned().ok_or_else(|| not_run(Cause::NoUpstream))?;
     let objective = if route.objective.is_zero() { max_wait } else { route.objective };
-    let wait = objective * driver.settings.pacing.policy.budget_wait_percent / 100;
-    let reserve_deadline = deadline.min(arrived_at.after(wait));
+    let budget_wait = objective * driver.settings.pacing.policy.budget_wait_percent / 100;
+    let reserve_deadline = deadline.min(arrived_at.after(budget_wait));
     let reservation = reserve(&driver, &headers, caller.as_ref(), reserve_deadline).await;
     let reservation = reservation.map_err(|refusal| (Some(id.clone()), refusal))?;
     driver.gateway_counts().admitted.inc();
@@ -117,7 +117,7 @@
         version: None,
         gateway,
         ended: false,
-        _open: open,
+        _open_request: open_request,
     })
 }
 
@@ -179,9 +179,9 @@
     limit: usize,
     deadline: Time,
 ) -> Result<Bytes, Cause> {
-    let whole = driver.clock.timeout_at(deadline, Limited::new(body, limit).collect()).await;
-    match whole {
-        Ok(Ok(whole)) => Ok(whole.to_bytes()),
+    let result = driver.clock.timeout_at(deadline, Limited::new(body, limit).collect()).await;
+    match result {
+        Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Cause::BodyTooLarge),
         Ok(Err(_)) => Err(Cause::BadRequest),
         Err(_) => Err(Cause::Overloaded),
--- a/crates/badgerfield-node/src/gateway/attempt.rs
+++ b/crates/badgerfield-node/src/gateway/attempt.rs
@@ -71,7 +71,7 @@
     pub(crate) body: Bytes,
 }
 
-/// The end of an attempt, up to the head of a response.
+/// The result of an attempt, as soon as it has failed or the head of a response has arrived.
 #[derive(Debug)]
 pub(crate) enum AttemptEnd {
     /// Nothing was sent, for this reason.
@@ -239,7 +239,7 @@
             self.record_wait(wait);
         }
         self.update_sample(RolloutSample::record_end);
-        // After this process was stalled, a timeout may be its own delay.
+        // A process that was stalled may have missed the response itself.
         let is_uncertain = self.outcome == AttemptOutcome::Failed
             && self.gateway.clock.stood_still_since(self.sent_at);
         let outcome = if is_uncertain { AttemptOutcome::Unknown } else { self.outcome };
--- a/crates/badgerfield-node/src/gateway/connections.rs
+++ b/crates/badgerfield-node/src/gateway/connections.rs
@@ -112,7 +112,7 @@
             http1::Builder::new().max_buf_size(64 * 1024).handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|_| ConnectError::Failed)?;
         let task = tokio::spawn(async move {
-            // The request on the connection sees how it ends.
+            // The result is ignored: the request on the connection sees the error.
             let _ = connection.await;
         });
         Ok(Self { sender, task, reused: false })
@@ -217,10 +217,10 @@
         mut connection: Connection,
         span: Duration,
     ) -> bool {
-        let expires_at = self.clock.now().after(span);
+        let deadline = self.clock.now().after(span);
         let mut delay = MIN_OPEN_TIME;
         loop {
-            let remaining = expires_at.since(self.clock.now());
+            let remaining = deadline.since(self.clock.now());
             if tokio::time::timeout(remaining, &mut connection.task).await.is_err() {
                 self.keep(id.clone(), connection, None);
                 return false;
@@ -285,14 +285,13 @@
         }
     }
 
-    /// Closes connections whose idle time is over, and connections to upstreams that are not
-    /// `wanted`.
-    pub(crate) fn sweep(&self, wanted: impl Fn(&UpstreamId) -> bool) {
+    /// Closes connections whose idle time is over, and those to upstreams that are not wanted.
+    pub(crate) fn sweep(&self, is_wanted: impl Fn(&UpstreamId) -> bool) {
         let now = self.clock.now();
         let mut idle = lock(&self.idle);
         idle.retain(|id, list| {
             list.retain(|i| i.expires_at > now && !i.connection.sender.is_closed());
-            !list.is_empty() && wanted(id)
+            !list.is_empty() && is_wanted(id)
         });
     }
 }
--- a/crates/badgerfield-node/src/gateway/dispatch.rs
+++ b/crates/badgerfield-node/src/gateway/dispatch.rs
@@ -25,7 +25,7 @@
 /// as much framing where an event holds a few tokens.
 const BYTES_PER_TOKEN: u64 = 8;
 /// The expected size of a plain response with its head, in bytes.
-const PLAIN_ANSWER_BYTES: u64 = 1000;
+const PLAIN_RESPONSE_BYTES: u64 = 1000;
 /// The share of an upstream's connections that all VMs together may use, in percent.
 const MAX_CONNECTION_PERCENT: u64 = 80;
 
@@ -37,22 +37,22 @@
     /// Returns the refusal that ends the request.
     pub(crate) async fn dispatch(
         &mut self,
-        last: Option<u64>,
+        last_event: Option<u64>,
     ) -> Result<Box<UpstreamResponse>, Refusal> {
         let mut unreachable = 0;
         loop {
             let now = self.now();
-            let vms = self.driver.node.member_count();
-            if let Err(cause) = self.check_attempts(now, vms, unreachable) {
+            let vm_count = self.driver.node.member_count();
+            if let Err(cause) = self.check_attempts(now, vm_count, unreachable) {
                 return Err(self.final_refusal(cause));
             }
             let remaining = self.deadline.since(now);
-            let chosen = match self.choose(now, vms, last.is_some()) {
+            let chosen = match self.choose(now, vm_count, last_event.is_some()) {
                 Ok(chosen) => chosen,
                 Err(cause) => return Err(self.final_refusal(cause)),
             };
             if self.attempts > 0 {
-                self.gateway.retries().try_take(now, &self.service, vms);
+                self.gateway.retries().try_take(now, &self.service, vm_count);
             }
             self.tried.push(chosen.id.clone());
             let headers = UpstreamHeaders {
@@ -60,7 +60,7 @@
                 remaining,
                 account: self.caller.as_ref().map(|caller| &caller.account),
                 rank: self.rank(),
-                last_event: last,
+                last_event,
                 fetch_from: None,
             };
             self.last_dispatch =
@@ -72,7 +72,7 @@
             let (driver, gateway) = (&self.driver, &self.gateway);
             let guard = UpstreamGuard::new(driver, gateway, &chosen, engine_tokens, &self.route);
             self.current_upstream = Some((chosen.id.clone(), chosen.address));
-            let timed_out = self.wait_until_timeout(remaining, last.is_some());
+            let timed_out = self.wait_until_timeout(remaining, last_event.is_some());
             let end =
                 attempt(guard, &self.original, &headers, timed_out, self.until_blocked()).await;
             self.current_upstream = None;
@@ -83,7 +83,7 @@
                     self.timing.head = Some(self.elapsed());
                     self.version.clone_from(&chosen.version);
                     self.record_response_time(&chosen.id, self.now().since(now));
-                    if response.head.status.is_server_error() && self.can_retry(vms) {
+                    if response.head.status.is_server_error() && self.can_retry(vm_count) {
                         let mut response = response;
                         response.guard.record_failure();
                         "failed"
@@ -92,23 +92,23 @@
                         return Ok(response);
                     }
                 }
-                AttemptEnd::NotSent(why) => {
+                AttemptEnd::NotSent(reason) => {
                     unreachable += 1;
                     self.gateway.replicas().undo_sent(&chosen.id, &self.route.name);
-                    why
+                    reason
                 }
                 AttemptEnd::NotRun(status) => {
                     self.attempts += 1;
                     self.record_rejection(&chosen.id, status);
                     not_run_outcome(status)
                 }
-                AttemptEnd::Broken(why) => {
+                AttemptEnd::Broken(reason) => {
                     self.attempts += 1;
                     self.may_have_run = true;
-                    let has_crashed =
-                        why == BROKEN && self.detect_crash(&chosen.id, chosen.address, last).await;
+                    let has_crashed = reason == BROKEN
+                        && self.detect_crash(&chosen.id, chosen.address, last_event).await;
                     self.has_unseen_output |= !has_crashed;
-                    why
+                    reason
                 }
             };
             let id = &self.original.id;
@@ -131,15 +131,15 @@
     }
 
     /// Returns whether another upstream may be tried, given the number of unreachable ones so far.
-    fn check_attempts(&self, now: Time, vms: usize, unreachable: u32) -> Result<(), Cause> {
+    fn check_attempts(&self, now: Time, vm_count: usize, unreachable: u32) -> Result<(), Cause> {
         if self.deadline.since(now) < MIN_ATTEMPT_TIME {
             return Err(Cause::OutOfTime);
         }
         if !self.has_attempts_left() || unreachable >= MAX_UNREACHABLE {
             return Err(Cause::TriesSpent);
         }
-        let is_repeat = self.attempts > 0;
-        if is_repeat && self.gateway.retries().remaining(now, &self.service, vms) < 1.0 {
+        let is_retry = self.attempts > 0;
+        if is_retry && self.gateway.retries().remaining(now, &self.service, vm_count) < 1.0 {
             return Err(Cause::TriesSpent);
         }
         Ok(())
@@ -157,7 +157,7 @@
         })
     }
 
-    fn choose(&self, now: Time, vms: usize, resumes: bool) -> Result<ChosenUpstream, Cause> {
+    fn choose(&self, now: Time, vm_count: usize, is_resume: bool) -> Result<ChosenUpstream, Cause> {
         let residency = self.current_residency();
         // Choosing an upstream and starting the request happen under the same lock, because the
         // requests that a cold upstream may get are counted.
@@ -174,7 +174,7 @@
             return Err(Cause::RegionUnknown);
         }
         let rendezvous_key = self.check_poison()?;
-        let criteria = self.criteria(&residency, rendezvous_key, vms, resumes);
+        let criteria = self.criteria(&residency, rendezvous_key, vm_count, is_resume);
         let chosen = upstreams.choose(now, &criteria).ok_or(Cause::NoUpstream)?;
         let list = upstreams.last_update();
         upstreams.start_request(now, &chosen.id, &self.headers.parts);
@@ -190,11 +190,12 @@
         &'a self,
         residency: &'a Residency,
         rendezvous_key: Option<u64>,
-        vms: usize,
-        resumes: bool,
+        vm_count: usize,
+        is_resume: bool,
     ) -> UpstreamCriteria<'a> {
-        let vms = u64::try_from(vms).unwrap_or(u64::MAX).saturating_add(1);
-        let connections = u64::from(self.spec.connections) * MAX_CONNECTION_PERCENT / 100 / vms;
+        let vm_count = u64::try_from(vm_count).unwrap_or(u64::MAX).saturating_add(1);
+        let connections =
+            u64::from(self.spec.connections) * MAX_CONNECTION_PERCENT / 100 / vm_count;
         UpstreamCriteria {
             rendezvous_key,
             service: &self.service,
@@ -203,7 +204,7 @@
             bytes: self.transfer_bytes(),
             residency,
             tried: &self.tried,
-            resumed_version: self.version.as_ref().filter(|_| resumes),
+            resumed_version: self.version.as_ref().filter(|_| is_resume),
             max_connections: u32::try_from(connections).unwrap_or(u32::MAX).max(2),
             random: rand::random(),
         }
@@ -215,7 +216,7 @@
     /// may be queued at the upstream and is served late. Timing out without an alternative cost 276
     /// of 326 streams their response when few upstreams were left, and their budgets 4.4 million
     /// tokens.
-    async fn wait_until_timeout(&self, remaining: Duration, resumes: bool) {
+    async fn wait_until_timeout(&self, remaining: Duration, is_resume: bool) {
         let (started, attempts) = (self.now(), self.attempts + 1);
         let deadline = started.after(remaining);
         let timeout = self.route.objective.saturating_mul(OBJECTIVE_TIMEOUT_FACTOR);
@@ -227,7 +228,7 @@
                 // The upstream may have responded while this process was stalled.
                 continue;
             }
-            if self.has_other_upstream(attempts, resumes) {
+            if self.has_other_upstream(attempts, is_resume) {
                 return;
             }
             let silent = self.now().since(started);
@@ -237,14 +238,14 @@
     }
 
     /// Returns whether another upstream can be tried now, after `attempts` attempts.
-    pub(crate) fn has_other_upstream(&self, attempts: u32, resumes: bool) -> bool {
-        let (now, vms) = (self.now(), self.driver.node.member_count());
-        let has_retries = self.gateway.retries().remaining(now, &self.service, vms) >= 1.0;
+    pub(crate) fn has_other_upstream(&self, attempts: u32, is_resume: bool) -> bool {
+        let (now, vm_count) = (self.now(), self.driver.node.member_count());
+        let has_retries = self.gateway.retries().remaining(now, &self.service, vm_count) >= 1.0;
         if !has_retries || attempts >= self.route.attempts {
             return false;
         }
         let residency = self.current_residency();
-        let criteria = self.criteria(&residency, None, vms, resumes);
+        let criteria = self.criteria(&residency, None, vm_count, is_resume);
         self.gateway.replicas().choose(now, &criteria).is_some()
     }
 
@@ -254,11 +255,11 @@
         account_rank.unwrap_or(self.route.rank)
     }
 
-    fn can_retry(&self, vms: usize) -> bool {
+    fn can_retry(&self, vm_count: usize) -> bool {
         let now = self.now();
         self.route.repeat.is_idempotent()
             && self.has_attempts_left()
-            && self.gateway.retries().remaining(now, &self.service, vms) >= 1.0
+            && self.gateway.retries().remaining(now, &self.service, vm_count) >= 1.0
     }
 
     /// Returns the expected number of bytes between this VM and an upstream: the body of the
@@ -267,7 +268,7 @@
         let body = u64::try_from(self.original.body.len()).unwrap_or(u64::MAX);
         let response = match self.headers.tokens {
             Some((_, output)) => output.saturating_mul(BYTES_PER_TOKEN),
-            None => PLAIN_ANSWER_BYTES,
+            None => PLAIN_RESPONSE_BYTES,
         };
         body.saturating_add(response)
     }
--- a/crates/badgerfield-node/src/gateway/exchange.rs
+++ b/crates/badgerfield-node/src/gateway/exchange.rs
@@ -100,7 +100,7 @@
     pub(super) version: Option<SoftwareVersion>,
     /// Whether the end of the request has been recorded.
     pub(super) ended: bool,
-    pub(super) _open: OpenRequest,
+    pub(super) _open_request: OpenRequest,
 }
 
 impl Drop for Exchange {
@@ -125,9 +125,9 @@
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
     let arrived_at = driver.now();
-    let open = gateway.track_request();
-    let stopping = gateway.is_stopping();
-    let admitted = admit(Arc::clone(&driver), gateway, request, arrived_at, open).await;
+    let open_request = gateway.track_request();
+    let is_stopping = gateway.is_stopping();
+    let admitted = admit(Arc::clone(&driver), gateway, request, arrived_at, open_request).await;
     let mut response = match admitted {
         Ok(exchange) => run(exchange).await,
         Err((id, refusal)) => {
@@ -136,7 +136,7 @@
             refusal_response(&refusal)
         }
     };
-    if stopping {
+    if is_stopping {
         let close = header::HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
@@ -161,16 +161,16 @@
                 let body = Full::new(body).map_err(|never| match never {}).boxed_unsync();
                 return Response::from_parts(head, body);
             }
-            Err(why) => {
+            Err(reason) => {
                 // A poison request may also crash an upstream in the middle of the response.
-                let has_ended = why == CUT
-                    || (why == BROKEN && exchange.detect_crash(&upstream, address, None).await);
-                exchange.has_unseen_output |= !has_ended;
+                let has_crashed = reason == CUT
+                    || (reason == BROKEN && exchange.detect_crash(&upstream, address, None).await);
+                exchange.has_unseen_output |= !has_crashed;
                 request_log::attempt_failed(
                     &exchange.original.id,
                     exchange.attempts,
                     &upstream,
-                    why,
+                    reason,
                     exchange.elapsed(),
                 );
                 if !exchange.route.repeat.is_idempotent() {
@@ -216,22 +216,22 @@
         response: Box<UpstreamResponse>,
     ) -> Result<(response::Parts, Bytes), &'static str> {
         let UpstreamResponse { head, body, framed, mut guard } = *response;
-        let whole = Limited::new(body, MAX_PLAIN_BYTES).collect();
-        match self.driver.clock.timeout_at(self.deadline, whole).await {
+        let body = Limited::new(body, MAX_PLAIN_BYTES).collect();
+        match self.driver.clock.timeout_at(self.deadline, body).await {
             // Without framing, the body ends with its connection, so a crash of the upstream looks
             // like a normal end.
             Ok(Ok(_)) if !framed && self.detect_crash(&guard.id, guard.address, None).await => {
                 guard.record_failure();
                 Err(CUT)
             }
-            Ok(Ok(whole)) => {
+            Ok(Ok(body)) => {
                 if head.status.is_server_error() {
                     guard.record_failure();
                     drop(guard);
                 } else {
                     guard.finish();
                 }
-                Ok((head, whole.to_bytes()))
+                Ok((head, body.to_bytes()))
             }
             Ok(Err(_)) => {
                 guard.record_failure();
@@ -288,8 +288,12 @@
         let has_unseen_output = self.has_unseen_output;
         if let Some(reservation) = self.reservation.as_mut() {
             let reserved = reservation.reserved();
-            let in_flight_tokens = Tokens(prompt.saturating_add(in_flight));
-            reservation.record_used(if has_unseen_output { reserved } else { in_flight_tokens });
+            let prompt_and_in_flight = Tokens(prompt.saturating_add(in_flight));
+            reservation.record_used(if has_unseen_output {
+                reserved
+            } else {
+                prompt_and_in_flight
+            });
         }
     }
 
--- a/crates/badgerfield-node/src/gateway/listener.rs
+++ b/crates/badgerfield-node/src/gateway/listener.rs
@@ -120,7 +120,7 @@
         let idle = gateway.in_force().table.limits().idle;
         let idle_deadline = activity.idle_deadline(driver.now(), idle);
         tokio::select! {
-            // An error of the connection is handled by its requests.
+            // The result is ignored: only the requests of the connection depend on it.
             _ = &mut served => return,
             () = driver.lingered(LINGER_TIME) => break,
             () = driver.clock.sleep_until(idle_deadline) => {
--- a/crates/badgerfield-node/src/gateway/poison.rs
+++ b/crates/badgerfield-node/src/gateway/poison.rs
@@ -90,8 +90,7 @@
             PoisonStatus::Suspect { early } => {
                 let request = self.fingerprint();
                 request_log::suspect(&self.original.id, request, self.attempts + 1, early);
-                // A stream under which an upstream crashed late is routed by cached prompt parts
-                // and load.
+                // A stream whose upstreams crashed late is routed by cached prompt parts and load.
                 Ok(early.then(|| request.rendezvous_key()))
             }
             PoisonStatus::Blocked { upstreams, age, .. } => {
@@ -134,7 +133,7 @@
         &self,
         upstream: &UpstreamId,
         address: SocketAddr,
-        last: Option<u64>,
+        last_event: Option<u64>,
     ) -> bool {
         let id = &self.original.id;
         // While this process was stalled, the upstream may have been stopped as planned, which
@@ -145,7 +144,7 @@
         }
         let account = self.caller.as_ref().map(|caller| &caller.account);
         let crash = || {
-            Crash::new(self.fingerprint(), account, upstream, last.unwrap_or(0))
+            Crash::new(self.fingerprint(), account, upstream, last_event.unwrap_or(0))
                 .with_prior_crashes(self.last_dispatch.prior_crashes)
         };
         let connections = &self.gateway.connections;
--- a/crates/badgerfield-node/src/gateway/relay.rs
+++ b/crates/badgerfield-node/src/gateway/relay.rs
@@ -14,7 +14,8 @@
 use crate::gateway::exchange::{Exchange, MAX_IN_FLIGHT_EVENTS, ResponseBody, ResponseTruncated};
 use crate::gateway::request_log;
 
-/// The timeout for the next event of a resumable stream, in multiples of the longest wanted pause.
+/// The timeout for the next event of a resumable stream, in multiples of the longest pause that the
+/// route allows between two events.
 const PAUSE_TIMEOUT_FACTOR: u32 = 4;
 
 /// A stream that is forwarded to the caller.
@@ -98,8 +99,8 @@
                         return Some(failure);
                     }
                 }
-                ReadResult::Broken(why) => {
-                    if let Some(failure) = self.resume_elsewhere(why).await {
+                ReadResult::Broken(reason) => {
+                    if let Some(failure) = self.resume_elsewhere(reason).await {
                         return Some(failure);
                     }
                 }
@@ -194,12 +195,12 @@
     /// Resumes the stream at another upstream. Returns the final error if that is not possible.
     async fn resume_elsewhere(
         &mut self,
-        why: &'static str,
+        reason: &'static str,
     ) -> Option<Result<Bytes, ResponseTruncated>> {
         let Some(mut source) = self.source.take() else {
-            return Some(self.fail(why));
+            return Some(self.fail(reason));
         };
-        if why == BLOCKED {
+        if reason == BLOCKED {
             source.guard.record_not_run(AttemptOutcome::Unknown);
         } else {
             source.guard.record_failure();
@@ -207,17 +208,17 @@
         let (from, address) = (source.guard.id.clone(), source.guard.address);
         // The earlier upstream stops its work when the connection closes.
         drop(source);
-        let is_disconnected = why == BROKEN || why == CUT;
+        let is_disconnected = reason == BROKEN || reason == CUT;
         let has_crashed = is_disconnected
             && self.exchange.detect_crash(&from, address, self.scanner.last_event_id()).await;
         // An upstream that has not crashed may have generated more than arrived here.
         self.exchange.has_unseen_output |= !has_crashed;
         if !self.can_resume() {
-            return Some(self.fail(why));
+            return Some(self.fail(reason));
         }
         self.scanner.discard_partial();
         let last = self.scanner.last_event_id();
-        request_log::resumed(&self.exchange.original.id, &from, last, why);
+        request_log::resumed(&self.exchange.original.id, &from, last, reason);
         match self.exchange.dispatch(last).await {
             Ok(response) if response.head.status.is_success() => {
                 let UpstreamResponse { body, framed, guard, .. } = *response;
@@ -258,11 +259,16 @@
         );
     }
 
-    fn fail(&mut self, why: &str) -> Result<Bytes, ResponseTruncated> {
+    fn fail(&mut self, reason: &str) -> Result<Bytes, ResponseTruncated> {
         self.ended = true;
         let upstream = self.source.take().map(|source| source.guard.id.clone());
         self.record_usage(MAX_IN_FLIGHT_EVENTS);
-        self.exchange.record_end(why, self.status, upstream.as_ref(), self.scanner.event_count());
+        self.exchange.record_end(
+            reason,
+            self.status,
+            upstream.as_ref(),
+            self.scanner.event_count(),
+        );
         Err(ResponseTruncated)
     }
 }
--- a/crates/badgerfield-node/src/gateway/reservation.rs
+++ b/crates/badgerfield-node/src/gateway/reservation.rs
@@ -71,7 +71,7 @@
     }
 }
 
-/// A pending reservation. Returns the tokens if the request is dropped before it uses them.
+/// A pending reservation. Dropping it cancels the reservation and returns its tokens.
 struct PendingReservation<'a> {
     driver: &'a Arc<Driver>,
     request: Option<ReserveRequest>,
@@ -84,8 +84,7 @@
             return;
         };
         self.driver.feed(Event::CancelReserve(request.clone()));
-        // The result is available now: either the request was cancelled, or tokens had been
-        // reserved.
+        // The result is available now: the reservation was either cancelled or already made.
         if let Ok(Ok(period)) = self.answer.try_recv() {
             self.driver.feed(Event::ReservationEnded(ReservationEnd {
                 budget: request.budget,
--- a/crates/badgerfield-node/src/gateway/state.rs
+++ b/crates/badgerfield-node/src/gateway/state.rs
@@ -42,7 +42,7 @@
     open_requests: AtomicUsize,
     stopping: AtomicBool,
     /// Whether any service has a rollout.
-    rolls_out: AtomicBool,
+    has_rollouts: AtomicBool,
     /// When a bad response of a rollout's target was last reported.
     bad_answer_reported_at: Mutex<Option<Time>>,
     /// How many delay reports have been prepared for peers.
@@ -65,7 +65,7 @@
             retries: Mutex::new(RetryBudget::new(limits)),
             open_requests: AtomicUsize::new(0),
             stopping: AtomicBool::new(false),
-            rolls_out: AtomicBool::new(false),
+            has_rollouts: AtomicBool::new(false),
             bad_answer_reported_at: Mutex::default(),
             delay_report_turn: AtomicUsize::new(0),
             crash_watches: Arc::new(Semaphore::new(MAX_CRASH_WATCHES)),
@@ -124,16 +124,16 @@
 
     /// Returns whether any service has a rollout. Without one, no responses are counted.
     pub(crate) fn rolls_out(&self) -> bool {
-        self.rolls_out.load(Ordering::Relaxed)
+        self.has_rollouts.load(Ordering::Relaxed)
     }
 
     /// Returns whether a bad response may be reported now, at least `interval` after the last
     /// report, and records the report if so.
     pub(crate) fn may_tell(&self, now: Time, interval: Duration) -> bool {
-        let mut bad_answer_reported_at = lock(&self.bad_answer_reported_at);
-        let is_due = bad_answer_reported_at.is_none_or(|at| now.since(at) >= interval);
+        let mut reported_at = lock(&self.bad_answer_reported_at);
+        let is_due = reported_at.is_none_or(|at| now.since(at) >= interval);
         if is_due {
-            *bad_answer_reported_at = Some(now);
+            *reported_at = Some(now);
         }
         is_due
     }
@@ -143,7 +143,7 @@
     pub(crate) fn set_rollouts(&self, rules: RolloutRules) -> Vec<RolloutRule> {
         let mut upstreams = self.replicas();
         let changed = upstreams.apply_rule_set(rules);
-        self.rolls_out.store(!upstreams.rollout_rules().is_empty(), Ordering::Relaxed);
+        self.has_rollouts.store(!upstreams.rollout_rules().is_empty(), Ordering::Relaxed);
         changed
     }
 
--- a/crates/badgerfield-node/src/http.rs
+++ b/crates/badgerfield-node/src/http.rs
@@ -25,7 +25,7 @@
 /// wait soon after the network is cut.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// The maximum size of a response that is read into memory, in bytes.
-const MAX_ANSWER_BYTES: usize = 16_000_000;
+const MAX_RESPONSE_BYTES: usize = 16_000_000;
 
 /// The reason why a call failed.
 #[derive(Debug, Error)]
@@ -101,7 +101,7 @@
             CallError::Lost(uri.clone())
         })?;
         let status = response.status();
-        let body = read_body(response.into_body(), MAX_ANSWER_BYTES).await;
+        let body = read_body(response.into_body(), MAX_RESPONSE_BYTES).await;
         let body = body.ok_or_else(|| CallError::Lost(uri.clone()))?;
         if !status.is_success() {
             return Err(CallError::Status { uri: uri.clone(), status });
