--- a/crates/badgerfield-node/src/gateway/connections.rs
+++ b/crates/badgerfield-node/src/gateway/connections.rs
@@ -30,7 +30,7 @@
 /// The idle time before keepalive probes are sent, and the interval between them.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// How long the peer may leave sent bytes or probes unacknowledged.
-const USER_TIMEOUT: Duration = Duration::from_millis(2500);
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// How long the address of an upstream may take to accept or refuse a connection after an earlier
 /// one failed. A reply takes one round trip, and a caller waits for it.
@@ -304,7 +304,7 @@
     let probes =
         TcpKeepalive::new().with_time(PROBE_INTERVAL).with_interval(PROBE_INTERVAL).with_retries(2);
     let _ = socket.set_tcp_keepalive(&probes);
-    let _ = socket.set_tcp_user_timeout(Some(USER_TIMEOUT));
+    let _ = socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
 }
 
 /// Parses the time for which an upstream keeps an idle connection open.
--- a/crates/badgerfield-node/src/gateway/listener.rs
+++ b/crates/badgerfield-node/src/gateway/listener.rs
@@ -20,7 +20,7 @@
 
 /// The smallest buffer for a request head that the HTTP library accepts, in bytes.
 const MIN_HEAD_BUFFER_BYTES: usize = 8 * 1024;
-/// How long connections are still accepted after the process was told to stop, because callers
+/// How long connections are still accepted after the process begins to stop, because callers
 /// cache responses of the directory.
 const LINGER_TIME: Duration = Duration::from_millis(3500);
 /// The delay after an error of accepting a connection, for example when file descriptors are
--- a/crates/badgerfield-node/src/http.rs
+++ b/crates/badgerfield-node/src/http.rs
@@ -79,7 +79,7 @@
     response
 }
 
-/// Sends a request with a JSON body and parses the JSON response.
+/// Sends a request and parses the JSON response.
 ///
 /// # Errors
 ///
--- a/crates/badgerfield-node/src/suspects.rs
+++ b/crates/badgerfield-node/src/suspects.rs
@@ -1,7 +1,6 @@
 //! Detection of poison requests on the caller API.
 //!
-//! It uses the same table of suspects as requests on routes, so all VMs learn of the crashes that
-//! one VM records.
+//! Requests on routes use the same table of suspects, which all VMs share.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
