--- a/crates/badgerfield-node/src/gateway/directory.rs
+++ b/crates/badgerfield-node/src/gateway/directory.rs
@@ -113,7 +113,7 @@
     Location { domain, region }
 }
 
-/// Returns the addresses of the VMs for a caller, nearest first.
+/// Returns the addresses of the VMs that are nearest to a caller.
 fn choose_addresses(members: &[Member], caller: &Location) -> Vec<SocketAddr> {
     let nearest_members = nearest(members, caller).into_iter();
     nearest_members.map(|member| member.caller).take(MAX_ADDRESSES).collect()
