--- a/crates/badgerfield-node/src/suspects.rs
+++ b/crates/badgerfield-node/src/suspects.rs
@@ -1,6 +1,6 @@
-//! What is held against requests of the product's own interface at which upstreams have ended.
+//! Detection of poison requests on the caller API.
 //!
-//! The table is that of requests on routes, so that what one VM sees all of them know.
+//! Requests on routes use the same table of suspects, which all VMs share.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,11 +16,12 @@
 use crate::driver::Driver;
 use crate::logs::REQUESTS;
 
-/// How long an address may take to refuse a connection.
-const REFUSES: Duration = Duration::from_millis(150);
+/// The timeout for a connection that checks whether a process listens at an address.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
 impl Outgoing {
-    /// Returns what stands for the request, whoever sends it again.
+    /// Returns the fingerprint of the request, which is the same whenever the request is sent
+    /// again.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         let secret = self.secret.to_string();
         match &self.target {
@@ -41,14 +42,14 @@
     ///
     /// # Errors
     ///
-    /// Returns the refusal, which says that the request was not run.
+    /// Returns the refusal, with the outcome that the request was not run.
     pub(crate) fn check_outgoing(&self, outgoing: &Outgoing) -> Result<(), Refusal> {
         if !self.node.has_suspects() {
             return Ok(());
         }
         let request = outgoing.fingerprint();
-        let standing = self.node.request_status(self.now(), request);
-        let PoisonStatus::Blocked { upstreams, age, remaining: left } = standing else {
+        let status = self.node.request_status(self.now(), request);
+        let PoisonStatus::Blocked { upstreams, age, remaining } = status else {
             return Ok(());
         };
         let upstreams: Vec<_> = upstreams.iter().map(UpstreamId::as_str).collect();
@@ -58,10 +59,10 @@
             upstreams.join(","),
             age.as_millis()
         );
-        Err(Refusal::not_run(Cause::EndsUpstreams).with_retry_after(left))
+        Err(Refusal::not_run(Cause::EndsUpstreams).with_retry_after(remaining))
     }
 
-    /// Returns how often an upstream is known to have ended under a request.
+    /// Returns the number of known crashes of an upstream while serving a request.
     pub(crate) fn life_of(&self, outgoing: &Outgoing, upstream: &UpstreamId) -> u32 {
         if !self.node.has_suspects() {
             return 0;
@@ -69,22 +70,22 @@
         self.node.crash_count(outgoing.fingerprint(), upstream)
     }
 
-    /// Holds it against a request if an upstream that broke off under it has ended.
+    /// Records a crash for a request if the upstream has exited after its connection failed.
     pub(crate) async fn note_outgoing_broken(
         self: &Arc<Self>,
         outgoing: &Outgoing,
         (upstream, address): (&UpstreamId, SocketAddr),
-        (life, point): (u32, u64),
+        (prior_crashes, events_sent): (u32, u64),
     ) {
         if !is_refused(address).await {
             return;
         }
         let account = self.node.find_account(&outgoing.secret);
-        let crash = Crash::new(outgoing.fingerprint(), account.as_ref(), upstream, point);
-        self.feed(Event::UpstreamCrashed(crash.with_prior_crashes(life)));
+        let crash = Crash::new(outgoing.fingerprint(), account.as_ref(), upstream, events_sent);
+        self.feed(Event::UpstreamCrashed(crash.with_prior_crashes(prior_crashes)));
     }
 
-    /// Notes that a request was served whole.
+    /// Records that a request was served completely.
     pub(crate) fn note_outgoing_whole(self: &Arc<Self>, outgoing: &Outgoing) {
         if !self.node.has_suspects() {
             return;
@@ -96,9 +97,9 @@
     }
 }
 
-/// Tells whether nobody listens at an address.
+/// Returns whether an address refuses connections.
 async fn is_refused(address: SocketAddr) -> bool {
-    let connected = tokio::time::timeout(REFUSES, TcpStream::connect(address)).await;
+    let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let error = connected.ok().and_then(Result::err);
     error.is_some_and(|error| error.kind() == std::io::ErrorKind::ConnectionRefused)
 }
