--- a/crates/badgerfield-core/tests/replicas.rs
+++ b/crates/badgerfield-core/tests/replicas.rs
@@ -372,8 +372,8 @@
         UpstreamListChanges { revision: 6, written: vec![entry(5, info(3, true))], gone: vec![] },
     );
     let changes = sender.changes_since(at(10), 1).expect("no removal was dropped");
-    let (changed, gap) = local.apply_update(at(20), changes, 1, sender.list_version());
-    assert_eq!((changed, gap), (vec![id(3)], ListGap::Nothing));
+    let (updated, gap) = local.apply_update(at(20), changes, 1, sender.list_version());
+    assert_eq!((updated, gap), (vec![id(3)], ListGap::Nothing));
     assert_eq!(local.last_update(), (6, Some(at(20))));
 }
 
@@ -390,8 +390,8 @@
         UpstreamListChanges { revision: 8, written: vec![entry(7, info(2, true))], gone: vec![] },
     );
     let changes = sender.changes_since(at(11), 6).expect("no removal was dropped");
-    let (changed, gap) = local.apply_update(at(20), changes, 6, sender.list_version());
-    assert_eq!((changed, gap), (vec![id(2)], ListGap::Changes));
+    let (updated, gap) = local.apply_update(at(20), changes, 6, sender.list_version());
+    assert_eq!((updated, gap), (vec![id(2)], ListGap::Changes));
     assert_eq!(local.last_update().0, 1, "the change of upstream 3 is missing");
     // The changes that it then fetches close the gap.
     let changes = sender.changes_since(at(30), 1).expect("no removal was dropped");
