--- a/crates/badgerfield-node/src/gateway/directory.rs
+++ b/crates/badgerfield-node/src/gateway/directory.rs
@@ -88,13 +88,13 @@
     let Some(query) = gateway.adapter.dialect.parse_directory_request(request.uri()) else {
         return http::json_response(
             StatusCode::NOT_FOUND,
-            &json!({ "error": "expected a directory query" }),
+            &json!({ "error": "expected a question" }),
         );
     };
     let members = driver.node.available_members(driver.now());
     let addresses = choose_addresses(&members, &caller_location(gateway, query));
     if addresses.is_empty() {
-        let error = json!({ "error": "no VM is ready; retry later" });
+        let error = json!({ "error": "no VM is ready; come back later" });
         return http::json_response(StatusCode::SERVICE_UNAVAILABLE, &error);
     }
     let text = gateway.adapter.dialect.directory_answer(&addresses, CACHE_TIME);
