--- a/crates/badgerfield-core/src/holdings/return_stats.rs
+++ b/crates/badgerfield-core/src/holdings/return_stats.rs
@@ -6,7 +6,7 @@
 use crate::amount::{Time, Tokens};
 
 /// How long after a loan its tokens may be returned. Borrowers return unused tokens soon after a
-/// request has ended, and streams on the users' sheets last 0.5 to 3 s.
+/// request has ended, and streams last 0.5 to 3 s in the deployments this is built for.
 const LENT_WINDOW: Duration = Duration::from_secs(4);
 
 /// Counts of tokens issued and returned by a holding.
--- a/crates/badgerfield-core/src/holdings/waiting.rs
+++ b/crates/badgerfield-core/src/holdings/waiting.rs
@@ -10,9 +10,9 @@
 
 /// How long further requests are refused without a new search.
 const REFUSAL_LIFETIME: Duration = Duration::from_millis(800);
-/// How long a request waits, after the search, for tokens returned by running requests. Short
-/// answers of the users' sheets end within this time; a request that gets nothing by then is
-/// refused.
+/// How long a request waits, after the search, for tokens returned by running requests. In the
+/// deployments this is built for, short answers end within this time; a request that gets nothing
+/// by then is refused.
 const MAX_RETURN_WAIT: Duration = Duration::from_millis(500);
 
 /// The requester of tokens.
--- a/crates/badgerfield-core/src/queueing_delay.rs
+++ b/crates/badgerfield-core/src/queueing_delay.rs
@@ -13,8 +13,8 @@
 
 use crate::amount::Time;
 
-/// The time in which a delay loses half of its value. Upstream faults last 3 to 9 s according to
-/// the published data of the engines' hardware.
+/// The time in which a delay loses half of its value. Upstream faults last 3 to 9 s in the
+/// deployments this is built for.
 const HALF_LIFE: Duration = Duration::from_secs(3);
 /// The weight of a new observation against the current value.
 const SAMPLE_WEIGHT: f64 = 0.6;
@@ -22,8 +22,8 @@
 const SCALE_RANGE: (f64, f64) = (0.5, 1.5);
 /// The delay that is always tolerated, in milliseconds. Several long prompts that arrive together
 /// delay an engine briefly. Such a delay ends before the next request arrives, and another engine
-/// would have to read the shared parts of that request's prompt again. With 60 ms, the score
-/// of the first sites fell by half (docs/POLICY.md).
+/// would have to read the shared parts of that request's prompt again. With 60 ms, small fleets
+/// served half the value that they serve with this bound (docs/POLICY.md).
 const TOLERATED_MS: f64 = 500.0;
 /// The tolerated delay as a multiple of the median delay of the service's upstreams. Where all
 /// upstreams are overloaded, none is avoided.
@@ -31,8 +31,8 @@
 /// The minimum delay of an engine that is reported to other processes, in milliseconds.
 const MIN_REPORTED_MS: f64 = 400.0;
 /// The minimum delay of an upstream of a plain service that is reported, in milliseconds. The
-/// objectives of plain services are 300 ms and more, and delays begin to matter at half of that
-/// ([`crate::overload`]).
+/// objectives of plain services are 300 ms and more in the deployments this is built for, and
+/// delays begin to matter at half of that ([`crate::overload`]).
 const MIN_REPORTED_PLAIN_MS: f64 = 100.0;
 /// The maximum number of reports per heartbeat. They take some 60 B, or 1.2 KB/s at 20 heartbeats
 /// a second, and only while so many upstreams are delayed.
--- a/crates/badgerfield-core/src/upstream_table/upstream.rs
+++ b/crates/badgerfield-core/src/upstream_table/upstream.rs
@@ -40,7 +40,7 @@
 /// The expected delay at a share of failures of one, in milliseconds.
 const FAILURE_COST_MS: f64 = 2000.0;
 /// The half-life of the share of rejected requests. The share decays because an upstream that is
-/// avoided yields no new outcomes; overloads on the users' sheets last 3 to 9 s.
+/// avoided yields no new outcomes; overloads last 3 to 9 s in the deployments this is built for.
 const REJECTED_HALF_LIFE: Duration = Duration::from_secs(3);
 /// The half-life of the share of failed requests. It is longer, since a fault that fails some of
 /// the requests is seldom repaired soon, and each request that probes for this may be lost.
--- a/crates/badgerfield-core/src/warm_up.rs
+++ b/crates/badgerfield-core/src/warm_up.rs
@@ -22,8 +22,8 @@
 use crate::ids::VmId;
 
 /// How long a process sends nothing after it has become a sender. It equals the second over
-/// which the bound applies, and must exceed the time in which a view reaches all VMs
-/// (`tests/warm_up.rs` assumes up to 0.9 s).
+/// which the bound applies, and must exceed the time in which a view reaches all VMs. The delay
+/// of a view to the last VM is not known exactly; `tests/warm_up.rs` assumes up to 0.9 s.
 pub const HOLD_OFF: Duration = Duration::from_secs(1);
 /// The number of requests that a sender may send at once.
 const BURST: f64 = 1.0;
--- a/crates/badgerfield-core/tests/warm_up.rs
+++ b/crates/badgerfield-core/tests/warm_up.rs
@@ -15,8 +15,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// A bound as in the published data of the engines' hardware: 9.9 * 1.5 + 5 = 19.85 requests a
-/// second.
+/// A bound as in the deployments this is built for: 9.9 * 1.5 + 5 = 19.85 requests a second.
 const BOUND: WarmUpBound = WarmUpBound { overshoot: 1.5, extra_requests: 5.0 };
 const SENDERS: usize = 3;
 
@@ -113,8 +112,8 @@
     assert_eq!(SenderShare::of(&warm_up(), &BOUND, 0), None);
 }
 
-/// Observed in FAILBACK: after the restore of a failure domain, its cold upstreams received as
-/// many requests as warm ones.
+/// Observed when an evacuated failure domain was restored: its cold upstreams received as many
+/// requests as warm ones.
 #[test]
 fn a_cold_upstream_gets_few_requests_under_high_load() {
     for vms in [1, 3, 6, 87] {
--- a/crates/badgerfield-standin/tests/evacuations.rs
+++ b/crates/badgerfield-standin/tests/evacuations.rs
@@ -5,7 +5,8 @@
 use badgerfield_core::ids::Domain;
 use badgerfield_standin::fleet::{Fleet, Shape};
 
-/// By when every VM must know, with a calm platform: the users' sheets allow 5 s.
+/// By when every VM must know, with a calm platform. The deployments this is built
+/// for allow 5 s.
 const AIM: Duration = Duration::from_millis(1000);
 /// How long a look lasts while a change goes round.
 const STEP: Duration = Duration::from_millis(10);
--- a/crates/badgerfield-standin/tests/promises.rs
+++ b/crates/badgerfield-standin/tests/promises.rs
@@ -25,7 +25,7 @@
     let mut fleet = Fleet::started(Shape::default());
     load(&mut fleet, 5);
     fleet.leave_upstream(0);
-    // The list lags by 3 s in the bench.
+    // The simulated fleet applies the change of the list 3 s late.
     load(&mut fleet, 4);
     let leaving = "u-0".parse().expect("the name is valid");
     let before = fleet.truth.dispatches[&leaving].0;
