--- a/crates/badgerfield-node/src/caller_api.rs
+++ b/crates/badgerfield-node/src/caller_api.rs
@@ -26,7 +26,7 @@
 use tokio::sync::mpsc;
 
 use crate::chat::{self, ChatBody, Whole};
-use crate::driver::{Driver, PlacedAnswer, StartError};
+use crate::driver::{Driver, IndexedAnswer, StartError};
 use crate::http::{self, Body};
 use crate::logs::CALLERS;
 
@@ -189,7 +189,7 @@
         driver.metrics.count_refusal(&refusal);
         return refuse(&refusal);
     }
-    let Some((id, answers)) = driver.open(outgoing) else {
+    let Some((id, answers)) = driver.open_request(outgoing) else {
         let refusal = Refusal::not_run(Cause::Overloaded).with_retry_after(Duration::from_secs(1));
         driver.metrics.count_refusal(&refusal);
         return refuse(&refusal);
@@ -246,7 +246,7 @@
 struct Line {
     driver: Arc<Driver>,
     id: RequestId,
-    answers: mpsc::UnboundedReceiver<PlacedAnswer>,
+    answers: mpsc::UnboundedReceiver<IndexedAnswer>,
     next: usize,
     early: BTreeMap<usize, Answer>,
 }
@@ -266,7 +266,7 @@
 
 impl Drop for Line {
     fn drop(&mut self) {
-        self.driver.close(self.id);
+        self.driver.close_request(self.id);
     }
 }
 
--- a/crates/badgerfield-node/src/driver.rs
+++ b/crates/badgerfield-node/src/driver.rs
@@ -1,7 +1,7 @@
-//! The driver: hands events to the decisions, and carries out what they order.
+//! The driver: passes events to the core and executes the commands that the core returns.
 //!
-//! Any task may hand over an event; the worker threads of the runtime share the node's
-//! tables under its lock order. Orders are carried out by the task that got them.
+//! Any task may pass an event; the worker threads of the runtime share the node's
+//! tables under its lock order. Commands are executed by the task that received them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -33,51 +33,51 @@
 use crate::logs::{BILLS, NODE, PLATFORM, REQUESTS};
 use crate::metrics::{GatewayCounts, Metrics};
 use crate::peers::{PeerError, PeerTransport};
-use crate::rollouts::TELL_EVERY;
+use crate::rollouts::REPORT_INTERVAL;
 use crate::settings::Settings;
 use crate::store_calls::{self, CallKind};
 use crate::sync::lock;
 use crate::upstream_client::Upstreams;
 
-/// The part of the grace of a stop, in hundredths, in which new requests are still taken:
-/// callers keep what the directory said for a while.
-const TAKING_PERCENT: u32 = 30;
-/// After how many ticks the time of day is read.
-const CLOCK_TICKS: u32 = 4;
+/// Share of the grace period of a stop, in percent, in which new requests are still accepted:
+/// callers cache the answer of the directory for a while.
+const ADMISSION_PERCENT: u32 = 30;
+/// The wall clock is read once per this number of ticks.
+const WALL_CLOCK_TICKS: u32 = 4;
 
-/// Who told something of the list of upstreams.
+/// Where an update of the list of upstreams comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Source {
-    /// The platform.
+pub(crate) enum UpdateSource {
+    /// Read from the platform.
     Platform,
-    /// Another process.
+    /// Received from another process.
     Peer,
 }
 
 /// Why a process cannot start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// Peers cannot be talked to.
+    /// The endpoint for peers cannot be set up.
     #[error(transparent)]
     Peers(#[from] PeerError),
-    /// An address cannot be listened on.
+    /// A listener cannot be bound to its address.
     #[error("cannot listen on {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
-    /// The system gives no random bits.
-    #[error("the system gives no random bits: {0}")]
+    /// The operating system provides no random numbers.
+    #[error("cannot get random numbers from the operating system: {0}")]
     Random(#[from] getrandom::Error),
 }
 
-/// A part of an answer with its place.
-pub type PlacedAnswer = (usize, Answer);
+/// A part of an answer with its index in the answer.
+pub type IndexedAnswer = (usize, Answer);
 
-/// Where the answer to a wish for tokens goes.
+/// Receives the result of a request to reserve tokens.
 type ReservationAnswer = oneshot::Sender<Result<Period, Refusal>>;
 
-/// What the driver keeps for one open request.
+/// A request whose caller has not received the whole answer.
 #[derive(Debug)]
 struct OpenRequest {
-    answers: mpsc::UnboundedSender<PlacedAnswer>,
+    answers: mpsc::UnboundedSender<IndexedAnswer>,
     outgoing: Arc<Outgoing>,
 }
 
@@ -92,8 +92,8 @@
     gateway: Option<Arc<Gateway>>,
     reservations: Mutex<HashMap<ReservationId, ReservationAnswer>>,
     next_reservation: AtomicU64,
-    /// When the order to stop came.
-    stopped: watch::Sender<Option<Time>>,
+    /// When the planned stop started; `None` before it.
+    stopping_since: watch::Sender<Option<Time>>,
     peers: Arc<PeerTransport>,
     upstreams: Upstreams,
     requests: Mutex<HashMap<RequestId, OpenRequest>>,
@@ -102,20 +102,20 @@
 }
 
 impl Driver {
-    /// Prepares a process.
+    /// Creates a driver that uses the clocks of the system.
     ///
     /// # Errors
     ///
-    /// Fails if peers cannot be talked to, or the system gives no random bits.
+    /// Fails if the endpoint for peers cannot be set up or the system provides no random numbers.
     pub fn new(settings: Settings, adapter: PlatformAdapter) -> Result<Arc<Self>, StartError> {
         Self::with_clocks(settings, adapter, Box::new(SystemClocks))
     }
 
-    /// Prepares a process that goes by given clocks.
+    /// Creates a driver that uses the given clocks.
     ///
     /// # Errors
     ///
-    /// Fails if peers cannot be talked to, or the system gives no random bits.
+    /// Fails if the endpoint for peers cannot be set up or the system provides no random numbers.
     pub fn with_clocks(
         settings: Settings,
         adapter: PlatformAdapter,
@@ -145,18 +145,18 @@
             pacing: settings.pacing,
             seed,
         });
-        let PlatformAdapter { store, route_adapter: routes } = adapter;
+        let PlatformAdapter { store, route_adapter } = adapter;
         let clock = Arc::new(Clock::new(clocks));
-        let gateway = routes
-            .map(|routes| Arc::new(Gateway::new(routes, settings.retries, Arc::clone(&clock))));
+        let gateway = route_adapter
+            .map(|adapter| Arc::new(Gateway::new(adapter, settings.retries, Arc::clone(&clock))));
         if let Some(gateway) = &gateway {
             let senders = settings.pacing.policy.warm_up_senders;
             gateway.replicas().set_warm_up_bound(settings.warm_up, senders);
             let (domain, region) = (settings.domain.clone(), settings.region.clone());
-            let place = Location { domain: Some(domain), region: Some(region) };
+            let location = Location { domain: Some(domain), region: Some(region) };
             let mut replicas = gateway.replicas();
             replicas.set_regions(settings.regions.clone());
-            replicas.set_location(place, settings.locality);
+            replicas.set_location(location, settings.locality);
         }
         let upstreams = Upstreams::new(limits.silence);
         Ok(Arc::new(Self {
@@ -167,7 +167,7 @@
             gateway,
             reservations: Mutex::default(),
             next_reservation: AtomicU64::new(1),
-            stopped: watch::channel(None).0,
+            stopping_since: watch::channel(None).0,
             peers: Arc::new(peers),
             upstreams,
             requests: Mutex::default(),
@@ -177,27 +177,28 @@
         }))
     }
 
-    /// Returns the present time.
+    /// Returns the current time of this process.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// Hands over an event and carries out what comes of it.
+    /// Passes an event to the core and executes the commands that it returns.
     pub fn feed(self: &Arc<Self>, event: Event) {
-        let orders = self.node.handle(self.now(), event);
-        for order in orders {
-            self.carry_out(order);
+        let commands = self.node.handle(self.now(), event);
+        for command in commands {
+            self.execute(command);
         }
     }
 
-    /// Starts the regular work: ticks, peers and the VM list.
+    /// Spawns the tasks that run until the process ends: ticks, messages from peers, the VM
+    /// list and the watches of the platform.
     pub fn start(self: &Arc<Self>) {
         log::info!(target: NODE, "starts as {} on {}", self.node.id(), self.settings.vm);
         self.feed(Event::Start);
         let driver = Arc::clone(self);
-        tokio::spawn(async move { driver.tick().await });
+        tokio::spawn(async move { driver.run_ticks().await });
         let driver = Arc::clone(self);
-        tokio::spawn(async move { driver.receive().await });
+        tokio::spawn(async move { driver.receive_messages().await });
         let driver = Arc::clone(self);
         tokio::spawn(async move { driver.poll_vms().await });
         let Some(gateway) = self.gateway.clone() else {
@@ -211,34 +212,35 @@
 
     /// Starts a planned stop.
     pub fn stop(self: &Arc<Self>) {
-        log::info!(target: NODE, "stops: leaves the directory and ends what runs");
+        log::info!(target: NODE, "stops: leaves the directory and finishes running requests");
         if let Some(gateway) = &self.gateway {
             gateway.stop();
         }
-        self.stopped.send_replace(Some(self.now()));
+        self.stopping_since.send_replace(Some(self.now()));
         self.feed(Event::Serving(false));
         self.feed(Event::Stop);
     }
 
-    /// Waits until a span has passed since the order to stop.
+    /// Waits until a span has passed since the planned stop started.
     pub(crate) async fn lingered(&self, span: Duration) {
-        let mut stopped = self.stopped.subscribe();
+        let mut stop_time = self.stopping_since.subscribe();
         // The sender lives as long as the driver.
-        let at = stopped.wait_for(Option::is_some).await.ok().and_then(|at| *at);
-        if let Some(at) = at {
-            self.clock.sleep_until(at.after(span)).await;
+        let started = stop_time.wait_for(Option::is_some).await.ok().and_then(|started| *started);
+        if let Some(started) = started {
+            self.clock.sleep_until(started.after(span)).await;
         }
     }
 
-    /// Tells whether so much of the grace of a stop has passed that a new request might be
-    /// cut off at its end.
+    /// Returns whether so much of the grace period of a stop has passed that a new request
+    /// might not finish before its end.
     pub(crate) fn refuses_new(&self) -> bool {
         let grace = self.settings.gateway.map_or(Duration::ZERO, |gateway| gateway.grace);
-        let stopped = *self.stopped.borrow();
-        stopped.is_some_and(|at| self.now().since(at) >= grace * TAKING_PERCENT / 100)
+        let stop_time = *self.stopping_since.borrow();
+        stop_time
+            .is_some_and(|started| self.now().since(started) >= grace * ADMISSION_PERCENT / 100)
     }
 
-    /// Returns the tables of requests on routes, if this process takes them.
+    /// Returns the gateway, if this process accepts requests on routes.
     pub(crate) fn gateway(&self) -> Option<&Arc<Gateway>> {
         self.gateway.as_ref()
     }
@@ -248,55 +250,57 @@
         &self.metrics.gateway
     }
 
-    /// Names a reservation and returns the line on which its answer comes.
+    /// Assigns an id to a new reservation and returns the receiver of its result.
     pub(crate) fn await_reservation(
         &self,
     ) -> (ReservationId, oneshot::Receiver<Result<Period, Refusal>>) {
         let id = ReservationId(self.next_reservation.fetch_add(1, Ordering::Relaxed));
-        let (answer, line) = oneshot::channel();
+        let (answer, receiver) = oneshot::channel();
         lock(&self.reservations).insert(id, answer);
-        (id, line)
+        (id, receiver)
     }
 
     pub(crate) fn upstreams(&self) -> &Upstreams {
         &self.upstreams
     }
 
-    /// Waits until the process may end.
+    /// Waits until the process may exit: the core has handed over its state and no request on a
+    /// route is open.
     pub async fn wait_for_exit(&self) {
         let mut exit = self.exit.subscribe();
         // The sender lives as long as the driver.
-        let _ = exit.wait_for(|ended| *ended).await;
+        let _ = exit.wait_for(|may_exit| *may_exit).await;
         while self.gateway.as_ref().is_some_and(|gateway| gateway.open_count() > 0) {
             tokio::time::sleep(TICK_INTERVAL).await;
         }
         self.peers.close().await;
     }
 
-    /// Opens a request: gives it a number and a line for its answers.
-    pub(crate) fn open(
+    /// Registers a request and returns its id and the receiver of its answer; `None` if the
+    /// limit of open requests is reached.
+    pub(crate) fn open_request(
         &self,
         outgoing: Outgoing,
-    ) -> Option<(RequestId, mpsc::UnboundedReceiver<PlacedAnswer>)> {
+    ) -> Option<(RequestId, mpsc::UnboundedReceiver<IndexedAnswer>)> {
         let mut requests = lock(&self.requests);
         if requests.len() >= self.settings.limits.requests {
             return None;
         }
         let id = RequestId(self.next_request.fetch_add(1, Ordering::Relaxed));
-        let (answers, line) = mpsc::unbounded_channel();
+        let (answers, receiver) = mpsc::unbounded_channel();
         let outgoing = Arc::new(outgoing);
         requests.insert(id, OpenRequest { answers, outgoing });
-        Some((id, line))
+        Some((id, receiver))
     }
 
-    /// Closes a request whose caller has its answer or is gone.
-    pub(crate) fn close(self: &Arc<Self>, id: RequestId) {
+    /// Removes a request whose caller has received its answer or has disconnected.
+    pub(crate) fn close_request(self: &Arc<Self>, id: RequestId) {
         lock(&self.requests).remove(&id);
         self.feed(Event::CallerDisconnected(id));
     }
 
-    pub(crate) fn carry_out(self: &Arc<Self>, order: Command) {
-        match order {
+    pub(crate) fn execute(self: &Arc<Self>, command: Command) {
+        match command {
             Command::Send(to, message) => {
                 let Some(address) = self.node.peer_address(to) else {
                     return;
@@ -311,74 +315,74 @@
                 };
                 self.peers.send(address, envelope);
             }
-            Command::CallStore(ticket, call) => {
+            Command::CallStore(id, call) => {
                 let driver = Arc::clone(self);
                 self.metrics.calls.count(CallKind::of(&call));
                 tokio::spawn(async move {
                     let result = driver.store.call(&call).await;
                     driver.metrics.count_kv(&result);
-                    driver.feed(Event::StoreReply(ticket, result));
+                    driver.feed(Event::StoreReply(id, result));
                 });
             }
             Command::Dispatch(attempt, dispatch) => self.dispatch(attempt, dispatch),
             Command::Cancel(attempt) => self.upstreams.cancel(attempt),
-            Command::Answer(id, place, answer) => {
+            Command::Answer(id, index, answer) => {
                 if let Answer::Refused(refusal) | Answer::Broken(refusal) = &answer {
                     self.metrics.count_refusal(refusal);
                     log_refusal(id, refusal);
                 }
                 if let Some(request) = lock(&self.requests).get(&id) {
-                    // A caller that has gone away is told about elsewhere.
-                    let _ = request.answers.send((place, answer));
+                    // Sending fails if the caller has disconnected; `close_request` reports that.
+                    let _ = request.answers.send((index, answer));
                 }
             }
             Command::AnswerReserve(id, result) => {
                 let answer = lock(&self.reservations).remove(&id);
-                // A request that has gone meanwhile settles what it was given.
+                // If the request has ended meanwhile, the reserved tokens are settled elsewhere.
                 let _ = answer.map(|answer| answer.send(result));
             }
-            Command::ApplyUpstreamChanges(from, news) => self.hear_changes(from, news),
-            Command::ApplyUpstreamList(list) => self.learn_list(list, Source::Peer),
+            Command::ApplyUpstreamChanges(from, update) => self.apply_peer_update(from, update),
+            Command::ApplyUpstreamList(list) => self.apply_upstream_list(list, UpdateSource::Peer),
             Command::ConfirmUpstreamList(revision) => {
                 if let Some(gateway) = &self.gateway {
                     gateway.replicas().confirm_revision(self.now(), revision);
                 }
             }
-            Command::DivideEngines(needs) => self.divide_engines(&needs),
-            Command::ApplyDelayReports(notes) => {
+            Command::DivideEngines(demand) => self.divide_engines(&demand),
+            Command::ApplyDelayReports(reports) => {
                 if let Some(gateway) = &self.gateway {
-                    gateway.replicas().apply_delay_reports(self.now(), &notes);
+                    gateway.replicas().apply_delay_reports(self.now(), &reports);
                 }
             }
-            Command::ApplyLimitReports(from, notes) => self.learn_limits(from, &notes),
-            Command::ApplyEvacuations(from, changes) => self.evacuate(from, &changes),
-            Command::ApplyRolloutRules(rules) => self.divide_versions(rules),
-            Command::SendUpstreamList(to, since) => self.tell_upstreams(to, since),
+            Command::ApplyLimitReports(from, reports) => self.learn_limits(from, &reports),
+            Command::ApplyEvacuations(from, changes) => self.apply_evacuations(from, &changes),
+            Command::ApplyRolloutRules(rules) => self.apply_rollout_rules(rules),
+            Command::SendUpstreamList(to, since) => self.send_upstream_list(to, since),
             Command::BlockRequests(requests) => {
                 if let Some(gateway) = &self.gateway {
                     gateway.note_blocked(requests.len());
                 }
             }
-            Command::Bill(bill) => self.record(&bill),
-            Command::Log(note) => self.note(&note),
+            Command::Bill(bill) => self.log_bill(&bill),
+            Command::Log(entry) => self.handle_log_entry(&entry),
             Command::Exit => {
-                log::info!(target: NODE, "everything is handed over");
+                log::info!(target: NODE, "all state is handed over; the process may exit");
                 self.exit.send_replace(true);
             }
         }
     }
 
     /// Divides the engines between long and short prompts.
-    fn divide_engines(&self, needs: &[EngineDemand]) {
+    fn divide_engines(&self, demand: &[EngineDemand]) {
         let Some(gateway) = &self.gateway else {
             return;
         };
-        let news = gateway.replicas().divide_engines(needs);
-        for (service, EngineDivision { long_threshold: long_from, short_share }) in news {
+        let changed = gateway.replicas().divide_engines(demand);
+        for (service, EngineDivision { long_threshold, short_share }) in changed {
             log::info!(
                 target: NODE,
                 "engines divided service={service} short_share={short_share:.2} \
-                 long_from={long_from:.0}"
+                 long_from={long_threshold:.0}"
             );
         }
     }
@@ -393,43 +397,46 @@
         self.upstreams.dispatch(driver, attempt, dispatch, address, outgoing);
     }
 
-    fn record(&self, bill: &Bill) {
+    fn log_bill(&self, bill: &Bill) {
         let key = bill.key.map_or_else(|| "-".to_owned(), |key| key.to_string());
-        let word = if bill.billed { "billed" } else { "not billed, another VM bills the key" };
+        let result = if bill.billed { "billed" } else { "not billed, another VM bills the key" };
         let (budget, cost, stream) = (&bill.budget, bill.cost, &bill.stream);
-        log::info!(target: BILLS, "{budget} key {key} stream {stream} cost {cost}: {word}");
+        log::info!(target: BILLS, "{budget} key {key} stream {stream} cost {cost}: {result}");
         self.metrics.count_bill(bill);
     }
 
-    fn note(&self, note: &LogEntry) {
-        match note {
+    /// Writes an entry to the log and updates the tables outside the core that depend on it.
+    fn handle_log_entry(&self, entry: &LogEntry) {
+        match entry {
             LogEntry::View(epoch) => {
                 log::info!(target: NODE, "view {epoch} in force");
                 let view = self.node.view();
-                self.peers.keep(|id| view.has(id));
-                self.learn_senders();
+                self.peers.retain_peers(|id| view.has(id));
+                self.update_warm_up_senders();
             }
             LogEntry::Templates(version) => {
                 if let Some(gateway) = &self.gateway {
                     let (version, table) = self.node.route_table();
                     gateway.put_in_force(version, table);
-                    self.learn_warm_ups();
+                    self.update_warm_ups();
                 }
                 log::info!(target: NODE, "templates {version} in force");
             }
             LogEntry::BadTemplates(error) => {
                 self.metrics.bad_templates.inc();
-                log::error!(target: NODE, "templates not used, the last good ones stay: {error}");
+                log::error!(target: NODE, "templates are invalid, the previous templates stay in force: {error}");
             }
-            LogEntry::BadValue(name, error) => {
-                log::error!(target: PLATFORM, "cannot use {name:?}: {error}");
+            LogEntry::BadValue(key, error) => {
+                log::error!(target: PLATFORM, "invalid value of {key:?}: {error}");
             }
             LogEntry::RemovesMember { member, vm, silence, epoch } => log::warn!(
                 target: NODE,
                 "removes member={member} vm={vm} silent_ms={} view={epoch}",
                 silence.as_millis()
             ),
-            LogEntry::Removed => log::error!(target: NODE, "removed from the view; ends when idle"),
+            LogEntry::Removed => {
+                log::error!(target: NODE, "removed from the view; exits when no request is running")
+            }
             LogEntry::LedgerApplied {
                 budget,
                 limit,
@@ -461,7 +468,7 @@
             LogEntry::ParkedReturned { budget, holder, amount, epoch } => log::warn!(
                 target: NODE,
                 "untouched budget={budget} holder={holder} amount={amount} view={epoch}: \
-                 given back for a removed holder"
+                 returned for a removed holder"
             ),
             LogEntry::LenderSilent { budget, lender } => {
                 log::warn!(target: NODE, "lender silent budget={budget} lender={lender}");
@@ -481,15 +488,15 @@
                     crash.age.as_millis()
                 );
             }
-            LogEntry::Rollout(note) => log::info!(target: NODE, "{note}"),
+            LogEntry::Rollout(entry) => log::info!(target: NODE, "{entry}"),
             LogEntry::BudgetRenewed(budget) => log::info!(target: NODE, "budget {budget} renewed"),
         }
     }
 
-    async fn tick(self: Arc<Self>) {
+    async fn run_ticks(self: Arc<Self>) {
         let mut ticks = tokio::time::interval(TICK_INTERVAL);
-        let mut logged = self.now();
-        let mut told = self.now();
+        let mut logged_at = self.now();
+        let mut reported_at = self.now();
         let mut count: u32 = 0;
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
@@ -503,25 +510,25 @@
                 );
                 count = 0;
             }
-            if count.is_multiple_of(CLOCK_TICKS) {
+            if count.is_multiple_of(WALL_CLOCK_TICKS) {
                 self.feed(Event::WallClock(wall_clock()));
             }
             count = count.wrapping_add(1);
             let now = self.now();
-            if now.since(logged) >= store_calls::LOG_EVERY {
-                logged = now;
+            if now.since(logged_at) >= store_calls::LOG_EVERY {
+                logged_at = now;
                 self.metrics.calls.log();
                 self.metrics.messages.log();
             }
-            if now.since(told) >= TELL_EVERY {
-                told = now;
-                self.tell_rollouts();
+            if now.since(reported_at) >= REPORT_INTERVAL {
+                reported_at = now;
+                self.report_rollouts();
             }
             self.feed(Event::Tick);
         }
     }
 
-    async fn receive(self: Arc<Self>) {
+    async fn receive_messages(self: Arc<Self>) {
         let driver = Arc::clone(&self);
         self.peers.receive(move |envelope| driver.feed(Event::Peer(envelope))).await;
     }
@@ -531,36 +538,36 @@
             return;
         };
         let client = http::client();
-        let every = self.settings.platform.vm_poll;
+        let interval = self.settings.platform.vm_poll;
         loop {
-            match read_vms(&client, uri, self.settings.platform.timeout).await {
+            match fetch_vm_list(&client, uri, self.settings.platform.timeout).await {
                 Some(list) => {
                     self.feed(Event::VmList(list));
                     self.upstreams.poll_loads(&self).await;
                 }
-                None => log::warn!(target: PLATFORM, "no usable VM list from {uri}"),
+                None => log::warn!(target: PLATFORM, "cannot read the VM list from {uri}"),
             }
-            self.clock.sleep(every).await;
+            self.clock.sleep(interval).await;
         }
     }
 }
 
-/// Returns the time of day in milliseconds since 1970.
+/// Returns the wall-clock time in milliseconds since 1970.
 fn wall_clock() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
-async fn read_vms(client: &http::HttpClient, uri: &Uri, timeout: Duration) -> Option<VmList> {
+async fn fetch_vm_list(client: &http::HttpClient, uri: &Uri, timeout: Duration) -> Option<VmList> {
     let request = Request::get(uri.clone()).body(Full::default()).ok()?;
     let value = http::call_json(client, request, timeout).await.ok()?;
     serde_json::from_value(value).ok()
 }
 
-/// Records that a request on the product's own interface ends without its answer.
+/// Logs that a request to the caller API ended with a refusal instead of its answer.
 fn log_refusal(id: RequestId, refusal: &Refusal) {
     let (cause, outcome) = (refusal.cause.code(), refusal.outcome.as_str());
-    let after =
+    let retry_after =
         refusal.retry_after.map_or_else(|| "-".to_owned(), |span| span.as_millis().to_string());
-    log::info!(target: REQUESTS, "refused request={} outcome={cause} run={outcome} come_back_ms={after}", id.0);
+    log::info!(target: REQUESTS, "refused request={} outcome={cause} run={outcome} come_back_ms={retry_after}", id.0);
 }
--- a/crates/badgerfield-node/src/evacuations.rs
+++ b/crates/badgerfield-node/src/evacuations.rs
@@ -8,7 +8,7 @@
 
 impl Driver {
     /// Stops or begins to use the upstreams of some domains, and says so in the log.
-    pub(crate) fn evacuate(&self, from: Option<Incarnation>, changes: &[DomainChange]) {
+    pub(crate) fn apply_evacuations(&self, from: Option<Incarnation>, changes: &[DomainChange]) {
         let Some(gateway) = self.gateway() else {
             return;
         };
@@ -32,7 +32,7 @@
     }
 
     /// Takes in how upstreams start, after newer templates have come into force.
-    pub(crate) fn learn_warm_ups(&self) {
+    pub(crate) fn update_warm_ups(&self) {
         let Some(gateway) = self.gateway() else {
             return;
         };
@@ -42,7 +42,7 @@
     }
 
     /// Takes in who may send to cold upstreams, after a newer view has come into force.
-    pub(crate) fn learn_senders(&self) {
+    pub(crate) fn update_warm_up_senders(&self) {
         if let Some(gateway) = self.gateway() {
             gateway.replicas().set_senders(self.now(), self.node.warm_up_senders());
         }
--- a/crates/badgerfield-node/src/follow.rs
+++ b/crates/badgerfield-node/src/follow.rs
@@ -10,7 +10,7 @@
 use badgerfield_core::{Event, TICK_INTERVAL};
 
 use crate::adapter::WatchResult;
-use crate::driver::{Driver, Source};
+use crate::driver::{Driver, UpdateSource};
 use crate::gateway::directory;
 use crate::gateway::state::Gateway;
 use crate::logs::PLATFORM;
@@ -132,13 +132,13 @@
             match driver.clock.timeout_at(until, watched).await {
                 Ok(WatchResult::Changed(changes)) => {
                     after = after.max(changes.revision);
-                    driver.learn_changes(changes);
+                    driver.apply_upstream_changes(changes);
                 }
                 Ok(WatchResult::Quiet(revision)) => {
                     after = after.max(revision);
                     let changes =
                         UpstreamListChanges { revision, ..UpstreamListChanges::default() };
-                    driver.learn_changes(changes);
+                    driver.apply_upstream_changes(changes);
                 }
                 Ok(WatchResult::Lost) | Err(_) => break,
             }
@@ -174,7 +174,7 @@
         log::info!(target: PLATFORM, "list of upstreams regained away_ms={away}");
     }
     let revision = list.revision;
-    driver.learn_list(list, Source::Platform);
+    driver.apply_upstream_list(list, UpdateSource::Platform);
     Some(revision)
 }
 
--- a/crates/badgerfield-node/src/peers.rs
+++ b/crates/badgerfield-node/src/peers.rs
@@ -1,9 +1,8 @@
-//! Messages between the system's processes: QUIC, both sides proving that they know
-//! the fleet's secret.
+//! Messages between the processes of the fleet over QUIC with mutual authentication.
 //!
-//! Each process proves itself by a raw public key derived from the secret in its
-//! settings. A peer with an unknown key is refused in the handshake. Messages may be
-//! lost: whoever needs an answer sends again.
+//! Each process authenticates itself with a raw public key (RFC 7250) derived from the fleet
+//! secret in its settings. A peer with an unknown key is refused in the handshake. Messages
+//! may be lost: a sender that needs a reply repeats its message.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -30,60 +29,62 @@
 use crate::logs::PEERS;
 use crate::sync::lock;
 
-/// The largest batch of messages, in bytes.
-const MAX_BATCH: usize = 4_000_000;
-/// How many messages may wait for one peer; more are dropped.
-const QUEUE: usize = 4096;
-/// How many messages go into one batch.
-const BATCH: usize = 256;
-/// How long a connection may take to open.
-const CONNECT: Duration = Duration::from_secs(1);
-/// How long a peer that could not be reached is left alone.
-const PAUSE: Duration = Duration::from_millis(200);
-/// How long a connection may stay silent. It is not kept alive: signs of life keep those of
-/// neighbours open, and all others are closed when they are no longer used.
-const IDLE: Duration = Duration::from_secs(10);
-/// How many bytes one stream may carry ahead of its reader. Most messages have 100 B; the
-/// largest, a whole set of templates, takes a few more round trips. This and the bounds below
-/// were chosen, not measured: they bound what a peer that does not read can hold up.
-const STREAM_WINDOW: u32 = 128 << 10;
-/// How many bytes all streams of a connection may carry ahead of their reader.
-const WINDOW: u32 = 512 << 10;
-/// How many batches one peer may send at once.
-const STREAMS: u32 = 64;
-/// How many bytes of signs of life may wait to be sent or read; older ones are dropped.
-const DATAGRAMS: usize = 16 << 10;
-/// The name of the protocol in the handshake.
-const PROTOCOL: &[u8] = b"badgerfield/1";
-/// What precedes the seed of an Ed25519 key in PKCS #8, by RFC 8410.
-const PKCS8: [u8; 16] = [
+/// Maximum size of a batch of messages.
+const MAX_BATCH_BYTES: usize = 4_000_000;
+/// Maximum number of messages queued for one peer; further messages are dropped.
+const MAX_QUEUED_MESSAGES: usize = 4096;
+/// Maximum number of messages in one batch.
+const MAX_BATCH_MESSAGES: usize = 256;
+/// Timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay before the next attempt to connect to an unreachable peer.
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
+/// Idle timeout of a connection. QUIC sends no keep-alive packets: heartbeats keep the
+/// connections between neighbours open, and other connections close when they are not used.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Flow-control window of one stream. Most messages have 100 B; the largest, a complete set of
+/// templates, takes several round trips. This constant and the ones below limit the memory that
+/// is bound by a peer that does not read.
+const STREAM_WINDOW_BYTES: u32 = 128 << 10;
+/// Flow-control window of all streams of a connection together.
+const CONNECTION_WINDOW_BYTES: u32 = 512 << 10;
+/// Maximum number of streams, one batch each, that a peer may have open at once.
+const MAX_STREAMS: u32 = 64;
+/// Size of the buffers for datagrams (heartbeats) to be sent or read; the oldest are dropped.
+const DATAGRAM_BUFFER_BYTES: usize = 16 << 10;
+/// The ALPN protocol name.
+const ALPN_PROTOCOL: &[u8] = b"badgerfield/1";
+/// The bytes before the seed of an Ed25519 key in PKCS #8 (RFC 8410).
+const PKCS8_PREFIX: [u8; 16] = [
     0x30, 0x2e, 0x02, 0x01, 0x00, 0x30, 0x05, 0x06, 0x03, 0x2b, 0x65, 0x70, 0x04, 0x22, 0x04, 0x20,
 ];
 
-/// Why peers cannot be talked to.
+/// Why the endpoint for peers cannot be set up.
 #[derive(Debug, Error)]
 pub enum PeerError {
-    /// The secret gives no key.
-    #[error("the fleet's secret gives no key; make another with `badgerfield key --fleet`")]
+    /// No key can be derived from the secret.
+    #[error(
+        "cannot derive a key from the fleet secret; create another with `badgerfield key --fleet`"
+    )]
     Secret,
-    /// The handshake cannot be set up.
+    /// The TLS configuration is invalid.
     #[error("cannot set up the handshake: {0}")]
     Handshake(#[from] rustls::Error),
-    /// The handshake lacks a cipher.
+    /// The TLS configuration has no cipher suite for QUIC's initial packets.
     #[error("cannot set up the handshake: {0}")]
     Cipher(#[from] quinn::crypto::rustls::NoInitialCipherSuite),
-    /// The address cannot be listened on.
+    /// The socket cannot be bound to its address.
     #[error("cannot listen for peers: {0}")]
     Listen(#[from] std::io::Error),
 }
 
-/// A secret of the fleet: 32 bytes, written as 64 hexadecimal digits.
+/// The secret shared by all processes of a fleet: 32 bytes, written as 64 hexadecimal digits.
 #[derive(Clone, PartialEq, Eq)]
 pub struct FleetSecret([u8; 32]);
 
-/// Why a text is not a secret.
+/// The error for a text that is not a fleet secret.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("expected 64 hexadecimal digits; make some with `badgerfield key --fleet`")]
+#[error("expected 64 hexadecimal digits; create them with `badgerfield key --fleet`")]
 pub struct SecretError;
 
 impl fmt::Debug for FleetSecret {
@@ -103,8 +104,9 @@
 }
 
 impl FleetSecret {
-    fn certified(&self) -> Result<CertifiedKey, PeerError> {
-        let mut der = PKCS8.to_vec();
+    /// Derives the Ed25519 key pair from the secret.
+    fn derive_key(&self) -> Result<CertifiedKey, PeerError> {
+        let mut der = PKCS8_PREFIX.to_vec();
         der.extend_from_slice(&self.0);
         let key = ring::sign::any_eddsa_type(&PrivatePkcs8KeyDer::from(der));
         let key = key.map_err(|_| PeerError::Secret)?;
@@ -114,19 +116,19 @@
     }
 }
 
-/// Accepts peers whose raw public key is one of the fleet's.
+/// Verifies that the raw public key of a peer belongs to the fleet.
 #[derive(Debug)]
-struct Accept {
+struct FleetKeyVerifier {
     keys: Vec<Vec<u8>>,
     algorithms: WebPkiSupportedAlgorithms,
 }
 
-impl Accept {
+impl FleetKeyVerifier {
     fn check(&self, key: &CertificateDer<'_>) -> Result<(), rustls::Error> {
         if self.keys.iter().any(|k| k == key.as_ref()) {
             return Ok(());
         }
-        log::warn!(target: PEERS, "refused a peer with an unknown key");
+        log::warn!(target: PEERS, "refused a peer: its public key does not match the fleet secret");
         Err(rustls::Error::InvalidCertificate(CertificateError::ApplicationVerificationFailure))
     }
 
@@ -141,7 +143,7 @@
     }
 }
 
-impl ServerCertVerifier for Accept {
+impl ServerCertVerifier for FleetKeyVerifier {
     fn verify_server_cert(
         &self,
         end_entity: &CertificateDer<'_>,
@@ -181,7 +183,7 @@
     }
 }
 
-impl ClientCertVerifier for Accept {
+impl ClientCertVerifier for FleetKeyVerifier {
     fn root_hint_subjects(&self) -> &[DistinguishedName] {
         &[]
     }
@@ -227,20 +229,20 @@
 #[derive(Debug)]
 pub struct PeerTransport {
     network: Network,
-    lines: Mutex<HashMap<Incarnation, Line>>,
+    queues: Mutex<HashMap<Incarnation, PeerQueue>>,
 }
 
-/// What receives messages.
-type Deliver = Arc<dyn Fn(Envelope) + Send + Sync>;
+/// Callback for received messages.
+type MessageHandler = Arc<dyn Fn(Envelope) + Send + Sync>;
 
-/// The connections of this process; one serves both directions, whoever opened it.
+/// The connections of this process. Each is used in both directions, whichever side opened it.
 #[derive(Clone)]
 struct Network {
     endpoint: Endpoint,
-    /// A process that starts anew on a VM has the address of the one before, but none of its
-    /// connections, so these belong to incarnations.
-    open: Arc<Mutex<HashMap<Incarnation, Connection>>>,
-    deliver: Arc<OnceLock<Deliver>>,
+    /// Keyed by incarnation: a process that restarts on a VM has the address of its predecessor
+    /// but not its connections.
+    connections: Arc<Mutex<HashMap<Incarnation, Connection>>>,
+    handler: Arc<OnceLock<MessageHandler>>,
 }
 
 impl fmt::Debug for Network {
@@ -249,59 +251,60 @@
     }
 }
 
+/// The queue of messages to one peer.
 #[derive(Debug)]
-struct Line {
+struct PeerQueue {
     address: SocketAddr,
-    queue: mpsc::Sender<Envelope>,
+    sender: mpsc::Sender<Envelope>,
 }
 
 impl PeerTransport {
-    /// Listens for peers and prepares to connect to them.
+    /// Binds the endpoint that accepts connections from peers and opens connections to them.
     ///
     /// # Errors
     ///
-    /// Fails if the secret gives no key, or the address is taken.
+    /// Fails if no key can be derived from a secret, or the address is in use.
     pub fn listen(
         address: SocketAddr,
         secret: &FleetSecret,
         accepted: &[FleetSecret],
     ) -> Result<Self, PeerError> {
-        let own = Arc::new(secret.certified()?);
-        let mut keys = vec![raw_key(&own)];
+        let own_key = Arc::new(secret.derive_key()?);
+        let mut keys = vec![raw_key(&own_key)];
         for other in accepted {
-            keys.push(raw_key(&other.certified()?));
+            keys.push(raw_key(&other.derive_key()?));
         }
         let provider = Arc::new(ring::default_provider());
         let algorithms = provider.signature_verification_algorithms;
-        let accept = Arc::new(Accept { keys, algorithms });
+        let verifier = Arc::new(FleetKeyVerifier { keys, algorithms });
         let versions = &[&rustls::version::TLS13];
 
         let mut server = rustls::ServerConfig::builder_with_provider(Arc::clone(&provider))
             .with_protocol_versions(versions)?
-            .with_client_cert_verifier(Arc::clone(&accept) as Arc<dyn ClientCertVerifier>)
+            .with_client_cert_verifier(Arc::clone(&verifier) as Arc<dyn ClientCertVerifier>)
             .with_cert_resolver(Arc::new(rustls::server::AlwaysResolvesServerRawPublicKeys::new(
-                Arc::clone(&own),
+                Arc::clone(&own_key),
             )));
-        server.alpn_protocols = vec![PROTOCOL.to_vec()];
+        server.alpn_protocols = vec![ALPN_PROTOCOL.to_vec()];
         let mut client = rustls::ClientConfig::builder_with_provider(provider)
             .with_protocol_versions(versions)?
             .dangerous()
-            .with_custom_certificate_verifier(accept)
+            .with_custom_certificate_verifier(verifier)
             .with_client_cert_resolver(Arc::new(
-                rustls::client::AlwaysResolvesClientRawPublicKeys::new(own),
+                rustls::client::AlwaysResolvesClientRawPublicKeys::new(own_key),
             ));
-        client.alpn_protocols = vec![PROTOCOL.to_vec()];
+        client.alpn_protocols = vec![ALPN_PROTOCOL.to_vec()];
 
         let mut transport = TransportConfig::default();
-        transport.max_idle_timeout(IDLE.try_into().ok());
+        transport.max_idle_timeout(IDLE_TIMEOUT.try_into().ok());
         transport.max_concurrent_bidi_streams(0_u32.into());
-        transport.max_concurrent_uni_streams(STREAMS.into());
-        transport.stream_receive_window(STREAM_WINDOW.into());
-        transport.receive_window(WINDOW.into());
-        transport.send_window(WINDOW.into());
-        transport.datagram_receive_buffer_size(Some(DATAGRAMS));
-        transport.datagram_send_buffer_size(DATAGRAMS);
-        // Messages are smaller than the least that every path carries.
+        transport.max_concurrent_uni_streams(MAX_STREAMS.into());
+        transport.stream_receive_window(STREAM_WINDOW_BYTES.into());
+        transport.receive_window(CONNECTION_WINDOW_BYTES.into());
+        transport.send_window(CONNECTION_WINDOW_BYTES.into());
+        transport.datagram_receive_buffer_size(Some(DATAGRAM_BUFFER_BYTES));
+        transport.datagram_send_buffer_size(DATAGRAM_BUFFER_BYTES);
+        // Messages are smaller than the minimum MTU of QUIC, which every path supports.
         transport.mtu_discovery_config(None);
         let transport = Arc::new(transport);
         let mut server =
@@ -311,49 +314,50 @@
         client.transport_config(transport);
         let mut endpoint = Endpoint::server(server, address)?;
         endpoint.set_default_client_config(client);
-        let (open, deliver) = (Arc::default(), Arc::default());
-        Ok(Self { network: Network { endpoint, open, deliver }, lines: Mutex::default() })
+        let (connections, handler) = (Arc::default(), Arc::default());
+        Ok(Self { network: Network { endpoint, connections, handler }, queues: Mutex::default() })
     }
 
-    /// Receives messages until the process ends.
-    pub async fn receive(&self, deliver: impl Fn(Envelope) + Send + Sync + 'static) {
-        // Only the first receiver is told anything; a process has one.
-        let _ = self.network.deliver.set(Arc::new(deliver));
+    /// Passes received messages to a handler until the endpoint is closed.
+    pub async fn receive(&self, handler: impl Fn(Envelope) + Send + Sync + 'static) {
+        // Only the first handler is used; a process sets one.
+        let _ = self.network.handler.set(Arc::new(handler));
         while let Some(incoming) = self.network.endpoint.accept().await {
             let network = self.network.clone();
             tokio::spawn(async move {
                 match incoming.await {
                     Ok(connection) => network.serve(connection).await,
-                    Err(error) => log::debug!(target: PEERS, "no connection came up: {error}"),
+                    Err(error) => log::debug!(target: PEERS, "incoming connection failed: {error}"),
                 }
             });
         }
     }
 
-    /// Queues a message; drops it if the peer is too far behind.
+    /// Queues a message; drops it if the queue of the peer is full.
     pub fn send(&self, address: SocketAddr, envelope: Envelope) {
-        let mut lines = lock(&self.lines);
+        let mut queues = lock(&self.queues);
         let to = envelope.to;
-        if lines.get(&to).is_some_and(|line| line.address != address || line.queue.is_closed()) {
-            lines.remove(&to);
+        if queues.get(&to).is_some_and(|queue| queue.address != address || queue.sender.is_closed())
+        {
+            queues.remove(&to);
         }
-        if !lines.contains_key(&to) {
-            lines.retain(|_, line| !line.queue.is_closed());
+        if !queues.contains_key(&to) {
+            queues.retain(|_, queue| !queue.sender.is_closed());
         }
-        let line = lines.entry(to).or_insert_with(|| {
-            let (queue, waiting) = mpsc::channel(QUEUE);
-            tokio::spawn(self.network.clone().pass_on(to, address, waiting));
-            Line { address, queue }
+        let queue = queues.entry(to).or_insert_with(|| {
+            let (sender, receiver) = mpsc::channel(MAX_QUEUED_MESSAGES);
+            tokio::spawn(self.network.clone().send_queued(to, address, receiver));
+            PeerQueue { address, sender }
         });
-        if line.queue.try_send(envelope).is_err() {
-            log::debug!(target: PEERS, "dropped a message to {to}");
+        if queue.sender.try_send(envelope).is_err() {
+            log::debug!(target: PEERS, "dropped a message to {to}: its queue is full");
         }
     }
 
-    /// Drops the lines to peers that are gone.
-    pub fn keep(&self, wanted: impl Fn(Incarnation) -> bool) {
-        let mut lines = lock(&self.lines);
-        lines.retain(|id, _| wanted(*id));
+    /// Removes the queues of all peers that do not satisfy a predicate.
+    pub fn retain_peers(&self, is_wanted: impl Fn(Incarnation) -> bool) {
+        let mut queues = lock(&self.queues);
+        queues.retain(|id, _| is_wanted(*id));
     }
 
     /// Closes all connections.
@@ -371,7 +375,7 @@
 /// Encodes a batch of messages.
 #[must_use]
 pub fn encode(batch: &[Envelope]) -> Vec<u8> {
-    // Messages hold nothing that the encoding cannot express.
+    // Encoding cannot fail: messages have no field that postcard cannot encode.
     postcard::to_stdvec(batch).unwrap_or_default()
 }
 
@@ -379,125 +383,132 @@
 ///
 /// # Errors
 ///
-/// Refuses bytes that are not a batch.
+/// Fails if the bytes are not an encoded batch.
 pub fn decode(bytes: &[u8]) -> Result<Vec<Envelope>, postcard::Error> {
     postcard::from_bytes(bytes)
 }
 
 impl Network {
-    /// Receives messages on a connection until it is closed, whoever opened it.
+    /// Receives messages on a connection, whichever side opened it, until it is closed.
     async fn serve(self, connection: Connection) {
-        let ended = loop {
+        let error = loop {
             tokio::select! {
                 stream = connection.accept_uni() => match stream {
                     Ok(mut stream) => {
                         let (network, connection) = (self.clone(), connection.clone());
                         tokio::spawn(async move {
-                            // A batch whose sender went away is sent again or not needed.
-                            if let Ok(bytes) = stream.read_to_end(MAX_BATCH).await {
-                                network.take(&connection, &bytes);
+                            // A batch that is cut off is sent again if it is still needed.
+                            if let Ok(bytes) = stream.read_to_end(MAX_BATCH_BYTES).await {
+                                network.receive_batch(&connection, &bytes);
                             }
                         });
                     }
                     Err(error) => break error,
                 },
                 datagram = connection.read_datagram() => match datagram {
-                    Ok(bytes) => self.take(&connection, &bytes),
+                    Ok(bytes) => self.receive_batch(&connection, &bytes),
                     Err(error) => break error,
                 },
             }
         };
         let address = connection.remote_address();
-        log::debug!(target: PEERS, "connection with {address} ended: {ended}");
-        lock(&self.open).retain(|_, open| open.stable_id() != connection.stable_id());
+        log::debug!(target: PEERS, "connection with {address} closed: {error}");
+        lock(&self.connections).retain(|_, open| open.stable_id() != connection.stable_id());
     }
 
-    /// Hands on a batch, and notes whose connection it came on.
-    fn take(&self, connection: &Connection, bytes: &[u8]) {
-        let Some(deliver) = self.deliver.get() else {
+    /// Passes the messages of a batch to the handler and records which peer the connection
+    /// belongs to.
+    fn receive_batch(&self, connection: &Connection, bytes: &[u8]) {
+        let Some(handler) = self.handler.get() else {
             return;
         };
         match decode(bytes) {
             Ok(batch) => {
                 if let Some(first) = batch.first() {
-                    self.note(first.from, connection);
+                    self.record_connection(first.from, connection);
                 }
                 for envelope in batch {
-                    deliver(envelope);
+                    handler(envelope);
                 }
             }
-            Err(error) => log::warn!(target: PEERS, "dropped a batch: {error}"),
+            Err(error) => {
+                log::warn!(target: PEERS, "dropped an invalid batch of messages: {error}")
+            }
         }
     }
 
-    fn note(&self, peer: Incarnation, connection: &Connection) {
-        let mut open = lock(&self.open);
-        let is_open = open.get(&peer).is_some_and(|c| c.close_reason().is_none());
+    /// Records the connection with a peer unless it has an open connection already.
+    fn record_connection(&self, peer: Incarnation, connection: &Connection) {
+        let mut connections = lock(&self.connections);
+        let is_open = connections.get(&peer).is_some_and(|c| c.close_reason().is_none());
         if !is_open {
-            open.insert(peer, connection.clone());
+            connections.insert(peer, connection.clone());
         }
     }
 
-    /// Sends what is queued for one peer until nothing has come for a while.
-    async fn pass_on(
+    /// Sends the messages queued for one peer until none has been queued for `IDLE_TIMEOUT`.
+    async fn send_queued(
         self,
         to: Incarnation,
         address: SocketAddr,
-        mut waiting: mpsc::Receiver<Envelope>,
+        mut queue: mpsc::Receiver<Envelope>,
     ) {
         let mut batch = Vec::new();
         loop {
-            let received = waiting.recv_many(&mut batch, BATCH);
-            match tokio::time::timeout(IDLE, received).await {
+            let received = queue.recv_many(&mut batch, MAX_BATCH_MESSAGES);
+            match tokio::time::timeout(IDLE_TIMEOUT, received).await {
                 Ok(count) if count > 0 => {}
                 Ok(_) | Err(_) => return,
             }
-            let Some(connection) = self.connection(to, address).await else {
-                // Messages for a peer that cannot be reached are worth nothing later.
+            let Some(connection) = self.get_or_connect(to, address).await else {
+                // Messages to an unreachable peer are dropped: they are outdated when it is
+                // reachable again.
                 batch.clear();
-                tokio::time::sleep(PAUSE).await;
-                while waiting.try_recv().is_ok() {}
+                tokio::time::sleep(RECONNECT_DELAY).await;
+                while queue.try_recv().is_ok() {}
                 continue;
             };
-            let (repeated, others): (Vec<_>, Vec<_>) =
+            let (repeated, reliable): (Vec<_>, Vec<_>) =
                 batch.drain(..).partition(|envelope| envelope.message.is_repeated());
             let unsent = send_datagram(&connection, repeated);
-            let rest: Vec<_> = unsent.into_iter().chain(others).collect();
-            if rest.is_empty() {
+            let remaining: Vec<_> = unsent.into_iter().chain(reliable).collect();
+            if remaining.is_empty() {
                 continue;
             }
-            if let Err(error) = send_stream(&connection, &rest).await {
-                log::debug!(target: PEERS, "lost {} messages to {address}: {error}", rest.len());
+            if let Err(error) = send_stream(&connection, &remaining).await {
+                log::debug!(target: PEERS, "lost {} messages to {address}: {error}", remaining.len());
             }
         }
     }
 
-    /// Returns the connection with a peer, opening one if there is none.
-    async fn connection(&self, to: Incarnation, address: SocketAddr) -> Option<Connection> {
-        let open = lock(&self.open).get(&to).cloned();
-        if let Some(connection) = open.filter(|c| c.close_reason().is_none()) {
+    /// Returns the open connection with a peer, or opens one; `None` if that fails.
+    async fn get_or_connect(&self, to: Incarnation, address: SocketAddr) -> Option<Connection> {
+        let existing = lock(&self.connections).get(&to).cloned();
+        if let Some(connection) = existing.filter(|c| c.close_reason().is_none()) {
             return Some(connection);
         }
         let connection = connect(&self.endpoint, address).await?;
-        lock(&self.open).insert(to, connection.clone());
+        lock(&self.connections).insert(to, connection.clone());
         tokio::spawn(self.clone().serve(connection.clone()));
         Some(connection)
     }
 }
 
-/// Sends messages that may be lost in one packet; returns those that do not fit.
+/// Sends messages that are repeated anyway, and so may be lost, in one datagram. Returns them if
+/// they do not fit or cannot be sent.
 fn send_datagram(connection: &Connection, batch: Vec<Envelope>) -> Vec<Envelope> {
     if batch.is_empty() {
         return batch;
     }
     let bytes = encode(&batch);
-    let fits = connection.max_datagram_size().is_some_and(|most| bytes.len() <= most);
+    let fits = connection.max_datagram_size().is_some_and(|max| bytes.len() <= max);
     if fits && connection.send_datagram(bytes.into()).is_ok() {
         return Vec::new();
     }
     batch
 }
 
+/// Sends messages on a stream of their own.
 async fn send_stream(connection: &Connection, batch: &[Envelope]) -> Result<(), SendError> {
     let mut stream = connection.open_uni().await?;
     stream.write_all(&encode(batch)).await?;
@@ -516,22 +527,23 @@
     Closed(#[from] quinn::ClosedStream),
 }
 
+/// Opens a connection; logs the reason and returns `None` if that fails.
 async fn connect(endpoint: &Endpoint, address: SocketAddr) -> Option<Connection> {
     let connecting = match endpoint.connect(address, "badgerfield") {
         Ok(connecting) => connecting,
         Err(error) => {
-            log::warn!(target: PEERS, "cannot begin to connect to {address}: {error}");
+            log::warn!(target: PEERS, "cannot start to connect to {address}: {error}");
             return None;
         }
     };
-    match tokio::time::timeout(CONNECT, connecting).await {
+    match tokio::time::timeout(CONNECT_TIMEOUT, connecting).await {
         Ok(Ok(connection)) => Some(connection),
         Ok(Err(error)) => {
-            log::debug!(target: PEERS, "cannot reach {address}: {error}");
+            log::debug!(target: PEERS, "cannot connect to {address}: {error}");
             None
         }
         Err(_) => {
-            log::debug!(target: PEERS, "{address} did not answer in {CONNECT:?}");
+            log::debug!(target: PEERS, "{address} did not answer within {CONNECT_TIMEOUT:?}");
             None
         }
     }
--- a/crates/badgerfield-node/src/rollouts.rs
+++ b/crates/badgerfield-node/src/rollouts.rs
@@ -11,15 +11,15 @@
 
 /// How often a process tells how its requests went, without a bad answer: as often as what else
 /// it tells of them.
-pub(crate) const TELL_EVERY: Duration = Duration::from_millis(400);
+pub(crate) const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 /// The least time between two times that a bad answer makes a process tell at once: what comes
 /// in between waits for the next turn. It is short against the seconds in which a bad version
 /// has to be left alone.
-const LEAST_PAUSE: Duration = Duration::from_millis(100);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Driver {
     /// Divides requests between versions by these rules, and says in the log what has changed.
-    pub(crate) fn divide_versions(&self, rules: RolloutRules) {
+    pub(crate) fn apply_rollout_rules(&self, rules: RolloutRules) {
         let Some(gateway) = self.gateway() else {
             return;
         };
@@ -40,13 +40,13 @@
 
     /// Tells how requests went after a bad answer, unless that was told just now.
     pub(crate) fn tell_bad_answer(self: &Arc<Self>) {
-        if self.gateway().is_some_and(|gateway| gateway.may_tell(self.now(), LEAST_PAUSE)) {
-            self.tell_rollouts();
+        if self.gateway().is_some_and(|gateway| gateway.may_tell(self.now(), MIN_REPORT_INTERVAL)) {
+            self.report_rollouts();
         }
     }
 
     /// Tells how requests went at services that are rolled out.
-    pub(crate) fn tell_rollouts(self: &Arc<Self>) {
+    pub(crate) fn report_rollouts(self: &Arc<Self>) {
         let Some(gateway) = self.gateway().filter(|gateway| gateway.rolls_out()) else {
             return;
         };
--- a/crates/badgerfield-node/src/upstream_list.rs
+++ b/crates/badgerfield-node/src/upstream_list.rs
@@ -8,7 +8,7 @@
 use badgerfield_core::upstream_table::ListGap;
 use badgerfield_core::{Command, Event};
 
-use crate::driver::{Driver, Source};
+use crate::driver::{Driver, UpdateSource};
 use crate::gateway::state::Gateway;
 use crate::logs::PLATFORM;
 
@@ -17,22 +17,22 @@
 
 impl Driver {
     /// Takes in changes of the list of upstreams that the platform told.
-    pub(crate) fn learn_changes(self: &Arc<Self>, changes: UpstreamListChanges) {
+    pub(crate) fn apply_upstream_changes(self: &Arc<Self>, changes: UpstreamListChanges) {
         let Some(gateway) = self.gateway() else {
             return;
         };
         let news = gateway.replicas().apply_changes(self.now(), changes);
-        self.learned(gateway, &news, Source::Platform);
+        self.learned(gateway, &news, UpdateSource::Platform);
     }
 
     /// Takes in changes of the list of upstreams that a peer passed on.
-    pub(crate) fn hear_changes(self: &Arc<Self>, from: Incarnation, news: UpstreamUpdate) {
+    pub(crate) fn apply_peer_update(self: &Arc<Self>, from: Incarnation, news: UpstreamUpdate) {
         let Some(gateway) = self.gateway() else {
             return;
         };
         let UpstreamUpdate { changes, since, version: mark, .. } = news;
         let (news, lacking) = gateway.replicas().apply_update(self.now(), changes, since, mark);
-        self.learned(gateway, &news, Source::Peer);
+        self.learned(gateway, &news, UpdateSource::Peer);
         match lacking {
             ListGap::Nothing => {}
             ListGap::Changes => self.feed(Event::UpstreamListGap(from, mark.revision)),
@@ -41,7 +41,7 @@
     }
 
     /// Takes in a whole list of upstreams.
-    pub(crate) fn learn_list(self: &Arc<Self>, list: UpstreamList, source: Source) {
+    pub(crate) fn apply_upstream_list(self: &Arc<Self>, list: UpstreamList, source: UpdateSource) {
         let Some(gateway) = self.gateway() else {
             return;
         };
@@ -50,12 +50,12 @@
             (replicas.last_update().0 == 0, replicas.apply_list(self.now(), list))
         };
         // What is news to a process that has just started is not news to others.
-        let source = if is_first { Source::Peer } else { source };
+        let source = if is_first { UpdateSource::Peer } else { source };
         self.learned(gateway, &news, source);
     }
 
     /// Logs what was news in the list of upstreams, and tells others what the platform told.
-    fn learned(self: &Arc<Self>, gateway: &Gateway, news: &[UpstreamId], source: Source) {
+    fn learned(self: &Arc<Self>, gateway: &Gateway, news: &[UpstreamId], source: UpdateSource) {
         let (mark, count, (evacuated, cold), started_again) = {
             let mut replicas = gateway.replicas();
             let spared = replicas.restricted_counts(self.now());
@@ -79,14 +79,14 @@
         }
         // In a small fleet everybody passes on what is news to it.
         let is_small = self.node.is_small_fleet();
-        if source == Source::Platform || (is_small && !news.is_empty()) {
-            self.tell_changes(gateway, news);
+        if source == UpdateSource::Platform || (is_small && !news.is_empty()) {
+            self.announce_changes(gateway, news);
         }
     }
 
     /// Tells others what has changed in the list of upstreams since they were told last; `news`
     /// is what was news to this process.
-    fn tell_changes(self: &Arc<Self>, gateway: &Gateway, news: &[UpstreamId]) {
+    fn announce_changes(self: &Arc<Self>, gateway: &Gateway, news: &[UpstreamId]) {
         let told = self.node.announced_revision();
         let news = {
             // Changes and mark are read together: a mark that is newer claims too much.
@@ -104,7 +104,7 @@
 
     /// Tells a process what has changed in the list of upstreams since a revision, or the whole
     /// list where that is not known.
-    pub(crate) fn tell_upstreams(self: &Arc<Self>, to: Incarnation, since: u64) {
+    pub(crate) fn send_upstream_list(self: &Arc<Self>, to: Incarnation, since: u64) {
         let Some(gateway) = self.gateway() else {
             return;
         };
@@ -127,6 +127,6 @@
                 None => Message::Upstreams(replicas.list(self.now())),
             }
         };
-        self.carry_out(Command::Send(to, message));
+        self.execute(Command::Send(to, message));
     }
 }
