--- a/crates/badgerfield-node/src/caller_api.rs
+++ b/crates/badgerfield-node/src/caller_api.rs
@@ -1,4 +1,5 @@
-//! The callers' interface: HTTP, with the OpenAI API, plain services and the directory.
+//! The HTTP API for callers: chat completions of the OpenAI API, calls of plain services and the
+//! directory.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -25,62 +26,62 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-use crate::chat::{self, ChatBody, Whole};
+use crate::chat::{self, AnswerBuilder, ChatBody};
 use crate::driver::{Driver, IndexedAnswer, StartError};
 use crate::http::{self, Body};
 use crate::logs::CALLERS;
 
-/// How long a caller may take to send its headers.
-const HEADER_WAIT: Duration = Duration::from_secs(10);
-/// How long a caller may take to send its body.
-const BODY_WAIT: Duration = Duration::from_secs(30);
-/// How long a VM may take to say which templates it has.
-const VERSION_WAIT: Duration = Duration::from_millis(500);
-/// The largest buffer for headers, in bytes.
-const MAX_HEADERS: usize = 64 * 1024;
-/// The longest key of a request, in bytes.
-const MAX_KEY: usize = 256;
-
-/// What goes to an upstream.
+/// Timeout for receiving the headers of a request.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Timeout for receiving the body of a request.
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout for fetching the template version of a VM.
+const VERSION_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum size of the buffer for headers.
+const MAX_HEADER_BYTES: usize = 64 * 1024;
+/// Maximum length of an idempotency key.
+const MAX_KEY_BYTES: usize = 256;
+
+/// A request as it is sent to an upstream.
 #[derive(Debug)]
 pub(crate) struct Outgoing {
     pub(crate) target: Target,
-    /// The digest of the caller's secret.
+    /// The digest of the secret that authenticates the caller.
     pub(crate) secret: KeyDigest,
 }
 
-/// The two kinds of requests.
+/// The content of a request, by the kind of upstream.
 #[derive(Debug)]
 pub(crate) enum Target {
     Chat(Box<ChatBody>),
     Call(ServiceCall),
 }
 
-/// A call of a plain service, as it came.
+/// A call of a plain service, forwarded unchanged.
 #[derive(Debug)]
 pub(crate) struct ServiceCall {
     pub(crate) method: Method,
     pub(crate) path: String,
-    pub(crate) media: String,
+    pub(crate) content_type: String,
     pub(crate) body: Bytes,
 }
 
-/// Why a request is refused before the decisions see it.
+/// Why a request is rejected before it is passed to the core.
 #[derive(Debug)]
-enum Bad {
-    TooLarge(usize),
-    Slow,
+enum RequestError {
+    BodyTooLarge(usize),
+    BodyTimeout,
     Key,
-    Number(&'static str),
+    Header(&'static str),
     Chat(chat::ChatError),
     Path,
 }
 
-/// Serves callers until the process ends.
+/// Binds the listener for callers and spawns a task that serves them until the process ends.
 ///
 /// # Errors
 ///
-/// Fails if the address is taken.
+/// Fails if the address cannot be bound.
 pub async fn serve(driver: Arc<Driver>) -> Result<(), StartError> {
     let address = driver.settings.callers;
     let listener = listen(address).await?;
@@ -89,19 +90,20 @@
             let Ok((stream, _)) = listener.accept().await else {
                 continue;
             };
-            // Small parts of a stream must not wait for each other.
+            // Nagle's algorithm would delay the small events of a stream.
             let _ = stream.set_nodelay(true);
             let driver = Arc::clone(&driver);
             tokio::spawn(async move {
-                let service = service_fn(move |request| answer(Arc::clone(&driver), request));
+                let service =
+                    service_fn(move |request| handle_request(Arc::clone(&driver), request));
                 let served = http1::Builder::new()
                     .timer(TokioTimer::new())
-                    .header_read_timeout(HEADER_WAIT)
-                    .max_buf_size(MAX_HEADERS)
+                    .header_read_timeout(HEADER_TIMEOUT)
+                    .max_buf_size(MAX_HEADER_BYTES)
                     .serve_connection(TokioIo::new(stream), service)
                     .await;
                 if let Err(error) = served {
-                    log::debug!(target: CALLERS, "a connection ended: {error}");
+                    log::debug!(target: CALLERS, "connection with a caller failed: {error}");
                 }
             });
         }
@@ -113,16 +115,16 @@
     TcpListener::bind(address).await.map_err(|error| StartError::Listen(address, error))
 }
 
-async fn answer(
+async fn handle_request(
     driver: Arc<Driver>,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Infallible> {
     let path = request.uri().path().to_owned();
     let response = match (request.method(), path.as_str()) {
         (&Method::POST, "/v1/chat/completions") => chat_completion(driver, request).await,
-        (&Method::GET, "/v1/vms") => directory(&driver, request.headers()),
+        (&Method::GET, "/v1/vms") => directory_response(&driver, request.headers()),
         (_, path) if path.starts_with("/svc/") => service_call(driver, request).await,
-        _ => bad(&Bad::Path),
+        _ => error_response(&RequestError::Path),
     };
     Ok(response)
 }
@@ -131,176 +133,199 @@
     let (parts, body) = request.into_parts();
     let body = match read_body(&driver, body).await {
         Ok(body) => body,
-        Err(error) => return bad(&error),
+        Err(error) => return error_response(&error),
     };
     let parsed = match ChatBody::parse(&body) {
         Ok(parsed) => parsed,
-        Err(error) => return bad(&Bad::Chat(error)),
+        Err(error) => return error_response(&RequestError::Chat(error)),
     };
     let work = Work::Chat(parsed.chat.clone());
-    let form = Form { stream: parsed.stream, usage: parsed.usage };
+    let format = ChatFormat { stream: parsed.stream, include_usage: parsed.include_usage };
     let target = Target::Chat(Box::new(parsed));
-    run(driver, &parts.headers, work, target, Some(form)).await
+    run_request(driver, &parts.headers, work, target, Some(format)).await
 }
 
 async fn service_call(driver: Arc<Driver>, request: Request<Incoming>) -> Response<Body> {
     let (parts, body) = request.into_parts();
     let target = parts.uri.path_and_query().map_or("", |p| p.as_str());
-    let rest = target.trim_start_matches("/svc/");
-    let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
+    let target = target.trim_start_matches("/svc/");
+    let (name, path) = target.split_once('/').unwrap_or((target, ""));
     let Ok(service) = name.parse() else {
-        return bad(&Bad::Path);
+        return error_response(&RequestError::Path);
     };
     let path = path.to_owned();
     let body = match read_body(&driver, body).await {
         Ok(body) => body,
-        Err(error) => return bad(&error),
+        Err(error) => return error_response(&error),
     };
-    let media = text(&parts.headers, header::CONTENT_TYPE.as_str());
-    let media = media.unwrap_or("application/octet-stream").to_owned();
+    let content_type = header_text(&parts.headers, header::CONTENT_TYPE.as_str());
+    let content_type = content_type.unwrap_or("application/octet-stream").to_owned();
     let work = Work::Call(Call { service, path: path.clone() });
-    let call = ServiceCall { method: parts.method.clone(), path, media, body };
-    run(driver, &parts.headers, work, Target::Call(call), None).await
+    let call = ServiceCall { method: parts.method.clone(), path, content_type, body };
+    run_request(driver, &parts.headers, work, Target::Call(call), None).await
 }
 
-/// How a caller wants a chat completion.
+/// The format in which a caller requests the answer of a chat completion.
 #[derive(Debug, Clone, Copy)]
-struct Form {
+struct ChatFormat {
     stream: bool,
-    usage: bool,
+    include_usage: bool,
 }
 
-async fn run(
+/// Passes a request to the core and waits for its answer.
+async fn run_request(
     driver: Arc<Driver>,
     headers: &HeaderMap,
     work: Work,
     target: Target,
-    form: Option<Form>,
+    format: Option<ChatFormat>,
 ) -> Response<Body> {
-    let arrival = match arrival(headers, work) {
-        Ok(arrival) => arrival,
-        Err(error) => return bad(&error),
+    let request = match parse_request(headers, work) {
+        Ok(request) => request,
+        Err(error) => return error_response(&error),
     };
-    let outgoing = Outgoing { target, secret: arrival.secret_digest };
+    let outgoing = Outgoing { target, secret: request.secret_digest };
     if let Err(refusal) = driver.check_outgoing(&outgoing) {
-        // Whether a key has run before is known to its arbiter only.
-        let outcome = if arrival.key.is_some() { Outcome::Unknown } else { refusal.outcome };
+        // Only the arbiter of the key knows whether a request with this key has run before.
+        let outcome = if request.key.is_some() { Outcome::Unknown } else { refusal.outcome };
         let refusal = Refusal { outcome, ..refusal };
         driver.metrics.count_refusal(&refusal);
-        return refuse(&refusal);
+        return refusal_response(&refusal);
     }
-    let Some((id, answers)) = driver.open_request(outgoing) else {
+    let Some((id, receiver)) = driver.open_request(outgoing) else {
         let refusal = Refusal::not_run(Cause::Overloaded).with_retry_after(Duration::from_secs(1));
         driver.metrics.count_refusal(&refusal);
-        return refuse(&refusal);
+        return refusal_response(&refusal);
     };
     driver.metrics.requests.inc();
-    let line = Line { driver: Arc::clone(&driver), id, answers, next: 0, early: BTreeMap::new() };
-    driver.feed(Event::RequestArrived(id, Box::new(arrival)));
-    respond(line, form).await
+    let answers = AnswerReceiver {
+        driver: Arc::clone(&driver),
+        id,
+        receiver,
+        next_index: 0,
+        out_of_order: BTreeMap::new(),
+    };
+    driver.feed(Event::RequestArrived(id, Box::new(request)));
+    respond(answers, format).await
 }
 
-fn arrival(headers: &HeaderMap, work: Work) -> Result<IncomingRequest, Bad> {
-    let secret = text(headers, header::AUTHORIZATION.as_str()).unwrap_or_default();
+/// Reads the headers of a request.
+fn parse_request(headers: &HeaderMap, work: Work) -> Result<IncomingRequest, RequestError> {
+    let secret = header_text(headers, header::AUTHORIZATION.as_str()).unwrap_or_default();
     let secret = secret.strip_prefix("Bearer ").unwrap_or_default();
     let key = match headers.get("idempotency-key") {
         None => None,
-        Some(value) => Some(value.to_str().map_err(|_| Bad::Key)?.to_owned()),
+        Some(value) => Some(value.to_str().map_err(|_| RequestError::Key)?.to_owned()),
     };
-    if key.as_ref().is_some_and(|k| k.is_empty() || k.len() > MAX_KEY) {
-        return Err(Bad::Key);
+    if key.as_ref().is_some_and(|k| k.is_empty() || k.len() > MAX_KEY_BYTES) {
+        return Err(RequestError::Key);
     }
-    let once = match text(headers, "x-run-once") {
+    let at_most_once = match header_text(headers, "x-run-once") {
         None => false,
-        Some(text) => text.parse().map_err(|_| Bad::Number("X-Run-Once: true or false"))?,
+        Some(text) => {
+            text.parse().map_err(|_| RequestError::Header("X-Run-Once: true or false"))?
+        }
     };
-    let patience = match text(headers, "x-max-wait-ms") {
+    let max_wait = match header_text(headers, "x-max-wait-ms") {
         None => None,
         Some(millis) => {
             let millis: u32 =
-                millis.parse().map_err(|_| Bad::Number("X-Max-Wait-Ms: milliseconds"))?;
+                millis.parse().map_err(|_| RequestError::Header("X-Max-Wait-Ms: milliseconds"))?;
             Some(Duration::from_millis(millis.into()))
         }
     };
     Ok(IncomingRequest {
         secret_digest: KeyDigest::from_secret(secret),
         key,
-        at_most_once: once,
+        at_most_once,
         work,
-        max_wait: patience,
+        max_wait,
     })
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-async fn read_body(driver: &Driver, body: Incoming) -> Result<Bytes, Bad> {
+async fn read_body(driver: &Driver, body: Incoming) -> Result<Bytes, RequestError> {
     let limit = driver.settings.limits.body;
     let read = http::read_body(body, limit);
-    let body = tokio::time::timeout(BODY_WAIT, read).await.map_err(|_| Bad::Slow)?;
-    body.ok_or(Bad::TooLarge(limit))
+    let body =
+        tokio::time::timeout(BODY_TIMEOUT, read).await.map_err(|_| RequestError::BodyTimeout)?;
+    body.ok_or(RequestError::BodyTooLarge(limit))
 }
 
-/// The answers to one request, in order.
-struct Line {
+/// Receives the parts of the answer to one request and returns them in order.
+///
+/// The request is closed when this is dropped, also because its caller has disconnected.
+struct AnswerReceiver {
     driver: Arc<Driver>,
     id: RequestId,
-    answers: mpsc::UnboundedReceiver<IndexedAnswer>,
-    next: usize,
-    early: BTreeMap<usize, Answer>,
+    receiver: mpsc::UnboundedReceiver<IndexedAnswer>,
+    next_index: usize,
+    /// Parts that arrived before a part with a smaller index.
+    out_of_order: BTreeMap<usize, Answer>,
 }
 
-impl Line {
+impl AnswerReceiver {
+    /// Waits for the next part of the answer.
     async fn next(&mut self) -> Option<Answer> {
         loop {
-            if let Some(answer) = self.early.remove(&self.next) {
-                self.next += 1;
+            if let Some(answer) = self.out_of_order.remove(&self.next_index) {
+                self.next_index += 1;
                 return Some(answer);
             }
-            let (place, answer) = self.answers.recv().await?;
-            self.early.insert(place, answer);
+            let (index, answer) = self.receiver.recv().await?;
+            self.out_of_order.insert(index, answer);
         }
     }
 }
 
-impl Drop for Line {
+impl Drop for AnswerReceiver {
     fn drop(&mut self) {
         self.driver.close_request(self.id);
     }
 }
 
-async fn respond(mut line: Line, form: Option<Form>) -> Response<Body> {
-    match line.next().await {
-        Some(Answer::Head(head)) => begin(line, head, form).await,
-        Some(Answer::Refused(refusal) | Answer::Broken(refusal)) => refuse(&refusal),
+async fn respond(mut answers: AnswerReceiver, format: Option<ChatFormat>) -> Response<Body> {
+    match answers.next().await {
+        Some(Answer::Head(head)) => respond_with_head(answers, head, format).await,
+        Some(Answer::Refused(refusal) | Answer::Broken(refusal)) => refusal_response(&refusal),
         Some(Answer::Data(_) | Answer::End(_)) | None => {
-            refuse(&Refusal::may_have_run(Cause::BrokenOff))
+            refusal_response(&Refusal::may_have_run(Cause::BrokenOff))
         }
     }
 }
 
-async fn begin(line: Line, head: Head, form: Option<Form>) -> Response<Body> {
-    let events = head.content_type == "text/event-stream" && head.status == 200;
-    match form.filter(|_| events) {
-        Some(form) if form.stream => stream_events(line, &head, form),
-        Some(_) => whole_chat(line).await,
-        None => pass_through(line, &head),
+/// Responds to a request whose upstream has sent the head of its response.
+async fn respond_with_head(
+    answers: AnswerReceiver,
+    head: Head,
+    format: Option<ChatFormat>,
+) -> Response<Body> {
+    let is_event_stream = head.content_type == "text/event-stream" && head.status == 200;
+    match format.filter(|_| is_event_stream) {
+        Some(format) if format.stream => stream_events(answers, &head, format),
+        Some(_) => collect_answer(answers).await,
+        None => forward_body(answers, &head),
     }
 }
 
-fn stream_events(line: Line, head: &Head, form: Form) -> Response<Body> {
-    let frames = stream::unfold(Some(line), move |line| async move {
-        let mut line = line?;
+/// Forwards the events of a chat completion to its caller.
+fn stream_events(answers: AnswerReceiver, head: &Head, format: ChatFormat) -> Response<Body> {
+    let frames = stream::unfold(Some(answers), move |answers| async move {
+        let mut answers = answers?;
         loop {
-            let frame = match line.next().await {
-                Some(Answer::Data(data)) => match chat::for_caller(&data, form.usage) {
-                    Some(event) => (event_of(&event), Some(line)),
-                    None => continue,
-                },
+            let frame = match answers.next().await {
+                Some(Answer::Data(data)) => {
+                    match chat::to_caller_event(&data, format.include_usage) {
+                        Some(event) => (format_event(&event), Some(answers)),
+                        None => continue,
+                    }
+                }
                 Some(Answer::End(_)) => (Bytes::from_static(b"data: [DONE]\n\n"), None),
                 Some(Answer::Broken(refusal) | Answer::Refused(refusal)) => {
-                    (event_of(error_of(&refusal).to_string().as_bytes()), None)
+                    (format_event(error_body(&refusal).to_string().as_bytes()), None)
                 }
                 Some(Answer::Head(_)) => continue,
                 None => return None,
@@ -311,41 +336,45 @@
     respond_with(head, StreamBody::new(frames).boxed_unsync())
 }
 
-fn event_of(data: &[u8]) -> Bytes {
+fn format_event(data: &[u8]) -> Bytes {
     let mut event = b"data: ".to_vec();
     event.extend_from_slice(data);
     event.extend_from_slice(b"\n\n");
     Bytes::from(event)
 }
 
-async fn whole_chat(mut line: Line) -> Response<Body> {
-    let mut whole = Whole::default();
+/// Collects the events of a chat completion and responds with the complete answer.
+async fn collect_answer(mut answers: AnswerReceiver) -> Response<Body> {
+    let mut builder = AnswerBuilder::default();
     loop {
-        match line.next().await {
-            Some(Answer::Data(data)) => whole.add(&data),
+        match answers.next().await {
+            Some(Answer::Data(data)) => builder.add_event(&data),
             Some(Answer::End(cost)) => {
-                let mut response = http::json_response(StatusCode::OK, &whole.into_json());
+                let mut response = http::json_response(StatusCode::OK, &builder.into_json());
                 response.headers_mut().insert("x-cost", HeaderValue::from(cost.0));
                 return response;
             }
-            Some(Answer::Broken(refusal) | Answer::Refused(refusal)) => return refuse(&refusal),
+            Some(Answer::Broken(refusal) | Answer::Refused(refusal)) => {
+                return refusal_response(&refusal);
+            }
             Some(Answer::Head(_)) => {}
-            None => return refuse(&Refusal::may_have_run(Cause::BrokenOff)),
+            None => return refusal_response(&Refusal::may_have_run(Cause::BrokenOff)),
         }
     }
 }
 
-/// Passes on an answer of a plain service; one that breaks off ends the connection.
-fn pass_through(line: Line, head: &Head) -> Response<Body> {
-    let frames = stream::unfold(Some(line), |line| async move {
-        let mut line = line?;
+/// Forwards the body of a response that is no event stream. If it breaks off, the body ends with
+/// an error object.
+fn forward_body(answers: AnswerReceiver, head: &Head) -> Response<Body> {
+    let frames = stream::unfold(Some(answers), |answers| async move {
+        let mut answers = answers?;
         loop {
-            match line.next().await {
-                Some(Answer::Data(data)) => return Some((Ok(Frame::data(data)), Some(line))),
+            match answers.next().await {
+                Some(Answer::Data(data)) => return Some((Ok(Frame::data(data)), Some(answers))),
                 Some(Answer::Head(_)) => {}
                 Some(Answer::End(_)) | None => return None,
                 Some(Answer::Broken(refusal) | Answer::Refused(refusal)) => {
-                    let text = format!("\n{}\n", error_of(&refusal));
+                    let text = format!("\n{}\n", error_body(&refusal));
                     return Some((Ok(Frame::data(Bytes::from(text))), None));
                 }
             }
@@ -357,54 +386,57 @@
 fn respond_with(head: &Head, body: Body) -> Response<Body> {
     let mut response = Response::new(body);
     *response.status_mut() = StatusCode::from_u16(head.status).unwrap_or(StatusCode::BAD_GATEWAY);
-    if let Ok(media) = HeaderValue::from_str(&head.content_type) {
-        response.headers_mut().insert(header::CONTENT_TYPE, media);
+    if let Ok(content_type) = HeaderValue::from_str(&head.content_type) {
+        response.headers_mut().insert(header::CONTENT_TYPE, content_type);
     }
     response
 }
 
-fn error_of(refusal: &Refusal) -> Value {
+/// Returns the JSON error object for a refusal.
+fn error_body(refusal: &Refusal) -> Value {
     let mut error = json!({
         "type": refusal.cause.code(),
         "message": refusal.cause.to_string(),
         "outcome": refusal.outcome.as_str(),
     });
-    if let Some(after) = refusal.retry_after {
-        error["retry_after_ms"] = json!(u64::try_from(after.as_millis()).unwrap_or(u64::MAX));
+    if let Some(delay) = refusal.retry_after {
+        error["retry_after_ms"] = json!(u64::try_from(delay.as_millis()).unwrap_or(u64::MAX));
     }
     json!({ "error": error })
 }
 
-fn refuse(refusal: &Refusal) -> Response<Body> {
+fn refusal_response(refusal: &Refusal) -> Response<Body> {
     let status = StatusCode::from_u16(refusal.cause.status()).unwrap_or(StatusCode::BAD_GATEWAY);
-    let mut response = http::json_response(status, &error_of(refusal));
-    if let Some(after) = refusal.retry_after {
-        let seconds = after.as_millis().div_ceil(1000);
+    let mut response = http::json_response(status, &error_body(refusal));
+    if let Some(delay) = refusal.retry_after {
+        let seconds = delay.as_millis().div_ceil(1000);
         let value = HeaderValue::from(u64::try_from(seconds).unwrap_or(u64::MAX));
         response.headers_mut().insert(header::RETRY_AFTER, value);
     }
     response
 }
 
-fn bad(error: &Bad) -> Response<Body> {
+fn error_response(error: &RequestError) -> Response<Body> {
     let (status, code, message) = match error {
-        Bad::TooLarge(limit) => {
+        RequestError::BodyTooLarge(limit) => {
             let message = format!("expected a whole body of at most {limit} bytes");
             (StatusCode::PAYLOAD_TOO_LARGE, "body_too_large", message)
         }
-        Bad::Slow => (
+        RequestError::BodyTimeout => (
             StatusCode::REQUEST_TIMEOUT,
             "body_too_slow",
-            format!("expected the body within {BODY_WAIT:?}"),
+            format!("expected the body within {BODY_TIMEOUT:?}"),
         ),
-        Bad::Key => {
+        RequestError::Key => {
             let message =
-                format!("expected an Idempotency-Key of 1 to {MAX_KEY} visible characters");
+                format!("expected an Idempotency-Key of 1 to {MAX_KEY_BYTES} visible characters");
             (StatusCode::BAD_REQUEST, "bad_key", message)
         }
-        Bad::Number(what) => (StatusCode::BAD_REQUEST, "bad_header", format!("expected {what}")),
-        Bad::Chat(error) => (StatusCode::BAD_REQUEST, "bad_body", error.to_string()),
-        Bad::Path => {
+        RequestError::Header(expected) => {
+            (StatusCode::BAD_REQUEST, "bad_header", format!("expected {expected}"))
+        }
+        RequestError::Chat(error) => (StatusCode::BAD_REQUEST, "bad_body", error.to_string()),
+        RequestError::Path => {
             let message = "expected /v1/chat/completions, /v1/vms or /svc/SERVICE/PATH".to_owned();
             (StatusCode::NOT_FOUND, "bad_path", message)
         }
@@ -413,16 +445,16 @@
     http::json_response(status, &json!({ "error": error }))
 }
 
-/// Asks a VM which version of the templates it has in force.
+/// Fetches the version of the templates in force on a VM; `None` if the VM does not answer.
 pub async fn fetch_templates_version(address: SocketAddr) -> Option<TemplateVersion> {
     let request = Request::get(format!("http://{address}/v1/vms")).body(Full::default()).ok()?;
-    let answer = http::call_json(&http::client(), request, VERSION_WAIT).await.ok()?;
+    let answer = http::call_json(&http::client(), request, VERSION_TIMEOUT).await.ok()?;
     answer["templates"].as_u64().map(TemplateVersion)
 }
 
-/// Answers which addresses to use, and for how long.
-fn directory(driver: &Driver, headers: &HeaderMap) -> Response<Body> {
-    let secret = text(headers, header::AUTHORIZATION.as_str()).unwrap_or_default();
+/// Responds with the addresses that the caller may use, and how long it may cache them.
+fn directory_response(driver: &Driver, headers: &HeaderMap) -> Response<Body> {
+    let secret = header_text(headers, header::AUTHORIZATION.as_str()).unwrap_or_default();
     let secret = secret.strip_prefix("Bearer ").map(KeyDigest::from_secret);
     let members = driver.node.directory(driver.now(), secret.as_ref());
     let vms: Vec<_> = members
--- a/crates/badgerfield-node/src/chat.rs
+++ b/crates/badgerfield-node/src/chat.rs
@@ -1,8 +1,8 @@
-//! Chat completions: the OpenAI API as callers and engines speak it.
+//! Chat completions of the OpenAI API, as callers send them and engines receive them.
 //!
-//! Source: <https://platform.openai.com/docs/api-reference/chat>. Engines are asked to
-//! stream in all cases, with the tokens used so far in every event, so that a whole
-//! answer and a streamed one are the same to the rest of the system.
+//! Reference: <https://platform.openai.com/docs/api-reference/chat>. Requests to engines always
+//! ask for a stream that reports the tokens used so far in every event, so that the rest of
+//! the system handles complete and streamed answers alike.
 
 use std::collections::BTreeMap;
 
@@ -13,12 +13,13 @@
 use serde_json::{Map, Value, json};
 use thiserror::Error;
 
-/// What the prompt may gain by the engine's own template, in tokens.
-const TEMPLATE_ROOM: u64 = 64;
-/// The deepest nesting of a body; the parser itself stops at 128.
+/// Maximum number of tokens that an engine's chat template adds to the prompt.
+const MAX_TEMPLATE_TOKENS: u64 = 64;
+/// Maximum number of messages of a request. Nesting of the body needs no limit here: the parser
+/// stops at 128 levels.
 const MAX_MESSAGES: usize = 10_000;
 
-/// Why a body is not a chat completion that can be served.
+/// Why a body is rejected as a chat completion.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub(crate) enum ChatError {
     #[error("expected a JSON object as the body")]
@@ -42,19 +43,20 @@
 pub(crate) struct ChatBody {
     pub(crate) chat: Chat,
     pub(crate) stream: bool,
-    pub(crate) usage: bool,
+    /// Whether the caller receives the event with the tokens used.
+    pub(crate) include_usage: bool,
     body: Map<String, Value>,
 }
 
 impl ChatBody {
-    /// Parses a body.
+    /// Parses the body of a request.
     pub(crate) fn parse(bytes: &[u8]) -> Result<Self, ChatError> {
         let body: Value = serde_json::from_slice(bytes).map_err(|_| ChatError::NotObject)?;
         let Value::Object(body) = body else {
             return Err(ChatError::NotObject);
         };
         let model: Model =
-            name(&body, "model").and_then(|m| m.parse().ok()).ok_or(ChatError::Model)?;
+            string_field(&body, "model").and_then(|m| m.parse().ok()).ok_or(ChatError::Model)?;
         let adapter = match body.get("adapter") {
             None | Some(Value::Null) => None,
             Some(Value::String(text)) => {
@@ -66,7 +68,7 @@
         if messages.is_empty() || messages.len() > MAX_MESSAGES {
             return Err(ChatError::Messages);
         }
-        let output = output(&body)?;
+        let output_limit = parse_output_limit(&body)?;
         if body.get("n").is_some_and(|n| n.as_u64() != Some(1) && !n.is_null()) {
             return Err(ChatError::Choices);
         }
@@ -74,33 +76,36 @@
             None | Some(Value::Null) => false,
             Some(value) => value.as_bool().ok_or(ChatError::Stream)?,
         };
-        let usage = body.get("stream_options").is_some_and(|o| o["include_usage"] == json!(true));
+        let include_usage =
+            body.get("stream_options").is_some_and(|o| o["include_usage"] == json!(true));
         let prompt = prompt_text(&body);
-        // A byte-level tokenizer never yields more tokens than there are bytes.
-        let bound = u64::try_from(prompt.len()).unwrap_or(u64::MAX).saturating_add(TEMPLATE_ROOM);
-        let prefixes = prefix_digests(prompt.as_bytes());
+        // A byte-level tokenizer never produces more tokens than the text has bytes.
+        let max_tokens =
+            u64::try_from(prompt.len()).unwrap_or(u64::MAX).saturating_add(MAX_TEMPLATE_TOKENS);
+        let prefix_digests = prefix_digests(prompt.as_bytes());
         let chat = Chat {
             model,
             adapter,
-            prompt_tokens: Tokens(bound),
-            output_limit: output,
-            prefix_digests: prefixes,
+            prompt_tokens: Tokens(max_tokens),
+            output_limit,
+            prefix_digests,
         };
-        Ok(Self { chat, stream, usage, body })
+        Ok(Self { chat, stream, include_usage, body })
     }
 
-    /// Returns what the caller asks for, written alike whatever the order of its fields.
+    /// Returns the body as JSON with its fields sorted by name, so that equal requests have equal
+    /// digests whatever the order of their fields.
     pub(crate) fn digested(&self) -> Vec<u8> {
         let fields: BTreeMap<_, _> = self.body.iter().collect();
-        // Fields of JSON always have a JSON form.
+        // Encoding cannot fail: the fields were parsed from JSON.
         serde_json::to_vec(&fields).unwrap_or_default()
     }
 
-    /// Returns the body that an engine gets.
-    pub(crate) fn for_engine(&self, output: Tokens, priority: u32) -> Vec<u8> {
+    /// Returns the body of the request to an engine.
+    pub(crate) fn to_engine_body(&self, output_limit: Tokens, priority: u32) -> Vec<u8> {
         let mut body = self.body.clone();
         body.remove("max_completion_tokens");
-        body.insert("max_tokens".into(), json!(output.0));
+        body.insert("max_tokens".into(), json!(output_limit.0));
         body.insert("stream".into(), json!(true));
         let options = json!({ "include_usage": true, "continuous_usage_stats": true });
         body.insert("stream_options".into(), options);
@@ -109,11 +114,11 @@
     }
 }
 
-fn name<'a>(body: &'a Map<String, Value>, key: &str) -> Option<&'a str> {
+fn string_field<'a>(body: &'a Map<String, Value>, key: &str) -> Option<&'a str> {
     body.get(key)?.as_str()
 }
 
-fn output(body: &Map<String, Value>) -> Result<Option<Tokens>, ChatError> {
+fn parse_output_limit(body: &Map<String, Value>) -> Result<Option<Tokens>, ChatError> {
     let value = body.get("max_completion_tokens").or_else(|| body.get("max_tokens"));
     match value {
         None | Some(Value::Null) => Ok(None),
@@ -134,41 +139,42 @@
     text
 }
 
-/// Reads the tokens used so far from an event of an engine's stream.
-pub(crate) fn usage(event: &Value) -> Option<Usage> {
+/// Returns the tokens used so far, as an event of an engine's stream reports them.
+pub(crate) fn parse_usage(event: &Value) -> Option<Usage> {
     let usage = event.get("usage")?;
     let prompt = Tokens(usage.get("prompt_tokens")?.as_u64()?);
     let output = Tokens(usage.get("completion_tokens")?.as_u64()?);
     Some(Usage { prompt, output })
 }
 
-/// Makes the event that a caller gets of an engine's event; nothing if it gets none.
-pub(crate) fn for_caller(data: &[u8], usage: bool) -> Option<Vec<u8>> {
+/// Converts an event of an engine to the one that the caller receives; `None` for the event that
+/// only reports the tokens used, unless the caller requested it.
+pub(crate) fn to_caller_event(data: &[u8], include_usage: bool) -> Option<Vec<u8>> {
     let Ok(Value::Object(mut event)) = serde_json::from_slice(data) else {
         return Some(data.to_vec());
     };
-    let empty = event.get("choices").and_then(Value::as_array).is_some_and(Vec::is_empty);
-    if empty {
-        return usage.then(|| data.to_vec());
+    let is_usage_event = event.get("choices").and_then(Value::as_array).is_some_and(Vec::is_empty);
+    if is_usage_event {
+        return include_usage.then(|| data.to_vec());
     }
     event.remove("usage");
     Some(Value::Object(event).to_string().into_bytes())
 }
 
-/// Puts a whole answer together from the events of a stream.
+/// Assembles a complete answer from the events of a stream.
 #[derive(Debug, Default)]
-pub(crate) struct Whole {
+pub(crate) struct AnswerBuilder {
     head: Option<Map<String, Value>>,
     role: Option<Value>,
     content: String,
-    calls: Vec<Value>,
-    finish: Value,
+    tool_calls: Vec<Value>,
+    finish_reason: Value,
     usage: Value,
 }
 
-impl Whole {
-    /// Adds an event.
-    pub(crate) fn add(&mut self, data: &[u8]) {
+impl AnswerBuilder {
+    /// Adds the data of an event; ignores data that is not a JSON object.
+    pub(crate) fn add_event(&mut self, data: &[u8]) {
         let Ok(Value::Object(mut event)) = serde_json::from_slice(data) else {
             return;
         };
@@ -185,26 +191,26 @@
             self.content.push_str(text);
         }
         if let Some(calls) = delta["tool_calls"].as_array() {
-            self.calls.extend(calls.iter().cloned());
+            self.tool_calls.extend(calls.iter().cloned());
         }
         if let Some(role) = delta.get("role") {
             self.role = Some(role.clone());
         }
         if !choice["finish_reason"].is_null() {
-            self.finish = choice["finish_reason"].clone();
+            self.finish_reason = choice["finish_reason"].clone();
         }
     }
 
-    /// Returns the whole answer.
+    /// Returns the complete answer as JSON.
     pub(crate) fn into_json(self) -> Value {
         let mut answer = self.head.unwrap_or_default();
         answer.insert("object".into(), json!("chat.completion"));
         let role = self.role.unwrap_or_else(|| json!("assistant"));
         let mut message = json!({ "role": role, "content": self.content });
-        if !self.calls.is_empty() {
-            message["tool_calls"] = json!(self.calls);
+        if !self.tool_calls.is_empty() {
+            message["tool_calls"] = json!(self.tool_calls);
         }
-        let choice = json!({ "index": 0, "message": message, "finish_reason": self.finish });
+        let choice = json!({ "index": 0, "message": message, "finish_reason": self.finish_reason });
         answer.insert("choices".into(), json!([choice]));
         answer.insert("usage".into(), self.usage);
         Value::Object(answer)
--- a/crates/badgerfield-node/src/driver.rs
+++ b/crates/badgerfield-node/src/driver.rs
@@ -37,7 +37,7 @@
 use crate::settings::Settings;
 use crate::store_calls::{self, CallKind};
 use crate::sync::lock;
-use crate::upstream_client::Upstreams;
+use crate::upstream_client::UpstreamClient;
 
 /// Share of the grace period of a stop, in percent, in which new requests are still accepted:
 /// callers cache the answer of the directory for a while.
@@ -95,7 +95,7 @@
     /// When the planned stop started; `None` before it.
     stopping_since: watch::Sender<Option<Time>>,
     peers: Arc<PeerTransport>,
-    upstreams: Upstreams,
+    upstream_client: UpstreamClient,
     requests: Mutex<HashMap<RequestId, OpenRequest>>,
     next_request: AtomicU64,
     exit: watch::Sender<bool>,
@@ -158,7 +158,7 @@
             replicas.set_regions(settings.regions.clone());
             replicas.set_location(location, settings.locality);
         }
-        let upstreams = Upstreams::new(limits.silence);
+        let upstream_client = UpstreamClient::new(limits.silence);
         Ok(Arc::new(Self {
             node,
             metrics: Metrics::new(),
@@ -169,7 +169,7 @@
             next_reservation: AtomicU64::new(1),
             stopping_since: watch::channel(None).0,
             peers: Arc::new(peers),
-            upstreams,
+            upstream_client,
             requests: Mutex::default(),
             next_request: AtomicU64::new(1),
             exit: watch::channel(false).0,
@@ -260,8 +260,8 @@
         (id, receiver)
     }
 
-    pub(crate) fn upstreams(&self) -> &Upstreams {
-        &self.upstreams
+    pub(crate) fn upstream_client(&self) -> &UpstreamClient {
+        &self.upstream_client
     }
 
     /// Waits until the process may exit: the core has handed over its state and no request on a
@@ -325,7 +325,7 @@
                 });
             }
             Command::Dispatch(attempt, dispatch) => self.dispatch(attempt, dispatch),
-            Command::Cancel(attempt) => self.upstreams.cancel(attempt),
+            Command::Cancel(attempt) => self.upstream_client.cancel(attempt),
             Command::Answer(id, index, answer) => {
                 if let Answer::Refused(refusal) | Answer::Broken(refusal) = &answer {
                     self.metrics.count_refusal(refusal);
@@ -394,7 +394,7 @@
         });
         let address = self.node.upstream_address(&dispatch.upstream);
         let driver = Arc::clone(self);
-        self.upstreams.dispatch(driver, attempt, dispatch, address, outgoing);
+        self.upstream_client.dispatch(driver, attempt, dispatch, address, outgoing);
     }
 
     fn log_bill(&self, bill: &Bill) {
@@ -543,7 +543,7 @@
             match fetch_vm_list(&client, uri, self.settings.platform.timeout).await {
                 Some(list) => {
                     self.feed(Event::VmList(list));
-                    self.upstreams.poll_loads(&self).await;
+                    self.upstream_client.poll_loads(&self).await;
                 }
                 None => log::warn!(target: PLATFORM, "cannot read the VM list from {uri}"),
             }
--- a/crates/badgerfield-node/src/peers.rs
+++ b/crates/badgerfield-node/src/peers.rs
@@ -50,7 +50,8 @@
 const CONNECTION_WINDOW_BYTES: u32 = 512 << 10;
 /// Maximum number of streams, one batch each, that a peer may have open at once.
 const MAX_STREAMS: u32 = 64;
-/// Size of the buffers for datagrams (heartbeats) to be sent or read; the oldest are dropped.
+/// Size of the send buffer and of the receive buffer for datagrams, which carry heartbeats and
+/// other repeated messages. A full buffer drops the oldest datagrams.
 const DATAGRAM_BUFFER_BYTES: usize = 16 << 10;
 /// The ALPN protocol name.
 const ALPN_PROTOCOL: &[u8] = b"badgerfield/1";
--- a/crates/badgerfield-node/src/upstream_client.rs
+++ b/crates/badgerfield-node/src/upstream_client.rs
@@ -1,9 +1,9 @@
-//! Engines and plain services: sends them requests and reads what they answer.
+//! HTTP client for engines and plain services.
 //!
-//! An engine speaks the OpenAI API, streams server-sent events, and keeps a stream
+//! An engine implements the OpenAI API, streams server-sent events, and stores each stream
 //! under the name in the header `X-Stream`: `GET /v1/streams/NAME?from=N` resumes it
-//! from event N, `DELETE /v1/streams/NAME` cancels it and says what it has used, and
-//! `GET /load` reports the load. A plain service gets the call as it came.
+//! from event N, `DELETE /v1/streams/NAME` cancels it and returns the tokens used, and
+//! `GET /load` returns the load. Calls of a plain service are forwarded unchanged.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -32,39 +32,41 @@
 
 /// The header that names a stream.
 pub const STREAM_HEADER: &str = "x-stream";
-/// How long a cancelled engine may take to say what it has used.
-const CANCEL: Duration = Duration::from_secs(2);
-/// How long a report of load may take.
-const LOAD: Duration = Duration::from_millis(500);
-/// The largest event of a stream, in bytes.
-const MAX_EVENT: usize = 1_000_000;
+/// Timeout for cancelling a stream, which returns the tokens used.
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout for a load report.
+const LOAD_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum size of an event of a stream.
+const MAX_EVENT_BYTES: usize = 1_000_000;
 
-/// The attempts under way.
+/// Sends attempts to upstreams and keeps track of those that are running.
 #[derive(Debug)]
-pub struct Upstreams {
+pub struct UpstreamClient {
     client: HttpClient,
-    silence: Duration,
+    /// Maximum time without data from an upstream.
+    idle_timeout: Duration,
+    /// The senders that cancel the running attempts.
     running: Mutex<HashMap<AttemptId, oneshot::Sender<()>>>,
 }
 
-/// What one attempt needs.
+/// One attempt to send a request to an upstream, or to resume its stream.
 struct Attempt {
     id: AttemptId,
     dispatch: Dispatch,
     address: SocketAddr,
     outgoing: Option<Arc<Outgoing>>,
     client: HttpClient,
-    silence: Duration,
+    idle_timeout: Duration,
 }
 
-impl Upstreams {
-    /// Prepares to call upstreams that may be silent for a span.
+impl UpstreamClient {
+    /// Creates a client that breaks off an attempt if no data arrives within a timeout.
     #[must_use]
-    pub fn new(silence: Duration) -> Self {
-        Self { client: http::client(), silence, running: Mutex::default() }
+    pub fn new(idle_timeout: Duration) -> Self {
+        Self { client: http::client(), idle_timeout, running: Mutex::default() }
     }
 
-    /// Sends a request to an upstream, or resumes its stream.
+    /// Spawns an attempt to send a request to an upstream, or to resume its stream.
     pub(crate) fn dispatch(
         &self,
         driver: Arc<Driver>,
@@ -75,34 +77,34 @@
     ) {
         let (cancel, cancelled) = oneshot::channel();
         self.lock().insert(id, cancel);
-        let (client, silence) = (self.client.clone(), self.silence);
+        let (client, idle_timeout) = (self.client.clone(), self.idle_timeout);
         tokio::spawn(async move {
-            let last = match address {
+            let end_event = match address {
                 Some(address) if !is_blocked(&driver, &dispatch, outgoing.as_deref()) => {
-                    let attempt = Attempt { id, dispatch, address, outgoing, client, silence };
+                    let attempt = Attempt { id, dispatch, address, outgoing, client, idle_timeout };
                     attempt.run(&driver, cancelled).await
                 }
                 Some(_) | None => UpstreamEvent::NotSent,
             };
-            driver.forget(id);
-            driver.feed(Event::Upstream(id, last));
+            driver.remove_attempt(id);
+            driver.feed(Event::Upstream(id, end_event));
         });
     }
 
-    /// Stops an attempt.
+    /// Cancels an attempt.
     pub(crate) fn cancel(&self, id: AttemptId) {
         if let Some(cancel) = self.lock().remove(&id) {
-            // An attempt that has just ended needs no cancelling.
+            // Sending fails if the attempt has just ended, which needs no cancelling.
             let _ = cancel.send(());
         }
     }
 
-    /// Asks all engines for their load.
+    /// Requests the load of all engines.
     pub(crate) async fn poll_loads(&self, driver: &Arc<Driver>) {
         let calls = driver.node.engine_addresses().into_iter().map(|(id, address)| async move {
             let request =
                 Request::get(format!("http://{address}/load")).body(Full::default()).ok()?;
-            let value = http::call_json(&self.client, request, LOAD).await.ok()?;
+            let value = http::call_json(&self.client, request, LOAD_TIMEOUT).await.ok()?;
             let report: LoadReport = serde_json::from_value(value).ok()?;
             Some((id, report))
         });
@@ -111,7 +113,7 @@
         }
     }
 
-    pub(crate) fn forget(&self, id: AttemptId) {
+    pub(crate) fn remove_attempt(&self, id: AttemptId) {
         self.lock().remove(&id);
     }
 
@@ -121,67 +123,70 @@
 }
 
 impl Attempt {
+    /// Runs the attempt, reports a crash or a complete response to the driver, and returns the
+    /// event that ends the attempt.
     async fn run(&self, driver: &Arc<Driver>, cancelled: oneshot::Receiver<()>) -> UpstreamEvent {
         let upstream = &self.dispatch.upstream;
         let outgoing = self.outgoing.as_deref();
-        let life = outgoing.map_or(0, |outgoing| driver.life_of(outgoing, upstream));
-        let (last, is_cancelled) = tokio::select! {
-            last = self.exchange(driver) => (last, false),
+        let prior_crashes = outgoing.map_or(0, |outgoing| driver.life_of(outgoing, upstream));
+        let (end_event, is_cancelled) = tokio::select! {
+            event = self.exchange(driver) => (event, false),
             Ok(()) = cancelled => (self.cancel().await, true),
         };
-        match (&last, outgoing) {
+        match (&end_event, outgoing) {
             (UpstreamEvent::Broken, Some(outgoing)) => {
-                let point = self.dispatch.resume_from.unwrap_or(0);
-                let to = (upstream, self.address);
-                driver.note_outgoing_broken(outgoing, to, (life, point)).await;
+                let events_sent = self.dispatch.resume_from.unwrap_or(0);
+                let target = (upstream, self.address);
+                driver.note_outgoing_broken(outgoing, target, (prior_crashes, events_sent)).await;
             }
             (UpstreamEvent::Ended { .. }, Some(outgoing)) if !is_cancelled => {
                 driver.note_outgoing_whole(outgoing);
             }
             _ => {}
         }
-        last
+        end_event
     }
 
+    /// Sends the request, passes the response on, and returns the event that ends the attempt.
     async fn exchange(&self, driver: &Arc<Driver>) -> UpstreamEvent {
-        let Some(request) = self.request() else {
+        let Some(request) = self.build_request() else {
             return UpstreamEvent::NotSent;
         };
-        let response = match tokio::time::timeout(self.silence, self.client.request(request)).await
-        {
-            Ok(Ok(response)) => response,
-            Ok(Err(error)) if error.is_connect() => return UpstreamEvent::NotSent,
-            Ok(Err(_)) | Err(_) => return UpstreamEvent::Broken,
-        };
-        self.report(driver, &response);
+        let response =
+            match tokio::time::timeout(self.idle_timeout, self.client.request(request)).await {
+                Ok(Ok(response)) => response,
+                Ok(Err(error)) if error.is_connect() => return UpstreamEvent::NotSent,
+                Ok(Err(_)) | Err(_) => return UpstreamEvent::Broken,
+            };
+        self.report_load(driver, &response);
         match (self.dispatch.resume_from, response.status()) {
             (_, StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE) => {
-                self.refused(&response)
+                self.handle_rejection(&response)
             }
             (Some(_), StatusCode::NOT_FOUND) => UpstreamEvent::NoStream,
             (resume, StatusCode::OK) if self.is_chat() => {
-                self.stream(driver, response, resume).await
+                self.read_stream(driver, response, resume).await
             }
-            _ => self.whole(driver, response).await,
+            _ => self.read_response(driver, response).await,
         }
     }
 
-    /// Takes in that the upstream does not run the request now.
-    fn refused(&self, response: &Response<Incoming>) -> UpstreamEvent {
+    /// Returns the event for a rejection, with the back-off that the upstream announces.
+    fn handle_rejection(&self, response: &Response<Incoming>) -> UpstreamEvent {
         let upstream = &self.dispatch.upstream;
-        let rest = http::retry_after(response.headers());
-        if let Ok(Some(rest)) = rest {
-            let (run, rest) = (self.dispatch.run.0, rest.as_millis());
-            log::info!(target: UPSTREAMS, "rest run={run} upstream={upstream} rest_ms={rest}");
+        let back_off = http::retry_after(response.headers());
+        if let Ok(Some(back_off)) = back_off {
+            let (run, millis) = (self.dispatch.run.0, back_off.as_millis());
+            log::info!(target: UPSTREAMS, "rest run={run} upstream={upstream} rest_ms={millis}");
         }
-        if rest.is_err() {
+        if back_off.is_err() {
             log::warn!(target: UPSTREAMS, "unreadable upstream={upstream} outcome=ignored");
         }
-        UpstreamEvent::Busy(rest.unwrap_or_default())
+        UpstreamEvent::Busy(back_off.unwrap_or_default())
     }
 
-    /// Makes the request; nothing if its body is gone with its caller.
-    fn request(&self) -> Option<Request<Full<Bytes>>> {
+    /// Builds the request; `None` if the caller has disconnected, since its body is dropped then.
+    fn build_request(&self) -> Option<Request<Full<Bytes>>> {
         let (address, name) = (self.address, &self.dispatch.stream);
         if let Some(from) = self.dispatch.resume_from {
             let uri = format!("http://{address}/v1/streams/{name}?from={from}");
@@ -190,7 +195,7 @@
         let outgoing = self.outgoing.as_ref()?;
         match &outgoing.target {
             Target::Chat(body) => {
-                let body = body.for_engine(self.dispatch.output_limit, self.dispatch.priority);
+                let body = body.to_engine_body(self.dispatch.output_limit, self.dispatch.priority);
                 Request::post(format!("http://{address}/v1/chat/completions"))
                     .header(header::CONTENT_TYPE, "application/json")
                     .header(STREAM_HEADER, name)
@@ -202,7 +207,7 @@
                 Request::builder()
                     .method(call.method.clone())
                     .uri(uri)
-                    .header(header::CONTENT_TYPE, call.media.clone())
+                    .header(header::CONTENT_TYPE, call.content_type.clone())
                     .header(STREAM_HEADER, name)
                     .body(Full::new(call.body.clone()))
                     .ok()
@@ -215,8 +220,8 @@
         chat || self.dispatch.resume_from.is_some()
     }
 
-    /// Takes in the report of load that travels with an answer.
-    fn report(&self, driver: &Arc<Driver>, response: &Response<Incoming>) {
+    /// Passes the load report in the header of a response to the core.
+    fn report_load(&self, driver: &Arc<Driver>, response: &Response<Incoming>) {
         let report = response.headers().get("x-load").and_then(|v| v.to_str().ok());
         let report = report.and_then(|text| serde_json::from_str::<LoadReport>(text).ok());
         if let Some(report) = report {
@@ -224,22 +229,23 @@
         }
     }
 
-    async fn stream(
+    /// Reads a stream of server-sent events to its end and passes on every event.
+    async fn read_stream(
         &self,
         driver: &Arc<Driver>,
         response: Response<Incoming>,
         resume: Option<u64>,
     ) -> UpstreamEvent {
-        self.tell(
+        self.send_event(
             driver,
             UpstreamEvent::Head(Head { status: 200, content_type: "text/event-stream".into() }),
         );
         let mut body = response.into_body();
         let mut buffer = BytesMut::new();
         let mut offset = resume.unwrap_or(0);
-        let mut used = None;
+        let mut last_usage = None;
         loop {
-            let frame = tokio::time::timeout(self.silence, body.frame()).await;
+            let frame = tokio::time::timeout(self.idle_timeout, body.frame()).await;
             let Ok(Some(Ok(frame))) = frame else {
                 return UpstreamEvent::Broken;
             };
@@ -248,31 +254,37 @@
             }
             while let Some(event) = next_event(&mut buffer) {
                 if event.as_ref() == b"[DONE]" {
-                    return UpstreamEvent::Ended { parts: offset, usage: used };
+                    return UpstreamEvent::Ended { parts: offset, usage: last_usage };
                 }
                 let usage =
-                    serde_json::from_slice(&event).ok().and_then(|v: Value| chat::usage(&v));
-                used = usage.or(used);
-                self.tell(driver, UpstreamEvent::Chunk(Chunk { offset, data: event, usage }));
+                    serde_json::from_slice(&event).ok().and_then(|v: Value| chat::parse_usage(&v));
+                last_usage = usage.or(last_usage);
+                self.send_event(driver, UpstreamEvent::Chunk(Chunk { offset, data: event, usage }));
                 offset += 1;
             }
-            if buffer.len() > MAX_EVENT {
-                log::warn!(target: UPSTREAMS, "{} sent too large an event", self.dispatch.upstream);
+            if buffer.len() > MAX_EVENT_BYTES {
+                log::warn!(target: UPSTREAMS, "{} sent an event that exceeds the size limit", self.dispatch.upstream);
                 return UpstreamEvent::Broken;
             }
         }
     }
 
-    /// Passes on an answer that is no stream; an engine's own refusal costs nothing.
-    async fn whole(&self, driver: &Arc<Driver>, response: Response<Incoming>) -> UpstreamEvent {
+    /// Reads a response that is not a stream and passes on its body; an engine that rejects a
+    /// request itself uses no tokens.
+    async fn read_response(
+        &self,
+        driver: &Arc<Driver>,
+        response: Response<Incoming>,
+    ) -> UpstreamEvent {
         let status = response.status().as_u16();
-        let media = response.headers().get(header::CONTENT_TYPE).and_then(|v| v.to_str().ok());
-        let media = media.unwrap_or("application/octet-stream").to_owned();
-        self.tell(driver, UpstreamEvent::Head(Head { status, content_type: media }));
+        let content_type =
+            response.headers().get(header::CONTENT_TYPE).and_then(|v| v.to_str().ok());
+        let content_type = content_type.unwrap_or("application/octet-stream").to_owned();
+        self.send_event(driver, UpstreamEvent::Head(Head { status, content_type }));
         let mut body = response.into_body();
         let mut offset = 0;
         loop {
-            match tokio::time::timeout(self.silence, body.frame()).await {
+            match tokio::time::timeout(self.idle_timeout, body.frame()).await {
                 Ok(None) => {
                     let usage = Some(Usage::default());
                     return UpstreamEvent::Ended { parts: offset, usage };
@@ -281,7 +293,10 @@
                     let Ok(data) = frame.into_data() else {
                         continue;
                     };
-                    self.tell(driver, UpstreamEvent::Chunk(Chunk { offset, data, usage: None }));
+                    self.send_event(
+                        driver,
+                        UpstreamEvent::Chunk(Chunk { offset, data, usage: None }),
+                    );
                     offset += 1;
                 }
                 Ok(Some(Err(_))) | Err(_) => return UpstreamEvent::Broken,
@@ -289,33 +304,34 @@
         }
     }
 
-    /// Cancels the stream and learns what it has used.
+    /// Cancels the stream and returns the tokens used.
     async fn cancel(&self) -> UpstreamEvent {
         let uri = format!("http://{}/v1/streams/{}", self.address, self.dispatch.stream);
         let request = Request::builder().method(Method::DELETE).uri(uri).body(Full::default());
         let Ok(request) = request else {
             return UpstreamEvent::Broken;
         };
-        match http::call_json(&self.client, request, CANCEL).await {
-            Ok(answer) => UpstreamEvent::Ended { parts: 0, usage: chat::usage(&answer) },
+        match http::call_json(&self.client, request, CANCEL_TIMEOUT).await {
+            Ok(answer) => UpstreamEvent::Ended { parts: 0, usage: chat::parse_usage(&answer) },
             Err(_) => UpstreamEvent::Broken,
         }
     }
 
-    fn tell(&self, driver: &Arc<Driver>, event: UpstreamEvent) {
+    fn send_event(&self, driver: &Arc<Driver>, event: UpstreamEvent) {
         driver.feed(Event::Upstream(self.id, event));
     }
 }
 
-/// Tells whether a request that would be run anew is blocked. One that has begun goes on where it is.
+/// Returns whether a request is blocked. A stream that is resumed is never blocked, since the
+/// request is already running.
 fn is_blocked(driver: &Driver, dispatch: &Dispatch, outgoing: Option<&Outgoing>) -> bool {
-    let anew = outgoing.filter(|_| dispatch.resume_from.is_none());
-    anew.is_some_and(|outgoing| driver.check_outgoing(outgoing).is_err())
+    let new_request = outgoing.filter(|_| dispatch.resume_from.is_none());
+    new_request.is_some_and(|outgoing| driver.check_outgoing(outgoing).is_err())
 }
 
-/// Takes the data of the next server-sent event out of a buffer.
+/// Removes the next complete server-sent event from a buffer and returns its data.
 ///
-/// Source: <https://html.spec.whatwg.org/multipage/server-sent-events.html>.
+/// Specification: <https://html.spec.whatwg.org/multipage/server-sent-events.html>.
 pub(crate) fn next_event(buffer: &mut BytesMut) -> Option<Bytes> {
     loop {
         let end = buffer.windows(2).position(|w| w == b"\n\n")?;
@@ -335,7 +351,7 @@
 }
 
 impl Driver {
-    fn forget(&self, id: AttemptId) {
-        self.upstreams().forget(id);
+    fn remove_attempt(&self, id: AttemptId) {
+        self.upstream_client().remove_attempt(id);
     }
 }
