--- a/crates/badgerfield-node/src/caller_api.rs
+++ b/crates/badgerfield-node/src/caller_api.rs
@@ -257,7 +257,7 @@
 
 /// Receives the parts of the answer to one request and returns them in order.
 ///
-/// The request is closed when this is dropped, also because its caller has disconnected.
+/// Dropping it closes the request; hyper drops it when the caller disconnects.
 struct AnswerReceiver {
     driver: Arc<Driver>,
     id: RequestId,
--- a/crates/badgerfield-node/src/driver.rs
+++ b/crates/badgerfield-node/src/driver.rs
@@ -205,9 +205,9 @@
             return;
         };
         let driver = Arc::clone(self);
-        tokio::spawn(follow::operators(driver));
+        tokio::spawn(follow::watch_operators(driver));
         let driver = Arc::clone(self);
-        tokio::spawn(follow::upstreams(driver, gateway));
+        tokio::spawn(follow::watch_upstreams(driver, gateway));
     }
 
     /// Starts a planned stop.
--- a/crates/badgerfield-node/src/etcd.rs
+++ b/crates/badgerfield-node/src/etcd.rs
@@ -1,6 +1,6 @@
-//! The key-value service, by the JSON gateway of etcd version 3.
+//! Client of the store: the JSON gateway of etcd version 3.
 //!
-//! Source: the service's published API, <https://etcd.io/docs/v3.5/dev-guide/api_grpc_gateway/>.
+//! Reference: <https://etcd.io/docs/v3.5/dev-guide/api_grpc_gateway/>.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 use crate::adapter::{KeyValueStore, WatchResult};
 use crate::http::{self, CallError, HttpClient};
 
-/// A client of the key-value service.
+/// A store in etcd, accessed through its JSON gateway.
 #[derive(Debug, Clone)]
 pub struct EtcdStore {
     client: HttpClient,
@@ -29,9 +29,9 @@
     fn call<'a>(&'a self, call: &'a StoreCall) -> BoxFuture<'a, StoreResult> {
         Box::pin(async move {
             match call {
-                StoreCall::Get(name) => self.get(name).await,
-                StoreCall::CompareAndSwap { key: name, expected_revision: expect, value } => {
-                    self.swap(name, *expect, value).await
+                StoreCall::Get(key) => self.get(key).await,
+                StoreCall::CompareAndSwap { key, expected_revision, value } => {
+                    self.compare_and_swap(key, *expected_revision, value).await
                 }
             }
         })
@@ -43,43 +43,48 @@
 }
 
 impl EtcdStore {
-    /// Makes a client.
+    /// Creates a client whose keys all start with a prefix.
     #[must_use]
     pub fn new(base: Uri, prefix: String, timeout: Duration) -> Self {
         Self { client: http::client(), base, prefix, timeout }
     }
 
-    async fn get(&self, name: &StoreKey) -> StoreResult {
-        let body = json!({ "key": self.key(name) });
+    async fn get(&self, key: &StoreKey) -> StoreResult {
+        let body = json!({ "key": self.encode_key(key) });
         match self.post("/v3/kv/range", &body).await {
-            Ok(answer) => found(&answer).map_or(StoreResult::Unknown, StoreResult::Value),
+            Ok(answer) => parse_range(&answer).map_or(StoreResult::Unknown, StoreResult::Value),
             Err(CallError::Connect(_) | CallError::Status { .. }) => StoreResult::Refused,
             Err(_) => StoreResult::Unknown,
         }
     }
 
-    async fn swap(&self, name: &StoreKey, expect: u64, value: &Bytes) -> StoreResult {
-        let key = self.key(name);
+    async fn compare_and_swap(
+        &self,
+        key: &StoreKey,
+        expected_revision: u64,
+        value: &Bytes,
+    ) -> StoreResult {
+        let key = self.encode_key(key);
         let body = json!({
-            "compare": [{ "key": key, "target": "MOD", "result": "EQUAL", "mod_revision": expect.to_string() }],
+            "compare": [{ "key": key, "target": "MOD", "result": "EQUAL", "mod_revision": expected_revision.to_string() }],
             "success": [{ "request_put": { "key": key, "value": STANDARD.encode(value) } }],
             "failure": [{ "request_range": { "key": key } }],
         });
         let answer = match self.post("/v3/kv/txn", &body).await {
             Ok(answer) => answer,
             Err(CallError::Connect(_)) => return StoreResult::Refused,
-            // A rate limit refuses before anything is done; other failures may come later.
+            // With status 429 the write was not executed. After other statuses it may have been.
             Err(CallError::Status { status, .. }) if status.as_u16() == 429 => {
                 return StoreResult::Refused;
             }
             Err(_) => return StoreResult::Unknown,
         };
         if answer["succeeded"].as_bool() == Some(true) {
-            return number(&answer["header"]["revision"])
+            return parse_number(&answer["header"]["revision"])
                 .map_or(StoreResult::Unknown, StoreResult::Written);
         }
         let range = &answer["responses"][0]["response_range"];
-        found(range).map_or(StoreResult::Unknown, StoreResult::Conflict)
+        parse_range(range).map_or(StoreResult::Unknown, StoreResult::Conflict)
     }
 
     async fn post(&self, path: &str, body: &Value) -> Result<Value, CallError> {
@@ -91,8 +96,8 @@
         http::call_json(&self.client, request, self.timeout).await
     }
 
-    fn key(&self, name: &StoreKey) -> String {
-        let name = match name {
+    fn encode_key(&self, key: &StoreKey) -> String {
+        let name = match key {
             StoreKey::Templates => "templates".to_owned(),
             StoreKey::View => "view".to_owned(),
             StoreKey::Ledger(shard) => format!("ledger/{shard}"),
@@ -103,18 +108,19 @@
     }
 }
 
-/// Reads the value of a range answer; an answer without a value is an absent one.
-fn found(answer: &Value) -> Option<Versioned> {
+/// Parses the value in the answer to a range request. An answer without a key-value pair means
+/// that the key is absent.
+fn parse_range(answer: &Value) -> Option<Versioned> {
     let Some(pair) = answer["kvs"].get(0) else {
         return Some(Versioned::default());
     };
     let value = pair["value"].as_str().unwrap_or_default();
     let value = STANDARD.decode(value).ok()?;
-    let revision = number(&pair["mod_revision"])?;
+    let revision = parse_number(&pair["mod_revision"])?;
     Some(Versioned { value: Some(Bytes::from(value)), revision })
 }
 
-/// Reads a number, which the gateway writes as text.
-fn number(value: &Value) -> Option<u64> {
+/// Parses a number; the gateway encodes 64-bit numbers as strings.
+fn parse_number(value: &Value) -> Option<u64> {
     value.as_u64().or_else(|| value.as_str()?.parse().ok())
 }
--- a/crates/badgerfield-node/src/evacuations.rs
+++ b/crates/badgerfield-node/src/evacuations.rs
@@ -1,4 +1,4 @@
-//! Carries out evacuations: upstreams of an evacuated failure domain get nothing more.
+//! Applies evacuations: upstreams in an evacuated failure domain receive no new requests.
 
 use badgerfield_core::evacuation::DomainChange;
 use badgerfield_core::ids::Incarnation;
@@ -7,7 +7,7 @@
 use crate::logs::PLATFORM;
 
 impl Driver {
-    /// Stops or begins to use the upstreams of some domains, and says so in the log.
+    /// Stops or resumes sending requests to the upstreams of the given domains, and logs each change.
     pub(crate) fn apply_evacuations(&self, from: Option<Incarnation>, changes: &[DomainChange]) {
         let Some(gateway) = self.gateway() else {
             return;
@@ -15,7 +15,7 @@
         let now = self.now();
         let from = from.map_or_else(|| "platform".to_owned(), |id| id.to_string());
         for change in changes {
-            let concerned = gateway.replicas().apply_evacuations(now, std::slice::from_ref(change));
+            let affected = gateway.replicas().apply_evacuations(now, std::slice::from_ref(change));
             let (evacuated, cold) = gateway.replicas().restricted_counts(now);
             self.metrics.evacuations.inc();
             log::info!(
@@ -24,14 +24,14 @@
                 if change.evacuated { "evacuated" } else { "taken back" },
                 change.domain,
                 change.revision,
-                concerned.len(),
+                affected.len(),
             );
         }
-        // Connections that lie idle there are of no more use.
+        // Closes idle connections to upstreams that receive no more requests.
         gateway.sweep(now);
     }
 
-    /// Takes in how upstreams start, after newer templates have come into force.
+    /// Updates the warm-up rules of services after newer templates have come into force.
     pub(crate) fn update_warm_ups(&self) {
         let Some(gateway) = self.gateway() else {
             return;
@@ -41,7 +41,7 @@
         gateway.replicas().set_warm_ups(warm_ups);
     }
 
-    /// Takes in who may send to cold upstreams, after a newer view has come into force.
+    /// Updates the processes that may send to cold upstreams after a newer view has come into force.
     pub(crate) fn update_warm_up_senders(&self) {
         if let Some(gateway) = self.gateway() {
             gateway.replicas().set_senders(self.now(), self.node.warm_up_senders());
--- a/crates/badgerfield-node/src/follow.rs
+++ b/crates/badgerfield-node/src/follow.rs
@@ -1,4 +1,4 @@
-//! Follows what the platform says: what operators write there, and the list of upstreams.
+//! Watches the platform: the values that operators write to the store, and the list of upstreams.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,128 +16,135 @@
 use crate::logs::PLATFORM;
 use crate::store_calls::CallKind;
 
-/// How long a call rests that failed once.
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
-/// How long a call rests at the most that failed again and again.
-const MAX_PAUSE: Duration = Duration::from_secs(1);
-/// The same at a process that others tell when the platform is back. With the call itself it
-/// stays close to the least `ContactMs` of the sheets (3 s), should nobody tell.
-const LONG_PAUSE: Duration = Duration::from_millis(2500);
-/// How long the list of upstreams is left alone between two watches.
-const WATCH_PACE: Duration = Duration::from_millis(400);
+/// Delay before the first retry of a failed call.
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Maximum delay between two retries.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Delay between two retries in a process that does not probe the platform: the processes that
+/// do report when it answers again. If no report arrives, this delay and the time of the call
+/// together stay close to the smallest `ContactMs` of the sheets (3 s).
+const FOLLOWER_RETRY_DELAY: Duration = Duration::from_millis(2500);
+/// Delay between two watches of the list of upstreams.
+const WATCH_DELAY: Duration = Duration::from_millis(400);
 
-/// The rests between calls that fail; each is twice as long as the one before.
+/// Exponential back-off of failed calls: each delay is twice the previous one.
 #[derive(Debug, Clone, Copy)]
-struct Pause(Duration);
+struct Backoff(Duration);
 
-impl Default for Pause {
+impl Default for Backoff {
     fn default() -> Self {
-        Self(FIRST_PAUSE)
+        Self(FIRST_RETRY_DELAY)
     }
 }
 
-impl Pause {
-    /// Returns how long to rest before the next call: a short while at the few that try the
-    /// platform often.
-    fn next(&mut self, driver: &Driver) -> Duration {
+impl Backoff {
+    /// Returns the delay before the next call. The few processes that probe the platform use
+    /// short delays; all others use `FOLLOWER_RETRY_DELAY`.
+    fn next_delay(&mut self, driver: &Driver) -> Duration {
         if !driver.node.probes_platform() {
-            return LONG_PAUSE;
+            return FOLLOWER_RETRY_DELAY;
         }
-        let span = self.0;
-        self.0 = span.saturating_mul(2).min(MAX_PAUSE);
-        span
+        let delay = self.0;
+        self.0 = delay.saturating_mul(2).min(MAX_RETRY_DELAY);
+        delay
     }
 }
 
-/// Follows what operators write, the templates and the evacuated failure domains: every change
-/// comes by one watch, and a read goes beside it.
-pub(crate) async fn operators(driver: Arc<Driver>) {
-    let mut after = 0;
-    let mut pause = Pause::default();
+/// Watches the values that operators write, such as the templates and the evacuated failure
+/// domains.
+///
+/// One watch returns the changes of all values. The values are read before the first watch and
+/// after a watch that may have missed changes.
+pub(crate) async fn watch_operators(driver: Arc<Driver>) {
+    let mut revision = 0;
+    let mut backoff = Backoff::default();
     loop {
-        if !follows_templates(&driver) {
-            after = 0;
-            driver.clock.sleep(pace(driver.node.template_version() == TemplateVersion(0))).await;
+        if !is_template_watcher(&driver) {
+            revision = 0;
+            driver
+                .clock
+                .sleep(role_check_interval(driver.node.template_version() == TemplateVersion(0)))
+                .await;
             continue;
         }
-        if after == 0 {
+        if revision == 0 {
             let call = StoreCall::Get(StoreKey::Templates);
             driver.metrics.calls.count(CallKind::of(&call));
-            // Where there are none yet, the watch waits for the first.
+            // If no templates exist yet, the watch waits for the first ones.
             match driver.store.call(&call).await {
-                StoreResult::Value(found) => {
-                    after = found.revision;
-                    driver.feed(Event::Templates(found));
+                StoreResult::Value(value) => {
+                    revision = value.revision;
+                    driver.feed(Event::Templates(value));
                 }
-                StoreResult::Operators(found) => {
-                    after = found.revision;
-                    driver.feed(Event::Operators(found));
+                StoreResult::Operators(values) => {
+                    revision = values.revision;
+                    driver.feed(Event::Operators(values));
                 }
                 _ => {
-                    driver.clock.sleep(pause.next(&driver)).await;
+                    driver.clock.sleep(backoff.next_delay(&driver)).await;
                     continue;
                 }
             }
         }
         driver.metrics.calls.count(CallKind::TemplatesWatch);
-        match driver.store.watch_operator_changes(after).await {
-            WatchResult::Changed(found) => {
-                pause = Pause::default();
-                after = after.max(found.revision);
-                driver.feed(Event::OperatorChanges(found));
+        match driver.store.watch_operator_changes(revision).await {
+            WatchResult::Changed(changes) => {
+                backoff = Backoff::default();
+                revision = revision.max(changes.revision);
+                driver.feed(Event::OperatorChanges(changes));
             }
-            WatchResult::Quiet(revision) => {
-                pause = Pause::default();
-                after = after.max(revision);
+            WatchResult::Quiet(current) => {
+                backoff = Backoff::default();
+                revision = revision.max(current);
             }
             WatchResult::Lost => {
-                after = 0;
-                driver.clock.sleep(pause.next(&driver)).await;
+                revision = 0;
+                driver.clock.sleep(backoff.next_delay(&driver)).await;
             }
         }
     }
 }
 
-/// Follows the list of upstreams, and tells peers whether this process can serve.
+/// Watches the list of upstreams, and reports whether this process is ready to serve.
 ///
-/// The list is read whole at first, when changes may have been missed, and now and then
-/// beside the watch, which may hear nothing for a while. Upstreams write their entries all
-/// the time, so the watch is asked at a pace rather than again at once.
-pub(crate) async fn upstreams(driver: Arc<Driver>, gateway: Arc<Gateway>) {
-    let every = driver.settings.platform.replicas_poll;
-    let mut away: Option<Time> = None;
-    let mut pause = Pause::default();
+/// The complete list is read before the first watch, when changes may have been missed, and at a
+/// regular interval, since a watch may return no changes for a while. Upstreams write
+/// their entries all the time, so the next watch starts after a delay rather than at once.
+pub(crate) async fn watch_upstreams(driver: Arc<Driver>, gateway: Arc<Gateway>) {
+    let read_interval = driver.settings.platform.replicas_poll;
+    let mut failing_since: Option<Time> = None;
+    let mut backoff = Backoff::default();
     loop {
-        if !is_on_duty(&driver) {
-            refresh(&driver, &gateway);
+        if !is_list_watcher(&driver) {
+            report_state(&driver, &gateway);
             let is_new = gateway.replicas().is_empty();
-            driver.clock.sleep(pace(is_new)).await;
+            driver.clock.sleep(role_check_interval(is_new)).await;
             continue;
         }
-        let Some(mut after) = read_list(&driver, &gateway, &mut away).await else {
-            let until = driver.now().after(pause.next(&driver));
-            while driver.now() < until && is_on_duty(&driver) {
-                refresh(&driver, &gateway);
-                driver.clock.sleep(FIRST_PAUSE).await;
+        let Some(mut revision) = read_list(&driver, &gateway, &mut failing_since).await else {
+            let until = driver.now().after(backoff.next_delay(&driver));
+            while driver.now() < until && is_list_watcher(&driver) {
+                report_state(&driver, &gateway);
+                driver.clock.sleep(FIRST_RETRY_DELAY).await;
             }
             continue;
         };
-        pause = Pause::default();
-        let until = driver.now().after(every);
-        while driver.now() < until && is_on_duty(&driver) {
-            refresh(&driver, &gateway);
-            driver.clock.sleep(WATCH_PACE).await;
+        backoff = Backoff::default();
+        let until = driver.now().after(read_interval);
+        while driver.now() < until && is_list_watcher(&driver) {
+            report_state(&driver, &gateway);
+            driver.clock.sleep(WATCH_DELAY).await;
             driver.metrics.calls.count(CallKind::UpstreamsWatch);
-            let watched = gateway.adapter.discovery.watch(after);
-            match driver.clock.timeout_at(until, watched).await {
+            let watch = gateway.adapter.discovery.watch(revision);
+            match driver.clock.timeout_at(until, watch).await {
                 Ok(WatchResult::Changed(changes)) => {
-                    after = after.max(changes.revision);
+                    revision = revision.max(changes.revision);
                     driver.apply_upstream_changes(changes);
                 }
-                Ok(WatchResult::Quiet(revision)) => {
-                    after = after.max(revision);
+                Ok(WatchResult::Quiet(current)) => {
+                    revision = revision.max(current);
                     let changes =
-                        UpstreamListChanges { revision, ..UpstreamListChanges::default() };
+                        UpstreamListChanges { revision: current, ..UpstreamListChanges::default() };
                     driver.apply_upstream_changes(changes);
                 }
                 Ok(WatchResult::Lost) | Err(_) => break,
@@ -146,70 +153,70 @@
     }
 }
 
-/// Returns how long to wait before looking again whether this process follows the platform;
-/// one that knows nothing yet looks often.
-fn pace(is_new: bool) -> Duration {
-    if is_new { TICK_INTERVAL } else { WATCH_PACE }
+/// Returns the delay before checking again whether this process watches the platform; it is
+/// shorter for a process that has no values yet.
+fn role_check_interval(is_new: bool) -> Duration {
+    if is_new { TICK_INTERVAL } else { WATCH_DELAY }
 }
 
-/// Reads the whole list; returns its revision, or nothing if it cannot be read.
+/// Reads and applies the complete list; returns its revision, or `None` if the call fails.
 async fn read_list(
     driver: &Arc<Driver>,
     gateway: &Gateway,
-    away: &mut Option<Time>,
+    failing_since: &mut Option<Time>,
 ) -> Option<u64> {
     driver.metrics.calls.count(CallKind::UpstreamsRead);
     let list = match gateway.adapter.discovery.list().await {
         Ok(list) => list,
         Err(error) => {
-            if away.is_none() {
+            if failing_since.is_none() {
                 log::warn!(target: PLATFORM, "list of upstreams lost: {error}");
-                *away = Some(driver.now());
+                *failing_since = Some(driver.now());
             }
             return None;
         }
     };
-    if let Some(since) = away.take() {
-        let away = driver.now().since(since).as_millis();
-        log::info!(target: PLATFORM, "list of upstreams regained away_ms={away}");
+    if let Some(since) = failing_since.take() {
+        let away_ms = driver.now().since(since).as_millis();
+        log::info!(target: PLATFORM, "list of upstreams regained away_ms={away_ms}");
     }
     let revision = list.revision;
     driver.apply_upstream_list(list, UpdateSource::Platform);
     Some(revision)
 }
 
-/// Tells whether this process follows the list of upstreams itself, and does not only hear of
-/// it.
-fn is_on_duty(driver: &Driver) -> bool {
+/// Returns whether this process watches the list of upstreams itself instead of only receiving
+/// updates from peers.
+fn is_list_watcher(driver: &Driver) -> bool {
     let Some(gateway) = driver.gateway() else {
         return true;
     };
-    let (_, learned) = gateway.replicas().last_update();
+    let (_, updated) = gateway.replicas().last_update();
     let now = driver.now();
-    let Some(learned) = learned else {
+    let Some(updated) = updated else {
         return driver.node.is_bootstrap_reader(now);
     };
-    driver.node.watches_platform(now, Some(now.since(learned)))
+    driver.node.watches_platform(now, Some(now.since(updated)))
 }
 
-/// Tells whether this process follows the templates itself: whenever it follows the list of
-/// upstreams. The first ones are read together with the view.
-fn follows_templates(driver: &Driver) -> bool {
-    driver.node.template_version() > TemplateVersion(0) && is_on_duty(driver)
+/// Returns whether this process watches the templates itself, which it does while it watches the
+/// list of upstreams. The first templates are read together with the view.
+fn is_template_watcher(driver: &Driver) -> bool {
+    driver.node.template_version() > TemplateVersion(0) && is_list_watcher(driver)
 }
 
-/// Closes what is of no more use, and tells what requests need and whether this process
-/// can serve.
-fn refresh(driver: &Arc<Driver>, gateway: &Gateway) {
+/// Closes unused connections, and reports rate limits, the demand for engines, queueing delays
+/// and whether this process is ready to serve.
+fn report_state(driver: &Arc<Driver>, gateway: &Gateway) {
     let now = driver.now();
     gateway.sweep(now);
-    let (needs, lags, limits) = {
+    let (demand, delays, limits) = {
         let mut replicas = gateway.replicas();
-        let lags = replicas.delay_reports(now, gateway.next_turn());
-        (replicas.engine_demand(now), lags, replicas.limit_reports(now))
+        let delays = replicas.delay_reports(now, gateway.next_turn());
+        (replicas.engine_demand(now), delays, replicas.limit_reports(now))
     };
     driver.feed(Event::LimitReports(limits));
-    driver.feed(Event::EngineNeeds(needs));
-    driver.feed(Event::DelayReports(lags));
+    driver.feed(Event::EngineNeeds(demand));
+    driver.feed(Event::DelayReports(delays));
     driver.feed(Event::Serving(directory::is_ready(gateway)));
 }
--- a/crates/badgerfield-node/src/lib.rs
+++ b/crates/badgerfield-node/src/lib.rs
@@ -1,14 +1,15 @@
-//! The process around the decisions: sockets, clocks and randomness.
+//! The process around the core: sockets, clocks and random numbers.
 //!
-//! A [`driver::Driver`] owns one [`badgerfield_core::Node`]. Whatever reads from a
-//! socket or a timer makes an event of it and hands it over, with the time of its [`clock`], and
-//! carries out the orders that come back. Requests on routes take a way of their own, told in [`gateway`]; what a platform
-//! calls things is translated by an [`adapter`].
+//! A [`driver::Driver`] owns one [`badgerfield_core::Node`], which makes all decisions without
+//! I/O. Input from sockets and timers is passed to it as events with the time of the [`clock`],
+//! and the driver executes the commands that it returns. Requests on routes are handled by the
+//! [`gateway`]. An [`adapter`] translates between the formats of a platform and those of this
+//! crate.
 //!
-//! The orders go to [`peers`] (QUIC between the system's processes), [`etcd`] (the platform's
-//! key-value service), [`upstream_client`] (engines and plain services) and [`caller_api`]
-//! (HTTP). [`operator_api`] serves metrics and state. [`settings`] and [`templates`] read
-//! what people write; both list every fault with its place.
+//! Commands are executed by [`peers`] (QUIC between the processes of the fleet), [`etcd`] (the
+//! store), [`upstream_client`] (engines and plain services) and [`caller_api`] (HTTP).
+//! [`operator_api`] serves metrics and state. [`settings`] and [`templates`] parse the files
+//! that operators write and report every error with its position.
 
 pub mod adapter;
 pub mod buffered_log;
--- a/crates/badgerfield-node/src/rollouts.rs
+++ b/crates/badgerfield-node/src/rollouts.rs
@@ -1,4 +1,4 @@
-//! Carries out roll-outs: divides requests between versions, and tells how they go.
+//! Applies the rules of rollouts to requests, and reports the results of requests by version.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,16 +9,16 @@
 use crate::driver::Driver;
 use crate::logs::PLATFORM;
 
-/// How often a process tells how its requests went, without a bad answer: as often as what else
-/// it tells of them.
+/// Interval of reports in the absence of bad answers; other reports about requests have the same
+/// interval.
 pub(crate) const REPORT_INTERVAL: Duration = Duration::from_millis(400);
-/// The least time between two times that a bad answer makes a process tell at once: what comes
-/// in between waits for the next turn. It is short against the seconds in which a bad version
-/// has to be left alone.
+/// Minimum time between two reports that a bad answer triggers at once. Results in between are part
+/// of the next regular report. It is short compared with the seconds within which requests
+/// to a bad version must stop.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Driver {
-    /// Divides requests between versions by these rules, and says in the log what has changed.
+    /// Divides requests between versions by the given rules, and logs the rules that have changed.
     pub(crate) fn apply_rollout_rules(&self, rules: RolloutRules) {
         let Some(gateway) = self.gateway() else {
             return;
@@ -34,18 +34,19 @@
                 rule.revision,
             );
         }
-        // Connections that lie idle at a version that gets nothing are of no more use.
+        // Closes idle connections to versions that receive no more requests.
         gateway.sweep(self.now());
     }
 
-    /// Tells how requests went after a bad answer, unless that was told just now.
+    /// Reports results of requests after a bad answer, unless such a report was sent within
+    /// `MIN_REPORT_INTERVAL`.
     pub(crate) fn tell_bad_answer(self: &Arc<Self>) {
         if self.gateway().is_some_and(|gateway| gateway.may_tell(self.now(), MIN_REPORT_INTERVAL)) {
             self.report_rollouts();
         }
     }
 
-    /// Tells how requests went at services that are rolled out.
+    /// Reports the results of requests to services with a rollout.
     pub(crate) fn report_rollouts(self: &Arc<Self>) {
         let Some(gateway) = self.gateway().filter(|gateway| gateway.rolls_out()) else {
             return;
@@ -55,7 +56,7 @@
     }
 }
 
-/// Writes what a version may get: nothing, all, or its share in hundredths.
+/// Formats the allowance of a version: `nothing`, `all`, or its share of the requests in percent.
 pub(crate) fn allowance_word(allowance: Allowance) -> String {
     match allowance {
         Allowance::Nothing => "nothing".to_owned(),
--- a/crates/badgerfield-node/src/sync.rs
+++ b/crates/badgerfield-node/src/sync.rs
@@ -1,8 +1,9 @@
-//! Locks of the tables outside the core.
+//! Locking of the tables outside the core.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a table; one that a panic left behind is as good as its last step.
+/// Locks a table, also if a thread panicked while holding the lock: every step leaves the table
+/// consistent.
 pub fn lock<T>(table: &Mutex<T>) -> MutexGuard<'_, T> {
     table.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/badgerfield-node/src/upstream_list.rs
+++ b/crates/badgerfield-node/src/upstream_list.rs
@@ -1,4 +1,4 @@
-//! Takes in what is told of the list of upstreams, and tells others.
+//! Applies updates of the list of upstreams and announces them to other processes.
 
 use std::sync::Arc;
 
@@ -12,98 +12,107 @@
 use crate::gateway::state::Gateway;
 use crate::logs::PLATFORM;
 
-/// How many upstreams that have changed a line of the log names.
+/// Maximum number of changed upstreams that one log line names.
 const LOGGED_UPSTREAMS: usize = 8;
 
 impl Driver {
-    /// Takes in changes of the list of upstreams that the platform told.
+    /// Applies changes of the list of upstreams that were read from the platform.
     pub(crate) fn apply_upstream_changes(self: &Arc<Self>, changes: UpstreamListChanges) {
         let Some(gateway) = self.gateway() else {
             return;
         };
-        let news = gateway.replicas().apply_changes(self.now(), changes);
-        self.learned(gateway, &news, UpdateSource::Platform);
+        let changed = gateway.replicas().apply_changes(self.now(), changes);
+        self.handle_list_update(gateway, &changed, UpdateSource::Platform);
     }
 
-    /// Takes in changes of the list of upstreams that a peer passed on.
-    pub(crate) fn apply_peer_update(self: &Arc<Self>, from: Incarnation, news: UpstreamUpdate) {
+    /// Applies changes of the list of upstreams that a peer announced, and requests earlier
+    /// changes or the complete list if they are missing here.
+    pub(crate) fn apply_peer_update(self: &Arc<Self>, from: Incarnation, update: UpstreamUpdate) {
         let Some(gateway) = self.gateway() else {
             return;
         };
-        let UpstreamUpdate { changes, since, version: mark, .. } = news;
-        let (news, lacking) = gateway.replicas().apply_update(self.now(), changes, since, mark);
-        self.learned(gateway, &news, UpdateSource::Peer);
-        match lacking {
+        let UpstreamUpdate { changes, since, version, .. } = update;
+        let (changed, gap) = gateway.replicas().apply_update(self.now(), changes, since, version);
+        self.handle_list_update(gateway, &changed, UpdateSource::Peer);
+        match gap {
             ListGap::Nothing => {}
-            ListGap::Changes => self.feed(Event::UpstreamListGap(from, mark.revision)),
+            ListGap::Changes => self.feed(Event::UpstreamListGap(from, version.revision)),
             ListGap::FullList => self.feed(Event::UpstreamListsDiffer(from)),
         }
     }
 
-    /// Takes in a whole list of upstreams.
+    /// Applies a complete list of upstreams.
     pub(crate) fn apply_upstream_list(self: &Arc<Self>, list: UpstreamList, source: UpdateSource) {
         let Some(gateway) = self.gateway() else {
             return;
         };
-        let (is_first, news) = {
+        let (is_first, changed) = {
             let mut replicas = gateway.replicas();
             (replicas.last_update().0 == 0, replicas.apply_list(self.now(), list))
         };
-        // What is news to a process that has just started is not news to others.
+        // The first list of a process that has just started holds nothing new for other processes.
         let source = if is_first { UpdateSource::Peer } else { source };
-        self.learned(gateway, &news, source);
+        self.handle_list_update(gateway, &changed, source);
     }
 
-    /// Logs what was news in the list of upstreams, and tells others what the platform told.
-    fn learned(self: &Arc<Self>, gateway: &Gateway, news: &[UpstreamId], source: UpdateSource) {
-        let (mark, count, (evacuated, cold), started_again) = {
+    /// Closes connections to restarted upstreams, logs the changed upstreams, and announces the
+    /// update to other processes if it comes from the platform.
+    fn handle_list_update(
+        self: &Arc<Self>,
+        gateway: &Gateway,
+        changed: &[UpstreamId],
+        source: UpdateSource,
+    ) {
+        let (version, count, (evacuated, cold), restarted) = {
             let mut replicas = gateway.replicas();
-            let spared = replicas.restricted_counts(self.now());
-            (replicas.list_version(), replicas.len(), spared, replicas.take_restarted())
+            let restricted = replicas.restricted_counts(self.now());
+            (replicas.list_version(), replicas.len(), restricted, replicas.take_restarted())
         };
-        gateway.connections.close(&started_again);
-        for id in &started_again {
-            log::info!(target: PLATFORM, "upstream started again id={id} list={}", mark.revision);
+        gateway.connections.close(&restarted);
+        for id in &restarted {
+            log::info!(target: PLATFORM, "upstream started again id={id} list={}", version.revision);
         }
-        self.feed(Event::UpstreamListVersion(mark));
-        if !news.is_empty() {
-            let few: Vec<_> = news.iter().take(LOGGED_UPSTREAMS).map(UpstreamId::as_str).collect();
+        self.feed(Event::UpstreamListVersion(version));
+        if !changed.is_empty() {
+            let logged: Vec<_> =
+                changed.iter().take(LOGGED_UPSTREAMS).map(UpstreamId::as_str).collect();
             log::info!(
                 target: PLATFORM,
                 "upstreams changed list={} count={count} cold={cold} evacuated={evacuated} changed={} \
                  ids={}",
-                mark.revision,
-                news.len(),
-                few.join(",")
+                version.revision,
+                changed.len(),
+                logged.join(",")
             );
         }
-        // In a small fleet everybody passes on what is news to it.
+        // In a small fleet every process forwards each change that is new to it.
         let is_small = self.node.is_small_fleet();
-        if source == UpdateSource::Platform || (is_small && !news.is_empty()) {
-            self.announce_changes(gateway, news);
+        if source == UpdateSource::Platform || (is_small && !changed.is_empty()) {
+            self.announce_changes(gateway, changed);
         }
     }
 
-    /// Tells others what has changed in the list of upstreams since they were told last; `news`
-    /// is what was news to this process.
-    fn announce_changes(self: &Arc<Self>, gateway: &Gateway, news: &[UpstreamId]) {
-        let told = self.node.announced_revision();
-        let news = {
-            // Changes and mark are read together: a mark that is newer claims too much.
+    /// Announces the changes of the list of upstreams since the last announcement; `changed` are
+    /// the upstreams that the present update has changed.
+    fn announce_changes(self: &Arc<Self>, gateway: &Gateway, changed: &[UpstreamId]) {
+        let announced = self.node.announced_revision();
+        let update = {
+            // Changes and version are read under one lock: a newer version would claim changes
+            // that the update does not contain.
             let replicas = gateway.replicas();
-            let mark = replicas.list_version();
-            let (changes, since) = match replicas.changes_since(self.now(), told) {
-                Some(changes) => (changes, told),
-                // Others see from the revision that they lack something, and ask for it.
-                None => (replicas.changes_of(self.now(), news), mark.revision),
+            let version = replicas.list_version();
+            let (changes, since) = match replicas.changes_since(self.now(), announced) {
+                Some(changes) => (changes, announced),
+                // Receivers detect from `since` that they lack changes, and request them.
+                None => (replicas.changes_of(self.now(), changed), version.revision),
             };
-            UpstreamUpdate { changes, since, version: mark, reach: 0 }
+            UpstreamUpdate { changes, since, version, reach: 0 }
         };
-        self.feed(Event::UpstreamChanges(news));
+        self.feed(Event::UpstreamChanges(update));
     }
 
-    /// Tells a process what has changed in the list of upstreams since a revision, or the whole
-    /// list where that is not known.
+    /// Sends a process the changes of the list of upstreams since a revision, or the complete list
+    /// if these changes are not known.
     pub(crate) fn send_upstream_list(self: &Arc<Self>, to: Incarnation, since: u64) {
         let Some(gateway) = self.gateway() else {
             return;
@@ -116,13 +125,8 @@
             let changes = replicas.changes_since(self.now(), since).filter(|_| since > 0);
             match changes {
                 Some(changes) => {
-                    let mark = replicas.list_version();
-                    Message::UpstreamChanges(UpstreamUpdate {
-                        changes,
-                        since,
-                        version: mark,
-                        reach: 0,
-                    })
+                    let version = replicas.list_version();
+                    Message::UpstreamChanges(UpstreamUpdate { changes, since, version, reach: 0 })
                 }
                 None => Message::Upstreams(replicas.list(self.now())),
             }
