--- a/crates/badgerfield-node/src/caller_api.rs
+++ b/crates/badgerfield-node/src/caller_api.rs
@@ -190,12 +190,12 @@
         let outcome = if request.key.is_some() { Outcome::Unknown } else { refusal.outcome };
         let refusal = Refusal { outcome, ..refusal };
         driver.metrics.count_refusal(&refusal);
-        return refusal_response(&refusal);
+        return refuse(&refusal);
     }
     let Some((id, receiver)) = driver.open_request(outgoing) else {
         let refusal = Refusal::not_run(Cause::Overloaded).with_retry_after(Duration::from_secs(1));
         driver.metrics.count_refusal(&refusal);
-        return refusal_response(&refusal);
+        return refuse(&refusal);
     };
     driver.metrics.requests.inc();
     let answers = AnswerReceiver {
@@ -290,9 +290,9 @@
 async fn respond(mut answers: AnswerReceiver, format: Option<ChatFormat>) -> Response<Body> {
     match answers.next().await {
         Some(Answer::Head(head)) => respond_with_head(answers, head, format).await,
-        Some(Answer::Refused(refusal) | Answer::Broken(refusal)) => refusal_response(&refusal),
+        Some(Answer::Refused(refusal) | Answer::Broken(refusal)) => refuse(&refusal),
         Some(Answer::Data(_) | Answer::End(_)) | None => {
-            refusal_response(&Refusal::may_have_run(Cause::BrokenOff))
+            refuse(&Refusal::may_have_run(Cause::BrokenOff))
         }
     }
 }
@@ -354,11 +354,9 @@
                 response.headers_mut().insert("x-cost", HeaderValue::from(cost.0));
                 return response;
             }
-            Some(Answer::Broken(refusal) | Answer::Refused(refusal)) => {
-                return refusal_response(&refusal);
-            }
+            Some(Answer::Broken(refusal) | Answer::Refused(refusal)) => return refuse(&refusal),
             Some(Answer::Head(_)) => {}
-            None => return refusal_response(&Refusal::may_have_run(Cause::BrokenOff)),
+            None => return refuse(&Refusal::may_have_run(Cause::BrokenOff)),
         }
     }
 }
@@ -405,7 +403,7 @@
     json!({ "error": error })
 }
 
-fn refusal_response(refusal: &Refusal) -> Response<Body> {
+fn refuse(refusal: &Refusal) -> Response<Body> {
     let status = StatusCode::from_u16(refusal.cause.status()).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = http::json_response(status, &error_body(refusal));
     if let Some(delay) = refusal.retry_after {
--- a/crates/badgerfield-node/src/peers.rs
+++ b/crates/badgerfield-node/src/peers.rs
@@ -230,7 +230,7 @@
 #[derive(Debug)]
 pub struct PeerTransport {
     network: Network,
-    queues: Mutex<HashMap<Incarnation, PeerQueue>>,
+    peers: Mutex<HashMap<Incarnation, Peer>>,
 }
 
 /// Callback for received messages.
@@ -252,11 +252,12 @@
     }
 }
 
-/// The queue of messages to one peer.
+/// A peer that messages are sent to.
 #[derive(Debug)]
-struct PeerQueue {
+struct Peer {
     address: SocketAddr,
-    sender: mpsc::Sender<Envelope>,
+    /// The messages to be sent.
+    queue: mpsc::Sender<Envelope>,
 }
 
 impl PeerTransport {
@@ -316,7 +317,7 @@
         let mut endpoint = Endpoint::server(server, address)?;
         endpoint.set_default_client_config(client);
         let (connections, handler) = (Arc::default(), Arc::default());
-        Ok(Self { network: Network { endpoint, connections, handler }, queues: Mutex::default() })
+        Ok(Self { network: Network { endpoint, connections, handler }, peers: Mutex::default() })
     }
 
     /// Passes received messages to a handler until the endpoint is closed.
@@ -334,31 +335,30 @@
         }
     }
 
-    /// Queues a message; drops it if the queue of the peer is full.
+    /// Queues a message; drops it if the queue of its receiver is full.
     pub fn send(&self, address: SocketAddr, envelope: Envelope) {
-        let mut queues = lock(&self.queues);
+        let mut peers = lock(&self.peers);
         let to = envelope.to;
-        if queues.get(&to).is_some_and(|queue| queue.address != address || queue.sender.is_closed())
-        {
-            queues.remove(&to);
+        if peers.get(&to).is_some_and(|peer| peer.address != address || peer.queue.is_closed()) {
+            peers.remove(&to);
         }
-        if !queues.contains_key(&to) {
-            queues.retain(|_, queue| !queue.sender.is_closed());
+        if !peers.contains_key(&to) {
+            peers.retain(|_, peer| !peer.queue.is_closed());
         }
-        let queue = queues.entry(to).or_insert_with(|| {
-            let (sender, receiver) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        let peer = peers.entry(to).or_insert_with(|| {
+            let (queue, receiver) = mpsc::channel(MAX_QUEUED_MESSAGES);
             tokio::spawn(self.network.clone().send_queued(to, address, receiver));
-            PeerQueue { address, sender }
+            Peer { address, queue }
         });
-        if queue.sender.try_send(envelope).is_err() {
-            log::debug!(target: PEERS, "dropped a message to {to}: its queue is full");
+        if peer.queue.try_send(envelope).is_err() {
+            log::debug!(target: PEERS, "dropped a message to {to}");
         }
     }
 
-    /// Removes the queues of all peers that do not satisfy a predicate.
+    /// Closes the queues of all peers that do not satisfy a predicate.
     pub fn retain_peers(&self, is_wanted: impl Fn(Incarnation) -> bool) {
-        let mut queues = lock(&self.queues);
-        queues.retain(|id, _| is_wanted(*id));
+        let mut peers = lock(&self.peers);
+        peers.retain(|id, _| is_wanted(*id));
     }
 
     /// Closes all connections.
--- a/crates/badgerfield-node/tests/decoders.rs
+++ b/crates/badgerfield-node/tests/decoders.rs
@@ -1,4 +1,4 @@
-//! Whatever comes from outside: arbitrary bytes and texts crash nothing.
+//! Decoders and parsers of external input must not panic on arbitrary bytes and texts.
 
 use std::path::Path;
 
@@ -11,7 +11,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-/// Texts that look a little like the files that people write.
+/// Generates texts that resemble the INI files of operators.
 fn file_text() -> impl Strategy<Value = String> {
     let section = prop_oneof![
         Just("[vm]".to_owned()),
@@ -29,18 +29,21 @@
 proptest! {
     #![proptest_config(Config { cases: 2000, rng_seed: RngSeed::Fixed(9), failure_persistence: None, ..Config::default() })]
 
+    /// Guards against a panic on a malformed batch of messages from a peer.
     #[test]
     fn messages(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let _ = peers::decode(&bytes);
     }
 
+    /// Guards against a panic on a malformed view, ledger shard or template set in the store.
     #[test]
-    fn values_of_the_platform(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn store_values(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let _ = View::decode(Some(&bytes));
         let _ = LedgerShard::decode(Some(&bytes));
         let _ = TemplateSet::decode(&bytes);
     }
 
+    /// Guards against a panic on a malformed settings or template file.
     #[test]
     fn files(text in file_text()) {
         let path = Path::new("some.ini");
