--- a/crates/badgerfield-node/src/driver.rs
+++ b/crates/badgerfield-node/src/driver.rs
@@ -42,7 +42,7 @@
 /// Share of the grace period of a stop, in percent, in which new requests are still accepted:
 /// callers cache the answer of the directory for a while.
 const ADMISSION_PERCENT: u32 = 30;
-/// The wall clock is read once per this number of ticks.
+/// Number of ticks between two readings of the wall clock.
 const WALL_CLOCK_TICKS: u32 = 4;
 
 /// Where an update of the list of upstreams comes from.
@@ -71,17 +71,17 @@
 /// A part of an answer with its index in the answer.
 pub type IndexedAnswer = (usize, Answer);
 
-/// Receives the result of a request to reserve tokens.
+/// Sends the result of a reservation to the task that waits for it.
 type ReservationAnswer = oneshot::Sender<Result<Period, Refusal>>;
 
-/// A request whose caller has not received the whole answer.
+/// A request whose caller has not yet received the complete answer.
 #[derive(Debug)]
 struct OpenRequest {
     answers: mpsc::UnboundedSender<IndexedAnswer>,
     outgoing: Arc<Outgoing>,
 }
 
-/// Runs one process.
+/// The core of one process together with its sockets, clocks and tables of open requests.
 #[derive(Debug)]
 pub struct Driver {
     pub(crate) node: Node,
@@ -223,9 +223,10 @@
 
     /// Waits until a span has passed since the planned stop started.
     pub(crate) async fn lingered(&self, span: Duration) {
-        let mut stop_time = self.stopping_since.subscribe();
+        let mut stopping_since = self.stopping_since.subscribe();
         // The sender lives as long as the driver.
-        let started = stop_time.wait_for(Option::is_some).await.ok().and_then(|started| *started);
+        let started =
+            stopping_since.wait_for(Option::is_some).await.ok().and_then(|started| *started);
         if let Some(started) = started {
             self.clock.sleep_until(started.after(span)).await;
         }
@@ -235,8 +236,8 @@
     /// might not finish before its end.
     pub(crate) fn refuses_new(&self) -> bool {
         let grace = self.settings.gateway.map_or(Duration::ZERO, |gateway| gateway.grace);
-        let stop_time = *self.stopping_since.borrow();
-        stop_time
+        let stopping_since = *self.stopping_since.borrow();
+        stopping_since
             .is_some_and(|started| self.now().since(started) >= grace * ADMISSION_PERCENT / 100)
     }
 
@@ -435,7 +436,7 @@
                 silence.as_millis()
             ),
             LogEntry::Removed => {
-                log::error!(target: NODE, "removed from the view; exits when no request is running")
+                log::error!(target: NODE, "removed from the view; exits when idle")
             }
             LogEntry::LedgerApplied {
                 budget,
--- a/crates/badgerfield-node/src/evacuations.rs
+++ b/crates/badgerfield-node/src/evacuations.rs
@@ -41,7 +41,7 @@
         gateway.replicas().set_warm_ups(warm_ups);
     }
 
-    /// Updates the processes that may send to cold upstreams after a newer view has come into force.
+    /// Updates the set of processes that may send to cold upstreams after a newer view has come into force.
     pub(crate) fn update_warm_up_senders(&self) {
         if let Some(gateway) = self.gateway() {
             gateway.replicas().set_senders(self.now(), self.node.warm_up_senders());
--- a/crates/badgerfield-node/src/follow.rs
+++ b/crates/badgerfield-node/src/follow.rs
@@ -20,9 +20,9 @@
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Maximum delay between two retries.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Delay between two retries in a process that does not probe the platform: the processes that
-/// do report when it answers again. If no report arrives, this delay and the time of the call
-/// together stay close to the smallest `ContactMs` of the sheets (3 s).
+/// Delay between two retries in a process that does not probe the platform. The processes that
+/// probe it report to the others when it answers again. If no report arrives, this delay plus the
+/// time of the call stays close to the smallest `ContactMs` among the users' platforms (3 s).
 const FOLLOWER_RETRY_DELAY: Duration = Duration::from_millis(2500);
 /// Delay between two watches of the list of upstreams.
 const WATCH_DELAY: Duration = Duration::from_millis(400);
--- a/crates/badgerfield-node/src/peers.rs
+++ b/crates/badgerfield-node/src/peers.rs
@@ -432,9 +432,7 @@
                     handler(envelope);
                 }
             }
-            Err(error) => {
-                log::warn!(target: PEERS, "dropped an invalid batch of messages: {error}")
-            }
+            Err(error) => log::warn!(target: PEERS, "dropped an invalid batch: {error}"),
         }
     }
 
@@ -469,10 +467,10 @@
                 while queue.try_recv().is_ok() {}
                 continue;
             };
-            let (repeated, reliable): (Vec<_>, Vec<_>) =
+            let (repeated, others): (Vec<_>, Vec<_>) =
                 batch.drain(..).partition(|envelope| envelope.message.is_repeated());
             let unsent = send_datagram(&connection, repeated);
-            let remaining: Vec<_> = unsent.into_iter().chain(reliable).collect();
+            let remaining: Vec<_> = unsent.into_iter().chain(others).collect();
             if remaining.is_empty() {
                 continue;
             }
--- a/crates/badgerfield-node/src/rollouts.rs
+++ b/crates/badgerfield-node/src/rollouts.rs
@@ -12,8 +12,8 @@
 /// Interval of reports in the absence of bad answers; other reports about requests have the same
 /// interval.
 pub(crate) const REPORT_INTERVAL: Duration = Duration::from_millis(400);
-/// Minimum time between two reports that a bad answer triggers at once. Results in between are part
-/// of the next regular report. It is short compared with the seconds within which requests
+/// Minimum time between two reports that are triggered by bad answers. Results in between are
+/// part of the next report. The time is short compared with the seconds within which requests
 /// to a bad version must stop.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
--- a/crates/badgerfield-node/src/upstream_client.rs
+++ b/crates/badgerfield-node/src/upstream_client.rs
@@ -216,8 +216,8 @@
     }
 
     fn is_chat(&self) -> bool {
-        let chat = self.outgoing.as_ref().is_some_and(|o| matches!(o.target, Target::Chat(_)));
-        chat || self.dispatch.resume_from.is_some()
+        let is_chat = self.outgoing.as_ref().is_some_and(|o| matches!(o.target, Target::Chat(_)));
+        is_chat || self.dispatch.resume_from.is_some()
     }
 
     /// Passes the load report in the header of a response to the core.
@@ -269,8 +269,8 @@
         }
     }
 
-    /// Reads a response that is not a stream and passes on its body; an engine that rejects a
-    /// request itself uses no tokens.
+    /// Reads a response that is not a stream and passes on its body. The reported usage is zero: an
+    /// engine that rejects a request itself uses no tokens.
     async fn read_response(
         &self,
         driver: &Arc<Driver>,
--- a/crates/badgerfield-node/src/upstream_list.rs
+++ b/crates/badgerfield-node/src/upstream_list.rs
@@ -13,7 +13,7 @@
 use crate::logs::PLATFORM;
 
 /// Maximum number of changed upstreams that one log line names.
-const LOGGED_UPSTREAMS: usize = 8;
+const MAX_LOGGED_UPSTREAMS: usize = 8;
 
 impl Driver {
     /// Applies changes of the list of upstreams that were read from the platform.
@@ -21,8 +21,8 @@
         let Some(gateway) = self.gateway() else {
             return;
         };
-        let changed = gateway.replicas().apply_changes(self.now(), changes);
-        self.handle_list_update(gateway, &changed, UpdateSource::Platform);
+        let updated = gateway.replicas().apply_changes(self.now(), changes);
+        self.handle_list_update(gateway, &updated, UpdateSource::Platform);
     }
 
     /// Applies changes of the list of upstreams that a peer announced, and requests earlier
@@ -32,8 +32,8 @@
             return;
         };
         let UpstreamUpdate { changes, since, version, .. } = update;
-        let (changed, gap) = gateway.replicas().apply_update(self.now(), changes, since, version);
-        self.handle_list_update(gateway, &changed, UpdateSource::Peer);
+        let (updated, gap) = gateway.replicas().apply_update(self.now(), changes, since, version);
+        self.handle_list_update(gateway, &updated, UpdateSource::Peer);
         match gap {
             ListGap::Nothing => {}
             ListGap::Changes => self.feed(Event::UpstreamListGap(from, version.revision)),
@@ -46,13 +46,13 @@
         let Some(gateway) = self.gateway() else {
             return;
         };
-        let (is_first, changed) = {
+        let (is_first, updated) = {
             let mut replicas = gateway.replicas();
             (replicas.last_update().0 == 0, replicas.apply_list(self.now(), list))
         };
         // The first list of a process that has just started holds nothing new for other processes.
         let source = if is_first { UpdateSource::Peer } else { source };
-        self.handle_list_update(gateway, &changed, source);
+        self.handle_list_update(gateway, &updated, source);
     }
 
     /// Closes connections to restarted upstreams, logs the changed upstreams, and announces the
@@ -60,7 +60,7 @@
     fn handle_list_update(
         self: &Arc<Self>,
         gateway: &Gateway,
-        changed: &[UpstreamId],
+        updated: &[UpstreamId],
         source: UpdateSource,
     ) {
         let (version, count, (evacuated, cold), restarted) = {
@@ -73,28 +73,28 @@
             log::info!(target: PLATFORM, "upstream started again id={id} list={}", version.revision);
         }
         self.feed(Event::UpstreamListVersion(version));
-        if !changed.is_empty() {
+        if !updated.is_empty() {
             let logged: Vec<_> =
-                changed.iter().take(LOGGED_UPSTREAMS).map(UpstreamId::as_str).collect();
+                updated.iter().take(MAX_LOGGED_UPSTREAMS).map(UpstreamId::as_str).collect();
             log::info!(
                 target: PLATFORM,
                 "upstreams changed list={} count={count} cold={cold} evacuated={evacuated} changed={} \
                  ids={}",
                 version.revision,
-                changed.len(),
+                updated.len(),
                 logged.join(",")
             );
         }
         // In a small fleet every process forwards each change that is new to it.
         let is_small = self.node.is_small_fleet();
-        if source == UpdateSource::Platform || (is_small && !changed.is_empty()) {
-            self.announce_changes(gateway, changed);
+        if source == UpdateSource::Platform || (is_small && !updated.is_empty()) {
+            self.announce_changes(gateway, updated);
         }
     }
 
-    /// Announces the changes of the list of upstreams since the last announcement; `changed` are
-    /// the upstreams that the present update has changed.
-    fn announce_changes(self: &Arc<Self>, gateway: &Gateway, changed: &[UpstreamId]) {
+    /// Announces the changes of the list of upstreams since the last announcement; `updated` are
+    /// the upstreams that this update has changed.
+    fn announce_changes(self: &Arc<Self>, gateway: &Gateway, updated: &[UpstreamId]) {
         let announced = self.node.announced_revision();
         let update = {
             // Changes and version are read under one lock: a newer version would claim changes
@@ -104,7 +104,7 @@
             let (changes, since) = match replicas.changes_since(self.now(), announced) {
                 Some(changes) => (changes, announced),
                 // Receivers detect from `since` that they lack changes, and request them.
-                None => (replicas.changes_of(self.now(), changed), version.revision),
+                None => (replicas.changes_of(self.now(), updated), version.revision),
             };
             UpstreamUpdate { changes, since, version, reach: 0 }
         };
