--- a/crates/badgerfield-node/src/driver.rs
+++ b/crates/badgerfield-node/src/driver.rs
@@ -339,7 +339,7 @@
             }
             Command::AnswerReserve(id, result) => {
                 let answer = lock(&self.reservations).remove(&id);
-                // If the request has ended meanwhile, the reserved tokens are settled elsewhere.
+                // Sending fails if the request has ended; the gateway returns its reserved tokens.
                 let _ = answer.map(|answer| answer.send(result));
             }
             Command::ApplyUpstreamChanges(from, update) => self.apply_peer_update(from, update),
@@ -435,9 +435,7 @@
                 "removes member={member} vm={vm} silent_ms={} view={epoch}",
                 silence.as_millis()
             ),
-            LogEntry::Removed => {
-                log::error!(target: NODE, "removed from the view; exits when idle")
-            }
+            LogEntry::Removed => log::error!(target: NODE, "removed from view; exits when idle"),
             LogEntry::LedgerApplied {
                 budget,
                 limit,
--- a/crates/badgerfield-node/tests/peers.rs
+++ b/crates/badgerfield-node/tests/peers.rs
@@ -31,7 +31,7 @@
 /// Sends up to 8 messages from one endpoint to the other, waiting up to 300 ms for each; returns
 /// whether one has arrived.
 async fn can_send(from: &PeerTransport, to: &Arc<PeerTransport>, port: u16) -> bool {
-    let (sender, mut received) = mpsc::unbounded_channel();
+    let (sender, mut messages) = mpsc::unbounded_channel();
     let receiver = Arc::clone(to);
     tokio::spawn(async move {
         receiver.receive(move |envelope| drop(sender.send(envelope))).await;
@@ -45,7 +45,7 @@
             message,
         };
         from.send(address(port), envelope);
-        if timeout(Duration::from_millis(300), received.recv()).await.is_ok() {
+        if timeout(Duration::from_millis(300), messages.recv()).await.is_ok() {
             return true;
         }
     }
