--- a/crates/badgerfield-node/src/etcd.rs
+++ b/crates/badgerfield-node/src/etcd.rs
@@ -73,7 +73,8 @@
         let answer = match self.post("/v3/kv/txn", &body).await {
             Ok(answer) => answer,
             Err(CallError::Connect(_)) => return StoreResult::Refused,
-            // With status 429 the write was not executed. After other statuses it may have been.
+            // A rate limit rejects the call before the write is executed. With other statuses the
+            // write may have been executed.
             Err(CallError::Status { status, .. }) if status.as_u16() == 429 => {
                 return StoreResult::Refused;
             }
--- a/crates/badgerfield-node/src/peers.rs
+++ b/crates/badgerfield-node/src/peers.rs
@@ -306,7 +306,7 @@
         transport.send_window(CONNECTION_WINDOW_BYTES.into());
         transport.datagram_receive_buffer_size(Some(DATAGRAM_BUFFER_BYTES));
         transport.datagram_send_buffer_size(DATAGRAM_BUFFER_BYTES);
-        // Messages are smaller than the minimum MTU of QUIC, which every path supports.
+        // No path MTU discovery: messages fit into the minimum MTU of QUIC, which every path has.
         transport.mtu_discovery_config(None);
         let transport = Arc::new(transport);
         let mut server =
--- a/crates/badgerfield-node/src/upstream_list.rs
+++ b/crates/badgerfield-node/src/upstream_list.rs
@@ -50,7 +50,7 @@
             let mut replicas = gateway.replicas();
             (replicas.last_update().0 == 0, replicas.apply_list(self.now(), list))
         };
-        // The first list of a process that has just started holds nothing new for other processes.
+        // The first list of a process that has just started contains nothing new for others.
         let source = if is_first { UpdateSource::Peer } else { source };
         self.handle_list_update(gateway, &updated, source);
     }
