--- a/crates/badgerfield-node/tests/peers.rs
+++ b/crates/badgerfield-node/tests/peers.rs
@@ -61,7 +61,7 @@
 }
 
 /// Guards against processes that exchange messages without the secret of the fleet. Both sides
-/// must accept the key of the other: accepting the key of another process does not make that process accept this one.
+/// must accept the key of the other.
 #[tokio::test]
 async fn wrong_secret_is_refused() -> Result<()> {
     let (a, b) = (listen(30_003, '1', &[])?, listen(30_004, '2', &[])?);
