--- a/crates/badgerfield-node/src/buffered_log.rs
+++ b/crates/badgerfield-node/src/buffered_log.rs
@@ -1,8 +1,8 @@
-//! Lines of the log on their way out: bounded, and never waited for.
+//! A logger with a bounded buffer that never blocks the code that logs.
 //!
-//! Whoever logs puts a line into a buffer and goes on. A thread of its own writes the
-//! buffer out; only it waits when the reader is slow. What does not fit is dropped and
-//! counted, lines about requests that went well first.
+//! Logging appends a line to the buffer. A dedicated thread writes the buffer to the sink, and only
+//! this thread waits if the reader is slow. Lines that do not fit are dropped and counted; lines
+//! about successful requests are dropped first.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,42 +14,45 @@
 use crate::logs::REQUESTS;
 use crate::sync::lock;
 
-/// The most bytes that wait to be written.
+/// The maximum number of bytes that are waiting to be written.
 pub const MAX_PENDING_BYTES: usize = 256 * 1024;
-/// From how many waiting bytes on lines about requests that went well are dropped.
-const CROWDED: usize = MAX_PENDING_BYTES / 2;
-/// How often the buffer is written out.
-const PACE: Duration = Duration::from_millis(100);
-/// The most bytes that are written at once, but for a longer line: as many as a pipe takes whole
-/// (`PIPE_BUF`). Readers may cut what is longer.
-const AT_ONCE: usize = 4096;
-/// How long the end of the process waits for the last lines.
-const LAST_LINES: Duration = Duration::from_millis(300);
-
-/// How many lines all logs of this process dropped.
-static DROPPED: AtomicU64 = AtomicU64::new(0);
-
-/// Returns how many lines were dropped since the start.
+/// The maximum number of waiting bytes up to which lines about successful requests are accepted.
+/// Lines about failures are accepted up to [`MAX_PENDING_BYTES`].
+const MAX_SUCCESS_BYTES: usize = MAX_PENDING_BYTES / 2;
+/// The interval between writes of the buffer.
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
+/// The maximum number of bytes in one write, except for a single longer line. A pipe accepts up to
+/// this size (`PIPE_BUF`) atomically; readers may truncate longer writes.
+const MAX_WRITE_BYTES: usize = 4096;
+/// The maximum time that a flush waits for the buffer to be written, for instance when the
+/// process exits.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// The number of lines dropped by all logs of this process.
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
+
+/// Returns the number of lines dropped since the process started.
 #[must_use]
 pub fn dropped_lines() -> u64 {
-    DROPPED.load(Ordering::Relaxed)
+    DROPPED_LINES.load(Ordering::Relaxed)
 }
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct Pending {
     bytes: Vec<u8>,
     dropped: u64,
-    /// Whether the writer is at work on bytes that it took.
-    writing: bool,
+    /// Whether the writer thread is writing bytes that it took from the buffer.
+    is_writing: bool,
 }
 
 #[derive(Debug, Default)]
 struct Shared {
-    waiting: Mutex<Waiting>,
-    written: Condvar,
+    pending: Mutex<Pending>,
+    /// Notified after each write of the buffer.
+    writer_idle: Condvar,
 }
 
-/// A log whose lines go to a sink through a buffer.
+/// A log that writes its lines to a sink through a buffer.
 #[derive(Debug, Clone, Default)]
 pub struct BufferedLog {
     shared: Arc<Shared>,
@@ -60,30 +63,30 @@
     ///
     /// # Errors
     ///
-    /// Fails if no thread can be started.
+    /// Fails if the thread cannot be started.
     pub fn start(sink: impl Write + Send + 'static) -> std::io::Result<Self> {
-        let lines = Self::default();
-        let shared = Arc::clone(&lines.shared);
-        std::thread::Builder::new().name("log".into()).spawn(move || write_out(&shared, sink))?;
-        Ok(lines)
+        let log = Self::default();
+        let shared = Arc::clone(&log.shared);
+        std::thread::Builder::new().name("log".into()).spawn(move || run_writer(&shared, sink))?;
+        Ok(log)
     }
 
-    /// Returns how many bytes wait to be written.
+    /// Returns the number of bytes that are waiting to be written.
     #[must_use]
     pub fn pending_bytes(&self) -> usize {
-        lock(&self.shared.waiting).bytes.len()
+        lock(&self.shared.pending).bytes.len()
     }
 
-    fn push(&self, line: &str, good: bool) {
-        let mut waiting = lock(&self.shared.waiting);
-        let most = if good { CROWDED } else { MAX_PENDING_BYTES };
-        if waiting.bytes.len() + line.len() >= most {
-            waiting.dropped += 1;
-            DROPPED.fetch_add(1, Ordering::Relaxed);
+    fn push(&self, line: &str, is_success_line: bool) {
+        let mut pending = lock(&self.shared.pending);
+        let max_bytes = if is_success_line { MAX_SUCCESS_BYTES } else { MAX_PENDING_BYTES };
+        if pending.bytes.len() + line.len() >= max_bytes {
+            pending.dropped += 1;
+            DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
             return;
         }
-        waiting.bytes.extend_from_slice(line.as_bytes());
-        waiting.bytes.push(b'\n');
+        pending.bytes.extend_from_slice(line.as_bytes());
+        pending.bytes.push(b'\n');
     }
 }
 
@@ -94,61 +97,61 @@
 
     fn log(&self, record: &Record<'_>) {
         let line = record.args().to_string();
-        let good = record.target() == REQUESTS && went_well(&line);
-        self.push(&line, good);
+        let is_success_line = record.target() == REQUESTS && is_success(&line);
+        self.push(&line, is_success_line);
     }
 
-    /// Waits a moment for what is in the buffer, so that the last lines are not lost.
+    /// Waits until the buffer is written, up to [`FLUSH_TIMEOUT`], so that the last lines are not lost.
     fn flush(&self) {
-        let waiting = lock(&self.shared.waiting);
-        let busy = |w: &mut Waiting| w.writing || !w.bytes.is_empty();
-        // A reader that is too slow for this loses the last lines.
-        let _ = self.shared.written.wait_timeout_while(waiting, LAST_LINES, busy);
+        let pending = lock(&self.shared.pending);
+        let is_busy = |w: &mut Pending| w.is_writing || !w.bytes.is_empty();
+        // The last lines are lost if the reader is too slow.
+        let _ = self.shared.writer_idle.wait_timeout_while(pending, FLUSH_TIMEOUT, is_busy);
     }
 }
 
-/// Tells whether a line is about a request that went well, as far as it says.
-fn went_well(line: &str) -> bool {
+/// Returns whether a line reports no failure: it has no outcome, or a successful one.
+fn is_success(line: &str) -> bool {
     let Some((_, outcome)) = line.split_once("outcome=") else {
         return true;
     };
     outcome.starts_with("served") || outcome.starts_with("done")
 }
 
-/// Divides lines into batches that are written at once.
-fn batches(bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
-    let mut rest = bytes;
+/// Splits lines into batches, each for one write.
+fn split_batches(bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
+    let mut remaining = bytes;
     std::iter::from_fn(move || {
-        let mut count = 0;
-        for line in rest.split_inclusive(|byte| *byte == b'\n') {
-            if count > 0 && count + line.len() > AT_ONCE {
+        let mut length = 0;
+        for line in remaining.split_inclusive(|byte| *byte == b'\n') {
+            if length > 0 && length + line.len() > MAX_WRITE_BYTES {
                 break;
             }
-            count += line.len();
+            length += line.len();
         }
-        let (batch, later) = rest.split_at(count);
-        rest = later;
+        let (batch, next) = remaining.split_at(length);
+        remaining = next;
         (!batch.is_empty()).then_some(batch)
     })
 }
 
-fn write_out(shared: &Shared, mut sink: impl Write) {
+fn run_writer(shared: &Shared, mut sink: impl Write) {
     loop {
-        std::thread::sleep(PACE);
+        std::thread::sleep(WRITE_INTERVAL);
         let (bytes, dropped) = {
-            let mut waiting = lock(&shared.waiting);
-            waiting.writing = true;
-            (std::mem::take(&mut waiting.bytes), std::mem::take(&mut waiting.dropped))
+            let mut pending = lock(&shared.pending);
+            pending.is_writing = true;
+            (std::mem::take(&mut pending.bytes), std::mem::take(&mut pending.dropped))
         };
-        for lines in batches(&bytes) {
-            // A sink that fails cannot be told about anywhere.
-            let _ = sink.write_all(lines);
+        for batch in split_batches(&bytes) {
+            // There is nowhere to report an error of the sink.
+            let _ = sink.write_all(batch);
         }
         if dropped > 0 {
             let _ = writeln!(sink, "WARN  node: log lines dropped={dropped}");
         }
         let _ = sink.flush();
-        lock(&shared.waiting).writing = false;
-        shared.written.notify_all();
+        lock(&shared.pending).is_writing = false;
+        shared.writer_idle.notify_all();
     }
 }
--- a/crates/badgerfield-node/src/clock.rs
+++ b/crates/badgerfield-node/src/clock.rs
@@ -1,9 +1,10 @@
-//! The time of the process, and the clocks of its VM that it is read from.
+//! The time of the process, read from the clocks of its VM.
 //!
-//! Ages and deadlines go by a clock that counts the spans in which the VM is suspended. Timers of
-//! the runtime do not count them, so whoever waits here is woken by the first tick after one.
-//! A process may also stand still while its VM is awake. Either way what it saw of others over
-//! that time is no evidence against them.
+//! Ages and deadlines use a clock that includes the time during which the VM is suspended. Timers
+//! of the runtime do not include it. The first tick after a suspension therefore wakes all tasks
+//! that wait here, so that they read the time again.
+//! A process may also be stalled while its VM runs. In both cases, missing messages and responses
+//! of others during that time are no evidence that they failed.
 
 use std::fmt::Debug;
 use std::sync::Mutex;
@@ -16,21 +17,22 @@
 
 use crate::sync::lock;
 
-/// How far the two clocks of a VM must part between two ticks to count as a suspension.
-const SUSPENDED: Duration = Duration::from_millis(50);
-/// How long after the last tick the process counts as one that stands still.
-const STILL: Duration = Duration::from_secs(1);
+/// The minimum increase of the difference between the two clocks of a VM, from one tick to the
+/// next, that counts as a suspension.
+const MIN_SUSPENSION: Duration = Duration::from_millis(50);
+/// The minimum time without a tick after which the process counts as stalled.
+const MIN_STALL: Duration = Duration::from_secs(1);
 
-/// The clocks of a VM, each as the span since some moment of its own.
+/// The clocks of a VM. Each returns the time since its own arbitrary start.
 pub trait VmClocks: Debug + Send + Sync {
-    /// Reads the clock that goes on while the VM is suspended.
+    /// Reads the clock that includes time during which the VM is suspended.
     fn boottime(&self) -> Duration;
 
-    /// Reads the clock that timers go by. It stands still while the VM is suspended.
+    /// Reads the clock that timers use. It excludes time during which the VM is suspended.
     fn monotonic(&self) -> Duration;
 }
 
-/// The clocks of the system that the process runs on.
+/// The clocks of the operating system.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct SystemClocks;
 
@@ -44,128 +46,128 @@
     }
 }
 
-/// Reads a clock of the system.
 fn read(clock: ClockId) -> Duration {
-    // Both clocks stand in every Linux kernel that the runtime works on: reading cannot fail.
+    // Every Linux kernel that the runtime supports has both clocks, so reading them cannot fail.
     clock_gettime(clock).map(Duration::from).unwrap_or_default()
 }
 
-/// The time given to something was over before it was done.
+/// The error for a future that did not complete before its deadline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("the time given to it is over")]
-pub(crate) struct TimeOver;
+#[error("the deadline has passed")]
+pub(crate) struct DeadlinePassed;
 
-/// A span over which the process did nothing.
+/// A period during which the process did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct StoodStill {
-    /// How long it was, from the last tick before it to the first one after it.
+    /// The time from the last tick before the period to the first tick after it.
     pub(crate) span: Duration,
-    /// How much of it the VM was suspended.
+    /// The part of the period during which the VM was suspended.
     pub(crate) suspended: Duration,
 }
 
-/// What is known from the ticks.
+/// State derived from the ticks so far.
 #[derive(Debug, Clone, Copy, Default)]
 struct Ticks {
-    /// When the last one was; nothing before the first.
+    /// The time of the last tick; `None` before the first tick.
     last: Option<Time>,
-    /// How far the clocks of the VM had parted then, at the most.
-    apart: Duration,
-    /// When the process went on after it had stood still, the last time.
-    went_on: Option<Time>,
+    /// The maximum difference between the clocks of the VM at the last tick.
+    max_difference: Duration,
+    /// The time of the first tick after the most recent stall or suspension.
+    last_resumed: Option<Time>,
 }
 
-/// Tells the time of the process, and waits for a time.
+/// Reads the time of the process and provides sleeps and timeouts.
 #[derive(Debug)]
 pub(crate) struct Clock {
-    vm: Box<dyn VmClocks>,
+    clocks: Box<dyn VmClocks>,
     started: Duration,
     ticks: Mutex<Ticks>,
-    /// How often the VM woke: those that wait look at the time anew when it changes.
-    wakes: watch::Sender<u64>,
+    /// The number of times the VM resumed after a suspension. Waiting tasks read the time again when
+    /// this changes.
+    resume_count: watch::Sender<u64>,
 }
 
 impl Clock {
-    pub(crate) fn new(vm: Box<dyn VmClocks>) -> Self {
-        let started = vm.boottime();
-        Self { vm, started, ticks: Mutex::default(), wakes: watch::Sender::new(0) }
+    pub(crate) fn new(clocks: Box<dyn VmClocks>) -> Self {
+        let started = clocks.boottime();
+        Self { clocks, started, ticks: Mutex::default(), resume_count: watch::Sender::new(0) }
     }
 
-    /// Returns the present time.
+    /// Returns the time since this clock was created.
     pub(crate) fn now(&self) -> Time {
-        Time(self.vm.boottime().saturating_sub(self.started))
+        Time(self.clocks.boottime().saturating_sub(self.started))
     }
 
-    /// Notes that the process goes on, as it does with every tick; returns the span over which it
-    /// did not, if that was long or the VM was suspended meanwhile.
+    /// Records a tick. Returns the period since the last tick if the process was stalled or the VM
+    /// was suspended during that period.
     pub(crate) fn tick(&self) -> Option<StoodStill> {
-        let before = self.vm.monotonic();
-        let boot = self.vm.boottime();
-        let after = self.vm.monotonic();
+        let before = self.clocks.monotonic();
+        let boot = self.clocks.boottime();
+        let after = self.clocks.monotonic();
         let now = Time(boot.saturating_sub(self.started));
         let mut ticks = lock(&self.ticks);
         let last = ticks.last.replace(now);
-        // The process may be held up between two readings: the least that the clocks can have
-        // parted is compared with the most that they had before.
-        let most = boot.saturating_sub(before);
-        let suspended = boot.saturating_sub(after).saturating_sub(ticks.apart);
-        ticks.apart = most;
+        // The process may be delayed between two readings. The minimum difference between the
+        // clocks at this tick is therefore compared with the maximum at the last tick.
+        let max_difference = boot.saturating_sub(before);
+        let suspended = boot.saturating_sub(after).saturating_sub(ticks.max_difference);
+        ticks.max_difference = max_difference;
         let span = now.since(last?);
-        let is_suspended = suspended >= SUSPENDED;
-        if !is_suspended && span < STILL {
+        let is_suspended = suspended >= MIN_SUSPENSION;
+        if !is_suspended && span < MIN_STALL {
             return None;
         }
-        ticks.went_on = Some(now);
+        ticks.last_resumed = Some(now);
         drop(ticks);
         if is_suspended {
-            self.wakes.send_modify(|wakes| *wakes += 1);
+            self.resume_count.send_modify(|resume_count| *resume_count += 1);
         }
         let suspended = if is_suspended { suspended } else { Duration::ZERO };
         Some(StoodStill { span, suspended })
     }
 
-    /// Tells whether the process has stood still at any moment since a time.
+    /// Returns whether the process was stalled or suspended at any time since the given time.
     pub(crate) fn stood_still_since(&self, since: Time) -> bool {
         let ticks = *lock(&self.ticks);
-        let stands = ticks.last.is_some_and(|last| self.now().since(last) >= STILL);
-        stands || ticks.went_on.is_some_and(|at| at >= since)
+        let is_stalled = ticks.last.is_some_and(|last| self.now().since(last) >= MIN_STALL);
+        is_stalled || ticks.last_resumed.is_some_and(|at| at >= since)
     }
 
-    /// Waits until a time.
-    pub(crate) async fn sleep_until(&self, until: Time) {
-        let mut wakes = self.wakes.subscribe();
+    /// Sleeps until a time.
+    pub(crate) async fn sleep_until(&self, deadline: Time) {
+        let mut resume_count = self.resume_count.subscribe();
         loop {
-            let left = until.since(self.now());
-            if left.is_zero() {
+            let remaining = deadline.since(self.now());
+            if remaining.is_zero() {
                 return;
             }
             tokio::select! {
-                () = tokio::time::sleep(left) => {}
-                // The sender lives as long as the clock.
-                _ = wakes.changed() => {}
+                () = tokio::time::sleep(remaining) => {}
+                // An error is not possible: the clock owns the sender.
+                _ = resume_count.changed() => {}
             }
         }
     }
 
-    /// Waits for a span.
+    /// Sleeps for a duration.
     pub(crate) async fn sleep(&self, span: Duration) {
         self.sleep_until(self.now().after(span)).await;
     }
 
-    /// Waits until something is done, and at the longest until a time.
+    /// Runs a future until it completes or a deadline passes.
     ///
     /// # Errors
     ///
-    /// Fails if it is not done by then.
+    /// Fails if the deadline passes first.
     pub(crate) async fn timeout_at<F: Future>(
         &self,
-        until: Time,
-        work: F,
-    ) -> Result<F::Output, TimeOver> {
+        deadline: Time,
+        future: F,
+    ) -> Result<F::Output, DeadlinePassed> {
         tokio::select! {
             biased;
-            done = work => Ok(done),
-            () = self.sleep_until(until) => Err(TimeOver),
+            output = future => Ok(output),
+            () = self.sleep_until(deadline) => Err(DeadlinePassed),
         }
     }
 }
--- a/crates/badgerfield-node/src/ini_file.rs
+++ b/crates/badgerfield-node/src/ini_file.rs
@@ -1,4 +1,4 @@
-//! INI files read with care: every fault is kept, with its section, key and line.
+//! Parsing of INI files. Collects every fault of a file, each with its section, key and line.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -9,22 +9,22 @@
 use ini::Ini;
 use thiserror::Error;
 
-/// The largest file that is read, in bytes.
-const MAX_FILE: u64 = 8_000_000;
+/// The maximum size of a file, in bytes.
+const MAX_FILE_BYTES: u64 = 8_000_000;
 
-/// One fault of a file.
+/// A fault in a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// The file.
+    /// The path of the file.
     pub file: PathBuf,
-    /// The line, where one is to blame.
+    /// The line number, if the fault is on a particular line.
     pub line: Option<usize>,
-    /// The section.
+    /// The section that contains the fault.
     pub section: String,
-    /// The key, where one is to blame.
+    /// The key, if the fault concerns a particular key.
     pub key: Option<String>,
-    /// What is wrong, and what was expected.
-    pub what: String,
+    /// What was expected and what was found.
+    pub message: String,
 }
 
 impl fmt::Display for Fault {
@@ -37,63 +37,65 @@
         if let Some(key) = &self.key {
             write!(f, " {key}")?;
         }
-        write!(f, ": {}", self.what)
+        write!(f, ": {}", self.message)
     }
 }
 
-/// Why a file cannot be used.
+/// The error for a file that cannot be used.
 #[derive(Debug, Error)]
 pub enum IniError {
     /// The file cannot be read.
     #[error("cannot read {file}: {error}")]
     Read {
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         error: std::io::Error,
     },
     /// The file is too large.
-    #[error("{0}: expected at most {MAX_FILE} bytes")]
+    #[error("{0}: expected at most {MAX_FILE_BYTES} bytes")]
     TooLarge(PathBuf),
     /// The file is not INI.
     #[error("{file}: expected INI: {error}")]
     NotIni {
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
-        /// What the parser said.
+        /// The message of the parser.
         error: String,
     },
     /// The file has faults.
-    #[error("{}", list(.0))]
+    #[error("{}", join_faults(.0))]
     Faulty(Vec<Fault>),
 }
 
-fn list(faults: &[Fault]) -> String {
+fn join_faults(faults: &[Fault]) -> String {
     let lines: Vec<_> = faults.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
 
-/// A file being read.
+/// A parsed file whose values are being read.
+///
+/// Records the keys that are read and the faults that are found. [`IniFile::finish`] reports them.
 #[derive(Debug)]
 pub struct IniFile {
     path: PathBuf,
     text: String,
     ini: Ini,
-    used: BTreeSet<(String, String)>,
+    read_keys: BTreeSet<(String, String)>,
     faults: Vec<Fault>,
 }
 
 impl IniFile {
-    /// Reads a file.
+    /// Reads and parses a file.
     ///
     /// # Errors
     ///
-    /// Refuses what cannot be read, is too large, or is not INI.
-    pub fn open(path: &Path) -> Result<Self, IniError> {
+    /// Fails if the file cannot be read, is too large, or is not INI.
+    pub fn load(path: &Path) -> Result<Self, IniError> {
         let file = path.to_owned();
         let size = std::fs::metadata(path).map(|m| m.len());
         let size = size.map_err(|error| IniError::Read { file: file.clone(), error })?;
-        if size > MAX_FILE {
+        if size > MAX_FILE_BYTES {
             return Err(IniError::TooLarge(file));
         }
         let text = std::fs::read_to_string(path);
@@ -101,137 +103,145 @@
         Self::parse(path, text)
     }
 
-    /// Parses a text as if it stood in a file.
+    /// Parses a text as the contents of a file at `path`.
     ///
     /// # Errors
     ///
-    /// Refuses what is not INI.
+    /// Fails if the text is not INI.
     pub fn parse(path: &Path, text: String) -> Result<Self, IniError> {
         let path = path.to_owned();
         let ini = Ini::load_from_str(&text)
             .map_err(|error| IniError::NotIni { file: path.clone(), error: error.to_string() })?;
-        Ok(Self { path, text, ini, used: BTreeSet::new(), faults: Vec::new() })
+        Ok(Self { path, text, ini, read_keys: BTreeSet::new(), faults: Vec::new() })
     }
 
-    /// Returns the names of all sections, in order.
+    /// Returns the names of all sections, in the order of the file.
     #[must_use]
     pub fn sections(&self) -> Vec<String> {
         self.ini.sections().flatten().map(str::to_owned).collect()
     }
 
-    /// Returns the keys of a section with their texts, in order.
+    /// Returns the keys of a section and their texts, in the order of the file.
     pub fn entries(&mut self, section: &str) -> Vec<(String, String)> {
         let found = self.ini.section(Some(section)).into_iter().flat_map(|s| s.iter());
         let entries: Vec<_> = found.map(|(k, v)| (k.to_owned(), v.trim().to_owned())).collect();
         for (key, _) in &entries {
-            self.used.insert((section.to_owned(), key.clone()));
+            self.read_keys.insert((section.to_owned(), key.clone()));
         }
         entries
     }
 
-    /// Returns a text that must be there.
-    pub fn text(&mut self, section: &str, key: &str) -> Option<String> {
+    /// Returns the text of a required key, or records a fault if the key is missing.
+    pub fn required_text(&mut self, section: &str, key: &str) -> Option<String> {
         let value = self.optional_text(section, key);
         if value.is_none() {
-            self.fault(section, Some(key), "expected a value, found none".to_owned());
+            self.record_fault(section, Some(key), "expected a value, found none".to_owned());
         }
         value
     }
 
-    /// Returns a text that may be there.
+    /// Returns the text of an optional key.
     pub fn optional_text(&mut self, section: &str, key: &str) -> Option<String> {
-        self.used.insert((section.to_owned(), key.to_owned()));
+        self.read_keys.insert((section.to_owned(), key.to_owned()));
         let value = self.ini.get_from(Some(section), key)?;
         Some(value.trim().to_owned())
     }
 
-    /// Returns a value that must be there.
-    pub fn value<T: FromStr<Err: fmt::Display>>(&mut self, section: &str, key: &str) -> Option<T> {
-        let text = self.text(section, key)?;
-        self.read(section, key, &text)
+    /// Returns the value of a required key, or records a fault if the key is missing or invalid.
+    pub fn required_value<T: FromStr<Err: fmt::Display>>(
+        &mut self,
+        section: &str,
+        key: &str,
+    ) -> Option<T> {
+        let text = self.required_text(section, key)?;
+        self.parse_value(section, key, &text)
     }
 
-    /// Returns a value, or another if it is not there.
+    /// Returns the value of a key, or `default` if the key is missing. An invalid value is a fault.
     pub fn value_or<T: FromStr<Err: fmt::Display>>(
         &mut self,
         section: &str,
         key: &str,
-        other: T,
+        default: T,
     ) -> T {
         let Some(text) = self.optional_text(section, key) else {
-            return other;
+            return default;
         };
-        self.read(section, key, &text).unwrap_or(other)
+        self.parse_value(section, key, &text).unwrap_or(default)
     }
 
-    /// Returns a span such as `5s` or `200ms` within bounds, or another if it is not there.
-    pub fn span_or(
+    /// Returns a duration such as `5s` or `200ms`, or `default` if the key is missing. A duration
+    /// outside the bounds is a fault.
+    pub fn duration_or(
         &mut self,
         section: &str,
         key: &str,
-        other: Duration,
+        default: Duration,
         bounds: (Duration, Duration),
     ) -> Duration {
         let Some(text) = self.optional_text(section, key) else {
-            return other;
+            return default;
         };
-        let Ok(span) = humantime::parse_duration(&text) else {
-            let what = format!("expected a time with its unit, for example 5s, found {text:?}");
-            self.fault(section, Some(key), what);
-            return other;
+        let Ok(duration) = humantime::parse_duration(&text) else {
+            let message =
+                format!("expected a duration with a unit, for example 5s, found {text:?}");
+            self.record_fault(section, Some(key), message);
+            return default;
         };
-        let (least, most) = bounds;
-        if span < least || span > most {
-            let what = format!("expected a time from {least:?} to {most:?}, found {text}");
-            self.fault(section, Some(key), what);
+        let (min, max) = bounds;
+        if duration < min || duration > max {
+            let message = format!("expected a duration from {min:?} to {max:?}, found {text}");
+            self.record_fault(section, Some(key), message);
         }
-        span
+        duration
     }
 
-    /// Returns a list of values separated by commas; empty if it is not there.
+    /// Returns the values of a comma-separated list, empty if the key is missing. Each invalid value
+    /// is a fault.
     pub fn list<T: FromStr<Err: fmt::Display>>(&mut self, section: &str, key: &str) -> Vec<T> {
         let text = self.optional_text(section, key).unwrap_or_default();
-        let words: Vec<_> = text.split(',').map(str::trim).filter(|w| !w.is_empty()).collect();
-        words.iter().filter_map(|word| self.read(section, key, word)).collect()
+        let items: Vec<_> = text.split(',').map(str::trim).filter(|w| !w.is_empty()).collect();
+        items.iter().filter_map(|item| self.parse_value(section, key, item)).collect()
     }
 
-    /// Notes a fault.
-    pub fn fault(&mut self, section: &str, key: Option<&str>, what: String) {
-        let line = self.line_of(section, key);
+    /// Records a fault.
+    pub fn record_fault(&mut self, section: &str, key: Option<&str>, message: String) {
+        let line = self.find_line(section, key);
         let (file, section) = (self.path.clone(), section.to_owned());
         let key = key.map(str::to_owned);
-        self.faults.push(Fault { file, line, section, key, what });
+        self.faults.push(Fault { file, line, section, key, message });
     }
 
-    /// Ends the reading: unknown sections and keys are faults too.
+    /// Records each unknown section and each key that was not read as a fault, and reports all
+    /// faults.
     ///
     /// # Errors
     ///
-    /// Returns every fault.
-    pub fn finish(mut self, known: impl Fn(&str) -> bool) -> Result<(), IniError> {
+    /// Fails if there is any fault, and lists every one.
+    pub fn finish(mut self, is_known_section: impl Fn(&str) -> bool) -> Result<(), IniError> {
         let mut unknown = Vec::new();
         for (section, properties) in &self.ini {
             let name = section.unwrap_or("");
-            // What precedes the first section has no name, and is usually empty.
+            // The properties before the first section belong to a section without a name.
             if section.is_none() && properties.is_empty() {
                 continue;
             }
-            if !known(name) {
+            if !is_known_section(name) {
                 unknown.push((name.to_owned(), None));
                 continue;
             }
             for (key, _) in properties {
-                if !self.used.contains(&(name.to_owned(), key.to_owned())) {
+                if !self.read_keys.contains(&(name.to_owned(), key.to_owned())) {
                     unknown.push((name.to_owned(), Some(key.to_owned())));
                 }
             }
         }
         for (section, key) in unknown {
-            let what = match key {
+            let message = match key {
                 Some(_) => "unknown key; see `badgerfield check --help`",
                 None => "unknown section; see `badgerfield check --help`",
             };
-            self.fault(&section, key.as_deref(), what.to_owned());
+            self.record_fault(&section, key.as_deref(), message.to_owned());
         }
         if self.faults.is_empty() {
             return Ok(());
@@ -239,8 +249,8 @@
         Err(IniError::Faulty(self.faults))
     }
 
-    /// Reads a text as a value; one that cannot be read is a fault.
-    pub fn read<T: FromStr<Err: fmt::Display>>(
+    /// Parses a text as a value. A text that cannot be parsed is a fault.
+    pub fn parse_value<T: FromStr<Err: fmt::Display>>(
         &mut self,
         section: &str,
         key: &str,
@@ -249,25 +259,25 @@
         match text.parse() {
             Ok(value) => Some(value),
             Err(error) => {
-                self.fault(section, Some(key), format!("{error} (found {text:?})"));
+                self.record_fault(section, Some(key), format!("{error} (found {text:?})"));
                 None
             }
         }
     }
 
-    fn line_of(&self, section: &str, key: Option<&str>) -> Option<usize> {
-        let mut inside = section.is_empty();
+    fn find_line(&self, section: &str, key: Option<&str>) -> Option<usize> {
+        let mut is_in_section = section.is_empty();
         for (i, line) in self.text.lines().enumerate() {
             let line = line.trim();
             if let Some(name) = line.strip_prefix('[').and_then(|l| l.strip_suffix(']')) {
-                inside = name.trim() == section;
-                if inside && key.is_none() {
+                is_in_section = name.trim() == section;
+                if is_in_section && key.is_none() {
                     return Some(i + 1);
                 }
                 continue;
             }
             let found = line.split_once('=').map(|(k, _)| k.trim());
-            if inside && key.is_some() && found == key {
+            if is_in_section && key.is_some() && found == key {
                 return Some(i + 1);
             }
         }
--- a/crates/badgerfield-node/src/logs.rs
+++ b/crates/badgerfield-node/src/logs.rs
@@ -1,4 +1,4 @@
-//! Logs: short lines, each with the prefix of its part.
+//! Logging setup and the log targets of the parts of the process.
 
 use std::time::SystemTime;
 
@@ -8,45 +8,45 @@
 use crate::buffered_log::BufferedLog;
 use crate::settings::LogSettings;
 
-/// Membership, templates and stops.
+/// The log target for membership, templates and shutdown.
 pub const NODE: &str = "node";
-/// Messages between the system's processes.
+/// The log target for messages between peers.
 pub const PEERS: &str = "peers";
-/// The key-value service and the VM list.
+/// The log target for the store and the VM list.
 pub const PLATFORM: &str = "platform";
-/// Engines and plain services.
+/// The log target for engines and plain services.
 pub const UPSTREAMS: &str = "upstreams";
-/// Callers.
+/// The log target for callers and their requests.
 pub const CALLERS: &str = "callers";
-/// Charges; the record of what was billed.
+/// The log target for charges, which records each bill.
 pub const BILLS: &str = "bills";
 
-/// Requests on routes; the record of decisions about each.
+/// The log target for requests on routes, which records the decisions about each request.
 pub const REQUESTS: &str = "requests";
 
-/// All parts.
+/// All log targets.
 pub const PARTS: [&str; 7] = [NODE, PEERS, PLATFORM, UPSTREAMS, CALLERS, BILLS, REQUESTS];
 
-/// Why logging cannot start.
+/// The error for logging that cannot be started.
 #[derive(Debug, Error)]
 pub enum LogError {
-    /// Logging has started already.
+    /// Logging has already been started.
     #[error(transparent)]
     Started(#[from] SetLoggerError),
-    /// No thread can be started for it.
-    #[error("cannot start the thread that writes the log: {0}")]
+    /// The writer thread cannot be started.
+    #[error("cannot start the log writer thread: {0}")]
     Thread(#[from] std::io::Error),
 }
 
-/// Starts logging to standard output, by a thread of its own.
+/// Starts logging to standard output from a dedicated thread.
 ///
 /// # Errors
 ///
-/// Fails if logging has started already, or its thread cannot be started.
+/// Fails if logging has already been started or its thread cannot be started.
 pub fn start(settings: &LogSettings) -> Result<(), LogError> {
     let json = settings.json;
-    let lines: Box<dyn Log> = Box::new(BufferedLog::start(std::io::stdout())?);
-    let mut dispatch = fern::Dispatch::new().level(LevelFilter::Warn).chain(lines);
+    let buffered: Box<dyn Log> = Box::new(BufferedLog::start(std::io::stdout())?);
+    let mut dispatch = fern::Dispatch::new().level(LevelFilter::Warn).chain(buffered);
     for part in PARTS {
         dispatch = dispatch.level_for(part, settings.level);
     }
--- a/crates/badgerfield-node/src/metrics.rs
+++ b/crates/badgerfield-node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics in the text format of Prometheus.
+//! Metrics of the process, in the text format of Prometheus.
 
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
@@ -22,29 +22,27 @@
 use crate::peer_traffic::PeerTraffic;
 use crate::store_calls::StoreCalls;
 
-/// The name of all versions but that which is rolled out.
+/// The label value for all versions other than the target of a rollout.
 const OTHERS: &str = "others";
 
-/// The reason of a refusal, and whether the request ran.
+/// The cause of a refusal, and whether the request ran.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct RefusalLabel {
     cause: &'static str,
     outcome: &'static str,
 }
 
-/// How a call to the key-value service ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct KvLabel {
+struct StoreResultLabel {
     result: &'static str,
 }
 
-/// Why upstreams get little or nothing.
+/// Why requests to an upstream are restricted.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct SparedLabel {
+struct RestrictedLabel {
     why: &'static str,
 }
 
-/// A budget.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct BudgetLabel {
     budget: String,
@@ -56,21 +54,20 @@
     billed: &'static str,
 }
 
-/// How a request on a route ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct EndLabel {
     outcome: String,
 }
 
-/// The versions of a service that is rolled out.
+/// A service with a rollout, and the target version or all others.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct VersionLabel {
     service: String,
-    /// The target's name, or `others`.
+    /// The target version, or `others`.
     version: String,
 }
 
-/// The figures of services that are rolled out, as of this process; none while none are.
+/// Metrics of the rollouts that this process applies. Gauges exist only while a rollout is active.
 #[derive(Debug, Default)]
 pub(crate) struct RolloutCounts {
     rules: Counter,
@@ -89,24 +86,24 @@
         r.register("rollout_sent", "Requests sent since the order", self.sent.clone());
     }
 
-    /// Counts a rule that is new here.
+    /// Counts a new rollout rule.
     pub(crate) fn count_rule(&self) {
         self.rules.inc();
     }
 
-    /// Notes what the table of upstreams knows, and forgets what it knew before.
-    pub(crate) fn note(&self, rules: &[(RolloutRule, SentCounts)], tallies: &[RolloutTally]) {
+    /// Replaces all gauges with the present rules and tallies of the upstream table.
+    pub(crate) fn update(&self, rules: &[(RolloutRule, SentCounts)], tallies: &[RolloutTally]) {
         for family in [&self.answers, &self.failed, &self.slow, &self.sent] {
             family.clear();
         }
-        for (rule, given) in rules {
+        for (rule, sent) in rules {
             let target = label(&rule.service, rule.target.as_str());
-            self.sent.get_or_create(&target).set(given.target);
+            self.sent.get_or_create(&target).set(sent.target);
             let others = label(&rule.service, OTHERS);
-            self.sent.get_or_create(&others).set(given.all.saturating_sub(given.target));
+            self.sent.get_or_create(&others).set(sent.all.saturating_sub(sent.target));
             for tally in tallies.iter().filter(|tally| tally.service == rule.service) {
-                let (at_target, at_others) = tally.totals();
-                for (label, counts) in [(&target, at_target), (&others, at_others)] {
+                let (target_counts, other_counts) = tally.totals();
+                for (label, counts) in [(&target, target_counts), (&others, other_counts)] {
                     self.answers.get_or_create(label).set(counts.answers.into());
                     self.failed.get_or_create(label).set(counts.failed.into());
                     self.slow.get_or_create(label).set(counts.slow.into());
@@ -120,21 +117,21 @@
     VersionLabel { service: service.to_string(), version: version.to_owned() }
 }
 
-/// How far requests went, and why they left their region.
+/// The distance to the upstream, and why the request left its region.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct SentLabel {
     near: &'static str,
     crossed: &'static str,
 }
 
-/// The counters of requests on routes.
+/// Metrics of requests on routes.
 #[derive(Debug)]
 pub(crate) struct GatewayCounts {
     pub(crate) admitted: Counter,
     sent: Family<SentLabel, Counter>,
-    /// Answers in which an upstream states something of itself that cannot be read.
+    /// Answers with an announcement of the upstream that is invalid.
     pub(crate) unreadable: Counter,
-    ends: Family<EndLabel, Counter>,
+    ended: Family<EndLabel, Counter>,
     seconds: Histogram,
 }
 
@@ -145,7 +142,7 @@
             admitted: Counter::default(),
             sent: Family::default(),
             unreadable: Counter::default(),
-            ends: Family::default(),
+            ended: Family::default(),
             seconds: Histogram::new(buckets),
         };
         let admitted = counts.admitted.clone();
@@ -158,27 +155,27 @@
             "Answers that state of their upstream what cannot be read",
             unreadable,
         );
-        let ends = counts.ends.clone();
-        registry.register("route_requests_ended", "Ended requests on routes by outcome", ends);
+        let ended = counts.ended.clone();
+        registry.register("route_requests_ended", "Ended requests on routes by outcome", ended);
         let seconds = counts.seconds.clone();
         registry.register("route_request_seconds", "Time of requests on routes", seconds);
         counts
     }
 
-    /// Counts a try of a request at an upstream.
+    /// Counts an attempt to send a request to an upstream.
     pub(crate) fn count_sent(&self, near: Distance, crossing: Option<CrossingReason>) {
         let crossed = crossing.map_or("-", CrossingReason::as_str);
         self.sent.get_or_create(&SentLabel { near: near.as_str(), crossed }).inc();
     }
 
-    /// Counts the end of a request.
-    pub(crate) fn count_end(&self, outcome: &str, took: Duration) {
-        self.ends.get_or_create(&EndLabel { outcome: outcome.to_owned() }).inc();
-        self.seconds.observe(took.as_secs_f64());
+    /// Counts a completed request and records its duration.
+    pub(crate) fn count_end(&self, outcome: &str, duration: Duration) {
+        self.ended.get_or_create(&EndLabel { outcome: outcome.to_owned() }).inc();
+        self.seconds.observe(duration.as_secs_f64());
     }
 }
 
-/// All metrics of one process.
+/// The metrics of one process.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -189,30 +186,30 @@
     pub(crate) calls: StoreCalls,
     pub(crate) bad_templates: Counter,
     pub(crate) evacuations: Counter,
-    spared: Family<SparedLabel, Gauge<u64, AtomicU64>>,
-    kv_results: Family<KvLabel, Counter>,
+    restricted_upstreams: Family<RestrictedLabel, Gauge<u64, AtomicU64>>,
+    store_results: Family<StoreResultLabel, Counter>,
     refusals: Family<RefusalLabel, Counter>,
     charges: Family<BillLabel, Counter>,
-    tokens: Family<BillLabel, Counter>,
-    free: Family<BudgetLabel, Gauge<u64, AtomicU64>>,
-    reserved: Family<BudgetLabel, Gauge<u64, AtomicU64>>,
-    parked: Family<BudgetLabel, Gauge<u64, AtomicU64>>,
-    billed: Family<BudgetLabel, Gauge<u64, AtomicU64>>,
-    wasted: Family<BudgetLabel, Gauge<u64, AtomicU64>>,
-    running: Gauge<u64, AtomicU64>,
-    queued: Gauge<u64, AtomicU64>,
-    claims: Gauge<u64, AtomicU64>,
-    unsettled: Gauge<u64, AtomicU64>,
-    excess: Gauge<u64, AtomicU64>,
+    charged_tokens: Family<BillLabel, Counter>,
+    free_tokens: Family<BudgetLabel, Gauge<u64, AtomicU64>>,
+    reserved_tokens: Family<BudgetLabel, Gauge<u64, AtomicU64>>,
+    parked_tokens: Family<BudgetLabel, Gauge<u64, AtomicU64>>,
+    billed_tokens: Family<BudgetLabel, Gauge<u64, AtomicU64>>,
+    wasted_tokens: Family<BudgetLabel, Gauge<u64, AtomicU64>>,
+    running_requests: Gauge<u64, AtomicU64>,
+    queued_requests: Gauge<u64, AtomicU64>,
+    remembered_keys: Gauge<u64, AtomicU64>,
+    unsettled_charges: Gauge<u64, AtomicU64>,
+    excess_tokens: Gauge<u64, AtomicU64>,
     members: Gauge<u64, AtomicU64>,
-    epoch: Gauge<u64, AtomicU64>,
-    templates: Gauge<u64, AtomicU64>,
-    conflicts: Gauge<u64, AtomicU64>,
+    view_epoch: Gauge<u64, AtomicU64>,
+    template_version: Gauge<u64, AtomicU64>,
+    ledger_conflicts: Gauge<u64, AtomicU64>,
     dropped_lines: Gauge<u64, AtomicU64>,
 }
 
 impl Metrics {
-    /// Makes all metrics, each at zero.
+    /// Registers all metrics, each at zero.
     #[must_use]
     pub fn new() -> Self {
         let mut registry = Registry::with_prefix("badgerfield");
@@ -226,25 +223,25 @@
             calls: StoreCalls::default(),
             bad_templates: Counter::default(),
             evacuations: Counter::default(),
-            spared: Family::default(),
-            kv_results: Family::default(),
+            restricted_upstreams: Family::default(),
+            store_results: Family::default(),
             refusals: Family::default(),
             charges: Family::default(),
-            tokens: Family::default(),
-            free: Family::default(),
-            reserved: Family::default(),
-            parked: Family::default(),
-            billed: Family::default(),
-            wasted: Family::default(),
-            running: Gauge::default(),
-            queued: Gauge::default(),
-            claims: Gauge::default(),
-            unsettled: Gauge::default(),
-            excess: Gauge::default(),
+            charged_tokens: Family::default(),
+            free_tokens: Family::default(),
+            reserved_tokens: Family::default(),
+            parked_tokens: Family::default(),
+            billed_tokens: Family::default(),
+            wasted_tokens: Family::default(),
+            running_requests: Gauge::default(),
+            queued_requests: Gauge::default(),
+            remembered_keys: Gauge::default(),
+            unsettled_charges: Gauge::default(),
+            excess_tokens: Gauge::default(),
             members: Gauge::default(),
-            epoch: Gauge::default(),
-            templates: Gauge::default(),
-            conflicts: Gauge::default(),
+            view_epoch: Gauge::default(),
+            template_version: Gauge::default(),
+            ledger_conflicts: Gauge::default(),
             dropped_lines: Gauge::default(),
         };
         metrics.register();
@@ -257,34 +254,58 @@
         self.messages.register(r);
         self.calls.register(r);
         self.rollouts.register(r);
-        r.register("kv_results", "Ends of calls to the key-value service", self.kv_results.clone());
+        r.register(
+            "kv_results",
+            "Ends of calls to the key-value service",
+            self.store_results.clone(),
+        );
         r.register("bad_templates", "Reads of unusable templates", self.bad_templates.clone());
         r.register("evacuations", "Domains evacuated or taken back", self.evacuations.clone());
-        r.register("upstreams_spared", "Upstreams that get little or nothing", self.spared.clone());
+        r.register(
+            "upstreams_spared",
+            "Upstreams that get little or nothing",
+            self.restricted_upstreams.clone(),
+        );
         r.register("refusals", "Refusals by cause", self.refusals.clone());
         r.register("charges", "Charges", self.charges.clone());
-        r.register("charged_tokens", "Tokens charged", self.tokens.clone());
-        r.register("budget_free", "Tokens ready to spend", self.free.clone());
-        r.register("budget_reserved", "Tokens set aside", self.reserved.clone());
-        r.register("budget_parked", "Tokens parked with a peer", self.parked.clone());
-        r.register("budget_billed", "Tokens billed in the period", self.billed.clone());
-        r.register("budget_wasted", "Tokens used without a bill", self.wasted.clone());
-        r.register("requests_running", "Requests that have not ended", self.running.clone());
-        r.register("requests_queued", "Requests that wait for an upstream", self.queued.clone());
-        r.register("keys_remembered", "Request keys remembered", self.claims.clone());
-        r.register("charges_open", "Charges without an arbiter's word", self.unsettled.clone());
-        r.register("excess_tokens", "Tokens served beyond a reservation", self.excess.clone());
+        r.register("charged_tokens", "Tokens charged", self.charged_tokens.clone());
+        r.register("budget_free", "Tokens ready to spend", self.free_tokens.clone());
+        r.register("budget_reserved", "Tokens set aside", self.reserved_tokens.clone());
+        r.register("budget_parked", "Tokens parked with a peer", self.parked_tokens.clone());
+        r.register("budget_billed", "Tokens billed in the period", self.billed_tokens.clone());
+        r.register("budget_wasted", "Tokens used without a bill", self.wasted_tokens.clone());
+        r.register(
+            "requests_running",
+            "Requests that have not ended",
+            self.running_requests.clone(),
+        );
+        r.register(
+            "requests_queued",
+            "Requests that wait for an upstream",
+            self.queued_requests.clone(),
+        );
+        r.register("keys_remembered", "Request keys remembered", self.remembered_keys.clone());
+        r.register(
+            "charges_open",
+            "Charges without an arbiter's word",
+            self.unsettled_charges.clone(),
+        );
+        r.register(
+            "excess_tokens",
+            "Tokens served beyond a reservation",
+            self.excess_tokens.clone(),
+        );
         r.register("members", "Members of the view", self.members.clone());
-        r.register("view_epoch", "Number of the view in force", self.epoch.clone());
+        r.register("view_epoch", "Number of the view in force", self.view_epoch.clone());
         r.register(
             "templates_version",
             "Version of the templates in force",
-            self.templates.clone(),
+            self.template_version.clone(),
         );
         r.register(
             "ledger_conflicts",
             "Ledger writes that met another value",
-            self.conflicts.clone(),
+            self.ledger_conflicts.clone(),
         );
         r.register(
             "log_lines_dropped",
@@ -301,15 +322,19 @@
             StoreResult::Refused => "refused",
             StoreResult::Unknown => "unknown",
         };
-        self.kv_results.get_or_create(&KvLabel { result }).inc();
+        self.store_results.get_or_create(&StoreResultLabel { result }).inc();
     }
 
-    /// Notes how many upstreams get nothing since their domain is evacuated, how many are cold, and
-    /// how many name a limit.
-    pub(crate) fn note_spared(&self, (evacuated, cold): (usize, usize), limited: usize) {
+    /// Sets the numbers of upstreams that are in an evacuated domain, that are cold, and that have
+    /// announced a rate limit.
+    pub(crate) fn set_restricted_upstreams(
+        &self,
+        (evacuated, cold): (usize, usize),
+        limited: usize,
+    ) {
         for (why, count) in [("evacuated", evacuated), ("cold", cold), ("limited", limited)] {
             let count = u64::try_from(count).unwrap_or(u64::MAX);
-            self.spared.get_or_create(&SparedLabel { why }).set(count);
+            self.restricted_upstreams.get_or_create(&RestrictedLabel { why }).set(count);
         }
     }
 
@@ -321,33 +346,33 @@
     pub(crate) fn count_bill(&self, bill: &Bill) {
         let label = BillLabel { billed: if bill.billed { "yes" } else { "no" } };
         self.charges.get_or_create(&label).inc();
-        self.tokens.get_or_create(&label).inc_by(bill.cost.0);
+        self.charged_tokens.get_or_create(&label).inc_by(bill.cost.0);
     }
 
-    /// Returns all metrics as text, with the state of the process in them.
+    /// Sets the gauges from the state of the process, and returns all metrics as text.
     pub(crate) fn render(&self, status: &Status) -> String {
         let count = |n: usize| u64::try_from(n).unwrap_or(u64::MAX);
-        self.running.set(count(status.running));
-        self.queued.set(count(status.queued));
-        self.claims.set(count(status.remembered_keys));
-        self.unsettled.set(count(status.unsettled_charges));
+        self.running_requests.set(count(status.running));
+        self.queued_requests.set(count(status.queued));
+        self.remembered_keys.set(count(status.remembered_keys));
+        self.unsettled_charges.set(count(status.unsettled_charges));
         self.members.set(count(status.members));
-        self.excess.set(status.excess_tokens.0);
-        self.epoch.set(status.epoch.0);
-        self.templates.set(status.template_version.0);
-        self.conflicts.set(status.write_counts.0);
+        self.excess_tokens.set(status.excess_tokens.0);
+        self.view_epoch.set(status.epoch.0);
+        self.template_version.set(status.template_version.0);
+        self.ledger_conflicts.set(status.write_counts.0);
         self.dropped_lines.set(buffered_log::dropped_lines());
         for entry in &status.budgets {
             let label = BudgetLabel { budget: entry.budget.to_string() };
-            let figures = entry.balance;
-            self.free.get_or_create(&label).set(figures.free.0);
-            self.reserved.get_or_create(&label).set(figures.reserved.0);
-            self.parked.get_or_create(&label).set(figures.parked.0);
-            self.billed.get_or_create(&label).set(figures.billed.0);
-            self.wasted.get_or_create(&label).set(figures.wasted.0);
+            let balance = entry.balance;
+            self.free_tokens.get_or_create(&label).set(balance.free.0);
+            self.reserved_tokens.get_or_create(&label).set(balance.reserved.0);
+            self.parked_tokens.get_or_create(&label).set(balance.parked.0);
+            self.billed_tokens.get_or_create(&label).set(balance.billed.0);
+            self.wasted_tokens.get_or_create(&label).set(balance.wasted.0);
         }
         let mut text = String::new();
-        // Writing into a string cannot fail.
+        // Writing to a string cannot fail.
         let _ = encode(&mut text, &self.registry);
         text
     }
--- a/crates/badgerfield-node/src/operator_api.rs
+++ b/crates/badgerfield-node/src/operator_api.rs
@@ -1,4 +1,4 @@
-//! The operators' interface: health, metrics and state, on an address of its own.
+//! The HTTP API for operators: health, metrics and status, on a separate address.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -18,11 +18,11 @@
 use crate::http::{self, Body};
 use crate::rollouts::allowance_word;
 
-/// Serves operators until the process ends.
+/// Listens for operators and serves them until the process exits.
 ///
 /// # Errors
 ///
-/// Fails if the address is taken.
+/// Fails if the address is in use.
 pub async fn serve(driver: Arc<Driver>) -> Result<(), StartError> {
     let listener = listen(driver.settings.operators).await?;
     tokio::spawn(async move {
@@ -33,10 +33,10 @@
             let driver = Arc::clone(&driver);
             tokio::spawn(async move {
                 let service = service_fn(move |request| {
-                    let response = answer(&driver, &request);
+                    let response = respond(&driver, &request);
                     async move { Ok::<_, Infallible>(response) }
                 });
-                // A client that breaks off needs no answer.
+                // An error means that the client closed the connection; no response is needed.
                 let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
             });
         }
@@ -44,7 +44,7 @@
     Ok(())
 }
 
-fn answer(driver: &Driver, request: &Request<Incoming>) -> Response<Body> {
+fn respond(driver: &Driver, request: &Request<Incoming>) -> Response<Body> {
     if request.method() != Method::GET {
         return http::json_response(
             StatusCode::METHOD_NOT_ALLOWED,
@@ -53,16 +53,18 @@
     }
     match request.uri().path() {
         "/healthz" => Response::new(http::full("alive\n")),
-        "/readyz" => ready(driver),
+        "/readyz" => readiness(driver),
         "/metrics" => {
             if let Some(gateway) = driver.gateway() {
-                let replicas = gateway.replicas();
+                let upstream_table = gateway.replicas();
                 let now = driver.now();
-                driver
-                    .metrics
-                    .note_spared(replicas.restricted_counts(now), replicas.limited_count());
-                let (rules, tallies) = (replicas.rollout_rules(), replicas.rollout_tallies(now));
-                driver.metrics.rollouts.note(&rules, &tallies);
+                driver.metrics.set_restricted_upstreams(
+                    upstream_table.restricted_counts(now),
+                    upstream_table.limited_count(),
+                );
+                let (rules, tallies) =
+                    (upstream_table.rollout_rules(), upstream_table.rollout_tallies(now));
+                driver.metrics.rollouts.update(&rules, &tallies);
             }
             Response::new(http::full(driver.metrics.render(&driver.node.status())))
         }
@@ -76,7 +78,7 @@
     }
 }
 
-fn ready(driver: &Driver) -> Response<Body> {
+fn readiness(driver: &Driver) -> Response<Body> {
     if driver.node.is_ready() && driver.node.templates().version.0 > 0 {
         return Response::new(http::full("ready\n"));
     }
@@ -129,32 +131,32 @@
     })
 }
 
-/// Returns the rules of roll-outs that this process keeps to, and how its requests went.
+/// Returns the rollout rules that this process applies, with the outcomes of its requests.
 fn rollouts_json(driver: &Driver) -> Vec<Value> {
     let Some(gateway) = driver.gateway() else {
         return Vec::new();
     };
     let (rules, tallies) = {
-        let replicas = gateway.replicas();
-        (replicas.rollout_rules(), replicas.rollout_tallies(driver.now()))
+        let upstream_table = gateway.replicas();
+        (upstream_table.rollout_rules(), upstream_table.rollout_tallies(driver.now()))
     };
-    let line = |(rule, given): &(RolloutRule, SentCounts)| {
+    let entry = |(rule, sent): &(RolloutRule, SentCounts)| {
         json!({
             "service": rule.service,
             "target": rule.target,
             "order": rule.revision,
             "allowance": allowance_word(rule.allowance),
-            "sent_to_target": given.target,
-            "sent": given.all,
+            "sent_to_target": sent.target,
+            "sent": sent.all,
             "tally": tallies.iter().find(|tally| tally.service == rule.service),
         })
     };
-    rules.iter().map(line).collect()
+    rules.iter().map(entry).collect()
 }
 
-/// Returns the orders that this process knows, and how far they have come as it believes.
+/// Returns the rollout orders that this process has received, with its view of their progress.
 fn orders_json(driver: &Driver) -> Vec<Value> {
-    let line = |status: RolloutStatus| {
+    let entry = |status: RolloutStatus| {
         let RolloutStatus { known, age, evidence } = status;
         let (target, others) = (evidence.target(), evidence.others());
         json!({
@@ -163,5 +165,5 @@
             "heard_as_judge": { "target": target, "others": others },
         })
     };
-    driver.node.rollout_statuses(driver.now()).into_iter().map(line).collect()
+    driver.node.rollout_statuses(driver.now()).into_iter().map(entry).collect()
 }
--- a/crates/badgerfield-node/src/peer_traffic.rs
+++ b/crates/badgerfield-node/src/peer_traffic.rs
@@ -1,7 +1,7 @@
-//! Counts the messages to other processes by their kind.
+//! Counts messages to peers by kind.
 //!
-//! What a fleet says to itself grows with its size, so an operator must see which mechanism
-//! says it.
+//! The traffic between peers grows with the size of the fleet, so operators need to see which
+//! mechanism causes it.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -20,12 +20,12 @@
     kind: &'static str,
 }
 
-/// The counts of messages since the process started.
+/// The counts of messages to peers since the process started.
 #[derive(Debug, Default)]
 pub(crate) struct PeerTraffic {
     counts: Family<KindLabel, Counter>,
-    /// What the log said last, so that it names only what has grown.
-    logged: Mutex<BTreeMap<&'static str, u64>>,
+    /// The counts at the last log line, so that the next one reports only increases.
+    logged_counts: Mutex<BTreeMap<&'static str, u64>>,
 }
 
 impl PeerTraffic {
@@ -33,26 +33,25 @@
         registry.register("peer_messages", "Messages sent to peers by kind", self.counts.clone());
     }
 
-    /// Counts a message.
     pub(crate) fn count(&self, message: &Message) {
         let kind = message.kind();
         self.counts.get_or_create(&KindLabel { kind }).inc();
-        // The lines of the log name the kinds that are listed here.
-        lock(&self.logged).entry(kind).or_default();
+        // Log lines include only the kinds that have an entry here.
+        lock(&self.logged_counts).entry(kind).or_default();
     }
 
-    /// Logs in one line how many messages of each kind there were since the last one.
+    /// Logs the number of messages of each kind since the last log line, in one line.
     pub(crate) fn log(&self) {
-        let mut grown = Vec::new();
-        for (kind, said) in lock(&self.logged).iter_mut() {
+        let mut increases = Vec::new();
+        for (kind, logged) in lock(&self.logged_counts).iter_mut() {
             let count = self.counts.get_or_create(&KindLabel { kind }).get();
-            if count > *said {
-                grown.push(format!("{kind}={}", count - *said));
+            if count > *logged {
+                increases.push(format!("{kind}={}", count - *logged));
             }
-            *said = count;
+            *logged = count;
         }
-        if !grown.is_empty() {
-            log::info!(target: NODE, "messages {}", grown.join(" "));
+        if !increases.is_empty() {
+            log::info!(target: NODE, "messages {}", increases.join(" "));
         }
     }
 }
--- a/crates/badgerfield-node/src/settings.rs
+++ b/crates/badgerfield-node/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one process.
+//! Settings of one process, read from an INI file.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,94 +20,96 @@
 use crate::ini_file::{IniError, IniFile};
 use crate::peers::FleetSecret;
 
-/// The highest price of bytes, in milliseconds per 1,000: it outweighs every delay that a caller
-/// waits for.
-const MAX_PRICE: f64 = 10_000.0;
-/// The sections that a settings file may have.
+/// The maximum price of bytes sent to another domain or region, in milliseconds per 1,000 bytes.
+/// This price exceeds every delay that a caller waits for.
+const MAX_PRICE_MS: f64 = 10_000.0;
+/// The sections that are allowed in a settings file.
 const SECTIONS: [&str; 14] = [
     "vm", "listen", "gateway", "platform", "keys", "limits", "pacing", "policy", "retries",
     "warm_up", "regions", "locality", "rollout", "log",
 ];
 
-/// All settings of one process.
+/// The settings of one process.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// The VM.
+    /// The name of the VM.
     pub vm: VmId,
-    /// Its region.
+    /// The region of the VM.
     pub region: Region,
-    /// Its failure domain.
+    /// The failure domain of the VM.
     pub domain: Domain,
-    /// Which failure domain lies in which region, its own included.
+    /// The region of each failure domain, including that of this VM.
     pub regions: RegionMap,
-    /// What distance costs.
+    /// The costs of sending a request to another failure domain or region.
     pub locality: DistanceCosts,
-    /// Where callers connect.
+    /// The listen address for callers.
     pub callers: SocketAddr,
-    /// Where the system's other processes connect.
+    /// The listen address for peers.
     pub peer_address: SocketAddr,
-    /// The address that they are told, where it is another: behind a relay, for instance.
+    /// The address that peers connect to. It differs from `peer_address` behind a relay, for
+    /// instance.
     pub advertised_address: SocketAddr,
-    /// Where operators connect.
+    /// The listen address for operators.
     pub operators: SocketAddr,
-    /// Where requests on routes are taken, if they are.
+    /// The settings of the gateway; `None` if this VM serves no requests on routes.
     pub gateway: Option<GatewaySettings>,
-    /// The platform.
+    /// The connection to the platform.
     pub platform: Platform,
-    /// The secret that the system's processes share, for now.
+    /// The secret that all processes of the fleet currently share.
     pub secret: FleetSecret,
-    /// Earlier and coming secrets that are accepted too.
+    /// Previous and next secrets, which are accepted too while the secret is being replaced.
     pub accepted: Vec<FleetSecret>,
-    /// Limits.
+    /// Limits on sizes, counts and retention.
     pub limits: Limits,
-    /// How far ahead and how often regular work is done.
+    /// Intervals and horizons of periodic work.
     pub pacing: Pacing,
-    /// What may be sent twice.
+    /// Limits on retries.
     pub retries: RetryLimits,
-    /// What upstreams get that are cold; nothing where the platform bounds that not.
+    /// The bound on requests to cold upstreams; `None` if the platform sets none.
     pub warm_up: Option<WarmUpBound>,
-    /// What is logged.
+    /// Log levels and format.
     pub log: LogSettings,
 }
 
-/// Where the platform is.
+/// The connection to the platform.
 #[derive(Debug, Clone)]
 pub struct Platform {
-    /// The key-value service.
+    /// The address of the store.
     pub store_uri: Uri,
-    /// What the names of all values begin with.
+    /// The prefix of all keys in the store.
     pub prefix: String,
-    /// How long a call may take.
+    /// The timeout of a call to the store.
     pub timeout: Duration,
-    /// Which adapter translates for the platform.
+    /// The adapter for the platform.
     pub adapter: AdapterKind,
-    /// The VM list; nothing where the platform has none.
+    /// The address of the VM list; `None` if the platform has none.
     pub vm_list: Option<Uri>,
-    /// How often the list of upstreams on routes is read.
+    /// The interval between reads of the list of upstreams on routes.
     pub replicas_poll: Duration,
-    /// How often the VM list is read.
+    /// The interval between reads of the VM list.
     pub vm_poll: Duration,
 }
 
-/// Where requests on routes are taken.
+/// The settings of the gateway, which serves requests on routes.
 #[derive(Debug, Clone, Copy)]
 pub struct GatewaySettings {
-    /// Where callers send requests.
+    /// The listen address for requests.
     pub request_address: SocketAddr,
-    /// Where callers ask which VMs to use, if this VM answers that.
+    /// The listen address of the directory, which lists the VMs for callers; `None` if this VM
+    /// serves no directory.
     pub directory_address: Option<SocketAddr>,
-    /// Where the platform asks whether this VM is ready.
+    /// The listen address for readiness checks by the platform.
     pub ready: SocketAddr,
-    /// How long after the order to stop the process is ended at the latest.
+    /// The maximum time from the stop signal until the process exits.
     pub grace: Duration,
-    /// How many connections of callers are open at once.
+    /// The maximum number of open connections from callers.
     pub connections: usize,
 }
 
-/// What translates between the product and its surroundings.
+/// The adapter between this process and its platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdapterKind {
-    /// The key-value service by the gateway of etcd, and a VM list.
+    /// A store behind the HTTP gateway of etcd, and a VM list.
     Etcd,
     /// The users' platform.
     Platform,
@@ -125,81 +127,81 @@
     }
 }
 
-/// Why a text names no adapter.
+/// The error for a text that is not the name of an adapter.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("expected etcd or platform, found {0:?}")]
 pub struct AdapterKindError(String);
 
-/// Limits of one process.
+/// Limits on sizes, counts and retention in one process.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// The largest body of a request, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub body: usize,
-    /// How many requests are open at once.
+    /// The maximum number of open requests.
     pub requests: usize,
-    /// How many values the ledger is divided into.
+    /// The number of shards of the ledger, each a value in the store.
     pub shards: u32,
-    /// How long keys are remembered.
+    /// The retention period of request keys.
     pub remember: Duration,
-    /// How long ended answers are kept.
+    /// The retention period of completed answers.
     pub replay: Duration,
-    /// How many bytes of ended answers are kept.
+    /// The maximum size of all retained completed answers, in bytes.
     pub replay_bytes: usize,
-    /// How long callers keep an answer of the directory.
+    /// How long callers may cache a response of the directory.
     pub directory: Duration,
-    /// How long an upstream may say nothing before its stream counts as broken.
+    /// The maximum time without data from an upstream before its stream counts as broken.
     pub silence: Duration,
 }
 
-/// What is logged.
+/// Log levels and format.
 #[derive(Debug, Clone)]
 pub struct LogSettings {
-    /// The level of all parts that have none of their own.
+    /// The default level.
     pub level: LevelFilter,
-    /// The levels of single parts.
+    /// Levels of individual parts, which override the default.
     pub parts: Vec<(String, LevelFilter)>,
-    /// Whether lines are JSON.
+    /// Whether log lines are written as JSON.
     pub json: bool,
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Loads a settings file and validates it.
     ///
     /// # Errors
     ///
-    /// Returns every fault of the file.
+    /// Returns an error if the file cannot be read, or lists every fault in it.
     pub fn load(path: &Path) -> Result<Self, IniError> {
-        Self::from_ini(IniFile::open(path)?)
+        Self::from_ini(IniFile::load(path)?)
     }
 
-    /// Reads and checks a file that is open.
+    /// Validates a parsed settings file.
     ///
     /// # Errors
     ///
-    /// Returns every fault of the file.
+    /// Lists every fault in the file.
     pub fn from_ini(mut file: IniFile) -> Result<Self, IniError> {
-        let vm = file.value("vm", "name");
-        let region = file.value("vm", "region");
-        let domain = file.value("vm", "domain");
+        let vm = file.required_value("vm", "name");
+        let region = file.required_value("vm", "region");
+        let domain = file.required_value("vm", "domain");
         let regions = read_regions(&mut file, domain.as_ref(), region.as_ref());
         let locality = read_locality(&mut file);
-        let callers = file.value("listen", "callers");
-        let peers = file.value("listen", "peers");
-        let operators = file.value("listen", "operators");
+        let callers = file.required_value("listen", "callers");
+        let peers = file.required_value("listen", "peers");
+        let operators = file.required_value("listen", "operators");
         let advertised = match file.optional_text("listen", "advertise") {
-            Some(_) => file.value("listen", "advertise"),
+            Some(_) => file.required_value("listen", "advertise"),
             None => peers,
         };
-        let gateway = GatewaySettings::read(&mut file);
-        let platform = Platform::read(&mut file);
-        let secret = file.value("keys", "fleet");
+        let gateway = GatewaySettings::from_ini(&mut file);
+        let platform = Platform::from_ini(&mut file);
+        let secret = file.required_value("keys", "fleet");
         let accepted = file.list("keys", "accept");
-        let limits = Limits::read(&mut file);
+        let limits = Limits::from_ini(&mut file);
         let pacing = read_pacing(&mut file);
         let retries = read_retries(&mut file);
         let warm_up = read_warm_up(&mut file);
-        let log = LogSettings::read(&mut file);
-        let read = || {
+        let log = LogSettings::from_ini(&mut file);
+        let build = || {
             Some(Self {
                 vm: vm?,
                 region: region?,
@@ -221,46 +223,58 @@
                 log,
             })
         };
-        let settings = read();
+        let settings = build();
         file.finish(|section| SECTIONS.contains(&section))?;
-        // A value that is missing has left a fault.
+        // Each missing value has been recorded as a fault, so `finish` has already failed.
         settings.ok_or(IniError::Faulty(Vec::new()))
     }
 }
 
 impl Platform {
-    fn read(file: &mut IniFile) -> Option<Self> {
-        let kv = url(file, "kv");
+    fn from_ini(file: &mut IniFile) -> Option<Self> {
+        let store_uri = read_http_uri(file, "kv");
         let adapter = file.value_or("platform", "adapter", AdapterKind::Etcd);
-        let listed = adapter == AdapterKind::Etcd;
-        let vm_list = if listed { Some(url(file, "vm_list")?) } else { None };
+        let has_vm_list = adapter == AdapterKind::Etcd;
+        let vm_list = if has_vm_list { Some(read_http_uri(file, "vm_list")?) } else { None };
         let prefix =
             file.optional_text("platform", "prefix").unwrap_or_else(|| "badgerfield/".into());
         let millis = Duration::from_millis;
         let timeout =
-            file.span_or("platform", "timeout", millis(1000), (millis(50), millis(10_000)));
+            file.duration_or("platform", "timeout", millis(1000), (millis(50), millis(10_000)));
         let vm_poll =
-            file.span_or("platform", "vm_poll", millis(2000), (millis(200), millis(60_000)));
-        let replicas_poll =
-            file.span_or("platform", "replicas_poll", millis(800), (millis(50), millis(60_000)));
-        Some(Self { store_uri: kv?, adapter, prefix, timeout, vm_list, replicas_poll, vm_poll })
+            file.duration_or("platform", "vm_poll", millis(2000), (millis(200), millis(60_000)));
+        let replicas_poll = file.duration_or(
+            "platform",
+            "replicas_poll",
+            millis(800),
+            (millis(50), millis(60_000)),
+        );
+        Some(Self {
+            store_uri: store_uri?,
+            adapter,
+            prefix,
+            timeout,
+            vm_list,
+            replicas_poll,
+            vm_poll,
+        })
     }
 }
 
 impl GatewaySettings {
-    fn read(file: &mut IniFile) -> Option<Self> {
+    fn from_ini(file: &mut IniFile) -> Option<Self> {
         if !file.sections().iter().any(|name| name == "gateway") {
             return None;
         }
-        let requests = file.value("gateway", "requests");
-        let ready = file.value("gateway", "ready");
+        let requests = file.required_value("gateway", "requests");
+        let ready = file.required_value("gateway", "ready");
         let directory = match file.optional_text("gateway", "directory") {
             None => None,
             Some(text) if text.is_empty() => None,
-            Some(_) => file.value("gateway", "directory"),
+            Some(_) => file.required_value("gateway", "directory"),
         };
         let secs = Duration::from_secs;
-        let grace = file.span_or("gateway", "grace", secs(8), (secs(1), secs(600)));
+        let grace = file.duration_or("gateway", "grace", secs(8), (secs(1), secs(600)));
         let connections = file.value_or("gateway", "connections", 2000);
         Some(Self {
             request_address: requests?,
@@ -272,21 +286,25 @@
     }
 }
 
-/// Reads which failure domain lies in which region; a domain lies in one region only.
-fn read_regions(file: &mut IniFile, own: Option<&Domain>, region: Option<&Region>) -> RegionMap {
+/// Reads the region of each failure domain. A domain listed in two regions is a fault.
+fn read_regions(
+    file: &mut IniFile,
+    own_domain: Option<&Domain>,
+    own_region: Option<&Region>,
+) -> RegionMap {
     let mut domains: BTreeMap<Domain, Region> = BTreeMap::new();
-    if let Some((own, region)) = own.zip(region) {
-        domains.insert(own.clone(), region.clone());
+    if let Some((domain, region)) = own_domain.zip(own_region) {
+        domains.insert(domain.clone(), region.clone());
     }
     for (key, text) in file.entries("regions") {
-        let domain = file.read::<Domain>("regions", &key, &key);
-        let found = file.read::<Region>("regions", &key, &text);
+        let domain = file.parse_value::<Domain>("regions", &key, &key);
+        let found = file.parse_value::<Region>("regions", &key, &text);
         let Some((domain, found)) = domain.zip(found) else {
             continue;
         };
         if let Some(known) = domains.get(&domain).filter(|known| **known != found) {
-            let what = format!("expected one region for a domain, found {found} beside {known}");
-            file.fault("regions", Some(&key), what);
+            let message = format!("expected one region per domain, found {found} and {known}");
+            file.record_fault("regions", Some(&key), message);
             continue;
         }
         domains.insert(domain, found);
@@ -295,79 +313,87 @@
 }
 
 fn read_locality(file: &mut IniFile) -> DistanceCosts {
-    let other = DistanceCosts::default();
-    let (least, most) = (Duration::ZERO, Duration::from_secs(10));
+    let default = DistanceCosts::default();
+    let (min, max) = (Duration::ZERO, Duration::from_secs(10));
     DistanceCosts {
-        domain_trip: file.span_or("locality", "domain_trip", other.domain_trip, (least, most)),
-        region_trip: file.span_or("locality", "region_trip", other.region_trip, (least, most)),
-        domain_price: read_price(file, "domain_price", other.domain_price),
-        region_price: read_price(file, "region_price", other.region_price),
+        domain_trip: file.duration_or("locality", "domain_trip", default.domain_trip, (min, max)),
+        region_trip: file.duration_or("locality", "region_trip", default.region_trip, (min, max)),
+        domain_price: read_price(file, "domain_price", default.domain_price),
+        region_price: read_price(file, "region_price", default.region_price),
     }
 }
 
-/// Reads a price of bytes, in milliseconds per 1,000 of them.
-fn read_price(file: &mut IniFile, key: &str, other: f64) -> f64 {
-    let price = file.value_or("locality", key, other);
-    if (0.0..=MAX_PRICE).contains(&price) {
+/// Reads a price of bytes, in milliseconds per 1,000 bytes.
+fn read_price(file: &mut IniFile, key: &str, default: f64) -> f64 {
+    let price = file.value_or("locality", key, default);
+    if (0.0..=MAX_PRICE_MS).contains(&price) {
         return price;
     }
-    let what = format!("expected a price from 0 to {MAX_PRICE}, found {price}");
-    file.fault("locality", Some(key), what);
-    other
+    let message = format!("expected a price from 0 to {MAX_PRICE_MS}, found {price}");
+    file.record_fault("locality", Some(key), message);
+    default
 }
 
 fn read_pacing(file: &mut IniFile) -> Pacing {
-    let other = Pacing::default();
-    let (least, most) = (Duration::from_millis(50), Duration::from_secs(86_400));
+    let default = Pacing::default();
+    let (min, max) = (Duration::from_millis(50), Duration::from_secs(86_400));
     Pacing {
-        hold_ahead: file.span_or("pacing", "ahead", other.hold_ahead, (least, most)),
-        report_interval: file.span_or("pacing", "report", other.report_interval, (least, most)),
-        heartbeat_interval: file.span_or("pacing", "beat", other.heartbeat_interval, (least, most)),
-        return_timeout: file.span_or("pacing", "hand_on", other.return_timeout, (least, most)),
-        leave_notice: file.span_or("pacing", "notice", other.leave_notice, (least, most)),
-        seal_holdings: file.value_or("pacing", "seals", other.seal_holdings),
+        hold_ahead: file.duration_or("pacing", "ahead", default.hold_ahead, (min, max)),
+        report_interval: file.duration_or("pacing", "report", default.report_interval, (min, max)),
+        heartbeat_interval: file.duration_or(
+            "pacing",
+            "beat",
+            default.heartbeat_interval,
+            (min, max),
+        ),
+        return_timeout: file.duration_or("pacing", "hand_on", default.return_timeout, (min, max)),
+        leave_notice: file.duration_or("pacing", "notice", default.leave_notice, (min, max)),
+        seal_holdings: file.value_or("pacing", "seals", default.seal_holdings),
         rollout: read_rollout(file),
         policy: read_policy(file),
     }
 }
 
 fn read_policy(file: &mut IniFile) -> Policy {
-    let other = Policy::default();
-    let (least, most) = (Duration::ZERO, Duration::from_secs(60));
+    let default = Policy::default();
+    let (min, max) = (Duration::ZERO, Duration::from_secs(60));
     Policy {
-        divide_engines: file.value_or("policy", "divide", other.divide_engines),
-        top_up: file.value_or("policy", "top_up", other.top_up),
-        prefetch_span: file.span_or("policy", "at_hand", other.prefetch_span, (least, most)),
-        budget_wait_percent: file.value_or("policy", "budget_wait", other.budget_wait_percent),
-        warm_up_senders: file.value_or("policy", "warm_up_senders", other.warm_up_senders),
+        divide_engines: file.value_or("policy", "divide", default.divide_engines),
+        top_up: file.value_or("policy", "top_up", default.top_up),
+        prefetch_span: file.duration_or("policy", "at_hand", default.prefetch_span, (min, max)),
+        budget_wait_percent: file.value_or("policy", "budget_wait", default.budget_wait_percent),
+        warm_up_senders: file.value_or("policy", "warm_up_senders", default.warm_up_senders),
     }
 }
 
 fn read_retries(file: &mut IniFile) -> RetryLimits {
-    let other = RetryLimits::default();
-    let (least, most) = (Duration::from_millis(100), Duration::from_secs(3600));
+    let default = RetryLimits::default();
+    let (min, max) = (Duration::from_millis(100), Duration::from_secs(3600));
     RetryLimits {
-        ratio: file.value_or("retries", "ratio", other.ratio),
-        allowance: file.value_or("retries", "allowance", other.allowance),
-        window: file.span_or("retries", "window", other.window, (least, most)),
+        ratio: file.value_or("retries", "ratio", default.ratio),
+        allowance: file.value_or("retries", "allowance", default.allowance),
+        window: file.duration_or("retries", "window", default.window, (min, max)),
     }
 }
 
-/// Reads the bound on cold upstreams; values that are empty, as a template leaves them where
-/// the platform has none, count as absent. Of a bound with one value the other allows nothing.
+/// Reads the bound on requests to cold upstreams.
+///
+/// Empty values count as absent: a settings file made from a template leaves them empty where the
+/// platform sets no bound. If only one of the two values is given, the other one allows no excess:
+/// `overshoot` is then 1 and `allowance` 0.
 fn read_warm_up(file: &mut IniFile) -> Option<WarmUpBound> {
-    let mut read = |key| {
+    let mut read_value = |key| {
         let text = file.optional_text("warm_up", key).unwrap_or_default();
         if text.is_empty() {
             return None;
         }
-        let value: Option<f64> = file.value("warm_up", key);
+        let value: Option<f64> = file.required_value("warm_up", key);
         if value.is_some_and(|value| !value.is_finite() || value < 0.0) {
-            file.fault("warm_up", Some(key), "expected a number that is not negative".to_owned());
+            file.record_fault("warm_up", Some(key), "expected a non-negative number".to_owned());
         }
         value
     };
-    let (overshoot, allowance) = (read("overshoot"), read("allowance"));
+    let (overshoot, allowance) = (read_value("overshoot"), read_value("allowance"));
     if overshoot.is_none() && allowance.is_none() {
         return None;
     }
@@ -375,61 +401,64 @@
     Some(WarmUpBound { overshoot, extra_requests: allowance })
 }
 
-/// Reads the bound on versions that are rolled out; values that are empty, or a unit alone, as a
-/// template leaves them where the platform has none, count as absent.
+/// Reads the bound on rollouts.
+///
+/// Empty values and a unit without a number count as absent: a settings file made from a template
+/// contains them where the platform sets no bound.
 fn read_rollout(file: &mut IniFile) -> RolloutBound {
-    let other = RolloutBound::default();
+    let default = RolloutBound::default();
     let is_blank = |file: &mut IniFile, key| {
         let text = file.optional_text("rollout", key).unwrap_or_default();
         text.is_empty() || text == "ms"
     };
-    let share = if is_blank(file, "share") { None } else { file.value("rollout", "share") };
+    let share =
+        if is_blank(file, "share") { None } else { file.required_value("rollout", "share") };
     if share.is_some_and(|share: f64| !(0.0..=1.0).contains(&share)) {
-        file.fault("rollout", Some("share"), "expected a part from 0 to 1".to_owned());
+        file.record_fault("rollout", Some("share"), "expected a fraction from 0 to 1".to_owned());
     }
     let allowance = if is_blank(file, "allowance") {
-        other.extra_requests
+        default.extra_requests
     } else {
-        file.value_or("rollout", "allowance", other.extra_requests)
+        file.value_or("rollout", "allowance", default.extra_requests)
     };
-    let (least, most) = (Duration::from_millis(100), Duration::from_secs(3600));
+    let (min, max) = (Duration::from_millis(100), Duration::from_secs(3600));
     let rollback = if is_blank(file, "rollback") {
-        other.rollback
+        default.rollback
     } else {
-        file.span_or("rollout", "rollback", other.rollback, (least, most))
+        file.duration_or("rollout", "rollback", default.rollback, (min, max))
     };
     RolloutBound {
-        share: share.map_or(other.share, Percent::from_fraction),
+        share: share.map_or(default.share, Percent::from_fraction),
         extra_requests: allowance,
         rollback,
     }
 }
 
 impl Limits {
-    fn read(file: &mut IniFile) -> Self {
+    fn from_ini(file: &mut IniFile) -> Self {
         let secs = Duration::from_secs;
         Self {
-            body: number(file, "body", 1_000_000, (1_000, 64_000_000)),
-            requests: number(file, "requests", 4_000, (1, 100_000)),
-            shards: u32::try_from(number(file, "shards", 4, (1, 256))).unwrap_or(4),
-            remember: file.span_or("limits", "remember", secs(900), (secs(10), secs(86_400))),
-            replay: file.span_or("limits", "replay", secs(120), (secs(1), secs(3_600))),
-            replay_bytes: number(file, "replay_bytes", 32_000_000, (0, 4_000_000_000)),
-            directory: file.span_or("limits", "directory", secs(10), (secs(1), secs(300))),
-            silence: file.span_or("limits", "silence", secs(10), (secs(1), secs(300))),
+            body: read_limit(file, "body", 1_000_000, (1_000, 64_000_000)),
+            requests: read_limit(file, "requests", 4_000, (1, 100_000)),
+            shards: u32::try_from(read_limit(file, "shards", 4, (1, 256))).unwrap_or(4),
+            remember: file.duration_or("limits", "remember", secs(900), (secs(10), secs(86_400))),
+            replay: file.duration_or("limits", "replay", secs(120), (secs(1), secs(3_600))),
+            replay_bytes: read_limit(file, "replay_bytes", 32_000_000, (0, 4_000_000_000)),
+            directory: file.duration_or("limits", "directory", secs(10), (secs(1), secs(300))),
+            silence: file.duration_or("limits", "silence", secs(10), (secs(1), secs(300))),
         }
     }
 }
 
 impl LogSettings {
-    fn read(file: &mut IniFile) -> Self {
+    fn from_ini(file: &mut IniFile) -> Self {
         let level = file.value_or("log", "level", LevelFilter::Info);
         let json = match file.optional_text("log", "format").as_deref() {
             None | Some("text") => false,
             Some("json") => true,
             Some(other) => {
-                let what = format!("expected text or json, found {other:?}");
-                file.fault("log", Some("format"), what);
+                let message = format!("expected text or json, found {other:?}");
+                file.record_fault("log", Some("format"), message);
                 false
             }
         };
@@ -439,9 +468,9 @@
                 if let Ok(level) = level.parse() {
                     parts.push((part.to_owned(), level));
                 } else {
-                    let what =
+                    let message =
                         format!("expected off, error, warn, info, debug or trace, found {level:?}");
-                    file.fault("log", Some(part), what);
+                    file.record_fault("log", Some(part), message);
                 }
             }
         }
@@ -449,28 +478,28 @@
     }
 }
 
-fn url(file: &mut IniFile, key: &str) -> Option<Uri> {
-    let uri: Uri = file.value("platform", key)?;
+fn read_http_uri(file: &mut IniFile, key: &str) -> Option<Uri> {
+    let uri: Uri = file.required_value("platform", key)?;
     if uri.scheme_str() != Some("http") || uri.authority().is_none() {
-        let what = format!("expected an address such as http://10.0.0.1:2379, found {uri}");
-        file.fault("platform", Some(key), what);
+        let message = format!("expected an HTTP address such as http://10.0.0.1:2379, found {uri}");
+        file.record_fault("platform", Some(key), message);
         return None;
     }
     Some(uri)
 }
 
-fn number(file: &mut IniFile, key: &str, other: usize, bounds: (usize, usize)) -> usize {
+fn read_limit(file: &mut IniFile, key: &str, default: usize, bounds: (usize, usize)) -> usize {
     let Some(text) = file.optional_text("limits", key) else {
-        return other;
+        return default;
     };
     let found = text.replace('_', "").parse::<usize>().ok();
     match found {
         Some(number) if number >= bounds.0 && number <= bounds.1 => number,
         _ => {
-            let what =
+            let message =
                 format!("expected a number from {} to {}, found {text:?}", bounds.0, bounds.1);
-            file.fault("limits", Some(key), what);
-            other
+            file.record_fault("limits", Some(key), message);
+            default
         }
     }
 }
--- a/crates/badgerfield-node/src/store_calls.rs
+++ b/crates/badgerfield-node/src/store_calls.rs
@@ -1,7 +1,7 @@
-//! Counts the calls to the platform's store by what they are for.
+//! Counts calls to the store by purpose.
 //!
-//! The store serves a limited rate of calls for the whole fleet and may price each, so an
-//! operator must see which mechanism makes them.
+//! The store serves a limited rate of calls for the whole fleet and may charge for each call, so
+//! operators need to see which mechanism makes them.
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
 
 use crate::logs::PLATFORM;
 
-/// How often a line of the log says what was called.
+/// The interval between log lines with the counts.
 pub(crate) const LOG_EVERY: Duration = Duration::from_secs(10);
 
-/// What a call is for.
+/// The purpose of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CallKind {
     /// Reads the membership view.
@@ -27,21 +27,21 @@
     LedgerRead,
     /// Writes a shard of the ledger.
     LedgerWrite,
-    /// Reads the record of a roll-out.
+    /// Reads the record of a rollout.
     RolloutRead,
-    /// Writes the record of a roll-out.
+    /// Writes the record of a rollout.
     RolloutWrite,
     /// Reads the templates.
     TemplatesRead,
-    /// Waits for a change of the templates.
+    /// Waits for a change to the templates.
     TemplatesWatch,
     /// Reads the list of upstreams.
     UpstreamsRead,
-    /// Waits for a change of the list of upstreams.
+    /// Waits for a change to the list of upstreams.
     UpstreamsWatch,
-    /// Reads the requests that are blocked.
+    /// Reads the list of blocked requests.
     PoisonRead,
-    /// Writes them.
+    /// Writes the list of blocked requests.
     PoisonWrite,
 }
 
@@ -61,7 +61,7 @@
         Self::PoisonWrite,
     ];
 
-    /// Tells what a call is for.
+    /// Returns the purpose of a call.
     pub(crate) fn of(call: &StoreCall) -> Self {
         match call {
             StoreCall::Get(StoreKey::View) => Self::ViewRead,
@@ -100,7 +100,7 @@
     purpose: &'static str,
 }
 
-/// The counts of calls since the process started.
+/// The counts of store calls since the process started.
 #[derive(Debug, Default)]
 pub(crate) struct StoreCalls {
     counts: Family<PurposeLabel, Counter>,
@@ -112,7 +112,6 @@
         registry.register("kv_calls", help, self.counts.clone());
     }
 
-    /// Counts a call.
     pub(crate) fn count(&self, kind: CallKind) {
         self.counts.get_or_create(&PurposeLabel { purpose: kind.as_str() }).inc();
     }
--- a/crates/badgerfield-node/src/templates.rs
+++ b/crates/badgerfield-node/src/templates.rs
@@ -1,4 +1,4 @@
-//! Template files: what operators write, in INI.
+//! Template files, in which operators define accounts and budgets, in INI format.
 
 use std::path::Path;
 use std::time::Duration;
@@ -10,33 +10,33 @@
 
 use crate::ini_file::{IniError, IniFile};
 
-/// The output limit of a request that names none, unless the template says otherwise.
-const OUTPUT_LIMIT: Tokens = Tokens(1024);
-/// How long a request may wait, unless the template says otherwise.
-const QUEUE_WAIT: Duration = Duration::from_secs(5);
-/// How much of a budget is held ahead of demand, unless the template says otherwise.
-const SPREAD: u64 = 80;
+/// The output limit of a request without one, unless the template sets another.
+const DEFAULT_OUTPUT_LIMIT: Tokens = Tokens(1024);
+/// The maximum time that a request waits in the queue, unless the template sets another.
+const DEFAULT_QUEUE_WAIT: Duration = Duration::from_secs(5);
+/// The part of a budget that is held ahead of demand, in percent, unless the template sets another.
+const DEFAULT_SPREAD_PERCENT: u64 = 80;
 
-/// Reads a template file.
+/// Loads a template file and validates it.
 ///
 /// # Errors
 ///
-/// Returns every fault of the file.
+/// Returns an error if the file cannot be read, or lists every fault in it.
 pub fn load(path: &Path) -> Result<TemplateSet, IniError> {
-    from_ini(IniFile::open(path)?)
+    from_ini(IniFile::load(path)?)
 }
 
-/// Reads a template file that is open.
+/// Validates a parsed template file.
 ///
 /// # Errors
 ///
-/// Returns every fault of the file.
+/// Lists every fault in the file.
 pub fn from_ini(mut file: IniFile) -> Result<TemplateSet, IniError> {
     let mut set = TemplateSet::default();
     for section in file.sections() {
         if let Some(name) = section.strip_prefix("account ") {
-            if let Some(id) = name_of::<Account>(&mut file, &section, name) {
-                let template = account(&mut file, &section);
+            if let Some(id) = parse_name::<Account>(&mut file, &section, name) {
+                let template = read_account(&mut file, &section);
                 set.accounts.insert(id, template);
             }
             continue;
@@ -44,20 +44,20 @@
         let Some(name) = section.strip_prefix("budget ") else {
             continue;
         };
-        let id = name_of::<BudgetId>(&mut file, &section, name);
-        let template = budget(&mut file, &section);
+        let id = parse_name::<BudgetId>(&mut file, &section, name);
+        let template = read_budget(&mut file, &section);
         if let Some((id, template)) = id.zip(template) {
             set.budgets.insert(id, template);
         }
     }
     for fault in set.faults() {
-        file.fault("", None, fault.to_string());
+        file.record_fault("", None, fault.to_string());
     }
     file.finish(|section| section.starts_with("account ") || section.starts_with("budget "))?;
     Ok(set)
 }
 
-fn name_of<T>(file: &mut IniFile, section: &str, name: &str) -> Option<T>
+fn parse_name<T>(file: &mut IniFile, section: &str, name: &str) -> Option<T>
 where
     T: std::str::FromStr,
     T::Err: std::fmt::Display,
@@ -65,16 +65,17 @@
     match name.trim().parse() {
         Ok(id) => Some(id),
         Err(error) => {
-            file.fault(section, None, format!("{error}"));
+            file.record_fault(section, None, format!("{error}"));
             None
         }
     }
 }
 
-fn account(file: &mut IniFile, section: &str) -> AccountTemplate {
+fn read_account(file: &mut IniFile, section: &str) -> AccountTemplate {
     let home = file.optional_text(section, "home");
-    let home = home.and_then(|text| name_of(file, section, &text));
-    let spread = Percent::new(SPREAD).unwrap_or_else(|_| unreachable!("the default is in range"));
+    let home = home.and_then(|text| parse_name(file, section, &text));
+    let spread = Percent::new(DEFAULT_SPREAD_PERCENT)
+        .unwrap_or_else(|_| unreachable!("the default is in range"));
     let zero = Duration::ZERO;
     AccountTemplate {
         changed: TemplateVersion(0),
@@ -86,33 +87,39 @@
         unrepeatable: file.list(section, "unrepeatable").into_iter().collect(),
         home,
         spread: file.value_or(section, "spread", spread),
-        output_limit: file.value_or(section, "output_limit", OUTPUT_LIMIT),
+        output_limit: file.value_or(section, "output_limit", DEFAULT_OUTPUT_LIMIT),
         call_cost: file.value_or(section, "call_cost", Tokens(1)),
-        queue_wait: file.span_or(section, "queue_wait", QUEUE_WAIT, (zero, Duration::from_mins(2))),
-        regions: regions(file, section),
+        queue_wait: file.duration_or(
+            section,
+            "queue_wait",
+            DEFAULT_QUEUE_WAIT,
+            (zero, Duration::from_mins(2)),
+        ),
+        regions: read_regions(file, section),
     }
 }
 
-/// Reads the regions of an account; a key without a region would refuse every request.
-fn regions(file: &mut IniFile, section: &str) -> Residency {
+/// Reads the regions of an account. A `regions` key without a region is a fault, since it would
+/// refuse every request.
+fn read_regions(file: &mut IniFile, section: &str) -> Residency {
     let Some(text) = file.optional_text(section, "regions") else {
         return Residency::default();
     };
     if text.is_empty() {
-        let what = "expected at least one region; leave the key out to allow all".to_owned();
-        file.fault(section, Some("regions"), what);
+        let message = "expected at least one region; omit the key to allow all".to_owned();
+        file.record_fault(section, Some("regions"), message);
     }
     Residency::within(file.list(section, "regions").into_iter().collect())
 }
 
-fn budget(file: &mut IniFile, section: &str) -> Option<BudgetTemplate> {
-    let limit = file.value(section, "limit");
+fn read_budget(file: &mut IniFile, section: &str) -> Option<BudgetTemplate> {
+    let limit = file.required_value(section, "limit");
     let period = Period(file.value_or(section, "period", 1));
     let keys: Vec<KeyDigest> = file.list(section, "keys");
     if keys.is_empty() {
-        let what =
+        let message =
             "expected the SHA-256 digest of at least one key; see `badgerfield key`".to_owned();
-        file.fault(section, Some("keys"), what);
+        file.record_fault(section, Some("keys"), message);
     }
     Some(BudgetTemplate {
         changed: TemplateVersion(0),
