--- a/crates/badgerfield-node/src/buffered_log.rs
+++ b/crates/badgerfield-node/src/buffered_log.rs
@@ -24,8 +24,8 @@
 /// The maximum number of bytes in one write, except for a single longer line. A pipe accepts up to
 /// this size (`PIPE_BUF`) atomically; readers may truncate longer writes.
 const MAX_WRITE_BYTES: usize = 4096;
-/// The maximum time that a flush waits for the buffer to be written, for instance when the
-/// process exits.
+/// The maximum time that a flush waits for the buffer to be written, for instance when the process
+/// exits.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The number of lines dropped by all logs of this process.
@@ -101,7 +101,8 @@
         self.push(&line, is_success_line);
     }
 
-    /// Waits until the buffer is written, up to [`FLUSH_TIMEOUT`], so that the last lines are not lost.
+    /// Waits until the buffer is written, but at most for [`FLUSH_TIMEOUT`], so that the last lines
+    /// are not lost.
     fn flush(&self) {
         let pending = lock(&self.shared.pending);
         let is_busy = |w: &mut Pending| w.is_writing || !w.bytes.is_empty();
--- a/crates/badgerfield-node/src/clock.rs
+++ b/crates/badgerfield-node/src/clock.rs
@@ -82,8 +82,8 @@
     clocks: Box<dyn VmClocks>,
     started: Duration,
     ticks: Mutex<Ticks>,
-    /// The number of times the VM resumed after a suspension. Waiting tasks read the time again when
-    /// this changes.
+    /// The number of times that the VM has resumed after a suspension. Waiting tasks read the time
+    /// again when this number changes.
     resume_count: watch::Sender<u64>,
 }
 
--- a/crates/badgerfield-node/src/ini_file.rs
+++ b/crates/badgerfield-node/src/ini_file.rs
@@ -196,8 +196,8 @@
         duration
     }
 
-    /// Returns the values of a comma-separated list, empty if the key is missing. Each invalid value
-    /// is a fault.
+    /// Returns the values of a comma-separated list; empty if the key is missing. Each invalid
+    /// value is a fault.
     pub fn list<T: FromStr<Err: fmt::Display>>(&mut self, section: &str, key: &str) -> Vec<T> {
         let text = self.optional_text(section, key).unwrap_or_default();
         let items: Vec<_> = text.split(',').map(str::trim).filter(|w| !w.is_empty()).collect();
--- a/crates/badgerfield-node/tests/clock_use.rs
+++ b/crates/badgerfield-node/tests/clock_use.rs
@@ -1,28 +1,31 @@
-//! The process reads its time in one place.
+//! All modules read the time from `Clock`.
 //!
-//! Deadlines and ages that were taken from the steady clock came out too young after a suspension of
-//! the VM, in nine modules, each of which had read that clock for itself.
+//! Nine modules read the monotonic clock directly. It excludes the time during which the VM is
+//! suspended, so after a suspension the ages that they computed were too small and their deadlines
+//! too late.
 
 use std::path::Path;
 
-/// What reads a clock that stands still while the VM is suspended.
-const STEADY: [&str; 3] = ["Instant::now", "std::time::Instant", "tokio::time::Instant"];
+/// Expressions that read the monotonic clock, which excludes the time during which the VM is
+/// suspended.
+const MONOTONIC: [&str; 3] = ["Instant::now", "std::time::Instant", "tokio::time::Instant"];
 
-fn check(folder: &Path) {
-    for entry in std::fs::read_dir(folder).expect("the sources are there").flatten() {
+fn check_sources(folder: &Path) {
+    for entry in std::fs::read_dir(folder).expect("the source directory can be read").flatten() {
         let path = entry.path();
         if path.is_dir() {
-            check(&path);
+            check_sources(&path);
             continue;
         }
-        let text = std::fs::read_to_string(&path).expect("a source is text");
-        for steady in STEADY {
-            assert!(!text.contains(steady), "{} uses {steady}; take `Clock`", path.display());
+        let text = std::fs::read_to_string(&path).expect("a source file is text");
+        for name in MONOTONIC {
+            assert!(!text.contains(name), "{} uses {name}; use `Clock` instead", path.display());
         }
     }
 }
 
+/// Fails if a source file names a type or function that reads the monotonic clock.
 #[test]
-fn no_module_takes_its_time_from_the_steady_clock() {
-    check(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"));
+fn no_module_reads_the_monotonic_clock() {
+    check_sources(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"));
 }
--- a/crates/badgerfield-node/tests/log_lines.rs
+++ b/crates/badgerfield-node/tests/log_lines.rs
@@ -1,4 +1,5 @@
-//! A reader of the log that is slow or blocked delays nobody, and costs bounded memory.
+//! The log buffer: a slow or blocked reader neither delays the code that logs nor uses unbounded
+//! memory.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -8,7 +9,7 @@
 use badgerfield_node::logs::{NODE, REQUESTS};
 use log::{Log, Record};
 
-/// A sink that never takes anything.
+/// A sink that blocks on every write.
 struct Blocked;
 
 impl Write for Blocked {
@@ -23,10 +24,10 @@
     }
 }
 
-/// A sink that tells what it was given.
-struct Told(Sender<Vec<u8>>);
+/// A sink that sends the bytes of each write to a channel.
+struct ChannelSink(Sender<Vec<u8>>);
 
-impl Write for Told {
+impl Write for ChannelSink {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.send(bytes.to_vec()).map_err(io::Error::other)?;
         Ok(bytes.len())
@@ -37,43 +38,46 @@
     }
 }
 
-fn log(lines: &BufferedLog, target: &str, text: &str) {
-    lines.log(&Record::builder().target(target).args(format_args!("{text}")).build());
+fn log(buffer: &BufferedLog, target: &str, text: &str) {
+    buffer.log(&Record::builder().target(target).args(format_args!("{text}")).build());
 }
 
-fn text(told: &Receiver<Vec<u8>>) -> String {
-    let bytes: Vec<u8> = told.try_iter().flatten().collect();
+fn text(writes: &Receiver<Vec<u8>>) -> String {
+    let bytes: Vec<u8> = writes.try_iter().flatten().collect();
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
+/// Fails if logging waits for a blocked reader, or if the buffer grows beyond its bound.
 #[test]
-fn a_blocked_reader_delays_nobody() {
-    let lines = BufferedLog::start(Blocked).expect("a thread starts");
-    log(&lines, NODE, "first");
+fn blocked_reader_does_not_delay_logging() {
+    let buffer = BufferedLog::start(Blocked).expect("the thread starts");
+    log(&buffer, NODE, "first");
     std::thread::sleep(Duration::from_millis(250));
     let (before, started) = (dropped_lines(), Instant::now());
     for n in 0..100_000 {
-        log(&lines, REQUESTS, &format!("ended id={n} outcome=broken_off status=502"));
+        log(&buffer, REQUESTS, &format!("ended id={n} outcome=broken_off status=502"));
     }
     assert!(started.elapsed() < Duration::from_secs(2), "{:?}", started.elapsed());
-    assert!(lines.pending_bytes() <= MAX_PENDING_BYTES);
+    assert!(buffer.pending_bytes() <= MAX_PENDING_BYTES);
     assert!(dropped_lines() > before);
 }
 
+/// Fails if a write is larger than a pipe accepts atomically, or ends within a line.
+///
+/// Half of the lines were missing at a VM with 900 requests in two seconds: the log wrote 9 to 20
+/// KB at a time, ten times a second, and the log collector read only 8 KB of each write.
 #[test]
-fn what_is_written_at_once_is_whole_lines_that_a_pipe_takes_whole() {
-    // At a VM with 900 requests in two seconds a line in two was missing: 9 to 20 KB were handed
-    // over ten times a second, and whoever collects logs took 8 KB of each.
-    let (sink, told) = channel();
-    let lines = BufferedLog::start(Told(sink)).expect("a thread starts");
+fn each_write_is_whole_lines_that_fit_a_pipe() {
+    let (sink, writes) = channel();
+    let buffer = BufferedLog::start(ChannelSink(sink)).expect("the thread starts");
     let longest = "x".repeat(6000);
     for n in 0..500 {
         let text =
             if n == 250 { longest.clone() } else { format!("admitted id={n} route=r account=a") };
-        log(&lines, REQUESTS, &text);
+        log(&buffer, REQUESTS, &text);
     }
-    lines.flush();
-    let written: Vec<_> = told.try_iter().collect();
+    buffer.flush();
+    let written: Vec<_> = writes.try_iter().collect();
     let all: Vec<u8> = written.concat();
     assert_eq!(String::from_utf8_lossy(&all).lines().count(), 500);
     for bytes in written {
@@ -82,26 +86,29 @@
     }
 }
 
+/// Fails if lines about successful requests fill the buffer so far that lines about failures are
+/// dropped.
 #[test]
-fn lines_about_failures_outlast_those_about_successes() {
-    let lines = BufferedLog::start(Blocked).expect("a thread starts");
-    log(&lines, NODE, "first");
+fn success_lines_are_dropped_before_failure_lines() {
+    let buffer = BufferedLog::start(Blocked).expect("the thread starts");
+    log(&buffer, NODE, "first");
     std::thread::sleep(Duration::from_millis(250));
     for n in 0..10_000 {
-        log(&lines, REQUESTS, &format!("ended id={n} outcome=served status=200"));
+        log(&buffer, REQUESTS, &format!("ended id={n} outcome=served status=200"));
     }
-    let crowded = lines.pending_bytes();
-    assert!(crowded < MAX_PENDING_BYTES / 2 + 100);
-    log(&lines, REQUESTS, "ended id=x outcome=budget_held status=503");
-    assert!(lines.pending_bytes() > crowded);
+    let success_bytes = buffer.pending_bytes();
+    assert!(success_bytes < MAX_PENDING_BYTES / 2 + 100);
+    log(&buffer, REQUESTS, "ended id=x outcome=budget_held status=503");
+    assert!(buffer.pending_bytes() > success_bytes);
 }
 
+/// Fails if lines are lost, joined or reordered on the way to the sink.
 #[test]
-fn lines_come_out_whole_and_in_order() {
-    let (tell, told) = channel();
-    let lines = BufferedLog::start(Told(tell)).expect("a thread starts");
-    log(&lines, NODE, "one");
-    log(&lines, REQUESTS, "two");
-    lines.flush();
-    assert_eq!(text(&told), "one\ntwo\n");
+fn lines_are_written_whole_and_in_order() {
+    let (sink, writes) = channel();
+    let buffer = BufferedLog::start(ChannelSink(sink)).expect("the thread starts");
+    log(&buffer, NODE, "one");
+    log(&buffer, REQUESTS, "two");
+    buffer.flush();
+    assert_eq!(text(&writes), "one\ntwo\n");
 }
--- a/crates/badgerfield-node/tests/settings.rs
+++ b/crates/badgerfield-node/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings and template files: every fault at once, each with its place.
+//! Settings and template files: valid ones are read, and all faults of a file are reported at once,
+//! each with its line, section and key.
 
 use std::path::Path;
 use std::time::Duration;
@@ -10,7 +11,7 @@
 use badgerfield_node::settings::Settings;
 use badgerfield_node::templates;
 
-const GOOD: &str = "[vm]
+const VALID: &str = "[vm]
 name = vm-1
 region = north
 domain = d1
@@ -36,41 +37,46 @@
     }
 }
 
+/// Fails if settings with the required keys alone are refused.
 #[test]
 fn good_file_is_read() {
-    assert_matches!(read(GOOD), Ok(settings) if settings.vm.as_str() == "vm-1");
+    assert_matches!(read(VALID), Ok(settings) if settings.vm.as_str() == "vm-1");
 }
 
+/// Fails if a fault hides another one or has no position: operators would have to correct a file
+/// one fault at a time.
 #[test]
 fn every_fault_is_listed_with_its_line() {
-    let text = GOOD
+    let text = VALID
         .replace("region = north", "region = no rth")
         .replace("http://127.0.0.1:4", "ftp://127.0.0.1:4")
         .replace("peers = 127.0.0.1:2\n", "")
         + "[limits]\nsilence = 5\nbody = 3\ncolour = red\n[extra]\n";
     let faults = faults(read(&text));
-    for place in
+    for position in
         ["vm.ini:3: [vm] region", "vm.ini:9: [platform] kv", "[listen] peers", "[limits] silence"]
     {
-        assert!(faults.iter().any(|fault| fault.contains(place)), "{place} in {faults:#?}");
+        assert!(faults.iter().any(|fault| fault.contains(position)), "{position} in {faults:#?}");
     }
-    for place in ["[limits] body", "[limits] colour", "[extra]"] {
-        assert!(faults.iter().any(|fault| fault.contains(place)), "{place} in {faults:#?}");
+    for position in ["[limits] body", "[limits] colour", "[extra]"] {
+        assert!(faults.iter().any(|fault| fault.contains(position)), "{position} in {faults:#?}");
     }
     assert_eq!(faults.len(), 7, "{faults:#?}");
 }
 
+/// Fails if a template file with faults is accepted, even in part, or if one of its faults is not
+/// listed.
 #[test]
 fn template_file_with_faults_is_refused_whole() {
     let text = "[account a]\npriority = many\nmodels = m\n[budget a/b]\nlimit = -3\nkeys = 12\n[budget c/d]\nlimit = 5\n";
     let file = IniFile::parse(Path::new("t.ini"), text.to_owned()).expect("the text is INI");
     let faults = faults(templates::from_ini(file));
-    for place in [
+    for position in [
         "t.ini:2: [account a] priority",
         "t.ini:5: [budget a/b] limit",
         "t.ini:6: [budget a/b] keys",
     ] {
-        assert!(faults.iter().any(|fault| fault.contains(place)), "{place} in {faults:#?}");
+        assert!(faults.iter().any(|fault| fault.contains(position)), "{position} in {faults:#?}");
     }
     assert!(
         faults.iter().any(|fault| fault.contains("no template for its account")),
@@ -78,13 +84,14 @@
     );
 }
 
+/// Fails if an optional section or value is ignored.
 #[test]
 fn gateway_and_pacing_are_read() {
-    let text = GOOD.replace("vm_list = http://127.0.0.1:5/", "adapter = platform")
+    let text = VALID.replace("vm_list = http://127.0.0.1:5/", "adapter = platform")
         + "[gateway]\nrequests = 127.0.0.1:6\nready = 127.0.0.1:7\ngrace = 8s\n\
            [pacing]\nahead = 11s\nseals = true\n[retries]\nratio = 0.2\nallowance = 52\n";
-    let settings = read(&text).expect("the settings are good");
-    let gateway = settings.gateway.expect("the section is there");
+    let settings = read(&text).expect("the settings are valid");
+    let gateway = settings.gateway.expect("the section is present");
     assert_eq!(gateway.request_address.port(), 6);
     assert_eq!(gateway.directory_address, None);
     assert_eq!(settings.platform.vm_list, None);
@@ -92,94 +99,105 @@
     assert_eq!(settings.pacing.hold_ahead, std::time::Duration::from_secs(11));
 }
 
+/// Fails if an invalid value in an optional section counts as absent.
 #[test]
 fn faults_of_gateway_and_pacing_are_listed() {
-    let text = GOOD.replace("vm_list = http://127.0.0.1:5/", "adapter = cloud")
+    let text = VALID.replace("vm_list = http://127.0.0.1:5/", "adapter = cloud")
         + "[gateway]\nrequests = here\nready = 127.0.0.1:7\n[pacing]\nseals = perhaps\n";
     let found = faults(read(&text)).join("\n");
-    for wanted in ["expected etcd or platform", "requests", "seals"] {
-        assert!(found.contains(wanted), "{wanted:?} in {found}");
+    for expected in ["expected etcd or platform", "requests", "seals"] {
+        assert!(found.contains(expected), "{expected:?} in {found}");
     }
 }
 
+/// Fails if a bound on requests to cold upstreams is not read, or if empty values set one.
 #[test]
-fn a_bound_on_cold_upstreams_is_read_whole_or_is_absent() {
-    let bound = |text: &str| read(&format!("{GOOD}{text}")).map(|settings| settings.warm_up);
-    let both = bound("[warm_up]\novershoot = 1.5\nallowance = 5\n").expect("it is good");
+fn warm_up_bound_is_read_or_absent() {
+    let bound = |text: &str| read(&format!("{VALID}{text}")).map(|settings| settings.warm_up);
+    let both = bound("[warm_up]\novershoot = 1.5\nallowance = 5\n").expect("the file is valid");
     assert_matches!(both, Some(bound) if bound.overshoot > 1.4 && bound.extra_requests > 4.9);
-    // A template leaves a value empty that its platform does not have.
-    let empty = bound("[warm_up]\novershoot = \nallowance = \n").expect("it is good");
+    // A settings file made from a template contains an empty value where the platform sets none.
+    let empty = bound("[warm_up]\novershoot = \nallowance = \n").expect("the file is valid");
     assert_eq!(empty, None);
-    assert_eq!(bound("").expect("it is good"), None);
+    assert_eq!(bound("").expect("the file is valid"), None);
     let faults = faults(bound("[warm_up]\novershoot = much\nallowance = 5\n"));
     assert!(faults.iter().any(|fault| fault.contains("[warm_up] overshoot")), "{faults:#?}");
 }
 
-/// Fails if a bound that cannot be meant, or half of one, is taken for none.
+/// Fails if an invalid or incomplete bound on requests to cold upstreams counts as absent.
 #[test]
-fn a_bound_on_cold_upstreams_that_cannot_be_meant_is_a_fault() {
-    let read = |text: &str| read(&format!("{GOOD}[warm_up]\n{text}"));
+fn invalid_warm_up_bound_is_a_fault() {
+    let read = |text: &str| read(&format!("{VALID}[warm_up]\n{text}"));
     for text in ["overshoot = nan\nallowance = 5\n", "overshoot = 1.5\nallowance = -2\n"] {
         let faults = faults(read(text));
         assert!(faults.iter().any(|fault| fault.contains("[warm_up]")), "{text}: {faults:#?}");
     }
-    let bound = |text: &str| read(text).expect("it is good").warm_up.expect("there is a bound");
+    let bound =
+        |text: &str| read(text).expect("the file is valid").warm_up.expect("the bound is set");
     assert_eq!(bound("overshoot = 1.5\n"), WarmUpBound { overshoot: 1.5, extra_requests: 0.0 });
     assert_eq!(bound("allowance = 5\n"), WarmUpBound { overshoot: 1.0, extra_requests: 5.0 });
 }
 
+/// Fails if empty values of the rollout bound are faults or replace the defaults, or if an invalid
+/// value is accepted.
 #[test]
-fn a_bound_on_roll_outs_that_a_platform_does_not_have_takes_the_usual_values() {
-    let bound = |text: &str| read(&format!("{GOOD}{text}")).map(|read| read.pacing.rollout);
+fn absent_rollout_bound_takes_the_defaults() {
+    let bound = |text: &str| read(&format!("{VALID}{text}")).map(|read| read.pacing.rollout);
     let given = bound("[rollout]\nshare = 0.07\nallowance = 50\nrollback = 4000ms\n");
-    let given = given.expect("it is good");
+    let given = given.expect("the file is valid");
     assert_eq!((u64::from(given.share), given.extra_requests), (7, 50));
     assert_eq!(given.rollback, Duration::from_secs(4));
-    // A template that has no value for the span leaves its unit alone.
-    let blank = bound("[rollout]\nshare =\nallowance =\nrollback = ms\n").expect("it is good");
+    // A settings file made from a template contains a unit without a number where the platform sets
+    // no duration.
+    let blank =
+        bound("[rollout]\nshare =\nallowance =\nrollback = ms\n").expect("the file is valid");
     assert_eq!(blank, RolloutBound::default());
-    assert_eq!(bound("").expect("it is good"), RolloutBound::default());
+    assert_eq!(bound("").expect("the file is valid"), RolloutBound::default());
     for text in ["share = 1.5", "share = few", "allowance = -1", "rollback = 5", "rollback = 0s"] {
         let faults = faults(bound(&format!("[rollout]\n{text}\n")));
         assert!(faults.iter().any(|fault| fault.contains("[rollout]")), "{text}: {faults:#?}");
     }
 }
 
+/// Fails if the advertised address is ignored, or does not default to the listen address for peers.
 #[test]
-fn another_address_may_be_told_to_peers() {
-    let text = GOOD.replace("operators", "advertise = 10.0.0.1:2\noperators");
-    let settings = read(&text).expect("the settings are good");
+fn advertised_address_may_differ_from_the_listen_address() {
+    let text = VALID.replace("operators", "advertise = 10.0.0.1:2\noperators");
+    let settings = read(&text).expect("the settings are valid");
     assert_eq!(settings.advertised_address.to_string(), "10.0.0.1:2");
     assert_eq!(settings.peer_address.to_string(), "127.0.0.1:2");
-    let plain = read(GOOD).expect("the settings are good");
+    let plain = read(VALID).expect("the settings are valid");
     assert_eq!(plain.advertised_address, plain.peer_address);
 }
 
-/// A domain of a region that is read wrongly would be served where it must not be.
+/// Fails if the region of a failure domain is read wrongly: requests would be served in a region
+/// where they are not allowed.
 #[test]
 fn domains_and_their_regions_are_read_and_their_faults_are_listed() {
-    let read = |text: &str| read(&format!("{GOOD}{text}")).map(|settings| settings.regions);
-    let regions = read("[regions]\nd1 = north\nd2 = south\n").expect("it is good");
+    let read = |text: &str| read(&format!("{VALID}{text}")).map(|settings| settings.regions);
+    let regions = read("[regions]\nd1 = north\nd2 = south\n").expect("the file is valid");
     let name = |text: &str| text.parse().expect("a name");
     let region_of = |domain: &str| regions.region(&name(domain)).map(ToString::to_string);
     assert_eq!(region_of("d1").as_deref(), Some("north"));
     assert_eq!(region_of("d2").as_deref(), Some("south"));
     assert_eq!(region_of("d3"), None);
-    // The process knows its own domain in any case.
-    let own = read("").expect("it is good");
-    assert!(own.has(&"north".parse().expect("a name")));
-    for (bad, place) in [
+    // The domain of the VM itself is always included.
+    let with_own_domain = read("").expect("the file is valid");
+    assert!(with_own_domain.has(&"north".parse().expect("a name")));
+    for (invalid, position) in [
         ("d1 = south\n", "vm.ini:15: [regions] d1: expected one region"),
         ("d2 = \n", "vm.ini:15: [regions] d2: expected an identifier"),
         ("d2 = so uth\n", "vm.ini:15: [regions] d2"),
         ("d 2 = south\n", "vm.ini:15: [regions] d 2"),
         ("d2 = south\nd2 = east\n", "[regions] d2: expected one region"),
     ] {
-        let found = faults(read(&format!("[regions]\n{bad}")));
-        assert!(found.iter().any(|fault| fault.contains(place)), "{bad:?}: {found:#?}");
+        let found = faults(read(&format!("[regions]\n{invalid}")));
+        assert!(found.iter().any(|fault| fault.contains(position)), "{invalid:?}: {found:#?}");
     }
 }
 
+/// Fails if an empty list of regions is accepted: it would either allow all regions or refuse every
+/// request.
 #[test]
 fn regions_of_an_account_are_read_and_an_empty_list_is_a_fault() {
     let read = |line: &str| {
@@ -187,27 +205,29 @@
         templates::from_ini(IniFile::parse(Path::new("t.ini"), text).expect("the text is INI"))
     };
     let regions = |line: &str| {
-        let set = read(line).expect("it is good");
+        let set = read(line).expect("the file is valid");
         set.accounts.values().map(|account| account.regions.to_string()).collect::<Vec<_>>()
     };
     assert_eq!(regions(""), ["everywhere"]);
     assert_eq!(regions("regions = north, south\n"), ["north,south"]);
-    for bad in ["regions =\n", "regions = no rth\n"] {
-        let found = faults(read(bad));
+    for invalid in ["regions =\n", "regions = no rth\n"] {
+        let found = faults(read(invalid));
         assert!(found.iter().any(|fault| fault.contains("[account a] regions")), "{found:#?}");
     }
 }
 
+/// Fails if a distance cost is accepted that is negative, not a number, too large or has no unit.
 #[test]
-fn what_distance_costs_is_read_within_bounds() {
-    let read = |text: &str| read(&format!("{GOOD}{text}")).map(|settings| settings.locality);
+fn distance_costs_are_read_within_bounds() {
+    let read = |text: &str| read(&format!("{VALID}{text}")).map(|settings| settings.locality);
     let text = "[locality]\ndomain_trip = 3ms\nregion_price = 2.5\n";
-    let locality = read(text).expect("it is good");
+    let locality = read(text).expect("the file is valid");
     assert_eq!(locality.domain_trip, std::time::Duration::from_millis(3));
     assert!((locality.region_price - 2.5).abs() < 1e-9);
-    for bad in ["region_trip = 24", "region_trip = 60s", "domain_price = -1", "region_price = NaN"]
+    for invalid in
+        ["region_trip = 24", "region_trip = 60s", "domain_price = -1", "region_price = NaN"]
     {
-        let found = faults(read(&format!("[locality]\n{bad}\n")));
-        assert!(found.iter().any(|fault| fault.contains("[locality]")), "{bad}: {found:#?}");
+        let found = faults(read(&format!("[locality]\n{invalid}\n")));
+        assert!(found.iter().any(|fault| fault.contains("[locality]")), "{invalid}: {found:#?}");
     }
 }
--- a/crates/badgerfield/src/args.rs
+++ b/crates/badgerfield/src/args.rs
@@ -1,26 +1,27 @@
-//! The arguments of every command.
+//! The definition of the command line.
 
 use std::path::PathBuf;
 
 use badgerfield_core::ids::Service;
 use clap::{Arg, ArgAction, Command, value_parser};
 
-const CODES: &str = "Exit codes:
-  0  done
-  1  failed; the reason is on standard error
-  2  the arguments are wrong
-  3  a file has faults; each is listed with its place
-  4  somebody else changed the templates; nothing was written
-  5  accepted, but not every VM has confirmed it in time
-  6  a roll-out that was watched was rolled back";
+const EXIT_CODES: &str = "Exit codes:
+  0  success
+  1  failure; the reason is on standard error
+  2  invalid arguments
+  3  a file has faults; each is listed with its line, section and key
+  4  somebody else has changed the templates; nothing was written
+  5  accepted, but not confirmed by every VM in time
+  6  a watched rollout was rolled back";
 
-const SETTINGS_HELP: &str = "A settings file has these sections and keys (* must be there):
+const SETTINGS_HELP: &str = "A settings file has these sections and keys (* is required):
 
   [vm]        name*, region*, domain*
   [listen]    callers*, peers*, operators*      addresses such as 10.0.0.1:8080;
-              advertise                         the address that peers are told, if another
+              advertise                         the address that peers connect to, if it
+              differs from the listen address
   [gateway]   requests*, ready*, directory      addresses for requests on routes; the
-              grace, connections                section may be left out
+              grace, connections                section is optional
   [platform]  kv*, vm_list                      addresses such as http://10.0.0.9:2379
               adapter (etcd or platform; etcd needs vm_list), prefix, timeout, vm_poll,
               replicas_poll
@@ -30,146 +31,145 @@
   [policy]    divide, top_up (true or false), at_hand, budget_wait, warm_up_senders
               (docs/POLICY.md)
   [retries]   ratio, allowance, window
-  [warm_up]   overshoot, allowance              what the fleet may send a cold upstream in
-              a second: overshoot times its rate, and allowance more
-  [rollout]   share, allowance, rollback        what a version that is rolled out may get
-              before it is found to be bad: this part of a service's requests, allowance
-              more, and how long after
-  [regions]   DOMAIN = REGION                   a line for each failure domain
-  [locality]  domain_trip, region_trip          round trips to another domain and region;
-              domain_price, region_price        ms of delay that 1,000 bytes count for
+  [warm_up]   overshoot, allowance              the limit on requests per second of the fleet to
+              a cold upstream: overshoot times its rate, plus allowance
+  [rollout]   share, allowance, rollback        the limit on requests to a version before it
+              is found bad: share of the service's requests, plus allowance; rollback is how
+              long it may still be sent requests after that
+  [regions]   DOMAIN = REGION                   one line per failure domain
+  [locality]  domain_trip, region_trip          round-trip times to another domain or region;
+              domain_price, region_price        price of 1,000 bytes, in ms of delay
   [log]       level, format (text or json), and a level for each of
               node, peers, platform, upstreams, callers, bills, requests
 
-A template file has a section for each client account and each of its budgets:
+A template file has a section for each client account and for each budget:
 
   [account NAME]       priority, models, adapters, hardware, services, unrepeatable,
                        home, spread, output_limit, call_cost, queue_wait,
-                       regions (where it may be served and stored; all if left out)
+                       regions (where the account may be served and its data stored;
+                       all if omitted)
   [budget NAME/BUDGET] limit*, period, keys*    see `badgerfield key`";
 
-/// Returns the whole command line.
+/// Returns the command line parser.
 pub(crate) fn command() -> Command {
     Command::new("badgerfield")
-        .about("Routes model requests against prepaid budgets, as one of several equal VMs")
+        .about("Routes model requests against prepaid budgets, on one of several equal VMs")
         .version(env!("CARGO_PKG_VERSION"))
-        .after_help(CODES)
+        .after_help(EXIT_CODES)
         .subcommand_required(true)
         .arg_required_else_help(true)
-        .subcommand(run())
-        .subcommand(check())
-        .subcommand(template())
-        .subcommand(budget())
-        .subcommand(rollout())
-        .subcommand(key())
+        .subcommand(run_command())
+        .subcommand(check_command())
+        .subcommand(template_command())
+        .subcommand(budget_command())
+        .subcommand(rollout_command())
+        .subcommand(key_command())
 }
 
-fn run() -> Command {
+fn run_command() -> Command {
     Command::new("run")
-        .about("Runs the daemon until it is told to stop (SIGTERM or SIGINT)")
+        .about("Runs the daemon until SIGTERM or SIGINT")
         .long_about(
-            "Runs the daemon. On SIGTERM or SIGINT it leaves the directory, serves on while \
-             callers may still come, ends every stream, gives its holdings back, and exits.",
+            "Runs the daemon. On SIGTERM or SIGINT it leaves the directory, continues to serve \
+             while callers may still send requests, completes every stream, returns its \
+             holdings, and exits.",
         )
-        .arg(settings())
+        .arg(settings_arg())
 }
 
-fn check() -> Command {
+fn check_command() -> Command {
     Command::new("check")
-        .about("Checks a settings file, and a template file, and lists every fault")
+        .about("Validates a settings file or a template file, or both, and lists every fault")
         .after_long_help(SETTINGS_HELP)
-        .arg(settings().required(false))
+        .arg(settings_arg().required(false))
         .arg(
             Arg::new("templates")
                 .long("templates")
                 .value_name("FILE")
                 .value_parser(value_parser!(PathBuf))
-                .help("The template file to check"),
+                .help("The template file to validate"),
         )
 }
 
-fn template() -> Command {
+fn template_command() -> Command {
     Command::new("template")
-        .about("Writes and reads the templates that drive the system")
+        .about("Applies and prints the templates that define accounts and budgets")
         .subcommand_required(true)
         .subcommand(
             Command::new("apply")
-                .about("Puts a template file in force, whole or not at all")
-                .arg(settings())
+                .about("Puts all templates of a file in force, or none if it has faults")
+                .arg(settings_arg())
                 .arg(
                     Arg::new("file")
                         .required(true)
                         .value_name("FILE")
                         .value_parser(value_parser!(PathBuf))
-                        .help("The template file; it replaces all templates"),
+                        .help("The template file, which replaces all templates in force"),
                 )
                 .arg(
                     Arg::new("author")
                         .long("author")
                         .required(true)
                         .value_name("NAME")
-                        .help("Who makes the change, for the audit trail"),
+                        .help("The author of the change, for the audit trail"),
                 )
                 .arg(
                     Arg::new("expect")
                         .long("expect")
                         .value_name("VERSION")
                         .value_parser(value_parser!(u64))
-                        .help("Write only if this version is in force"),
+                        .help("Apply only if this version is in force"),
                 )
-                .arg(
-                    Arg::new("wait")
-                        .long("wait")
-                        .action(ArgAction::SetTrue)
-                        .help("Wait until every VM has confirmed, and name those that have not"),
-                ),
+                .arg(Arg::new("wait").long("wait").action(ArgAction::SetTrue).help(
+                    "Wait until every VM has confirmed the change, and list those that have not",
+                )),
         )
-        .subcommand(Command::new("show").about("Prints all templates as JSON").arg(settings()))
-        .subcommand(Command::new("list").about("Prints one line for each template").arg(settings()))
-        .subcommand(Command::new("history").about("Prints the audit trail").arg(settings()))
+        .subcommand(Command::new("show").about("Prints all templates as JSON").arg(settings_arg()))
+        .subcommand(Command::new("list").about("Prints one line per template").arg(settings_arg()))
+        .subcommand(Command::new("history").about("Prints the audit trail").arg(settings_arg()))
 }
 
-fn budget() -> Command {
-    Command::new("budget").about("Reads budgets").subcommand_required(true).subcommand(
+fn budget_command() -> Command {
+    Command::new("budget").about("Prints budgets").subcommand_required(true).subcommand(
         Command::new("show")
-            .about("Prints limit, billed, held and left of every budget in the ledger")
-            .arg(settings())
-            .arg(Arg::new("budget").value_name("BUDGET").help("Print only this one")),
+            .about("Prints the limit and the billed, held and remaining tokens of every budget")
+            .arg(settings_arg())
+            .arg(Arg::new("budget").value_name("BUDGET").help("Print only this budget")),
     )
 }
 
-fn rollout() -> Command {
+fn rollout_command() -> Command {
     let service = || {
         Arg::new("service")
             .value_name("SERVICE")
             .value_parser(value_parser!(Service))
-            .help("Only this service; otherwise all that have an order")
+            .help("Only this service; otherwise all services with an order")
     };
     Command::new("rollout")
-        .about("Tells how far services have come that move to another version")
+        .about("Prints the progress of rollouts")
         .subcommand_required(true)
         .subcommand(
             Command::new("status")
-                .about("Prints order and record as they stand at the platform, one line a service")
-                .arg(settings())
+                .about("Prints the order and the record of each service in the store, one line per service")
+                .arg(settings_arg())
                 .arg(service()),
         )
         .subcommand(
             Command::new("watch")
-                .about("Prints each change until all have ended")
-                .arg(settings())
+                .about("Prints each change until all rollouts have ended")
+                .arg(settings_arg())
                 .arg(service()),
         )
 }
 
-fn key() -> Command {
+fn key_command() -> Command {
     Command::new("key")
-        .about("Makes a caller's key with its digest, or a fleet's secret")
+        .about("Generates a caller's key and its digest, or the secret of a fleet")
         .arg(
             Arg::new("fleet")
                 .long("fleet")
                 .action(ArgAction::SetTrue)
-                .help("Make a secret that the system's processes share"),
+                .help("Generate a secret that the processes of a fleet share"),
         )
         .arg(
             Arg::new("digest")
@@ -179,7 +179,7 @@
         )
 }
 
-fn settings() -> Arg {
+fn settings_arg() -> Arg {
     Arg::new("settings")
         .long("settings")
         .short('s')
--- a/crates/badgerfield/src/budget.rs
+++ b/crates/badgerfield/src/budget.rs
@@ -7,21 +7,21 @@
 use serde_json::json;
 
 use crate::DONE;
-use crate::platform::{Platform, block_on};
+use crate::store::{StoreConnection, block_on};
 
 pub(crate) fn run(args: &ArgMatches) -> Result<u8> {
     let Some(("show", args)) = args.subcommand() else {
         return Ok(DONE);
     };
-    let platform = Platform::open(args)?;
-    let only: Option<&String> = args.get_one("budget");
+    let connection = StoreConnection::open(args)?;
+    let selected: Option<&String> = args.get_one("budget");
     block_on(async {
-        for shard in 0..platform.settings.limits.shards {
-            let found = platform.get(StoreKey::Ledger(shard)).await?;
-            let value = LedgerShard::decode(found.value.as_deref())?;
-            for (id, entry) in &value.budgets {
-                if only.is_none_or(|o| o == id.as_str()) {
-                    println!("{}", line(id.as_str(), entry));
+        for index in 0..connection.settings.limits.shards {
+            let found = connection.get(StoreKey::Ledger(index)).await?;
+            let shard = LedgerShard::decode(found.value.as_deref())?;
+            for (id, entry) in &shard.budgets {
+                if selected.is_none_or(|name| name == id.as_str()) {
+                    println!("{}", to_json(id.as_str(), entry));
                 }
             }
         }
@@ -29,7 +29,7 @@
     })
 }
 
-fn line(id: &str, entry: &BudgetEntry) -> serde_json::Value {
+fn to_json(id: &str, entry: &BudgetEntry) -> serde_json::Value {
     let held: u64 = entry.holders.values().map(|h| h.held.0).sum();
     json!({
         "budget": id,
--- a/crates/badgerfield/src/check.rs
+++ b/crates/badgerfield/src/check.rs
@@ -11,22 +11,22 @@
 use crate::{DONE, FAULTY};
 
 pub(crate) fn run(args: &ArgMatches) -> Result<u8> {
-    let settings: Option<&PathBuf> = args.get_one("settings");
-    let file: Option<&PathBuf> = args.get_one("templates");
-    if settings.is_none() && file.is_none() {
+    let settings_file: Option<&PathBuf> = args.get_one("settings");
+    let templates_file: Option<&PathBuf> = args.get_one("templates");
+    if settings_file.is_none() && templates_file.is_none() {
         bail!("expected --settings FILE or --templates FILE, found neither");
     }
     let mut code = DONE;
-    if let Some(path) = settings {
-        code = code.max(report(path, Settings::load(path).map(|_| ())));
+    if let Some(path) = settings_file {
+        code = code.max(print_result(path, Settings::load(path).map(|_| ())));
     }
-    if let Some(path) = file {
-        code = code.max(report(path, templates::load(path).map(|_| ())));
+    if let Some(path) = templates_file {
+        code = code.max(print_result(path, templates::load(path).map(|_| ())));
     }
     Ok(code)
 }
 
-fn report(path: &std::path::Path, result: Result<(), IniError>) -> u8 {
+fn print_result(path: &std::path::Path, result: Result<(), IniError>) -> u8 {
     match result {
         Ok(()) => {
             println!("{}: no faults", path.display());
--- a/crates/badgerfield/src/keys.rs
+++ b/crates/badgerfield/src/keys.rs
@@ -11,7 +11,7 @@
         println!("{}", KeyDigest::from_secret(key));
         return Ok(DONE);
     }
-    let secret = random()?;
+    let secret = random_secret()?;
     if args.get_flag("fleet") {
         println!("{secret}");
         return Ok(DONE);
@@ -22,7 +22,7 @@
     Ok(DONE)
 }
 
-fn random() -> Result<KeyDigest> {
+fn random_secret() -> Result<KeyDigest> {
     let mut bytes = [0; 32];
     getrandom::fill(&mut bytes)?;
     Ok(KeyDigest(bytes))
--- a/crates/badgerfield/src/main.rs
+++ b/crates/badgerfield/src/main.rs
@@ -1,34 +1,34 @@
-//! The command line of badgerfield: the daemon and the operators' commands.
+//! The command-line program of badgerfield: the daemon and the operators' commands.
 
 mod args;
 mod budget;
 mod check;
 mod keys;
-mod platform;
 mod rollout;
 mod run;
+mod store;
 mod template;
 
 use std::process::ExitCode;
 
 use badgerfield_node::ini_file::IniError;
 
-/// The command did what it was asked.
+/// Exit code: success.
 const DONE: u8 = 0;
-/// The command failed.
+/// Exit code: the command failed.
 const FAILED: u8 = 1;
-/// A file has faults.
+/// Exit code: a file has faults.
 const FAULTY: u8 = 3;
-/// Somebody else changed the templates.
+/// Exit code: somebody else has changed the templates.
 const CONFLICT: u8 = 4;
-/// The change is accepted, but not every VM has confirmed it in time.
+/// Exit code: the change was accepted, but not confirmed by every VM in time.
 const UNCONFIRMED: u8 = 5;
-/// A roll-out that was watched was rolled back.
+/// Exit code: a watched rollout was rolled back.
 const ROLLED_BACK: u8 = 6;
 
 fn main() -> ExitCode {
     let matches = args::command().get_matches();
-    let done = match matches.subcommand() {
+    let result = match matches.subcommand() {
         Some(("run", args)) => run::run(args),
         Some(("check", args)) => check::run(args),
         Some(("template", args)) => template::run(args),
@@ -37,12 +37,12 @@
         Some(("key", args)) => keys::run(args),
         _ => Ok(FAILED),
     };
-    match done {
+    match result {
         Ok(code) => ExitCode::from(code),
         Err(error) => {
             eprintln!("{error:#}");
-            let faulty = error.downcast_ref::<IniError>().is_some();
-            ExitCode::from(if faulty { FAULTY } else { FAILED })
+            let is_faulty = error.downcast_ref::<IniError>().is_some();
+            ExitCode::from(if is_faulty { FAULTY } else { FAILED })
         }
     }
 }
--- a/crates/badgerfield/src/rollout.rs
+++ b/crates/badgerfield/src/rollout.rs
@@ -14,21 +14,21 @@
 use clap::ArgMatches;
 use serde_json::{Value, json};
 
-use crate::platform::block_on;
-use crate::run::adapter;
+use crate::run::new_adapter;
+use crate::store::block_on;
 use crate::{DONE, ROLLED_BACK};
 
-/// How often a read without an answer is tried: an operator who watches should not be thrown out
-/// by a store that is away for a moment.
-const TRIES: u32 = 5;
-/// How long to wait between two tries.
-const PAUSE: Duration = Duration::from_millis(300);
-/// How long to wait between two looks: a record changes a few times in a roll-out, and each look
-/// is a call to the platform.
-const LOOK: Duration = Duration::from_secs(1);
+/// The maximum number of attempts of a read, so that a short outage of the store does not end
+/// `watch`.
+const MAX_ATTEMPTS: u32 = 5;
+/// The delay between two attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
+/// The interval between reads of `watch`. A record changes only a few times in a rollout, and each
+/// read is a call to the store.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the platform has of one service.
-struct Found {
+/// The rollout order and record of one service.
+struct ServiceRollout {
     order: Option<OrderChange>,
     record: Option<RolloutRecord>,
     revision: u64,
@@ -40,7 +40,7 @@
     };
     let path: &PathBuf = args.get_one("settings").expect("the argument is required");
     let settings = Settings::load(path)?;
-    let store = adapter(&settings)?.store;
+    let store = new_adapter(&settings)?.store;
     let service: Option<&Service> = args.get_one("service");
     match name {
         "status" => block_on(status(&store, service)),
@@ -49,96 +49,97 @@
 }
 
 async fn status(store: &Arc<dyn KeyValueStore>, service: Option<&Service>) -> Result<u8> {
-    for (service, found) in look(store, service).await? {
-        println!("{}", line(&service, &found));
+    for (service, rollout) in read_rollouts(store, service).await? {
+        println!("{}", to_json(&service, &rollout));
     }
     Ok(DONE)
 }
 
-/// Prints each change until every roll-out has ended.
+/// Prints each change until every rollout has ended.
 async fn watch(store: &Arc<dyn KeyValueStore>, service: Option<&Service>) -> Result<u8> {
     let mut printed: BTreeMap<Service, String> = BTreeMap::new();
     loop {
-        let all = look(store, service).await?;
+        let all = read_rollouts(store, service).await?;
         if all.is_empty() {
             return Ok(DONE);
         }
-        for (service, found) in &all {
-            let line = line(service, found).to_string();
+        for (service, rollout) in &all {
+            let line = to_json(service, rollout).to_string();
             if printed.get(service) != Some(&line) {
                 println!("{line}");
                 printed.insert(service.clone(), line);
             }
         }
-        if all.values().all(Found::has_ended) {
-            let is_back = |found: &Found| found.state() == Some(RolloutState::RolledBack);
-            return Ok(if all.values().any(is_back) { ROLLED_BACK } else { DONE });
+        if all.values().all(ServiceRollout::has_ended) {
+            let is_rolled_back =
+                |rollout: &ServiceRollout| rollout.state() == Some(RolloutState::RolledBack);
+            return Ok(if all.values().any(is_rolled_back) { ROLLED_BACK } else { DONE });
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-impl Found {
+impl ServiceRollout {
     fn state(&self) -> Option<RolloutState> {
         self.record.as_ref().map(|record| record.state)
     }
 
-    /// Tells whether nothing more is to come: the record of the newest order has an end, or
+    /// Returns whether no more changes are expected: the record of the newest order is final, or
     /// there is neither an order nor a record.
     fn has_ended(&self) -> bool {
-        let ordered = self.order.as_ref().map(|order| order.revision);
+        let ordered_revision = self.order.as_ref().map(|order| order.revision);
         let Some(record) = &self.record else {
-            return ordered.is_none();
+            return ordered_revision.is_none();
         };
-        record.state.is_final() && ordered.is_none_or(|revision| revision <= record.order)
+        record.state.is_final() && ordered_revision.is_none_or(|revision| revision <= record.order)
     }
 }
 
-/// Reads what there is of a service, or of all services with an order.
-async fn look(
+/// Reads the order and record of one service, or of all services with an order.
+async fn read_rollouts(
     store: &Arc<dyn KeyValueStore>,
-    only: Option<&Service>,
-) -> Result<BTreeMap<Service, Found>> {
-    let orders = orders(store).await?;
-    let services: Vec<_> = match only {
+    selected: Option<&Service>,
+) -> Result<BTreeMap<Service, ServiceRollout>> {
+    let orders = read_orders(store).await?;
+    let services: Vec<_> = match selected {
         Some(service) => vec![service.clone()],
         None => orders.iter().map(|order| order.service.clone()).collect(),
     };
     let mut all = BTreeMap::new();
     for service in services {
-        let name = StoreKey::Rollout(service.clone());
-        let StoreResult::Value(found) = call(store, name).await? else {
-            bail!("expected a record or none of {service}");
+        let key = StoreKey::Rollout(service.clone());
+        let StoreResult::Value(found) = read(store, key).await? else {
+            bail!("expected the rollout record of {service}, found another value");
         };
         let record = RolloutRecord::decode(found.value.as_deref());
         let record = record.with_context(|| format!("the record of {service}"))?;
         let order = orders.iter().find(|order| order.service == service).cloned();
-        all.insert(service, Found { order, record, revision: found.revision });
+        all.insert(service, ServiceRollout { order, record, revision: found.revision });
     }
     Ok(all)
 }
 
-/// Reads the orders; a platform whose operators cannot order any has none.
-async fn orders(store: &Arc<dyn KeyValueStore>) -> Result<Vec<OrderChange>> {
-    match call(store, StoreKey::Templates).await? {
+/// Reads the orders. A platform without rollout orders has none.
+async fn read_orders(store: &Arc<dyn KeyValueStore>) -> Result<Vec<OrderChange>> {
+    match read(store, StoreKey::Templates).await? {
         StoreResult::Operators(found) => Ok(found.rollouts),
         _ => Ok(Vec::new()),
     }
 }
 
-async fn call(store: &Arc<dyn KeyValueStore>, name: StoreKey) -> Result<StoreResult> {
-    for _ in 0..TRIES {
-        let result = store.call(&StoreCall::Get(name.clone())).await;
+async fn read(store: &Arc<dyn KeyValueStore>, key: StoreKey) -> Result<StoreResult> {
+    for _ in 0..MAX_ATTEMPTS {
+        let result = store.call(&StoreCall::Get(key.clone())).await;
         if matches!(result, StoreResult::Value(_) | StoreResult::Operators(_)) {
             return Ok(result);
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
-    bail!("the platform does not answer a read of {name:?}")
+    bail!("the store does not answer a read of {key:?}")
 }
 
-fn line(service: &Service, found: &Found) -> Value {
-    let order = found.order.as_ref().and_then(|change| {
+fn to_json(service: &Service, rollout: &ServiceRollout) -> Value {
+    let order = rollout.order.as_ref().and_then(|change| {
         let order = change.order.as_ref()?;
         Some(json!({
             "revision": change.revision,
@@ -149,7 +150,7 @@
     json!({
         "service": service,
         "order": order,
-        "record": found.record,
-        "revision": found.revision,
+        "record": rollout.record,
+        "revision": rollout.revision,
     })
 }
--- a/crates/badgerfield/src/run.rs
+++ b/crates/badgerfield/src/run.rs
@@ -23,17 +23,17 @@
     let path: &PathBuf = args.get_one("settings").expect("the argument is required");
     let settings = Settings::load(path)?;
     logs::start(&settings.log)?;
-    let served = runtime()?.block_on(serve(path, settings));
+    let result = build_runtime()?.block_on(serve(path, settings));
     log::logger().flush();
-    served?;
+    result?;
     Ok(DONE)
 }
 
 async fn serve(path: &Path, settings: Settings) -> Result<()> {
-    let mut term = signal(SignalKind::terminate())?;
-    let mut int = signal(SignalKind::interrupt())?;
-    let mut hup = signal(SignalKind::hangup())?;
-    let adapter = adapter(&settings)?;
+    let mut sigterm = signal(SignalKind::terminate())?;
+    let mut sigint = signal(SignalKind::interrupt())?;
+    let mut sighup = signal(SignalKind::hangup())?;
+    let adapter = new_adapter(&settings)?;
     let driver = Driver::new(settings, adapter)?;
     operator_api::serve(std::sync::Arc::clone(&driver)).await?;
     caller_api::serve(std::sync::Arc::clone(&driver)).await?;
@@ -41,9 +41,9 @@
     driver.start();
     loop {
         tokio::select! {
-            _ = term.recv() => break,
-            _ = int.recv() => break,
-            _ = hup.recv() => reload(path),
+            _ = sigterm.recv() => break,
+            _ = sigint.recv() => break,
+            _ = sighup.recv() => check_settings(path),
             () = driver.wait_for_exit() => return Ok(()),
         }
     }
@@ -52,8 +52,9 @@
     Ok(())
 }
 
-/// Makes the runtime: one thread where there is one core, since more would only switch.
-fn runtime() -> std::io::Result<Runtime> {
+/// Builds the runtime. On a single core it has one thread, since more threads would only add
+/// context switches.
+fn build_runtime() -> std::io::Result<Runtime> {
     let cores = std::thread::available_parallelism().map_or(1, NonZero::get);
     if cores == 1 {
         return Builder::new_current_thread().enable_all().build();
@@ -61,29 +62,29 @@
     Builder::new_multi_thread().enable_all().build()
 }
 
-/// Chooses what translates for this platform.
-pub(crate) fn adapter(settings: &Settings) -> Result<PlatformAdapter> {
+/// Returns the adapter for the platform in the settings.
+pub(crate) fn new_adapter(settings: &Settings) -> Result<PlatformAdapter> {
     let platform = &settings.platform;
     match platform.adapter {
         AdapterKind::Etcd => {
-            let kv = EtcdStore::new(
+            let store = EtcdStore::new(
                 platform.store_uri.clone(),
                 platform.prefix.clone(),
                 platform.timeout,
             );
-            Ok(PlatformAdapter { store: Arc::new(kv), route_adapter: None })
+            Ok(PlatformAdapter { store: Arc::new(store), route_adapter: None })
         }
         AdapterKind::Platform => Ok(badgerfield_platform::new_adapter(platform)?),
     }
 }
 
-/// Reads the settings again on SIGHUP, and says whether they are still good.
+/// Validates the settings file on SIGHUP and logs the result.
 ///
-/// What a process was started with stays in force until its next start: addresses and
-/// keys cannot change under open connections.
-fn reload(path: &Path) {
+/// The settings of the process stay in force until it is restarted, since addresses and keys cannot
+/// change under open connections.
+fn check_settings(path: &Path) {
     match Settings::load(path) {
-        Ok(_) => log::info!(target: logs::NODE, "reload outcome=good; in force at the next start"),
+        Ok(_) => log::info!(target: logs::NODE, "reload outcome=good; applied at the next start"),
         Err(error) => log::error!(target: logs::NODE, "reload outcome=faulty: {error}"),
     }
 }
--- a/crates/badgerfield/src/template.rs
+++ b/crates/badgerfield/src/template.rs
@@ -14,37 +14,37 @@
 use bytes::Bytes;
 use clap::ArgMatches;
 
-use crate::platform::{Platform, block_on};
+use crate::store::{StoreConnection, block_on};
 use crate::{CONFLICT, DONE, FAULTY, UNCONFIRMED};
 
-/// How long a change may take to be confirmed everywhere.
-const WAIT: Duration = Duration::from_secs(12);
-/// How long to wait between two looks.
-const PAUSE: Duration = Duration::from_millis(250);
-/// How often a write whose reply was lost is looked for.
-const LOOKS: u32 = 5;
+/// The maximum time for all VMs to confirm a change.
+const CONFIRM_TIMEOUT: Duration = Duration::from_secs(12);
+/// The interval between two reads.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// The maximum number of reads that check whether a write without a reply took effect.
+const MAX_READS: u32 = 5;
 
 pub(crate) fn run(args: &ArgMatches) -> Result<u8> {
     let Some((name, args)) = args.subcommand() else {
         return Ok(DONE);
     };
-    let platform = Platform::open(args)?;
+    let connection = StoreConnection::open(args)?;
     match name {
-        "apply" => block_on(apply(&platform, args)),
-        "show" => block_on(show(&platform)),
-        "list" => block_on(list(&platform)),
-        _ => block_on(history(&platform)),
+        "apply" => block_on(apply(&connection, args)),
+        "show" => block_on(show(&connection)),
+        "list" => block_on(list(&connection)),
+        _ => block_on(history(&connection)),
     }
 }
 
-async fn show(platform: &Platform) -> Result<u8> {
-    let (set, _) = platform.templates().await?;
+async fn show(connection: &StoreConnection) -> Result<u8> {
+    let (set, _) = connection.templates().await?;
     println!("{}", serde_json::to_string_pretty(&set)?);
     Ok(DONE)
 }
 
-async fn list(platform: &Platform) -> Result<u8> {
-    let (set, _) = platform.templates().await?;
+async fn list(connection: &StoreConnection) -> Result<u8> {
+    let (set, _) = connection.templates().await?;
     println!("version {}", set.version);
     for (id, account) in &set.accounts {
         println!("account {id} priority {} since {}", account.priority, account.changed);
@@ -56,8 +56,8 @@
     Ok(DONE)
 }
 
-async fn history(platform: &Platform) -> Result<u8> {
-    let (set, _) = platform.templates().await?;
+async fn history(connection: &StoreConnection) -> Result<u8> {
+    let (set, _) = connection.templates().await?;
     for change in &set.history {
         let at = UNIX_EPOCH + Duration::from_secs(change.at);
         let at = humantime::format_rfc3339_seconds(at);
@@ -69,19 +69,19 @@
     Ok(DONE)
 }
 
-async fn apply(platform: &Platform, args: &ArgMatches) -> Result<u8> {
+async fn apply(connection: &StoreConnection, args: &ArgMatches) -> Result<u8> {
     let path: &PathBuf = args.get_one("file").expect("the argument is required");
     let author: &String = args.get_one("author").expect("the argument is required");
     let author: Author = author.parse()?;
     let wanted = templates::load(path)?;
-    let (old, revision) = platform.templates().await?;
+    let (old, revision) = connection.templates().await?;
     let expected = args.get_one::<u64>("expect").copied().map(TemplateVersion);
     if let Some(expected) = expected.filter(|e| *e != old.version) {
-        eprintln!("expected {expected} in force, found {}", winner(&old));
+        eprintln!("expected {expected} in force, found {}", describe_current(&old));
         return Ok(CONFLICT);
     }
     let at = SystemTime::now().duration_since(UNIX_EPOCH)?.as_secs();
-    let mark = mark()?;
+    let mark = random_mark()?;
     let next = match old.replace(wanted, author, at, mark.clone()) {
         Ok(next) => next,
         Err(faults) => {
@@ -91,58 +91,65 @@
             return Ok(FAULTY);
         }
     };
-    let lowered = lowered(&old, &next);
-    let code = write(platform, revision, &next, &mark).await?;
+    let lowered = lowered_budgets(&old, &next);
+    let code = write_templates(connection, revision, &next, &mark).await?;
     if code != DONE {
         return Ok(code);
     }
     println!("{} is accepted", next.version);
     for budget in lowered {
-        println!("note: {budget} is lowered; what VMs hold already, they may still spend");
+        println!(
+            "note: the limit of {budget} is lowered; VMs may still spend the tokens that they hold"
+        );
     }
     if args.get_flag("wait") {
-        return confirm(platform, next.version).await;
+        return confirm(connection, next.version).await;
     }
     Ok(DONE)
 }
 
-/// Writes the set; finds out what became of a write whose reply was lost.
-async fn write(platform: &Platform, expect: u64, next: &TemplateSet, mark: &str) -> Result<u8> {
+/// Writes the templates. If the reply is lost, reads the store to find out whether the write took
+/// effect.
+async fn write_templates(
+    connection: &StoreConnection,
+    expected_revision: u64,
+    next: &TemplateSet,
+    mark: &str,
+) -> Result<u8> {
     let value = Bytes::from(next.encode());
-    let call =
-        StoreCall::CompareAndSwap { key: StoreKey::Templates, expected_revision: expect, value };
-    match platform.kv.call(&call).await {
+    let call = StoreCall::CompareAndSwap { key: StoreKey::Templates, expected_revision, value };
+    match connection.store.call(&call).await {
         StoreResult::Written(_) => return Ok(DONE),
         StoreResult::Refused => {
-            bail!("the key-value service refused the write; nothing is changed")
+            bail!("the store refused the write; nothing has changed")
         }
         StoreResult::Conflict(_)
         | StoreResult::Unknown
         | StoreResult::Value(_)
         | StoreResult::Operators(_) => {}
     }
-    for _ in 0..LOOKS {
-        let (set, revision) = platform.templates().await?;
+    for _ in 0..MAX_READS {
+        let (set, revision) = connection.templates().await?;
         if set.history.iter().any(|change| change.mark == mark) {
             return Ok(DONE);
         }
-        if revision != expect {
-            eprintln!("somebody else was first: {}", winner(&set));
+        if revision != expected_revision {
+            eprintln!("somebody else has changed the templates: {}", describe_current(&set));
             return Ok(CONFLICT);
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     bail!(
-        "the write got no reply and has had no effect so far; look at `template history` before another try"
+        "the write got no reply and has had no effect so far; check `template history` before you try again"
     )
 }
 
-fn winner(set: &TemplateSet) -> String {
+fn describe_current(set: &TemplateSet) -> String {
     let by = set.history.last().map(|change: &TemplateChange| format!(" by {}", change.author));
     format!("{}{}", set.version, by.unwrap_or_default())
 }
 
-fn lowered(old: &TemplateSet, new: &TemplateSet) -> Vec<String> {
+fn lowered_budgets(old: &TemplateSet, new: &TemplateSet) -> Vec<String> {
     let mut lowered = Vec::new();
     for (id, budget) in &new.budgets {
         if old.budgets.get(id).is_some_and(|o| o.period == budget.period && o.limit > budget.limit)
@@ -153,12 +160,12 @@
     lowered
 }
 
-/// Waits until every VM of the view has the version in force.
-async fn confirm(platform: &Platform, version: TemplateVersion) -> Result<u8> {
-    let until = std::time::Instant::now() + WAIT;
+/// Waits until the version is in force on every VM of the view.
+async fn confirm(connection: &StoreConnection, version: TemplateVersion) -> Result<u8> {
+    let deadline = std::time::Instant::now() + CONFIRM_TIMEOUT;
     let mut missing = BTreeSet::new();
-    while std::time::Instant::now() < until {
-        let found = platform.get(StoreKey::View).await?;
+    while std::time::Instant::now() < deadline {
+        let found = connection.get(StoreKey::View).await?;
         let view = View::decode(found.value.as_deref())?;
         missing.clear();
         for member in &view.members {
@@ -171,7 +178,7 @@
             println!("{version} is in force on {} VMs", view.members.len());
             return Ok(DONE);
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     for vm in &missing {
         eprintln!("not confirmed by {vm}");
@@ -179,7 +186,7 @@
     Ok(UNCONFIRMED)
 }
 
-fn mark() -> Result<String> {
+fn random_mark() -> Result<String> {
     let mut bytes = [0; 32];
     getrandom::fill(&mut bytes)?;
     Ok(KeyDigest(bytes).to_string())
