--- a/crates/badgerfield-node/src/buffered_log.rs
+++ b/crates/badgerfield-node/src/buffered_log.rs
@@ -101,7 +101,7 @@
         self.push(&line, is_success_line);
     }
 
-    /// Waits until the buffer is written, but at most for [`FLUSH_TIMEOUT`], so that the last lines
+    /// Waits until the buffer is written, but at most for `FLUSH_TIMEOUT`, so that the last lines
     /// are not lost.
     fn flush(&self) {
         let pending = lock(&self.shared.pending);
--- a/crates/badgerfield/src/args.rs
+++ b/crates/badgerfield/src/args.rs
@@ -150,7 +150,7 @@
         .subcommand_required(true)
         .subcommand(
             Command::new("status")
-                .about("Prints the order and the record of each service in the store, one line per service")
+                .about("Prints the order and the record of each service, one line per service")
                 .arg(settings_arg())
                 .arg(service()),
         )
--- a/crates/badgerfield/src/template.rs
+++ b/crates/badgerfield/src/template.rs
@@ -140,7 +140,7 @@
         tokio::time::sleep(POLL_INTERVAL).await;
     }
     bail!(
-        "the write got no reply and has had no effect so far; check `template history` before you try again"
+        "the write got no reply and has had no effect so far; check `template history` before a retry"
     )
 }
 
--- a/crates/badgerfield/tests/resting_engine.rs
+++ b/crates/badgerfield/tests/engine_back_off.rs
@@ -1,4 +1,4 @@
-//! An engine that turns chats away and asks for rest, on the product's own interface.
+//! An engine that refuses chats and announces a back-off, on the chat API of the VMs.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -8,14 +8,16 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-fn programs() -> PathBuf {
-    let own = Path::new(env!("CARGO_BIN_EXE_badgerfield"));
-    own.parent().map(Path::to_owned).unwrap_or_default()
+fn program_directory() -> PathBuf {
+    let program = Path::new(env!("CARGO_BIN_EXE_badgerfield"));
+    program.parent().map(Path::to_owned).unwrap_or_default()
 }
 
+/// Fails if a VM sends a chat to an engine during the back-off that the engine has announced, or
+/// refuses chats after it.
 #[tokio::test]
-async fn an_engine_that_asked_for_rest_gets_no_chat_until_that_is_over() -> Result<()> {
-    let site = Site::start_with_engines(&programs(), (1, 1), 100_000, 200).await?;
+async fn engine_gets_no_chat_during_its_back_off() -> Result<()> {
+    let site = Site::start_with_engines(&program_directory(), (1, 1), 100_000, 200).await?;
     let admin = site.engine_admins[0];
     assert!(site.chat(0, None, "first", 20).await.streamed().is_some());
     site.faults(admin, &json!({ "busy": true, "rest": 4 })).await;
--- a/crates/badgerfield/tests/rollout.rs
+++ b/crates/badgerfield/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! `badgerfield rollout` before a stand-in of the platform's store.
+//! `badgerfield rollout` with a stand-in of the store.
 
 use std::path::PathBuf;
 use std::process::Output;
@@ -8,8 +8,8 @@
 use serde_json::{Value, json};
 use tokio::process::Command;
 
-/// Writes settings that name the store.
-fn settings(store: &Store) -> PathBuf {
+/// Writes a settings file with the address of the store.
+fn write_settings(store: &Store) -> PathBuf {
     let port = store.address.port();
     let program = PathBuf::from(env!("CARGO_BIN_EXE_badgerfield"));
     let path = program.with_file_name(format!("rollout-test-{port}.ini"));
@@ -20,20 +20,20 @@
          [keys]\nfleet = 6f3d1c0f8a5b4e7d9c2a1b0e6f5d4c3b2a1908f7e6d5c4b3a29180f7e6d5c4b3\n",
         store.address
     );
-    std::fs::write(&path, text).expect("the folder can be written");
+    std::fs::write(&path, text).expect("the directory is writable");
     path
 }
 
-async fn call(store: &Store, words: &[&str]) -> Output {
-    let path = settings(store);
+async fn run_command(store: &Store, args: &[&str]) -> Output {
+    let path = write_settings(store);
     let mut command = Command::new(env!("CARGO_BIN_EXE_badgerfield"));
-    command.arg("rollout").args(words).arg("-s").arg(&path);
+    command.arg("rollout").args(args).arg("-s").arg(&path);
     let output = command.output().await.expect("the program starts");
-    std::fs::remove_file(path).expect("the file is there");
+    std::fs::remove_file(path).expect("the file exists");
     output
 }
 
-fn lines(output: &Output) -> Vec<Value> {
+fn parse_lines(output: &Output) -> Vec<Value> {
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     text.lines().map(|line| serde_json::from_str(line).expect("a line of JSON")).collect()
 }
@@ -51,25 +51,27 @@
     store.put(&format!("status/rollout/{service}"), &record);
 }
 
+/// Fails if `status` omits a service with an order, or prints the record of another service.
 #[tokio::test(flavor = "multi_thread")]
 async fn status_prints_orders_with_their_records() {
-    let store = Store::start().await.expect("loopback is there");
-    assert!(lines(&call(&store, &["status"]).await).is_empty());
+    let store = Store::start().await.expect("the store starts");
+    assert!(parse_lines(&run_command(&store, &["status"]).await).is_empty());
     let order = put_order(&store, "pool");
     put_order(&store, "other");
     put_record(&store, "pool", order, "in_progress");
-    let printed = lines(&call(&store, &["status"]).await);
+    let printed = parse_lines(&run_command(&store, &["status"]).await);
     let [other, pool] = printed.as_slice() else { panic!("two lines: {printed:?}") };
     assert_eq!((&other["service"], &other["record"]), (&json!("other"), &Value::Null));
     assert_eq!(pool["order"]["span_s"], 30.0);
     assert_eq!(pool["record"]["state"], "in_progress");
-    let only = lines(&call(&store, &["status", "pool"]).await);
-    assert_eq!(only, vec![pool.clone()]);
+    let selected = parse_lines(&run_command(&store, &["status", "pool"]).await);
+    assert_eq!(selected, vec![pool.clone()]);
 }
 
+/// Fails if `watch` misses a change, or exits with a code that does not tell a rollback.
 #[tokio::test(flavor = "multi_thread")]
-async fn watch_ends_with_the_roll_out_and_tells_how() {
-    let store = Store::start().await.expect("loopback is there");
+async fn watch_exits_with_the_outcome_of_the_rollout() {
+    let store = Store::start().await.expect("the store starts");
     let order = put_order(&store, "pool");
     put_record(&store, "pool", order, "in_progress");
     let later = store.clone();
@@ -77,15 +79,17 @@
         tokio::time::sleep(Duration::from_millis(1300)).await;
         put_record(&later, "pool", order, "rolled_back");
     });
-    let output = call(&store, &["watch", "pool"]).await;
-    let states: Vec<_> = lines(&output).iter().map(|l| l["record"]["state"].clone()).collect();
+    let output = run_command(&store, &["watch", "pool"]).await;
+    let states: Vec<_> =
+        parse_lines(&output).iter().map(|l| l["record"]["state"].clone()).collect();
     assert_eq!(states, ["in_progress", "rolled_back"]);
     assert_eq!(output.status.code(), Some(6));
 }
 
+/// Fails if `watch` takes the final record of an earlier order for that of the newest order.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_end_of_an_earlier_order_is_not_that_of_the_next() {
-    let store = Store::start().await.expect("loopback is there");
+async fn final_record_of_an_earlier_order_does_not_end_watch() {
+    let store = Store::start().await.expect("the store starts");
     let first = put_order(&store, "pool");
     put_record(&store, "pool", first, "rolled_back");
     let next = put_order(&store, "pool");
@@ -94,17 +98,18 @@
         tokio::time::sleep(Duration::from_millis(1300)).await;
         put_record(&later, "pool", next, "completed");
     });
-    let output = call(&store, &["watch"]).await;
-    assert_eq!(lines(&output).len(), 2, "{output:?}");
+    let output = run_command(&store, &["watch"]).await;
+    assert_eq!(parse_lines(&output).len(), 2, "{output:?}");
     assert_eq!(output.status.code(), Some(0), "{output:?}");
 }
 
+/// Fails if an invalid record is printed as absent.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_record_that_cannot_be_read_is_said_so() {
-    let store = Store::start().await.expect("loopback is there");
+async fn invalid_record_is_reported() {
+    let store = Store::start().await.expect("the store starts");
     put_order(&store, "pool");
     store.put("status/rollout/pool", &json!({ "State": "completed", "TargetVersion": "v2" }));
-    let output = call(&store, &["status"]).await;
+    let output = run_command(&store, &["status"]).await;
     let error = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(1), "{error}");
     assert!(error.contains("the record of pool"), "{error}");
