--- a/crates/badgerfield-node/src/clock.rs
+++ b/crates/badgerfield-node/src/clock.rs
@@ -23,7 +23,7 @@
 /// The minimum time without a tick after which the process counts as stalled.
 const MIN_STALL: Duration = Duration::from_secs(1);
 
-/// The clocks of a VM. Each returns the time since its own arbitrary start.
+/// The clocks of a VM. Each counts from an arbitrary starting point of its own.
 pub trait VmClocks: Debug + Send + Sync {
     /// Reads the clock that includes time during which the VM is suspended.
     fn boottime(&self) -> Duration;
--- a/crates/badgerfield-node/src/ini_file.rs
+++ b/crates/badgerfield-node/src/ini_file.rs
@@ -217,7 +217,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if there is any fault, and lists every one.
+    /// Fails if the file has faults. The error lists every fault.
     pub fn finish(mut self, is_known_section: impl Fn(&str) -> bool) -> Result<(), IniError> {
         let mut unknown = Vec::new();
         for (section, properties) in &self.ini {
--- a/crates/badgerfield-node/src/logs.rs
+++ b/crates/badgerfield-node/src/logs.rs
@@ -25,7 +25,7 @@
 pub const REQUESTS: &str = "requests";
 
 /// All log targets.
-pub const PARTS: [&str; 7] = [NODE, PEERS, PLATFORM, UPSTREAMS, CALLERS, BILLS, REQUESTS];
+pub const LOG_TARGETS: [&str; 7] = [NODE, PEERS, PLATFORM, UPSTREAMS, CALLERS, BILLS, REQUESTS];
 
 /// The error for logging that cannot be started.
 #[derive(Debug, Error)]
@@ -47,11 +47,11 @@
     let json = settings.json;
     let buffered: Box<dyn Log> = Box::new(BufferedLog::start(std::io::stdout())?);
     let mut dispatch = fern::Dispatch::new().level(LevelFilter::Warn).chain(buffered);
-    for part in PARTS {
-        dispatch = dispatch.level_for(part, settings.level);
+    for target in LOG_TARGETS {
+        dispatch = dispatch.level_for(target, settings.level);
     }
-    for (part, level) in &settings.parts {
-        dispatch = dispatch.level_for(part.clone(), *level);
+    for (target, level) in &settings.target_levels {
+        dispatch = dispatch.level_for(target.clone(), *level);
     }
     dispatch
         .format(move |out, message, record| {
@@ -66,8 +66,8 @@
                 out.finish(format_args!("{line}"));
                 return;
             }
-            let (level, part) = (record.level(), record.target());
-            out.finish(format_args!("{at} {level:5} {part}: {message}"));
+            let (level, target) = (record.level(), record.target());
+            out.finish(format_args!("{at} {level:5} {target}: {message}"));
         })
         .apply()?;
     Ok(())
--- a/crates/badgerfield-node/src/metrics.rs
+++ b/crates/badgerfield-node/src/metrics.rs
@@ -129,7 +129,7 @@
 pub(crate) struct GatewayCounts {
     pub(crate) admitted: Counter,
     sent: Family<SentLabel, Counter>,
-    /// Answers with an announcement of the upstream that is invalid.
+    /// The number of answers that contain an invalid announcement of the upstream.
     pub(crate) unreadable: Counter,
     ended: Family<EndLabel, Counter>,
     seconds: Histogram,
--- a/crates/badgerfield-node/src/operator_api.rs
+++ b/crates/badgerfield-node/src/operator_api.rs
@@ -53,7 +53,7 @@
     }
     match request.uri().path() {
         "/healthz" => Response::new(http::full("alive\n")),
-        "/readyz" => readiness(driver),
+        "/readyz" => readiness_response(driver),
         "/metrics" => {
             if let Some(gateway) = driver.gateway() {
                 let upstream_table = gateway.replicas();
@@ -78,7 +78,7 @@
     }
 }
 
-fn readiness(driver: &Driver) -> Response<Body> {
+fn readiness_response(driver: &Driver) -> Response<Body> {
     if driver.node.is_ready() && driver.node.templates().version.0 > 0 {
         return Response::new(http::full("ready\n"));
     }
@@ -154,7 +154,8 @@
     rules.iter().map(entry).collect()
 }
 
-/// Returns the rollout orders that this process has received, with its view of their progress.
+/// Returns the rollout orders that this process has received, with the state that it has recorded
+/// for each.
 fn orders_json(driver: &Driver) -> Vec<Value> {
     let entry = |status: RolloutStatus| {
         let RolloutStatus { known, age, evidence } = status;
--- a/crates/badgerfield-node/src/settings.rs
+++ b/crates/badgerfield-node/src/settings.rs
@@ -158,8 +158,8 @@
 pub struct LogSettings {
     /// The default level.
     pub level: LevelFilter,
-    /// Levels of individual parts, which override the default.
-    pub parts: Vec<(String, LevelFilter)>,
+    /// The levels of individual log targets, which override the default.
+    pub target_levels: Vec<(String, LevelFilter)>,
     /// Whether log lines are written as JSON.
     pub json: bool,
 }
@@ -169,7 +169,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the file cannot be read, or lists every fault in it.
+    /// Fails if the file cannot be read or has faults. The error lists every fault.
     pub fn load(path: &Path) -> Result<Self, IniError> {
         Self::from_ini(IniFile::load(path)?)
     }
@@ -178,7 +178,7 @@
     ///
     /// # Errors
     ///
-    /// Lists every fault in the file.
+    /// Fails if the file has faults. The error lists every fault.
     pub fn from_ini(mut file: IniFile) -> Result<Self, IniError> {
         let vm = file.required_value("vm", "name");
         let region = file.required_value("vm", "region");
@@ -462,19 +462,19 @@
                 false
             }
         };
-        let mut parts = Vec::new();
-        for part in crate::logs::PARTS {
-            if let Some(level) = file.optional_text("log", part) {
+        let mut target_levels = Vec::new();
+        for target in crate::logs::LOG_TARGETS {
+            if let Some(level) = file.optional_text("log", target) {
                 if let Ok(level) = level.parse() {
-                    parts.push((part.to_owned(), level));
+                    target_levels.push((target.to_owned(), level));
                 } else {
                     let message =
                         format!("expected off, error, warn, info, debug or trace, found {level:?}");
-                    file.record_fault("log", Some(part), message);
+                    file.record_fault("log", Some(target), message);
                 }
             }
         }
-        Self { level, parts, json }
+        Self { level, target_levels, json }
     }
 }
 
--- a/crates/badgerfield-node/src/templates.rs
+++ b/crates/badgerfield-node/src/templates.rs
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the file cannot be read, or lists every fault in it.
+/// Fails if the file cannot be read or has faults. The error lists every fault.
 pub fn load(path: &Path) -> Result<TemplateSet, IniError> {
     from_ini(IniFile::load(path)?)
 }
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 ///
-/// Lists every fault in the file.
+/// Fails if the file has faults. The error lists every fault.
 pub fn from_ini(mut file: IniFile) -> Result<TemplateSet, IniError> {
     let mut set = TemplateSet::default();
     for section in file.sections() {
--- a/crates/badgerfield-node/tests/log_lines.rs
+++ b/crates/badgerfield-node/tests/log_lines.rs
@@ -10,9 +10,9 @@
 use log::{Log, Record};
 
 /// A sink that blocks on every write.
-struct Blocked;
+struct BlockedSink;
 
-impl Write for Blocked {
+impl Write for BlockedSink {
     fn write(&mut self, _: &[u8]) -> io::Result<usize> {
         loop {
             std::thread::park();
@@ -50,7 +50,7 @@
 /// Fails if logging waits for a blocked reader, or if the buffer grows beyond its bound.
 #[test]
 fn blocked_reader_does_not_delay_logging() {
-    let buffer = BufferedLog::start(Blocked).expect("the thread starts");
+    let buffer = BufferedLog::start(BlockedSink).expect("the thread starts");
     log(&buffer, NODE, "first");
     std::thread::sleep(Duration::from_millis(250));
     let (before, started) = (dropped_lines(), Instant::now());
@@ -90,7 +90,7 @@
 /// dropped.
 #[test]
 fn success_lines_are_dropped_before_failure_lines() {
-    let buffer = BufferedLog::start(Blocked).expect("the thread starts");
+    let buffer = BufferedLog::start(BlockedSink).expect("the thread starts");
     log(&buffer, NODE, "first");
     std::thread::sleep(Duration::from_millis(250));
     for n in 0..10_000 {
--- a/crates/badgerfield/src/args.rs
+++ b/crates/badgerfield/src/args.rs
@@ -18,8 +18,7 @@
 
   [vm]        name*, region*, domain*
   [listen]    callers*, peers*, operators*      addresses such as 10.0.0.1:8080;
-              advertise                         the address that peers connect to, if it
-              differs from the listen address
+              advertise                         the address that peers use, if different
   [gateway]   requests*, ready*, directory      addresses for requests on routes; the
               grace, connections                section is optional
   [platform]  kv*, vm_list                      addresses such as http://10.0.0.9:2379
@@ -31,8 +30,8 @@
   [policy]    divide, top_up (true or false), at_hand, budget_wait, warm_up_senders
               (docs/POLICY.md)
   [retries]   ratio, allowance, window
-  [warm_up]   overshoot, allowance              the limit on requests per second of the fleet to
-              a cold upstream: overshoot times its rate, plus allowance
+  [warm_up]   overshoot, allowance              the fleet's limit on requests per second to a cold
+              upstream: overshoot times its rate, plus allowance
   [rollout]   share, allowance, rollback        the limit on requests to a version before it
               is found bad: share of the service's requests, plus allowance; rollback is how
               long it may still be sent requests after that
--- a/crates/badgerfield/src/rollout.rs
+++ b/crates/badgerfield/src/rollout.rs
@@ -119,7 +119,7 @@
     Ok(all)
 }
 
-/// Reads the orders. A platform without rollout orders has none.
+/// Reads the rollout orders. There are none on a platform that does not support them.
 async fn read_orders(store: &Arc<dyn KeyValueStore>) -> Result<Vec<OrderChange>> {
     match read(store, StoreKey::Templates).await? {
         StoreResult::Operators(found) => Ok(found.rollouts),
--- a/crates/badgerfield/tests/processes.rs
+++ b/crates/badgerfield/tests/processes.rs
@@ -132,8 +132,8 @@
     panic!("the removed VM did not exit: {}\n{}", site.status(0).await, site.log(0))
 }
 
-/// Fails if a VM counts a ledger write whose reply was lost twice or not at all: it would overspend
-/// the budget or refuse chats.
+/// Fails if a ledger write whose reply was lost is applied twice or forgotten: the VMs would refuse
+/// chats or overspend the budget.
 #[tokio::test]
 async fn ledger_write_with_a_lost_reply_is_resolved() -> Result<()> {
     let limit = 20_000;
--- a/crates/badgerfield/tests/rollout.rs
+++ b/crates/badgerfield/tests/rollout.rs
@@ -68,7 +68,7 @@
     assert_eq!(selected, vec![pool.clone()]);
 }
 
-/// Fails if `watch` misses a change, or exits with a code that does not tell a rollback.
+/// Fails if `watch` misses a change, or does not report a rollback by its exit code.
 #[tokio::test(flavor = "multi_thread")]
 async fn watch_exits_with_the_outcome_of_the_rollout() {
     let store = Store::start().await.expect("the store starts");
