--- a/crates/badgerfield-core/src/event.rs
+++ b/crates/badgerfield-core/src/event.rs
@@ -1,7 +1,7 @@
-//! What happens to a process, and what it wants done: the core's one border.
+//! Events and commands: the interface between the core and its driver.
 //!
-//! The core takes an [`Event`] with the present time and yields [`Command`]s. Whoever
-//! drives it turns orders into input and output, and their outcome into events.
+//! The core takes an [`Event`] with the current time and returns [`Command`]s. The driver performs
+//! the I/O that the commands ask for and reports the results as events.
 
 use std::time::Duration;
 
@@ -25,110 +25,111 @@
 use crate::upstream_list::{ListVersion, UpstreamList};
 use crate::vm_upstreams::{LoadReport, VmList};
 
-/// Something that happened.
+/// An input of the core.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// The process starts.
     Start,
-    /// Some time has passed; sent every [`crate::TICK_INTERVAL`].
+    /// Time has passed; sent every [`crate::TICK_INTERVAL`].
     Tick,
     /// A caller's request has arrived.
     RequestArrived(RequestId, Box<IncomingRequest>),
-    /// A caller has hung up.
+    /// A caller has disconnected.
     CallerDisconnected(RequestId),
-    /// An upstream has answered.
+    /// An attempt at an upstream has made progress or has ended.
     Upstream(AttemptId, UpstreamEvent),
     /// An upstream has reported its load.
     Load(UpstreamId, LoadReport),
     /// Another process has sent a message.
     Peer(Envelope),
-    /// The key-value service has answered.
+    /// The store has answered a call.
     StoreReply(StoreCallId, StoreResult),
     /// The VM list was read.
     VmList(VmList),
-    /// The templates were read, or have changed at the platform.
+    /// The templates were read, or have changed in the store.
     Templates(Versioned),
-    /// All that operators have at the platform was read.
+    /// All values of operators in the store were read.
     Operators(OperatorValues),
-    /// Operators have changed something at the platform.
+    /// Operators have changed values in the store.
     OperatorChanges(OperatorChanges),
-    /// A request on a route wants tokens set aside; [`Command::AnswerReserve`] answers.
+    /// A request on a route needs reserved tokens; answered with [`Command::AnswerReserve`].
     Reserve(ReserveRequest),
-    /// A request on a route that waits for tokens has gone.
+    /// A request on a route has ended while it waited for tokens.
     CancelReserve(ReserveRequest),
-    /// A request on a route has ended, and this is what it used.
+    /// A request on a route that had tokens reserved has ended.
     ReservationEnded(ReservationEnd),
-    /// The time of day, in milliseconds since 1970; one clock's opinion.
+    /// The wall-clock time of this process, in milliseconds since 1970. Clocks of other processes
+    /// may differ.
     WallClock(u64),
-    /// Whether this process serves callers at present.
+    /// Whether this process currently serves callers.
     Serving(bool),
-    /// The list of upstreams was followed; its reach is for the core to set.
+    /// The list of upstreams has changed at the platform. The core sets the update's reach.
     UpstreamChanges(UpstreamUpdate),
-    /// Another process knows the list of upstreams up to this revision, and what it told leaves a
-    /// gap here.
+    /// Another process knows all changes of the list of upstreams up to this revision, and its
+    /// update does not continue the list of this process.
     UpstreamListGap(Incarnation, u64),
-    /// Another process knows as much of the list of upstreams as this one, and its list differs.
+    /// Another process has the list of upstreams at the same revision, but with different entries.
     UpstreamListsDiffer(Incarnation),
-    /// How much of the list of upstreams is known here.
+    /// The version of the list of upstreams of this process.
     UpstreamListVersion(ListVersion),
-    /// What the requests of this process need of engines.
+    /// The demand for engines of the requests of this process.
     EngineNeeds(Vec<EngineDemand>),
-    /// The upstreams at which requests wait.
+    /// The upstreams at which requests of this process are queued.
     DelayReports(Vec<DelayReport>),
-    /// What other processes should know of the limits that upstreams name.
+    /// Rate limits that upstreams have announced, to be sent to other processes.
     LimitReports(Vec<LimitReport>),
-    /// How the requests of this process went at services that are rolled out, told now and then.
+    /// Outcomes of the requests of this process at services with a rollout; sent periodically.
     RolloutTallies(Vec<RolloutTally>),
-    /// An upstream has ended while a request of this process was there.
+    /// An upstream has crashed while it ran a request of this process.
     UpstreamCrashed(Crash),
-    /// A request that was there when an upstream ended was served whole.
+    /// A request that an upstream ran when it crashed has been served completely.
     SuspectServed(Fingerprint),
-    /// The process is asked to stop.
+    /// The process is to stop.
     Stop,
 }
 
-/// A wish to set tokens aside for a request on a route.
+/// A request to reserve tokens for a request on a route.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReserveRequest {
-    /// Names the reservation.
+    /// The id of the reservation.
     pub id: ReservationId,
-    /// The budget.
+    /// The budget that pays.
     pub budget: BudgetId,
-    /// The most that the request can cost.
+    /// The maximum cost of the request.
     pub amount: Tokens,
-    /// How long the request may wait for an answer.
+    /// The time until which the request may wait for tokens.
     pub deadline: Time,
 }
 
 /// The end of a reservation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReservationEnd {
-    /// The budget.
+    /// The budget that pays.
     pub budget: BudgetId,
-    /// The period in which the tokens were set aside.
+    /// The period in which the tokens were reserved.
     pub period: Period,
-    /// What was set aside.
+    /// The number of tokens that were reserved.
     pub reserved: Tokens,
-    /// What was used of it.
+    /// The number of reserved tokens that were used.
     pub used: Tokens,
 }
 
-/// What a caller wants.
+/// A request of a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct IncomingRequest {
     /// The digest of the caller's secret.
     pub secret_digest: KeyDigest,
     /// The caller's own key for the request, and the region that it names.
     pub key: Option<String>,
-    /// Whether the caller forbids a second run.
+    /// Whether the request may run at most once.
     pub at_most_once: bool,
-    /// What is asked for.
+    /// The work to do.
     pub work: Work,
-    /// How long the caller allows the request to wait; the template may allow less.
+    /// The maximum wait that the caller allows; the template may allow less.
     pub max_wait: Option<Duration>,
 }
 
-/// What a request asks an upstream to do.
+/// The work that a request asks an upstream to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Work {
     /// A chat completion of a model engine.
@@ -137,136 +138,136 @@
     Call(Call),
 }
 
-/// A chat completion.
+/// A request for a chat completion.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Chat {
-    /// The model.
+    /// The requested model.
     pub model: Model,
-    /// The adapter, if any.
+    /// The requested adapter of the model.
     pub adapter: Option<Adapter>,
-    /// The most tokens that the prompt can be.
+    /// An upper bound of the tokens of the prompt.
     pub prompt_tokens: Tokens,
-    /// The output limit that the caller set.
+    /// The output limit set by the caller.
     pub output_limit: Option<Tokens>,
-    /// Digests of the prompt's prefixes, the shortest first.
+    /// Digests of the prompt's prefixes, shortest first.
     pub prefix_digests: Vec<u64>,
 }
 
-/// A call of a plain service.
+/// A request to a plain service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
-    /// The service.
+    /// The requested service.
     pub service: Service,
     /// The path within the service.
     pub path: String,
 }
 
-/// What an upstream did.
+/// Progress or end of an attempt at an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum UpstreamEvent {
-    /// The head of the answer has come.
+    /// The head of the answer has arrived.
     Head(Head),
-    /// A part of the answer has come.
+    /// A part of the answer has arrived.
     Chunk(Chunk),
-    /// The answer has ended well, after this many parts.
+    /// The answer is complete or was cancelled.
     Ended {
-        /// How many parts the whole answer has; 0 if it was cancelled.
+        /// The number of parts of the complete answer; 0 if it was cancelled.
         parts: u64,
-        /// The tokens used, where the upstream says so.
+        /// The tokens used, if the upstream reports them.
         usage: Option<Usage>,
     },
-    /// Nothing reached the upstream: the request cannot have run there.
+    /// The request was not sent to the upstream, so it cannot have run there.
     NotSent,
-    /// The upstream refused the request before running it, and wants nothing more for a span, if it
-    /// says so.
+    /// The upstream rejected the request before running it, and announced a back-off if a span is
+    /// given.
     Busy(Option<Duration>),
-    /// The upstream does not have the stream that was to be resumed.
+    /// The upstream does not have the stream to resume.
     NoStream,
-    /// The answer broke off, or never came; the request may have run.
+    /// The answer broke off or never arrived; the request may have run.
     Broken,
 }
 
 /// A part of an upstream's answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Chunk {
-    /// The part's place in the answer.
+    /// The index of the part in the answer.
     pub offset: u64,
-    /// What the caller gets of it.
+    /// The data for the caller.
     pub data: Bytes,
-    /// The tokens used so far, where the upstream says so.
+    /// The tokens used so far, if the upstream reports them.
     pub usage: Option<Usage>,
 }
 
-/// The tokens that a request has used.
+/// The number of tokens that a request has used.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Tokens in the prompt.
     pub prompt: Tokens,
-    /// Tokens generated.
+    /// Generated tokens.
     pub output: Tokens,
 }
 
 impl Usage {
-    /// Returns what the request costs.
+    /// Returns the cost of the request.
     #[must_use]
     pub fn cost(self) -> Tokens {
         self.prompt.saturating_add(self.output)
     }
 }
 
-/// A value of the key-value service with its revision; revision 0 means absent.
+/// A value in the store with its revision; revision 0 means that there is no value.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Versioned {
-    /// The value.
+    /// The stored bytes.
     pub value: Option<Bytes>,
-    /// The revision.
+    /// The revision of the value.
     pub revision: u64,
 }
 
-/// All that operators have at the platform.
+/// All values of operators in the store.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct OperatorValues {
-    /// The platform's revision at which it was read.
+    /// The revision of the store at which the values were read.
     pub revision: u64,
-    /// The templates, as the product writes them; nothing if there are none that can be used.
+    /// The templates in the core's format; `None` if there are no valid ones.
     pub templates: Option<Bytes>,
-    /// The failure domains that are evacuated.
+    /// The evacuated failure domains.
     pub evacuated: Vec<DomainChange>,
-    /// The roll-outs that are ordered.
+    /// The ordered rollouts.
     pub rollouts: Vec<OrderChange>,
 }
 
-/// What operators have changed at the platform.
+/// Changes of operators' values in the store.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct OperatorChanges {
-    /// The platform's revision up to which every change is known.
+    /// The revision of the store up to which all changes are known.
     pub revision: u64,
-    /// The newest templates, if they have changed and can be used.
+    /// The newest templates, if they have changed and are valid.
     pub templates: Option<Bytes>,
-    /// The failure domains that were evacuated or taken back.
+    /// The failure domains that were evacuated or restored.
     pub domains: Vec<DomainChange>,
-    /// The roll-outs that were ordered or withdrawn.
+    /// The rollouts that were ordered or withdrawn.
     pub rollouts: Vec<OrderChange>,
 }
 
-/// What became of a call to the key-value service.
+/// The result of a call to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreResult {
     /// The value that was read.
     Value(Versioned),
-    /// The values of operators, where the platform keeps more than templates.
+    /// The values of operators, from a platform that has more of them than templates.
     Operators(OperatorValues),
-    /// The value was written under this revision.
+    /// The value was written with this revision.
     Written(u64),
-    /// Another value stands there; nothing was written.
+    /// The stored value has another revision; nothing was written.
     Conflict(Versioned),
-    /// The service did not do it.
+    /// The store rejected the call.
     Refused,
-    /// No answer came: it may have taken effect.
+    /// No answer arrived: the call may have taken effect.
     Unknown,
 }
 
-/// A name in the key-value service.
+/// The key of a value in the store.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum StoreKey {
     /// The templates.
@@ -275,44 +276,44 @@
     View,
     /// A shard of the ledger.
     Ledger(u32),
-    /// How far the roll-out of a service has come; operators read it.
+    /// The progress of a service's rollout, for operators to read.
     Rollout(Service),
-    /// The requests that are blocked since upstreams ended under them.
+    /// The requests that are blocked because upstreams crashed under them.
     Poison,
 }
 
-/// A call to the key-value service.
+/// A call to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreCall {
     /// Reads a value.
     Get(StoreKey),
-    /// Writes a value if the present one has the expected revision.
+    /// Writes a value if the stored one has the expected revision.
     CompareAndSwap {
-        /// What is written to.
+        /// The key to write.
         key: StoreKey,
-        /// The revision that must stand there; 0 means none.
+        /// The expected revision of the stored value; 0 if there must be none.
         expected_revision: u64,
-        /// The value.
+        /// The value to write.
         value: Bytes,
     },
 }
 
-/// What a request sent to an upstream is.
+/// A request to be sent to an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Dispatch {
-    /// The run.
+    /// The run that the attempt belongs to.
     pub run: RunId,
-    /// The caller's request whose body is sent, unless the stream is resumed.
+    /// The caller's request whose body is sent; `None` if a stream is resumed.
     pub request: Option<RequestId>,
-    /// The upstream.
+    /// The upstream that receives the request.
     pub upstream: UpstreamId,
-    /// The name under which the upstream keeps the stream, for resuming it.
+    /// The id of the stream at the upstream, used to resume it.
     pub stream: String,
-    /// The output limit, for engines.
+    /// The output limit, used by engines only.
     pub output_limit: Tokens,
-    /// The account's priority.
+    /// The priority of the account.
     pub priority: u32,
-    /// Resume the stream from this part on, instead of starting it.
+    /// The index of the part from which to resume the stream; `None` to start it.
     pub resume_from: Option<u64>,
 }
 
@@ -321,214 +322,218 @@
 pub enum Answer {
     /// The head of the answer.
     Head(Head),
-    /// Data.
+    /// Data of the body.
     Data(Bytes),
-    /// The whole answer was sent, and its request costs this much.
+    /// The end of a complete answer, with the cost of the request.
     End(Tokens),
-    /// The answer broke off after its head was sent; what was sent is not whole.
+    /// The answer broke off after its head was sent, so the caller has an incomplete answer.
     Broken(Refusal),
-    /// The request is refused.
+    /// The request was refused before the head was sent.
     Refused(Refusal),
 }
 
-/// One line about a bill, for the record of charges.
+/// An entry of the record of charges.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Bill {
-    /// The account.
+    /// The account that is charged.
     pub account: Account,
     /// The budget that paid.
     pub budget: BudgetId,
-    /// The request's key, if it had one.
+    /// The key of the request, if it has one.
     pub key: Option<RequestKey>,
-    /// The name of the stream at the upstream.
+    /// The id of the stream at the upstream.
     pub stream: String,
-    /// What it cost.
+    /// The cost of the request.
     pub cost: Tokens,
-    /// Whether it is billed; otherwise another process bills the same key.
+    /// Whether this process bills the request; if not, another process bills the same key.
     pub billed: bool,
 }
 
-/// Something that the process wants done.
+/// An action that the core asks its driver to perform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// Send a message.
+    /// Sends a message to another process.
     Send(Incarnation, Message),
-    /// Call the key-value service.
+    /// Calls the store.
     CallStore(StoreCallId, StoreCall),
-    /// Send a request to an upstream.
+    /// Sends a request to an upstream.
     Dispatch(AttemptId, Dispatch),
-    /// Stop what runs at an upstream.
+    /// Cancels an attempt at an upstream.
     Cancel(AttemptId),
-    /// Pass something to a caller, as the part of its answer with this place.
+    /// Sends the part with this index of an answer to a caller.
     Answer(RequestId, usize, Answer),
-    /// Tell a request on a route that its tokens are set aside in this period, or why not.
+    /// Tells a request on a route the period in which its tokens are reserved, or why they are not.
     AnswerReserve(ReservationId, Result<Period, Refusal>),
-    /// Take in changes of the list of upstreams that another process passed on.
+    /// Applies changes of the list of upstreams that another process forwarded.
     ApplyUpstreamChanges(Incarnation, UpstreamUpdate),
-    /// Take in the whole list of upstreams of another process.
+    /// Applies the complete list of upstreams of another process.
     ApplyUpstreamList(UpstreamList),
-    /// The list of upstreams is still as it is known here, up to a revision.
+    /// Confirms that the list of upstreams is unchanged up to a revision.
     ConfirmUpstreamList(u64),
-    /// Divide the engines by what the requests of all processes need.
+    /// Divides the engines by the demand of the requests of all processes.
     DivideEngines(Vec<EngineDemand>),
-    /// Take in at which upstreams requests of other processes wait.
+    /// Applies the queueing delays that other processes reported.
     ApplyDelayReports(Vec<DelayReport>),
-    /// Take in what another process knows of the limits that upstreams name.
+    /// Applies the rate limits that another process reported.
     ApplyLimitReports(Incarnation, Vec<LimitReport>),
-    /// Stop or begin to use the upstreams of failure domains, as the platform or a process told.
+    /// Applies changes of evacuated failure domains, received from this process or (`None`) read
+    /// from the store.
     ApplyEvacuations(Option<Incarnation>, Vec<DomainChange>),
-    /// Divide the requests of services between versions by these rules, and by no others.
+    /// Divides the requests of services between versions by these rules, which replace all earlier
+    /// ones.
     ApplyRolloutRules(RolloutRules),
-    /// Tell a process what has changed in the list of upstreams since a revision; the whole list
-    /// since 0.
+    /// Sends a process the changes of the list of upstreams since a revision; the complete list for
+    /// revision 0.
     SendUpstreamList(Incarnation, u64),
-    /// Some requests are blocked from now on: what runs of them is to be ended.
+    /// Blocks requests and ends their running attempts.
     BlockRequests(Vec<Fingerprint>),
-    /// Record a charge.
+    /// Writes an entry to the record of charges.
     Bill(Bill),
-    /// Tell the operator.
+    /// Writes a log entry for operators.
     Log(LogEntry),
-    /// Everything is handed over: end the process.
+    /// Ends the process: it has handed over all its state.
     Exit,
 }
 
-/// Something that an operator should know.
+/// An entry for the operators' log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LogEntry {
     /// A newer view is in force.
     View(crate::ids::Epoch),
-    /// Other budgets are held or borrowed here, by the ranks of a view.
+    /// The view has changed the budgets that this process holds or borrows.
     Lending {
-        /// The view.
+        /// The epoch of the view.
         epoch: crate::ids::Epoch,
-        /// How many budgets this process holds.
+        /// The number of budgets that this process holds.
         held: usize,
-        /// How many it borrows from others.
+        /// The number of budgets that it borrows from lenders.
         borrowed: usize,
     },
-    /// A holder has left the view, and this process is the witness of what it left untouched.
+    /// A holder has left the view; this process is the witness of its parked tokens.
     ParkedReturned {
-        /// The budget.
+        /// The budget of the parked tokens.
         budget: BudgetId,
         /// The removed holder.
         holder: Incarnation,
-        /// What goes back to the ledger; the rest of its holding is written off.
+        /// The parked tokens, which return to the ledger; the rest of the holding is written off.
         amount: Tokens,
-        /// The view without the holder.
+        /// The epoch of the view without the holder.
         epoch: crate::ids::Epoch,
     },
-    /// A lender did not answer in time, and is passed over for a while.
+    /// A lender did not answer in time, and is skipped for a while.
     LenderSilent {
-        /// The budget.
+        /// The budget that was requested.
         budget: BudgetId,
-        /// The lender.
+        /// The lender that did not answer.
         lender: Incarnation,
     },
     /// Newer templates are in force.
     Templates(crate::ids::TemplateVersion),
-    /// The value of the templates cannot be used; the last good one stays in force.
+    /// The stored templates are invalid; the last valid ones stay in force.
     BadTemplates(String),
-    /// A value of the platform cannot be used.
+    /// A stored value is invalid.
     BadValue(StoreKey, String),
-    /// This process writes the view without a member that it takes to be gone.
+    /// This process writes a view without a member that it considers dead.
     RemovesMember {
-        /// The member.
+        /// The member to be removed.
         member: Incarnation,
-        /// Its VM.
+        /// The VM of the member.
         vm: VmId,
-        /// How long it has been silent here.
+        /// The time since this process last received a message from the member.
         silence: Duration,
-        /// The epoch that the removal builds on.
+        /// The epoch of the view that the new one replaces.
         epoch: crate::ids::Epoch,
     },
-    /// The view was formed without this process; it finishes what runs and ends.
+    /// The new view does not contain this process; it finishes its running requests and ends.
     Removed,
-    /// The ledger answered a change of a holding.
+    /// The ledger has applied a change of a holding.
     LedgerApplied {
-        /// The budget.
+        /// The budget of the holding.
         budget: BudgetId,
-        /// Its limit.
+        /// The limit of the budget.
         limit: Tokens,
-        /// What was handed out.
+        /// The tokens that the ledger granted.
         granted: Tokens,
-        /// What is left in the ledger.
+        /// The tokens that remain in the ledger.
         left: Tokens,
-        /// What the process holds now, parked, sealed or free.
+        /// The tokens that the process holds now: parked, sealed or free.
         held: Tokens,
-        /// What of that is sealed.
+        /// The sealed tokens among those held.
         sealed: Tokens,
-        /// Whether the ledger was promised that the sealed part is not touched.
+        /// Whether the process has promised the ledger not to spend the sealed tokens.
         promised: bool,
-        /// What is set aside for running requests.
+        /// The tokens reserved for running requests.
         reserved: Tokens,
-        /// What is on its way to other processes and not acknowledged.
+        /// The tokens in transit to other processes and not acknowledged.
         moving: Tokens,
-        /// How long the ledger took to answer.
+        /// The time that the ledger took to answer.
         took: Duration,
-        /// How the ledger wants the budget held.
+        /// The ledger's plan for the holding.
         plan: HoldingPlan,
-        /// The demand that the process measured.
+        /// The demand measured by the process.
         rate: TokenRate,
     },
-    /// What a borrower has of a budget that is busy there, or that it has on the way back.
+    /// The tokens of a borrower for a budget that is in demand there or whose tokens it is
+    /// returning.
     Prefetched {
-        /// The budget.
+        /// The borrowed budget.
         budget: BudgetId,
-        /// Ready to spend.
+        /// The tokens that can be spent.
         free: Tokens,
-        /// Set aside for running requests.
+        /// The tokens reserved for running requests.
         reserved: Tokens,
-        /// On its way to other processes and not acknowledged.
+        /// The tokens in transit to other processes and not acknowledged.
         moving: Tokens,
-        /// How many requests wait for tokens.
+        /// The number of requests that wait for tokens.
         waiting: usize,
-        /// The demand that the process measured.
+        /// The demand measured by the process.
         rate: TokenRate,
     },
-    /// The budget period has ended and a new one is in force.
+    /// A new budget period is in force.
     BudgetRenewed(BudgetId),
-    /// Something about a roll-out.
+    /// Progress of a rollout.
     Rollout(Box<RolloutLogEntry>),
-    /// An upstream ended under a request, or such a request was served whole since.
+    /// An upstream crashed under a request, or such a request was served completely afterwards.
     Crash {
-        /// What happened.
+        /// The crash, or the later success.
         crash: Crash,
-        /// Whether the request is blocked by it.
+        /// Whether the request is blocked because of it.
         blocks: bool,
-        /// Who told it; nobody if this process saw it, or read it at the platform.
+        /// The process that reported it; `None` if this process observed it or read it from the
+        /// store.
         from: Option<Incarnation>,
     },
 }
 
-/// Collects orders.
+/// Collects the commands of one event.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    orders: Vec<Command>,
+    commands: Vec<Command>,
 }
 
 impl Outbox {
-    /// Adds an order.
-    pub fn push(&mut self, order: Command) {
-        self.orders.push(order);
+    /// Adds a command.
+    pub fn push(&mut self, command: Command) {
+        self.commands.push(command);
     }
 
-    /// Adds a message.
+    /// Adds a command that sends a message.
     pub fn send(&mut self, to: Incarnation, message: Message) {
-        self.orders.push(Command::Send(to, message));
+        self.commands.push(Command::Send(to, message));
     }
 
-    /// Adds a part of an answer with its place.
-    pub fn answer(&mut self, to: RequestId, place: usize, answer: Answer) {
-        self.orders.push(Command::Answer(to, place, answer));
+    /// Adds a command that sends the part of an answer with this index.
+    pub fn answer(&mut self, to: RequestId, index: usize, answer: Answer) {
+        self.commands.push(Command::Answer(to, index, answer));
     }
 
-    /// Takes all orders.
+    /// Removes and returns all commands.
     pub fn take(&mut self) -> Vec<Command> {
-        std::mem::take(&mut self.orders)
+        std::mem::take(&mut self.commands)
     }
 }
 
-/// Tells whether a span has passed since an earlier time, or none is known.
+/// Returns whether at least `span` has passed since `last`, or `last` is `None`.
 #[must_use]
 pub(crate) fn is_due(now: Time, last: Option<Time>, span: Duration) -> bool {
     last.is_none_or(|last| now.since(last) >= span)
--- a/crates/badgerfield-core/src/ids.rs
+++ b/crates/badgerfield-core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers, each a type of its own so that one cannot stand for another.
+//! Identifiers. Each kind has its own type, so that they cannot be confused.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,10 +8,10 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The longest identifier that is accepted, in bytes.
+/// The maximum length of an identifier, in bytes.
 pub const MAX_ID_LEN: usize = 128;
 
-/// Why a text is not an identifier.
+/// The reason why a text is not a valid identifier.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum IdError {
     /// The text is empty.
@@ -20,15 +20,15 @@
     /// The text is longer than [`MAX_ID_LEN`].
     #[error("expected at most {MAX_ID_LEN} bytes, found {0}")]
     TooLong(usize),
-    /// The text holds a character that identifiers may not hold.
+    /// The text contains a character that is not allowed.
     #[error("expected letters, digits, '.', '_', '-' or '/', found {0:?}")]
     BadChar(char),
-    /// The text is not a number in the expected base.
+    /// The text is not a hexadecimal number.
     #[error("expected a number in hexadecimal, found {0:?}")]
     NotHex(String),
 }
 
-fn check(text: &str) -> Result<(), IdError> {
+fn check_id(text: &str) -> Result<(), IdError> {
     if text.is_empty() {
         return Err(IdError::Empty);
     }
@@ -69,7 +69,7 @@
             type Err = IdError;
 
             fn from_str(text: &str) -> Result<Self, IdError> {
-                check(text)?;
+                check_id(text)?;
                 Ok(Self(text.to_owned()))
             }
         }
@@ -78,7 +78,7 @@
             type Error = IdError;
 
             fn try_from(text: String) -> Result<Self, IdError> {
-                check(&text)?;
+                check_id(&text)?;
                 Ok(Self(text))
             }
         }
@@ -92,55 +92,55 @@
 }
 
 text_id!(
-    /// Names one VM for as long as it lives, over all restarts of its process.
+    /// The id of a VM. It stays the same when the process on the VM restarts.
     VmId
 );
 text_id!(
-    /// Names a region.
+    /// The name of a region.
     Region
 );
 text_id!(
-    /// Names a failure domain.
+    /// The name of a failure domain.
     Domain
 );
 text_id!(
-    /// Names a client account.
+    /// The name of a client account.
     Account
 );
 text_id!(
-    /// Names one prepaid budget of a client account, as `account/budget`.
+    /// The id of a prepaid budget of a client account, as `account/budget`.
     BudgetId
 );
 text_id!(
-    /// Names a model.
+    /// The name of a model.
     Model
 );
 text_id!(
-    /// Names an adapter of a model.
+    /// The name of an adapter of a model.
     Adapter
 );
 text_id!(
-    /// Names a hardware generation.
+    /// The name of a hardware generation.
     Hardware
 );
 text_id!(
-    /// Names an upstream: a replica of a model engine or of a plain service.
+    /// The id of an upstream: a replica of a model engine or of a plain service.
     UpstreamId
 );
 text_id!(
-    /// Names a plain service.
+    /// The name of a plain service.
     Service
 );
 text_id!(
-    /// Names a version of an upstream's software.
+    /// A version of an upstream's software.
     SoftwareVersion
 );
 text_id!(
-    /// Names who changed a template.
+    /// The author of a change of the templates.
     Author
 );
 
-/// One run of the process on a VM, new at every start and never used again.
+/// The id of one run of the process on a VM. Each start gets a new one; none is used twice.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -161,49 +161,49 @@
     }
 }
 
-/// A caller's request within one process.
+/// The id of a caller's request, unique within one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// One execution of a request within one process; also the serial number of its claim.
+/// The id of one run of a request, unique within one process; also the serial number of its claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RunId(pub u64);
 
-/// The highest bit of a number, which tells reservations from runs.
-const RESERVATION: u64 = 1 << 63;
+/// The highest bit of a [`RunId`], set if the id stands for a reservation.
+const RESERVATION_BIT: u64 = 1 << 63;
 
-/// Tokens set aside for a request on a route, unique within one process.
+/// The id of a reservation of tokens for a request on a route, unique within one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReservationId(pub u64);
 
 impl ReservationId {
-    /// Returns the number under which the holdings know the reservation.
+    /// Returns the id under which the holdings keep the reservation.
     #[must_use]
     pub fn to_run_id(self) -> RunId {
-        RunId(self.0 | RESERVATION)
+        RunId(self.0 | RESERVATION_BIT)
     }
 
-    /// Returns the reservation that a number stands for, if it is none of a run.
+    /// Returns the reservation that an id stands for, or `None` if it is the id of a run.
     #[must_use]
     pub(crate) fn from_run_id(run: RunId) -> Option<Self> {
-        (run.0 & RESERVATION != 0).then_some(Self(run.0 & !RESERVATION))
+        (run.0 & RESERVATION_BIT != 0).then_some(Self(run.0 & !RESERVATION_BIT))
     }
 }
 
-/// One try of a request on one upstream, unique within one process.
+/// The id of one attempt of a request at one upstream, unique within one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u64);
 
-/// A call to the key-value service, unique within one process.
+/// The id of a call to the store, unique within one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoreCallId(pub u64);
 
-/// The key of a request: a digest of the budget and the caller's own key.
+/// The key of a request: a digest of the budget and the caller's key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestKey(pub u128);
 
 impl RequestKey {
-    /// Digests the caller's key within the budget that pays for the request.
+    /// Computes the key from the caller's key and the budget that pays for the request.
     #[must_use]
     pub fn new(budget: &BudgetId, key: &str) -> Self {
         let mut hash = Sha256::new();
@@ -223,14 +223,14 @@
     }
 }
 
-/// The number of a template set or of one of its templates; it only grows.
+/// The version of a template set or of one of its templates. It only increases.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct TemplateVersion(pub u64);
 
 impl TemplateVersion {
-    /// Returns the version that follows.
+    /// Returns the next version.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0.saturating_add(1))
@@ -243,7 +243,7 @@
     }
 }
 
-/// The number of a budget's period; a renewal raises it.
+/// The number of a budget's period. Each renewal increases it.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -255,14 +255,14 @@
     }
 }
 
-/// The number of a membership view; it only grows.
+/// The number of a membership view. It only increases.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Epoch(pub u64);
 
 impl Epoch {
-    /// Returns the epoch that follows.
+    /// Returns the next epoch.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0.saturating_add(1))
@@ -275,7 +275,7 @@
     }
 }
 
-/// Weighs a process for a subject, for rendezvous hashing: the highest weight wins.
+/// Returns the weight of a process for a subject in rendezvous hashing; the highest weight wins.
 #[must_use]
 pub(crate) fn rendezvous_weight(subject: &[u8], node: Incarnation) -> u64 {
     xxh3_64_with_seed(subject, node.0)
--- a/crates/badgerfield-core/src/lib.rs
+++ b/crates/badgerfield-core/src/lib.rs
@@ -1,34 +1,51 @@
-//! The decisions of badgerfield, without sockets, clocks or randomness.
+//! The core of badgerfield: all decisions, without sockets, clocks or randomness.
 //!
-//! A [`Node`] is one process of the system. Whoever drives it hands it an [`Event`]
-//! with the present time and carries out the [`Command`]s that it yields; see [`event`].
-//! The same node runs in the daemon and in tests that drive many of them.
+//! A [`Node`] is one process of the system. A driver passes it an [`Event`] with the current time
+//! and carries out the [`Command`]s that it returns (see [`event`]). The same code runs in the
+//! daemon and in tests that simulate many processes.
 //!
-//! A request passes through these parts, in this order: `handlers::admission` checks it
-//! against its [`template`]; [`claims`] decide who may run its key; [`holdings`] set
-//! aside the most it can cost, out of rights that the [`ledger`] divided; the
-//! [`queue`] says whose turn it is; [`vm_upstreams`] says where it runs; `handlers::answer`
-//! passes its answer on; `handlers::charging` bills it once.
+//! # Requests
 //!
-//! A request on a route (any method, plain or streamed) is looked up in [`routing`],
-//! sets tokens aside through [`event::Event::Reserve`], and goes to an upstream that
-//! [`upstream_table`] chooses, by what [`request_mix`] learns of requests and engines; [`retry_budget`]
-//! bounds what is sent twice, and [`event_stream`] cuts streams so that they can go on
-//! elsewhere.
+//! A request on the caller API ([`event::Event::RequestArrived`]) passes through these modules, in
+//! this order:
 //!
-//! Between processes only differences travel: [`view_update`] and [`template_history`] make
-//! them, `broadcast` carries news of upstreams along the ring of members, and signs of life
-//! carry the [`confirmations`] of a view and the [queueing delays](queueing_delay) of engines. Which failure domains are
-//! evacuated is told by the same broadcast and compared by digests ([`evacuation`]); upstreams
-//! that come back from there start slowly ([`warm_up`]). Orders to move a service to another
-//! version travel in the same way ([`rollout`]), and so do requests under which upstreams have
-//! ended ([`poison`]), which are sent to no other. The limits that upstreams name travel from
-//! neighbour to neighbour ([`rate_limit`]).
+//! 1. `handlers::admission` checks it against its [`template`].
+//! 2. [`claims`] decide which process may run its key.
+//! 3. [`holdings`] reserve its maximum cost, out of the tokens that the [`ledger`] granted.
+//! 4. The [`queue`] decides when it is its turn.
+//! 5. [`vm_upstreams`] chooses the upstream.
+//! 6. `handlers::answer` passes the answer to the caller.
+//! 7. `handlers::charging` bills the request once.
 //!
-//! All state stands in the tables of `shared_state`, with one lock order. The platform's
-//! key-value service holds five kinds of values: the templates, the membership
-//! [`view`], the shards of the ledger, the record of each service's last roll-out, and the
-//! requests that are blocked.
+//! A request on a route (any method, plain or streamed) takes another path. [`routing`] determines
+//! its service, [`event::Event::Reserve`] reserves its tokens, and [`upstream_table`] chooses the
+//! upstream, using the statistics of requests and engines in [`request_mix`]. [`retry_budget`]
+//! limits how many requests are sent a second time. [`event_stream`] splits streams into events, so
+//! that a stream can be resumed at another upstream.
+//!
+//! # Exchange between processes
+//!
+//! Processes send each other [messages](message). Where possible these contain only differences,
+//! which [`view_update`] and [`template_history`] compute. Data reach the other processes in four
+//! ways:
+//!
+//! - `broadcast` sends updates of the list of upstreams, of evacuated failure domains
+//!   ([`evacuation`]), of [`rollout`]s and of crashes ([`poison`]) along the ring of members.
+//! - Heartbeats carry the [`confirmations`] of a view and the [queueing delays](queueing_delay) of
+//!   engines. They also carry digests, by which members detect that they lack an update.
+//! - The rate limits that upstreams announce are sent from neighbour to neighbour
+//!   ([`rate_limit`]).
+//! - The store, a key-value service that outlasts processes, holds five kinds of values: the
+//!   templates, the membership [`view`], the shards of the ledger, the record of each service's
+//!   last rollout, and the blocked requests.
+//!
+//! Upstreams that return to service after an evacuation start slowly ([`warm_up`]). Requests under
+//! which upstreams have crashed are blocked and sent to no other upstream ([`poison`]).
+//!
+//! # State
+//!
+//! All state is in the tables of `shared_state`, each with its own lock; the locks are taken in one
+//! order.
 
 pub mod adaptive_timeout;
 pub mod amount;
--- a/crates/badgerfield-core/src/message.rs
+++ b/crates/badgerfield-core/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between the processes of the system.
+//! Messages between processes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,27 +23,28 @@
 use crate::view::Member;
 use crate::view_update::ViewUpdate;
 
-/// One message with its sender and receiver.
+/// A message with its sender and receiver.
 ///
-/// A process drops what is meant for another incarnation.
+/// A process discards messages addressed to another incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Who sent it.
+    /// The sender.
     pub from: Incarnation,
-    /// Where the sender takes messages: the receiver may not know it as a member yet.
+    /// The address at which the sender receives messages; the receiver may not know the sender as a
+    /// member yet.
     pub sender_address: SocketAddr,
-    /// For whom it is.
+    /// The receiver.
     pub to: Incarnation,
-    /// What it says.
+    /// The content of the message.
     pub message: Message,
 }
 
-/// What one process says to another.
+/// The content of a message between processes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// The sender is alive and has these versions in force.
+    /// Reports that the sender is alive, and the versions that it has in force.
     Heartbeat(Heartbeat),
-    /// Asks a member to write the sender into the view.
+    /// Asks a member to add the sender to the view.
     Join(Member),
     /// Asks for the view and for templates newer than a version.
     Fetch {
@@ -51,170 +52,171 @@
         epoch: Epoch,
         /// The version of the templates that the sender has.
         version: TemplateVersion,
-        /// Whether the sender wants the whole set.
+        /// Whether the sender requests the complete set of templates.
         whole: bool,
     },
-    /// A newer view, as a difference where the sender knows one.
+    /// A newer view, as a difference if the sender has a base for one.
     View(ViewUpdate),
     /// Newer templates, as a difference.
     TemplateDelta(Box<TemplateDelta>),
-    /// Newer templates, whole.
+    /// The complete set of newer templates.
     Templates(Box<TemplateSet>),
-    /// Changes of the list of upstreams, passed on to all.
+    /// Changes of the list of upstreams; broadcast to all members.
     UpstreamChanges(UpstreamUpdate),
-    /// Asks for the list of upstreams.
+    /// Asks for changes of the list of upstreams.
     FetchUpstreams {
-        /// The revision of the list up to which the sender knows every change; 0 for none, which
-        /// asks for the whole list.
+        /// The revision of the list up to which the sender knows all changes; 0 asks for the
+        /// complete list.
         since: u64,
     },
-    /// The whole list of upstreams.
+    /// The complete list of upstreams.
     Upstreams(UpstreamList),
-    /// Failure domains were evacuated or taken back; passed on to all.
+    /// Failure domains that were evacuated or restored; broadcast to all members.
     Evacuations(EvacuationUpdate),
-    /// All that the sender knows of evacuated domains; asks for what the receiver knows beyond.
+    /// All evacuations that the sender knows; asks for those it lacks.
     CompareEvacuations(Vec<DomainChange>),
-    /// Roll-outs were ordered, or have come further; passed on to all.
+    /// Rollouts that were ordered or have progressed; broadcast to all members.
     Rollouts(RolloutUpdate),
-    /// All that the sender knows of roll-outs; asks for what the receiver knows beyond.
+    /// All rollouts that the sender knows; asks for progress it lacks.
     CompareRollouts(Vec<KnownRollout>),
-    /// Upstreams ended under requests, or such requests were served since; passed on to all.
+    /// Crashes of upstreams under requests, and later successes of such requests; broadcast to all
+    /// members.
     Crashes(CrashUpdate),
-    /// All that the sender knows of blocked requests; asks for what the receiver knows beyond.
+    /// All crashes with blocked requests that the sender knows; asks for those it lacks.
     CompareCrashes(Vec<Crash>),
-    /// How the requests of the sender went at a service of which the receiver is a judge.
+    /// Outcomes of the sender's requests at a service for which the receiver is a judge.
     RolloutReport(RolloutReport),
-    /// Asks for changes in the ledger.
+    /// Asks for changes to the ledger.
     LedgerRequest(Vec<LedgerOp>),
-    /// What became of changes in the ledger.
+    /// The results of requested changes to the ledger.
     LedgerReplies(Vec<(BudgetId, Period, LedgerReply)>),
     /// Asks another holder for tokens.
     TokenRequest(TokenRequest),
-    /// Answers an [`TokenRequest`] that has nothing to give.
+    /// Answers a [`TokenRequest`] if no tokens are given.
     NoTokens {
-        /// The budget.
+        /// The requested budget.
         budget: BudgetId,
-        /// The period.
+        /// The requested period.
         period: Period,
-        /// How much was asked for; where something may come back to a holder, how much that may
-        /// be.
+        /// The requested amount; if a holder may get tokens back, the amount that it may have then.
         need: Tokens,
-        /// Why there is nothing.
+        /// The reason for the refusal.
         reason: NoTokensReason,
     },
-    /// Hands tokens over; resent until acknowledged.
+    /// Transfers tokens; resent until acknowledged.
     Transfer(Transfer),
     /// Acknowledges a transfer.
     TransferAck {
-        /// The transfer's sequence number.
+        /// The sequence number of the transfer.
         seq: u64,
     },
-    /// Sets parked amounts; resent until acknowledged.
+    /// Sets the amounts parked at the receiver; resent until acknowledged.
     Park(Vec<ParkItem>),
     /// Acknowledges parked amounts.
     ParkAck(Vec<ParkItem>),
     /// Asks the arbiter for the right to run a key.
     ClaimRequest(ClaimRequest),
-    /// The arbiter's answer.
+    /// Answers a [`ClaimRequest`].
     ClaimReply {
         /// The key.
         key: RequestKey,
-        /// The serial number of the ask.
+        /// The serial number of the request.
         serial: u64,
-        /// The arbiter's epoch.
+        /// The epoch of the arbiter.
         epoch: Epoch,
-        /// What it decided.
+        /// The decision of the arbiter.
         decision: ClaimDecision,
     },
-    /// Keeps a second copy of a claim.
+    /// Asks the backup to store the second copy of a claim.
     ClaimBackup {
-        /// The arbiter's epoch.
+        /// The epoch of the arbiter.
         epoch: Epoch,
-        /// The claim.
+        /// The claim to store.
         claim: ClaimRecord,
     },
-    /// Acknowledges a copy.
+    /// Acknowledges the second copy of a claim.
     ClaimBackupAck {
         /// The key.
         key: RequestKey,
         /// The owner's serial number.
         serial: u64,
-        /// Whether the copy says that the request has ended.
+        /// Whether the copied claim has ended.
         ended: bool,
     },
-    /// The owner is about to send the request to an upstream.
+    /// Reports that the owner is about to send the request to an upstream.
     Dispatching {
         /// The key.
         key: RequestKey,
         /// The owner's serial number.
         serial: u64,
-        /// The upstream.
+        /// The upstream to which the request is sent.
         upstream: UpstreamId,
     },
-    /// The owner has not run the request and never will.
+    /// Reports that the owner has not run the request and will not run it.
     Release {
         /// The key.
         key: RequestKey,
         /// The owner's serial number.
         serial: u64,
     },
-    /// The owner's request has ended; asks whether the owner may bill it.
+    /// Asks whether the owner of a request that has ended may bill it.
     SettleRequest(SettleRequest),
-    /// Tells whether the owner may bill the request.
+    /// Answers a [`SettleRequest`].
     SettleReply {
-        /// The charge.
+        /// The id of the charge.
         id: ChargeId,
-        /// The arbiter's epoch.
+        /// The epoch of the arbiter.
         epoch: Epoch,
-        /// Whether the charge may be billed.
+        /// Whether the owner may bill the charge.
         billed: bool,
     },
-    /// Charges that the sender cannot settle before it ends.
+    /// Transfers charges that the sender cannot settle before it ends.
     Charges(Vec<PendingCharge>),
-    /// Acknowledges charges that were taken over.
+    /// Acknowledges charges that the sender has taken over.
     ChargesAck(Vec<ChargeId>),
-    /// Claims that the receiver now decides about or keeps.
+    /// Transfers claims for which the receiver becomes the arbiter or the backup.
     Handover(HandoverPart),
-    /// Acknowledges a part of a hand-over.
+    /// Acknowledges a part of a handover.
     HandoverAck {
-        /// The view's number.
+        /// The epoch of the view.
         epoch: Epoch,
-        /// The part's number.
+        /// The index of the part.
         part: u32,
     },
-    /// Asks the owner of a key for the answer from an offset on.
+    /// Asks the owner of a key for its answer from an offset on.
     AnswerRequest {
         /// The key.
         key: RequestKey,
-        /// The region that decides about the key.
+        /// The region whose arbiter decides about the key.
         home: Option<Region>,
         /// The owner's serial number.
         serial: u64,
-        /// The first part that is wanted.
+        /// The index of the first requested part.
         offset: u64,
     },
     /// A part of an answer.
     AnswerPart(AnswerPart),
-    /// The owner is still at it and has nothing new.
+    /// Reports that the owner still runs the request and has no new parts.
     AnswerPending {
         /// The key.
         key: RequestKey,
         /// The owner's serial number.
         serial: u64,
     },
-    /// The owner has no such request and will not run it.
+    /// Reports that the receiver of an [`AnswerRequest`](Self::AnswerRequest) has no such request
+    /// and will not run it.
     UnknownRequest {
         /// The key.
         key: RequestKey,
-        /// The serial number that was asked for.
+        /// The serial number in the request.
         serial: u64,
     },
-    /// The limits that upstreams name, or have ceased to name, as far as the sender knows.
+    /// Rate limits that upstreams have announced or withdrawn, as known to the sender.
     LimitReports(Vec<LimitReport>),
 }
 
 impl Message {
-    /// Names the kind of the message, for counts.
+    /// Returns the kind of the message, for metrics.
     #[must_use]
     pub fn kind(&self) -> &'static str {
         match self {
@@ -247,168 +249,167 @@
         }
     }
 
-    /// Tells whether the message may as well be lost, since a newer one follows soon.
+    /// Returns whether the message may be lost because a newer one follows soon.
     #[must_use]
     pub fn is_repeated(&self) -> bool {
         matches!(self, Self::Heartbeat(_) | Self::LimitReports(_))
     }
 }
 
-/// News of the list of upstreams on its way to all members.
+/// An update of the list of upstreams, broadcast to all members.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamUpdate {
-    /// What changed; it may be nothing but the revision.
+    /// The changes; empty if only the revision has advanced.
     pub changes: UpstreamListChanges,
-    /// Whoever knows every change up to this revision knows, with these, every change up to
-    /// that of the mark.
+    /// The revision that the update builds on: a process that knows all changes up to it knows all
+    /// changes up to the revision of `version` after applying these.
     pub since: u64,
-    /// The list to which this leads, at whoever read it from the platform.
+    /// The version of the list after the changes, at the process that read it from the platform.
     pub version: ListVersion,
-    /// To how many members before it in the ring the receiver passes this on.
+    /// The number of members before the receiver in the ring to which it forwards the update.
     pub reach: u32,
 }
 
-/// News of evacuated failure domains on its way to all members.
+/// An update about evacuated failure domains, broadcast to all members.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationUpdate {
-    /// What operators did.
+    /// The domains that operators evacuated or restored.
     pub changes: Vec<DomainChange>,
-    /// To how many members before it in the ring the receiver passes this on.
+    /// The number of members before the receiver in the ring to which it forwards the update.
     pub reach: u32,
 }
 
-/// News of roll-outs on its way to all members.
+/// An update about rollouts, broadcast to all members.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutUpdate {
-    /// What is known of the services that the news is about.
+    /// The state of the rollouts that have changed.
     pub known: Vec<KnownRollout>,
-    /// To how many members before it in the ring the receiver passes this on.
+    /// The number of members before the receiver in the ring to which it forwards the update.
     pub reach: u32,
 }
 
-/// News of upstreams that ended under requests, on its way to all members.
+/// An update about crashes of upstreams under requests, broadcast to all members.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashUpdate {
-    /// What happened.
+    /// The crashes and later successes.
     pub crashes: Vec<Crash>,
-    /// To how many members before it in the ring the receiver passes this on.
+    /// The number of members before the receiver in the ring to which it forwards the update.
     pub reach: u32,
 }
 
-/// How the requests of a process went at a service that is rolled out.
+/// Outcomes of the requests of a process at a service with a rollout.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutReport {
-    /// Its counts.
+    /// The counts of the process.
     pub tally: RolloutTally,
-    /// For how long it has known the order, and counted.
+    /// The time since the process received the order and began to count.
     pub order_age: Duration,
 }
 
-/// The regular sign of life.
+/// The regular liveness message of a process.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The epoch that the sender has.
+    /// The epoch of the sender's view.
     pub epoch: Epoch,
-    /// What the sender knows of the hand-overs of its epoch.
+    /// The completed handovers that the sender knows for its epoch.
     pub confirmations: ConfirmationReport,
     /// The version of the templates in force at the sender.
     pub version: TemplateVersion,
     /// Whether the sender serves callers.
     pub serving: bool,
-    /// How much the sender knows of the list of upstreams.
+    /// The version of the list of upstreams at the sender.
     pub upstream_list: ListVersion,
-    /// Stands for all that the sender knows of evacuated failure domains.
+    /// Digest of all evacuations that the sender knows.
     pub evacuations_digest: u64,
-    /// Stands for all that the sender knows of roll-outs.
+    /// Digest of all rollouts that the sender knows.
     pub rollouts_digest: u64,
-    /// Stands for all that the sender knows of blocked requests.
+    /// Digest of all blocked requests that the sender knows.
     pub blocked_digest: u64,
-    /// The time of day at the sender, in milliseconds since 1970, if it has told it.
+    /// The wall-clock time of the sender, in milliseconds since 1970, if its driver has set one.
     pub wall_ms: Option<u64>,
-    /// What the sender takes requests to need of engines, its own and others'.
+    /// The demand for engines of all requests, as estimated by the sender.
     pub needs: Vec<EngineDemand>,
-    /// The upstreams at which requests wait, as far as the sender knows.
+    /// The upstreams at which requests are queued, as known to the sender.
     pub delay_reports: Vec<DelayReport>,
 }
 
-/// A holder's wish for tokens of another holder.
+/// A request of one process for tokens of another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenRequest {
-    /// The budget.
+    /// The requested budget.
     pub budget: BudgetId,
-    /// The period.
+    /// The requested period.
     pub period: Period,
-    /// The least that would help.
+    /// The least amount that is useful to the requester.
     pub need: Tokens,
-    /// What is wanted beside that: for others who wait, or by a borrower for the requests of its
-    /// next moments.
+    /// The amount requested beyond `need`: for other waiting requests, or prefetched by a borrower.
     pub extra: Tokens,
 }
 
-/// Why a process has no tokens to give.
+/// The reason why a process gives no tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NoTokensReason {
-    /// It does not hold the budget, or does not know its period.
+    /// The process does not hold the budget, or does not know the period.
     NotHolder,
-    /// Something may come back from running requests, or from the ledger, after a while.
+    /// No tokens are free, but running requests or the ledger may return some after this time.
     Reserved(Duration),
-    /// Nothing is left.
+    /// No tokens remain.
     Spent,
 }
 
-/// Tokens on their way from one holder to another.
+/// A transfer of tokens from one holder to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transfer {
-    /// The giver's sequence number towards this receiver.
+    /// The sequence number of the transfer, per sender and receiver.
     pub seq: u64,
-    /// Every number up to this one is acknowledged.
+    /// The sender has received acknowledgements for all transfers up to this number.
     pub acked_seq: u64,
-    /// The budget.
+    /// The budget of the tokens.
     pub budget: BudgetId,
-    /// The period.
+    /// The period of the tokens.
     pub period: Period,
-    /// How many.
+    /// The number of tokens.
     pub amount: Tokens,
-    /// Whether the giver may have more in a while.
+    /// Whether the sender may have more tokens after a while.
     pub has_more: bool,
 }
 
 /// A parked amount of one budget.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ParkItem {
-    /// The budget.
+    /// The budget of the tokens.
     pub budget: BudgetId,
-    /// The period.
+    /// The period of the tokens.
     pub period: Period,
-    /// The owner's sequence number for this budget.
+    /// The sequence number of the owner for this budget.
     pub seq: u64,
-    /// How much is parked from now on.
+    /// The total amount parked, which replaces the previous one.
     pub total: Tokens,
 }
 
-/// A wish to run a key.
+/// A request for the right to run a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
     /// The key.
     pub key: RequestKey,
-    /// The region that decides about the key, where one does.
+    /// The region whose arbiter decides about the key, if a region does.
     pub home: Option<Region>,
-    /// The asker's serial number.
+    /// The serial number of the requester.
     pub serial: u64,
-    /// The asker's epoch.
+    /// The epoch of the requester.
     pub epoch: Epoch,
     /// Whether the request may run at most once.
     pub at_most_once: bool,
-    /// The owner that the asker replaces, because it could not be reached.
+    /// The unreachable owner that the requester replaces.
     pub replaces: Option<(Incarnation, u64)>,
 }
 
-/// What the arbiter decided.
+/// The decision of an arbiter on a [`ClaimRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimDecision {
-    /// The asker may run the request.
+    /// The requester may run the request.
     Granted {
-        /// The upstream on which an earlier owner ran it.
+        /// The upstream at which an earlier owner ran the request.
         previous_upstream: Option<UpstreamId>,
         /// How often the key has changed its owner.
         owner_changes: u32,
@@ -419,122 +420,122 @@
         owner: Incarnation,
         /// The owner's serial number.
         serial: u64,
-        /// The upstream, once known.
+        /// The upstream that runs the request, if known.
         upstream: Option<UpstreamId>,
         /// Whether the request has ended.
         ended: bool,
     },
-    /// The arbiter has another epoch, waits for hand-overs, or is another.
+    /// The process cannot decide: it has another epoch, waits for handovers, or is not the arbiter.
     Wait {
-        /// The upstream on which the key may have run, as far as the answerer knows.
+        /// The upstream at which the request may have run, as known to the process.
         hint: Option<UpstreamId>,
     },
-    /// The key's memory may be lost, so an unrepeatable request is not run.
+    /// Earlier claims of the key may be lost, so an at-most-once request is not run.
     Uncertain,
 }
 
-/// A wish to bill a key.
+/// A request for the right to bill a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettleRequest {
     /// The key.
     pub key: RequestKey,
-    /// The region that decides about the key.
+    /// The region whose arbiter decides about the key.
     pub home: Option<Region>,
-    /// The charge.
+    /// The id of the charge.
     pub id: ChargeId,
-    /// What the request cost.
+    /// The cost of the request.
     pub cost: Tokens,
 }
 
-/// The name of a charge: the owner of the request and its serial number there.
+/// The id of a charge: the owner of the request and its serial number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ChargeId {
-    /// The owner.
+    /// The owner of the request.
     pub owner: Incarnation,
     /// The owner's serial number.
     pub serial: u64,
 }
 
-/// What an ended request costs, until its arbiter says who bills it.
+/// The cost of a request that has ended, until its arbiter decides who bills it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PendingCharge {
-    /// The name.
+    /// The id of the charge.
     pub id: ChargeId,
-    /// The account.
+    /// The account that is charged.
     pub account: Account,
-    /// The budget that paid.
+    /// The budget that pays.
     pub budget: BudgetId,
-    /// The period in which it paid.
+    /// The period of the budget.
     pub period: Period,
     /// The key.
     pub key: RequestKey,
-    /// The region that decides about the key.
+    /// The region whose arbiter decides about the key.
     pub home: Option<Region>,
-    /// The name of the stream at the upstream.
+    /// The id of the stream at the upstream.
     pub stream: String,
-    /// What the request cost.
+    /// The cost of the request.
     pub cost: Tokens,
 }
 
-/// How far a claim has come.
+/// The progress of a claimed request.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ClaimProgress {
     /// The owner may run the request.
     Held,
-    /// The owner was about to send it to this upstream.
+    /// The owner has reported that it sends the request to this upstream.
     Dispatched(UpstreamId),
     /// The request has ended and is billed at this cost.
     Ended(Tokens),
 }
 
-/// One claim as arbiters and keepers remember it.
+/// A claim as stored by its arbiter and its backup.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
     /// The key.
     pub key: RequestKey,
-    /// The region that decides about the key.
+    /// The region whose arbiter decides about the key.
     pub home: Option<Region>,
-    /// Who may run it.
+    /// The process that may run the request.
     pub owner: Incarnation,
     /// The owner's serial number.
     pub serial: u64,
-    /// How often the key changed its owner.
+    /// How often the key has changed its owner.
     pub owner_changes: u32,
     /// Whether the request may run at most once.
     pub at_most_once: bool,
-    /// How far it has come.
+    /// The progress of the request.
     pub progress: ClaimProgress,
 }
 
 impl ClaimRecord {
-    /// Tells whether the request has ended.
+    /// Returns whether the request has ended.
     #[must_use]
     pub fn has_ended(&self) -> bool {
         matches!(self.progress, ClaimProgress::Ended(_))
     }
 }
 
-/// A part of an answer that one process passes to another.
+/// A part of an answer that one process sends to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerPart {
     /// The key.
     pub key: RequestKey,
     /// The owner's serial number.
     pub serial: u64,
-    /// The part's place in the answer.
+    /// The index of the part in the answer.
     pub offset: u64,
-    /// What the part is.
+    /// The content of the part.
     pub content: PartContent,
 }
 
-/// What a part of an answer is.
+/// The content of a part of an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PartContent {
     /// The head of the answer.
     Head(Head),
-    /// Data, passed on as they are.
+    /// Data of the body, passed on unchanged.
     Data(Bytes),
-    /// The end of a whole answer.
+    /// The end of a complete answer, with the cost of the request.
     End(Tokens),
     /// The answer broke off.
     Broken,
@@ -549,13 +550,13 @@
     pub content_type: String,
 }
 
-/// One part of the claims that a member hands over; the next follows its acknowledgement.
+/// A part of the claims that a member hands over; the next part is sent after its acknowledgement.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandoverPart {
-    /// The view's number.
+    /// The epoch of the view.
     pub epoch: Epoch,
-    /// The part's number, from 0 on.
+    /// The index of the part, starting at 0.
     pub index: u32,
-    /// The claims.
+    /// The claims in this part.
     pub claims: Vec<ClaimRecord>,
 }
--- a/crates/badgerfield-core/src/node.rs
+++ b/crates/badgerfield-core/src/node.rs
@@ -1,4 +1,4 @@
-//! One process of the system: takes events, yields orders.
+//! A process of the system: handles events and returns commands.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::ledger_writer::LedgerWriter;
 use crate::membership::Membership;
 use crate::message::{Envelope, Message};
-use crate::poison::{Fingerprint, PoisonStatus as RequestStanding};
+use crate::poison::{Fingerprint, PoisonStatus};
 use crate::policy::Policy;
 use crate::rollout::{RolloutBound, RolloutStatus};
 use crate::routing::RouteTable;
@@ -23,28 +23,28 @@
 use crate::vm_upstreams::UpstreamKind;
 use crate::warm_up::Senders;
 
-/// How often a driver sends [`Event::Tick`].
+/// The interval at which a driver sends [`Event::Tick`].
 pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How far ahead and how often a process does its regular work.
+/// Intervals and time limits of a process's periodic work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Pacing {
-    /// The longest demand, in time, that spending rights are held ahead for.
+    /// The longest time for whose demand a process holds tokens ahead.
     pub hold_ahead: Duration,
-    /// How often a holding reports what it billed, and gets its share anew.
+    /// The interval at which a holding reports its billed tokens and gets a new share.
     pub report_interval: Duration,
-    /// How often signs of life are sent.
+    /// The interval between heartbeats.
     pub heartbeat_interval: Duration,
-    /// How long the platform may take at a stop to take holdings back; then they go to
-    /// another process.
+    /// The maximum time that returning holdings to the ledger may take when a process stops; after
+    /// that they go to another process.
     pub return_timeout: Duration,
-    /// How long upstreams that leave take requests after they have said so.
+    /// How long a leaving upstream accepts requests after it has announced that it leaves.
     pub leave_notice: Duration,
-    /// Whether tokens that are held ahead are sealed, instead of parked with a peer.
+    /// Whether tokens held ahead are sealed instead of parked at a peer.
     pub seal_holdings: bool,
-    /// What the platform allows versions that are rolled out.
+    /// The limits that the platform sets for rollouts.
     pub rollout: RolloutBound,
-    /// What may be set otherwise to measure its worth.
+    /// Settings of mechanisms that can be switched off.
     pub policy: Policy,
 }
 
@@ -63,24 +63,24 @@
     }
 }
 
-/// What a process is told at its start.
+/// The configuration of a process.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// This process.
+    /// This process as a member.
     pub member: Member,
-    /// How many values the ledger is divided into; the same everywhere.
+    /// The number of shards of the ledger; the same for all processes.
     pub ledger_shards: u32,
-    /// How long keys are remembered.
+    /// How long claimed keys are remembered.
     pub key_retention: Duration,
-    /// How long ended answers are kept for retries.
+    /// How long answers of ended requests are kept for retries.
     pub answer_retention: Duration,
-    /// How many bytes of ended answers are kept.
+    /// The maximum size of the kept answers, in bytes.
     pub max_answer_bytes: usize,
-    /// How long callers may keep an answer of the directory.
+    /// How long callers may cache an answer of the directory.
     pub directory_ttl: Duration,
-    /// How far ahead and how often it does its regular work.
+    /// Intervals and time limits of periodic work.
     pub pacing: Pacing,
-    /// Random bits of this process.
+    /// Random number that differs between processes.
     pub seed: u64,
 }
 
@@ -91,52 +91,52 @@
     pub(crate) config: Config,
 }
 
-/// The figures of one budget at one process.
+/// The state of one budget at one process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BudgetStatus {
-    /// The budget.
+    /// The id of the budget.
     pub budget: BudgetId,
-    /// Its figures.
+    /// The balance of the budget's holding.
     pub balance: HoldingBalance,
 }
 
 /// The state of one process, for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Status {
-    /// The run of the process.
+    /// The incarnation of the process.
     pub incarnation: Incarnation,
-    /// The view in force.
+    /// The epoch of the view in force.
     pub epoch: Epoch,
-    /// The newest epoch whose hand-overs are complete.
+    /// The newest epoch whose handovers are complete.
     pub complete_epoch: Epoch,
-    /// The templates in force.
+    /// The version of the templates in force.
     pub template_version: TemplateVersion,
-    /// Whether it takes part in full.
+    /// Whether the process is an active member of the view.
     pub active: bool,
-    /// Whether it is stopping.
+    /// Whether the process is stopping.
     pub stopping: bool,
-    /// Members in the view.
+    /// The number of members in the view.
     pub members: usize,
-    /// Requests that have not ended.
+    /// The number of requests that have not ended.
     pub running: usize,
-    /// Requests that wait for an upstream.
+    /// The number of requests that wait for an upstream.
     pub queued: usize,
-    /// Keys that are remembered.
+    /// The number of keys whose claims are remembered.
     pub remembered_keys: usize,
-    /// Charges that wait for an arbiter's word.
+    /// The number of charges that wait for their arbiter's decision.
     pub unsettled_charges: usize,
-    /// Bytes of ended answers.
+    /// The size of the kept answers, in bytes.
     pub answer_bytes: usize,
-    /// Ledger writes that met another value, and all ledger writes.
+    /// The number of ledger writes that had a conflict, and of all ledger writes.
     pub write_counts: (u64, u64),
-    /// Tokens served beyond what was set aside.
+    /// The tokens that upstreams used beyond what was reserved.
     pub excess_tokens: Tokens,
-    /// The budgets that are held here.
+    /// The budgets that this process holds or borrows.
     pub budgets: Vec<BudgetStatus>,
 }
 
 impl Node {
-    /// Makes a process that has not started.
+    /// Creates a process that has not started.
     #[must_use]
     pub fn new(config: Config) -> Self {
         let me = config.member.incarnation;
@@ -154,20 +154,20 @@
             config.member.region.clone(),
             config.pacing,
         );
-        let board = SharedState::new(members, runs, claims, holdings, ledger_writer);
-        Self { state: board, config }
+        let state = SharedState::new(members, runs, claims, holdings, ledger_writer);
+        Self { state, config }
     }
 
-    /// Returns this run of the process.
+    /// Returns the incarnation of this process.
     #[must_use]
     pub fn id(&self) -> Incarnation {
         self.config.member.incarnation
     }
 
-    /// Takes an event and returns what is to be done.
+    /// Handles an event and returns the commands for the driver.
     pub fn handle(&self, now: Time, event: Event) -> Vec<Command> {
         let mut out = Outbox::default();
-        self.take(now, event, &mut out);
+        self.handle_event(now, event, &mut out);
         self.follow_up(now, &mut out);
         out.take()
     }
@@ -178,7 +178,7 @@
         View::clone(&self.state.membership().view)
     }
 
-    /// Returns the address for the messages of another process.
+    /// Returns the address at which another process receives messages.
     #[must_use]
     pub fn peer_address(&self, id: Incarnation) -> Option<SocketAddr> {
         self.state.membership().address(id)
@@ -190,7 +190,7 @@
         self.state.templates().version
     }
 
-    /// Returns the figures of one budget at this process.
+    /// Returns the balance of a budget at this process.
     #[must_use]
     pub fn figures(&self, budget: &BudgetId) -> HoldingBalance {
         self.state.holdings().balance(budget)
@@ -210,56 +210,58 @@
         engines.map(|u| (u.info.id.clone(), u.info.address)).collect()
     }
 
-    /// Returns how many members the view has; at least one, this process.
+    /// Returns the number of members in the view; 1 if there is no view.
     #[must_use]
     pub fn member_count(&self) -> usize {
         self.state.membership().view.members.len().max(1)
     }
 
-    /// Tells whether everybody does here what in a large fleet is left to a few.
+    /// Returns whether the fleet is so small that every member does the work that only a few
+    /// members do in a large one.
     #[must_use]
     pub fn is_small_fleet(&self) -> bool {
         self.state.membership().view.members.len() <= MAX_SMALL_VIEW_MEMBERS
     }
 
-    /// Makes the table in which requests on routes are looked up.
+    /// Returns a routing table built from the templates in force, with their version.
     #[must_use]
     pub fn route_table(&self) -> (TemplateVersion, RouteTable) {
         let set = self.state.templates();
         (set.version, RouteTable::new(&set))
     }
 
-    /// Returns what is known of evacuated failure domains.
+    /// Returns all known changes of evacuated failure domains.
     #[must_use]
     pub fn evacuations(&self) -> Vec<DomainChange> {
         self.state.evacuations().changes()
     }
 
-    /// Returns the state of all roll-outs that are known.
+    /// Returns the status of all known rollouts.
     #[must_use]
     pub fn rollout_statuses(&self, now: Time) -> Vec<RolloutStatus> {
         self.state.rollouts().status(now)
     }
 
-    /// Tells whether anything is held against any request.
+    /// Returns whether any request is suspect or blocked.
     #[must_use]
     pub fn has_suspects(&self) -> bool {
         !self.state.poison().is_empty()
     }
 
-    /// Returns what is held against a request.
+    /// Returns whether a request is suspect or blocked.
     #[must_use]
-    pub fn request_status(&self, now: Time, request: Fingerprint) -> RequestStanding {
+    pub fn request_status(&self, now: Time, request: Fingerprint) -> PoisonStatus {
         self.state.poison().status(now, request)
     }
 
-    /// Returns how often an upstream is known to have ended under a request.
+    /// Returns how often an upstream has crashed under a request, as far as known.
     #[must_use]
     pub fn crash_count(&self, request: Fingerprint, upstream: &UpstreamId) -> u32 {
         self.state.poison().crash_count(request, upstream)
     }
 
-    /// Returns who may send to cold upstreams by the view in force.
+    /// Returns the processes that may send requests to cold upstreams, according to the view in
+    /// force.
     #[must_use]
     pub fn warm_up_senders(&self) -> Senders {
         let members = self.state.membership();
@@ -273,7 +275,7 @@
         self.state.templates().clone()
     }
 
-    /// Tells whether callers may be sent here.
+    /// Returns whether callers may send requests to this process.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let (is_active, stopping) = {
@@ -283,7 +285,7 @@
         is_active && !stopping && self.state.rollouts().is_synced()
     }
 
-    /// Returns the state of the process, for operators.
+    /// Returns the status of the process for operators.
     #[must_use]
     pub fn status(&self) -> Status {
         let (epoch, active, stopping, members) = {
@@ -295,18 +297,18 @@
                 table.view.members.len(),
             )
         };
-        let version = self.state.templates().version;
-        let (running, kept) = {
+        let template_version = self.state.templates().version;
+        let (running, answer_bytes) = {
             let runs = self.state.runs();
             (runs.active_count(), runs.replay_bytes())
         };
-        let unsettled = self.state.charges().len();
+        let unsettled_charges = self.state.charges().len();
         let queued = self.state.queue().len();
-        let (complete, claims) = {
+        let (complete_epoch, remembered_keys) = {
             let table = self.state.claims();
             (table.complete_epoch(), table.len())
         };
-        let (excess, budgets) = {
+        let (excess_tokens, budgets) = {
             let table = self.state.holdings();
             let status = |budget: &BudgetId| BudgetStatus {
                 budget: budget.clone(),
@@ -314,67 +316,67 @@
             };
             (table.excess(), table.budgets().map(status).collect())
         };
-        let conflicts = self.state.ledger_writer().write_counts();
+        let write_counts = self.state.ledger_writer().write_counts();
         let incarnation = self.id();
         Status {
             incarnation,
             epoch,
-            complete_epoch: complete,
-            template_version: version,
+            complete_epoch,
+            template_version,
             active,
             stopping,
             members,
             running,
             queued,
-            remembered_keys: claims,
-            unsettled_charges: unsettled,
-            answer_bytes: kept,
-            write_counts: conflicts,
-            excess_tokens: excess,
+            remembered_keys,
+            unsettled_charges,
+            answer_bytes,
+            write_counts,
+            excess_tokens,
             budgets,
         }
     }
 
-    fn take(&self, now: Time, event: Event, out: &mut Outbox) {
+    fn handle_event(&self, now: Time, event: Event, out: &mut Outbox) {
         match event {
             Event::Start => {
                 self.read_platform(now, out);
                 self.tick_poison(now, out);
             }
             Event::Tick => self.tick(now, out),
-            Event::RequestArrived(request, arrival) => {
-                self.handle_request(now, request, *arrival, out);
+            Event::RequestArrived(request, incoming) => {
+                self.handle_request(now, request, *incoming, out);
             }
             Event::CallerDisconnected(request) => self.handle_caller_disconnect(now, request, out),
             Event::Upstream(attempt, event) => self.handle_upstream_event(now, attempt, event, out),
             Event::Load(id, report) => self.state.upstreams().apply_report(now, &id, report),
-            Event::Peer(envelope) => self.peer(now, envelope, out),
-            Event::StoreReply(ticket, result) => self.handle_store_result(now, ticket, result, out),
+            Event::Peer(envelope) => self.handle_message(now, envelope, out),
+            Event::StoreReply(call, result) => self.handle_store_result(now, call, result, out),
             Event::VmList(list) => {
                 self.state.membership().learn(&list);
                 self.state.upstreams().apply_list(&list);
             }
-            Event::Templates(found) => self.apply_stored_templates(now, &found, out),
-            Event::Operators(found) => self.apply_operator_values(now, found, out),
-            Event::OperatorChanges(found) => self.apply_operator_changes(now, found, out),
-            Event::Reserve(ask) => self.reserve_for_route(now, &ask, out),
-            Event::CancelReserve(ask) => self.cancel_reserve(now, &ask, out),
+            Event::Templates(value) => self.apply_stored_templates(now, &value, out),
+            Event::Operators(values) => self.apply_operator_values(now, values, out),
+            Event::OperatorChanges(changes) => self.apply_operator_changes(now, changes, out),
+            Event::Reserve(request) => self.reserve_for_route(now, &request, out),
+            Event::CancelReserve(request) => self.cancel_reserve(now, &request, out),
             Event::ReservationEnded(end) => self.settle_reservation(now, &end, out),
-            Event::WallClock(wall) => self.state.membership().set_wall(now, wall),
+            Event::WallClock(wall_ms) => self.state.membership().set_wall(now, wall_ms),
             Event::Serving(serving) => self.state.membership().serving = serving,
-            Event::UpstreamChanges(news) => self.announce_upstream_changes(now, &news, out),
+            Event::UpstreamChanges(update) => self.announce_upstream_changes(now, &update, out),
             Event::UpstreamListGap(from, revision) => {
                 self.fetch_missing_upstreams(now, from, revision, out);
             }
             Event::UpstreamListsDiffer(from) => self.fetch_all_upstreams(now, from, out),
-            Event::UpstreamListVersion(mark) => self.state.membership().note_list(mark),
-            Event::EngineNeeds(own) => {
+            Event::UpstreamListVersion(version) => self.state.membership().note_list(version),
+            Event::EngineNeeds(demand) => {
                 let mut members = self.state.membership();
-                members.needs.set_own(own);
+                members.needs.set_own(demand);
                 out.push(Command::DivideEngines(members.needs.average(now)));
             }
-            Event::DelayReports(lags) => self.state.membership().delay_reports = lags,
-            Event::LimitReports(notes) => self.send_limits(&notes, out),
+            Event::DelayReports(reports) => self.state.membership().delay_reports = reports,
+            Event::LimitReports(reports) => self.send_limits(&reports, out),
             Event::RolloutTallies(tallies) => self.record_rollout_tallies(now, tallies, out),
             Event::UpstreamCrashed(crash) => self.record_crash(now, crash, out),
             Event::SuspectServed(request) => self.record_suspect_served(now, request, out),
@@ -402,13 +404,13 @@
         self.sweep_runs(now);
     }
 
-    /// Does what any event may have made due.
+    /// Does the work that any event may make necessary.
     fn follow_up(&self, now: Time, out: &mut Outbox) {
         self.flush_holdings(now, out);
         self.dispatch_queued(now, out);
     }
 
-    fn peer(&self, now: Time, envelope: Envelope, out: &mut Outbox) {
+    fn handle_message(&self, now: Time, envelope: Envelope, out: &mut Outbox) {
         if envelope.to != self.id() {
             return;
         }
@@ -419,40 +421,42 @@
             members.meet(from, envelope.sender_address);
         }
         match envelope.message {
-            Message::Heartbeat(beat) => self.handle_heartbeat(now, from, &beat, out),
+            Message::Heartbeat(heartbeat) => self.handle_heartbeat(now, from, &heartbeat, out),
             Message::Fetch { epoch, version, whole } => {
                 self.handle_fetch(from, epoch, version, whole, out);
             }
-            Message::Join(guest) => self.handle_join_request(now, from, guest, out),
+            Message::Join(joiner) => self.handle_join_request(now, from, joiner, out),
             Message::View(update) => self.update_view(now, from, &update, out),
             Message::TemplateDelta(delta) => self.apply_template_delta(now, from, *delta, out),
             Message::Templates(set) => self.apply_templates(now, *set, out),
-            Message::UpstreamChanges(news) => self.receive_upstream_update(now, from, news, out),
+            Message::UpstreamChanges(update) => {
+                self.receive_upstream_update(now, from, update, out)
+            }
             Message::FetchUpstreams { since } => out.push(Command::SendUpstreamList(from, since)),
             Message::Upstreams(list) => out.push(Command::ApplyUpstreamList(list)),
-            Message::LimitReports(notes) => out.push(Command::ApplyLimitReports(from, notes)),
-            Message::Evacuations(news) => self.receive_evacuation_update(now, from, news, out),
+            Message::LimitReports(reports) => out.push(Command::ApplyLimitReports(from, reports)),
+            Message::Evacuations(update) => self.receive_evacuation_update(now, from, update, out),
             Message::CompareEvacuations(theirs) => self.reconcile_evacuations(from, &theirs, out),
-            Message::Rollouts(news) => self.receive_rollout_update(now, news, out),
+            Message::Rollouts(update) => self.receive_rollout_update(now, update, out),
             Message::CompareRollouts(theirs) => self.reconcile_rollouts(now, from, &theirs, out),
-            Message::Crashes(news) => self.receive_crash_update(now, from, news, out),
+            Message::Crashes(update) => self.receive_crash_update(now, from, update, out),
             Message::CompareCrashes(theirs) => self.reconcile_crashes(now, from, &theirs, out),
             Message::RolloutReport(report) => self.state.rollouts().apply_report(from, report),
             Message::LedgerRequest(ops) => self.handle_ledger_request(now, ops, out),
             Message::LedgerReplies(replies) => self.apply_ledger_replies(now, from, replies, out),
-            Message::TokenRequest(ask) => {
-                self.state.holdings().handle_token_request(now, from, &ask, out);
+            Message::TokenRequest(request) => {
+                self.state.holdings().handle_token_request(now, from, &request, out);
             }
-            Message::NoTokens { budget, need, reason: lack, .. } => {
-                self.state.holdings().handle_no_tokens(now, from, &budget, (need, lack), out);
+            Message::NoTokens { budget, need, reason, .. } => {
+                self.state.holdings().handle_no_tokens(now, from, &budget, (need, reason), out);
             }
             Message::Transfer(transfer) => self.receive_transfer(now, from, &transfer, out),
             Message::TransferAck { seq } => self.state.holdings().confirm_transfer(now, from, seq),
             Message::Park(items) => self.handle_park(now, from, &items, out),
             Message::ParkAck(items) => self.state.holdings().confirm_parked(now, from, &items, out),
-            Message::ClaimRequest(ask) => self.handle_claim_request(now, from, &ask, out),
-            Message::ClaimReply { key, serial, epoch, decision: verdict } => {
-                self.handle_claim_reply(now, from, (key, serial, epoch), verdict, out);
+            Message::ClaimRequest(request) => self.handle_claim_request(now, from, &request, out),
+            Message::ClaimReply { key, serial, epoch, decision } => {
+                self.handle_claim_reply(now, from, (key, serial, epoch), decision, out);
             }
             Message::ClaimBackup { epoch, claim } => {
                 self.record_claim_backup(now, from, epoch, &claim, out);
@@ -464,16 +468,16 @@
                 self.state.claims().record_dispatch(now, from, key, serial, upstream);
             }
             Message::Release { key, serial } => self.state.claims().release(from, key, serial),
-            Message::SettleRequest(ask) => self.handle_settle_request(now, from, &ask, out),
+            Message::SettleRequest(request) => self.handle_settle_request(now, from, &request, out),
             Message::SettleReply { id, epoch, billed } => {
                 self.handle_settle_reply(now, id, epoch, billed, out);
             }
-            Message::Charges(notes) => self.take_over_charges(now, from, notes, out),
+            Message::Charges(charges) => self.take_over_charges(now, from, charges, out),
             Message::ChargesAck(ids) => self.handle_charges_ack(&ids),
             Message::Handover(part) => {
-                let (epoch, number) = (part.epoch, part.index);
+                let (epoch, index) = (part.epoch, part.index);
                 if self.state.claims().receive_handover(now, from, &part) {
-                    out.send(from, Message::HandoverAck { epoch, part: number });
+                    out.send(from, Message::HandoverAck { epoch, part: index });
                 }
             }
             Message::HandoverAck { epoch, part } => {
--- a/crates/badgerfield-core/src/policy.rs
+++ b/crates/badgerfield-core/src/policy.rs
@@ -1,28 +1,27 @@
-//! What may be switched off or set otherwise, to measure what each mechanism is worth.
+//! Settings of mechanisms that can be switched off or adjusted to measure their benefit.
 //!
-//! The figures stand in the settings' part `[policy]`; docs/POLICY.md says what each was
-//! measured to be worth, and where.
+//! They are in the section `[policy]` of the settings. `docs/POLICY.md` has the measurements.
 
 use std::time::Duration;
 
-/// How this process decides where there is a choice.
+/// Switches and parameters of a process's mechanisms.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Policy {
     /// Whether engines are divided between long and short prompts.
     pub divide_engines: bool,
-    /// Whether holdings are topped up and sealed anew before they run dry.
+    /// Whether holdings are topped up, and sealed again, before they are used up.
     pub top_up: bool,
-    /// How much demand, in time, a busy borrower keeps at hand; zero for none.
+    /// The time for whose demand a busy borrower prefetches tokens; zero to prefetch none.
     ///
-    /// It is more than an answer of its lender takes, also where the VM's link is full
-    /// (0.5 to 0.8 s by the logs of a busy VM), and little to lose when the process ends.
+    /// It is longer than a lender takes to answer, even if the VM's network link is saturated (0.5
+    /// to 0.8 s on a busy VM), and short enough that little is lost when the process ends.
     pub prefetch_span: Duration,
-    /// The part of its objective, in hundredths, that a request waits for tokens.
+    /// The time that a request may wait for tokens, in percent of its latency objective.
     ///
-    /// An answer may come late as well; a wait of 22 in 100, within what the users count as
-    /// an early refusal, measured worse (docs/POLICY.md).
+    /// It exceeds 100 because an answer may also be late. A wait of 22 percent, at which users
+    /// still count a refusal as early, gave worse results (`docs/POLICY.md`).
     pub budget_wait_percent: u32,
-    /// How many VMs may send to an upstream that is cold; with 0 it gets nothing until it is
+    /// The number of VMs that may send requests to a cold upstream; with 0 it gets none until it is
     /// warm.
     pub warm_up_senders: usize,
 }
--- a/crates/badgerfield-core/src/shared_state.rs
+++ b/crates/badgerfield-core/src/shared_state.rs
@@ -1,9 +1,9 @@
-//! The blackboard: every table of the process, and the order of their locks.
+//! The shared state of a process: all tables, each with its lock.
 //!
-//! Controllers read and write these tables; nothing else is shared. A controller that
-//! needs two tables at once locks them in the order of the fields below, top first,
-//! and holds a lock only for a few steps that neither wait nor call out. Most steps
-//! need one table: they change it, let it go, and act on what it said.
+//! Handlers read and write these tables and share nothing else. A handler that needs several tables
+//! at once locks them in the order of the fields of [`SharedState`], from the first to the last. A
+//! lock is held for a few steps only, none of which blocks or does I/O. Most steps need one table:
+//! they change it, release its lock, and then act on the result.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -22,7 +22,7 @@
 use crate::template_history::TemplateHistory;
 use crate::vm_upstreams::VmUpstreams;
 
-/// The tables, in the order in which they may be locked.
+/// All tables of the core, in the order in which they may be locked.
 #[derive(Debug)]
 pub(crate) struct SharedState {
     members: Mutex<Membership>,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Locks the membership: the view, signs of life, and calls about them.
+    /// Locks the membership: the view, heartbeats, and store calls about them.
     pub(crate) fn membership(&self) -> MutexGuard<'_, Membership> {
         lock(&self.members)
     }
@@ -77,68 +77,69 @@
         lock(&self.templates)
     }
 
-    /// Locks what the last sets of templates held.
+    /// Locks the digests of the last template sets.
     pub(crate) fn template_history(&self) -> MutexGuard<'_, TemplateHistory> {
         lock(&self.template_history)
     }
 
-    /// Locks what is known of evacuated failure domains.
+    /// Locks the known changes of evacuated failure domains.
     pub(crate) fn evacuations(&self) -> MutexGuard<'_, Evacuations> {
         lock(&self.evacuations)
     }
 
-    /// Locks what is known of roll-outs.
+    /// Locks the known rollouts.
     pub(crate) fn rollouts(&self) -> MutexGuard<'_, Rollouts> {
         lock(&self.rollouts)
     }
 
-    /// Locks what is known of requests under which upstreams have ended.
+    /// Locks the known crashes of upstreams under requests.
     pub(crate) fn poison(&self) -> MutexGuard<'_, PoisonTable> {
         lock(&self.poison)
     }
 
-    /// Locks how far the platform has what is known of them, and what others wait to be told.
+    /// Locks the record of blocked requests in the store, and the crashes to be sent to other
+    /// processes.
     pub(crate) fn poison_record(&self) -> MutexGuard<'_, PoisonRecord> {
         lock(&self.poison_record)
     }
 
-    /// Locks the requests and their answers.
+    /// Locks the runs of requests and their answers.
     pub(crate) fn runs(&self) -> MutexGuard<'_, Runs> {
         lock(&self.runs)
     }
 
-    /// Locks the charges that wait for an arbiter's word.
+    /// Locks the charges that wait for their arbiter's decision.
     pub(crate) fn charges(&self) -> MutexGuard<'_, Charges> {
         lock(&self.charges)
     }
 
-    /// Locks the fair queue.
+    /// Locks the queue of requests.
     pub(crate) fn queue(&self) -> MutexGuard<'_, Queue> {
         lock(&self.queue)
     }
 
-    /// Locks the upstreams.
+    /// Locks the upstreams of the VM list.
     pub(crate) fn upstreams(&self) -> MutexGuard<'_, VmUpstreams> {
         lock(&self.upstreams)
     }
 
-    /// Locks the claims.
+    /// Locks the claims of request keys.
     pub(crate) fn claims(&self) -> MutexGuard<'_, Claims> {
         lock(&self.claims)
     }
 
-    /// Locks the spending rights.
+    /// Locks the holdings of budgets.
     pub(crate) fn holdings(&self) -> MutexGuard<'_, Holdings> {
         lock(&self.holdings)
     }
 
-    /// Locks the changes that wait for the ledger.
+    /// Locks the pending changes of the ledger.
     pub(crate) fn ledger_writer(&self) -> MutexGuard<'_, LedgerWriter> {
         lock(&self.ledger_writer)
     }
 }
 
-/// Locks a table; one that a panic left behind is as good as its last step.
+/// Locks a table. If a panic poisoned the lock, the table is used as the last step left it.
 fn lock<T>(table: &Mutex<T>) -> MutexGuard<'_, T> {
     table.lock().unwrap_or_else(PoisonError::into_inner)
 }
