--- a/crates/badgerfield-core/src/event.rs
+++ b/crates/badgerfield-core/src/event.rs
@@ -376,8 +376,8 @@
     ApplyDelayReports(Vec<DelayReport>),
     /// Applies the rate limits that another process reported.
     ApplyLimitReports(Incarnation, Vec<LimitReport>),
-    /// Applies changes of evacuated failure domains, received from this process or (`None`) read
-    /// from the store.
+    /// Applies evacuations and restorations of failure domains, received from the given process or,
+    /// if it is `None`, read from the store.
     ApplyEvacuations(Option<Incarnation>, Vec<DomainChange>),
     /// Divides the requests of services between versions by these rules, which replace all earlier
     /// ones.
@@ -473,8 +473,8 @@
         /// The demand measured by the process.
         rate: TokenRate,
     },
-    /// The tokens of a borrower for a budget that is in demand there or whose tokens it is
-    /// returning.
+    /// The tokens that a borrower has of a budget for which it prefetches tokens, or of which it has
+    /// tokens in transit.
     Prefetched {
         /// The borrowed budget.
         budget: BudgetId,
--- a/crates/badgerfield-core/src/message.rs
+++ b/crates/badgerfield-core/src/message.rs
@@ -82,7 +82,7 @@
     /// Crashes of upstreams under requests, and later successes of such requests; broadcast to all
     /// members.
     Crashes(CrashUpdate),
-    /// All crashes with blocked requests that the sender knows; asks for those it lacks.
+    /// The crashes of all blocked requests that the sender knows; asks for those it lacks.
     CompareCrashes(Vec<Crash>),
     /// Outcomes of the sender's requests at a service for which the receiver is a judge.
     RolloutReport(RolloutReport),
@@ -203,8 +203,7 @@
         /// The owner's serial number.
         serial: u64,
     },
-    /// Reports that the receiver of an [`AnswerRequest`](Self::AnswerRequest) has no such request
-    /// and will not run it.
+    /// Reports that the sender, asked for an answer, does not have the request and will not run it.
     UnknownRequest {
         /// The key.
         key: RequestKey,
--- a/crates/badgerfield-core/src/node.rs
+++ b/crates/badgerfield-core/src/node.rs
@@ -29,7 +29,7 @@
 /// Intervals and time limits of a process's periodic work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Pacing {
-    /// The longest time for whose demand a process holds tokens ahead.
+    /// The longest span of future demand for which a process holds tokens.
     pub hold_ahead: Duration,
     /// The interval at which a holding reports its billed tokens and gets a new share.
     pub report_interval: Duration,
--- a/crates/badgerfield-core/tests/support/mod.rs
+++ b/crates/badgerfield-core/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What tests of holdings share: a budget, times, and members of a view.
+//! Helpers of the tests of holdings: a budget, times and members of a view.
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::{BudgetId, Incarnation};
