--- a/crates/badgerfield-core/src/event.rs
+++ b/crates/badgerfield-core/src/event.rs
@@ -473,8 +473,8 @@
         /// The demand measured by the process.
         rate: TokenRate,
     },
-    /// The tokens that a borrower has of a budget for which it prefetches tokens, or of which it has
-    /// tokens in transit.
+    /// The tokens that a borrower has of a budget for which it prefetches tokens, or of which it
+    /// has tokens in transit.
     Prefetched {
         /// The borrowed budget.
         budget: BudgetId,
--- a/crates/badgerfield-core/src/node.rs
+++ b/crates/badgerfield-core/src/node.rs
@@ -429,9 +429,7 @@
             Message::View(update) => self.update_view(now, from, &update, out),
             Message::TemplateDelta(delta) => self.apply_template_delta(now, from, *delta, out),
             Message::Templates(set) => self.apply_templates(now, *set, out),
-            Message::UpstreamChanges(update) => {
-                self.receive_upstream_update(now, from, update, out)
-            }
+            Message::UpstreamChanges(delta) => self.receive_upstream_update(now, from, delta, out),
             Message::FetchUpstreams { since } => out.push(Command::SendUpstreamList(from, since)),
             Message::Upstreams(list) => out.push(Command::ApplyUpstreamList(list)),
             Message::LimitReports(reports) => out.push(Command::ApplyLimitReports(from, reports)),
