--- a/crates/badgerfield-core/src/event.rs
+++ b/crates/badgerfield-core/src/event.rs
@@ -54,7 +54,7 @@
     OperatorChanges(OperatorChanges),
     /// A request on a route needs reserved tokens; answered with [`Command::AnswerReserve`].
     Reserve(ReserveRequest),
-    /// A request on a route has ended while it waited for tokens.
+    /// A request on a route was cancelled while it waited for tokens.
     CancelReserve(ReserveRequest),
     /// A request on a route that had tokens reserved has ended.
     ReservationEnded(ReservationEnd),
@@ -433,7 +433,7 @@
     BadTemplates(String),
     /// A stored value is invalid.
     BadValue(StoreKey, String),
-    /// This process writes a view without a member that it considers dead.
+    /// This process writes a view without a member that it considers failed.
     RemovesMember {
         /// The member to be removed.
         member: Incarnation,
--- a/crates/badgerfield-core/src/lib.rs
+++ b/crates/badgerfield-core/src/lib.rs
@@ -39,8 +39,9 @@
 //!   templates, the membership [`view`], the shards of the ledger, the record of each service's
 //!   last rollout, and the blocked requests.
 //!
-//! Upstreams that return to service after an evacuation start slowly ([`warm_up`]). Requests under
-//! which upstreams have crashed are blocked and sent to no other upstream ([`poison`]).
+//! Upstreams that have just started, or whose failure domain was evacuated, get few requests at
+//! first ([`warm_up`]). Requests under which upstreams crash repeatedly are blocked and sent to no
+//! further upstream ([`poison`]).
 //!
 //! # State
 //!
--- a/crates/badgerfield-core/src/message.rs
+++ b/crates/badgerfield-core/src/message.rs
@@ -310,7 +310,7 @@
 pub struct Heartbeat {
     /// The epoch of the sender's view.
     pub epoch: Epoch,
-    /// The completed handovers that the sender knows for its epoch.
+    /// The members that are known to the sender to have completed the handovers of its epoch.
     pub confirmations: ConfirmationReport,
     /// The version of the templates in force at the sender.
     pub version: TemplateVersion,
@@ -481,7 +481,7 @@
 pub enum ClaimProgress {
     /// The owner may run the request.
     Held,
-    /// The owner has reported that it sends the request to this upstream.
+    /// The owner has reported that it is about to send the request to this upstream.
     Dispatched(UpstreamId),
     /// The request has ended and is billed at this cost.
     Ended(Tokens),
--- a/crates/badgerfield-core/src/node.rs
+++ b/crates/badgerfield-core/src/node.rs
@@ -242,7 +242,7 @@
         self.state.rollouts().status(now)
     }
 
-    /// Returns whether any request is suspect or blocked.
+    /// Returns whether crashes of upstreams under any request are known.
     #[must_use]
     pub fn has_suspects(&self) -> bool {
         !self.state.poison().is_empty()
