--- a/crates/badgerfield-core/src/event.rs
+++ b/crates/badgerfield-core/src/event.rs
@@ -362,7 +362,7 @@
     Cancel(AttemptId),
     /// Sends the part with this index of an answer to a caller.
     Answer(RequestId, usize, Answer),
-    /// Tells a request on a route the period in which its tokens are reserved, or why they are not.
+    /// Sends a request on a route the period in which its tokens are reserved, or the refusal.
     AnswerReserve(ReservationId, Result<Period, Refusal>),
     /// Applies changes of the list of upstreams that another process forwarded.
     ApplyUpstreamChanges(Incarnation, UpstreamUpdate),
