--- a/crates/badgerfield-standin/src/fleet/balance.rs
+++ b/crates/badgerfield-standin/src/fleet/balance.rs
@@ -1,4 +1,4 @@
-//! Where the tokens of a budget are, and which deaths took some of them.
+//! Accounting of a budget's tokens, and of the tokens that processes held when they ended.
 
 use std::fmt;
 
@@ -7,58 +7,60 @@
 
 use super::Fleet;
 
-/// Where the tokens of one budget are; the parts sum to the limit unless there is an excess.
+/// The tokens of one budget by state. The states sum to the limit unless there is an excess.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Balance {
-    /// What the budget may spend.
+    /// The limit of the budget.
     pub limit: u64,
-    /// What upstreams served.
+    /// Spent on answers of upstreams.
     pub used: u64,
-    /// What the ledger has left.
+    /// Remaining in the ledger.
     pub left: u64,
-    /// Ready to spend at processes that run.
+    /// Available at running processes.
     pub free: u64,
-    /// Set aside for running requests.
+    /// Reserved for running requests.
     pub reserved: u64,
-    /// Promised not to be touched for a while, or on the way back to the ledger.
+    /// Sealed, or sealed and being returned to the ledger.
     pub sealed: u64,
-    /// Known to a witness, too.
+    /// Recorded as unspent at a witness.
     pub parked: u64,
-    /// On the way between processes, or back to the ledger.
-    pub moving: u64,
-    /// In nobody's hands.
+    /// In transit between processes, or free and being returned to the ledger.
+    pub in_transit: u64,
+    /// In none of the other states.
     pub lost: u64,
-    /// What all parts together have beyond the limit: tokens that were made from nothing.
+    /// The amount by which the sum of all states exceeds the limit.
     pub excess: u64,
 }
 
-/// A process that ended, by a kill or of its own, and what it had of each budget then.
+/// A process that was killed or ended by itself, with the tokens it held then.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Death {
-    /// Its VM.
+pub struct EndedProcess {
+    /// The VM of the process.
     pub vm: usize,
-    /// When.
+    /// When the process ended.
     pub at: Time,
-    /// What it had of each budget: set aside, ready, sealed, parked, or on the way.
-    pub had: Vec<u64>,
+    /// The tokens that it held of each budget: reserved, free, sealed, parked or in transit.
+    pub tokens: Vec<u64>,
 }
 
 impl fmt::Display for Balance {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { limit, used, left, free, reserved, sealed, parked, moving, lost, excess } = self;
+        let Self { limit, used, left, free, reserved, sealed, parked, in_transit, lost, excess } =
+            self;
         write!(
             f,
             "limit={limit} used={used} left={left} free={free} reserved={reserved} \
-             sealed={sealed} parked={parked} moving={moving} lost={lost} excess={excess}"
+             sealed={sealed} parked={parked} in_transit={in_transit} lost={lost} excess={excess}"
         )
     }
 }
 
 impl Fleet {
-    /// Reckons where the tokens of a budget are.
+    /// Computes the balance of a budget.
     ///
-    /// What is on its way counts at its giver until the giver knows that it arrived, and what
-    /// runs counts as set aside and as used; so it is exact when little runs.
+    /// Tokens in transit count at their sender until it receives the acknowledgment. Tokens of
+    /// running requests count as reserved and as used, so the balance is exact only if few requests
+    /// run.
     #[must_use]
     pub fn balance(&self, budget: usize) -> Balance {
         let id = Self::budget(budget);
@@ -74,50 +76,51 @@
             balance.reserved += figures.reserved.0;
             balance.sealed += figures.sealed.0 + figures.returning_sealed.0;
             balance.parked += figures.parked.0;
-            balance.moving += figures.in_transit.0 + figures.returning_free.0;
+            balance.in_transit += figures.in_transit.0 + figures.returning_free.0;
         }
-        let Balance { used, left, free, reserved, sealed, parked, moving, .. } = balance;
-        let known = used + left + free + reserved + sealed + parked + moving;
+        let Balance { used, left, free, reserved, sealed, parked, in_transit, .. } = balance;
+        let known = used + left + free + reserved + sealed + parked + in_transit;
         balance.lost = balance.limit.saturating_sub(known);
         balance.excess = known.saturating_sub(balance.limit);
         balance
     }
 
-    /// Returns the processes that ended, in order.
+    /// Returns the processes that have ended, in order.
     #[must_use]
-    pub fn deaths(&self) -> &[Death] {
-        &self.deaths
+    pub fn ended_processes(&self) -> &[EndedProcess] {
+        &self.ended_processes
     }
 
-    /// Returns how many tokens were sent to processes that had ended; nobody can tell whether
-    /// they arrived before.
+    /// Returns how many tokens of a budget were in transfers sent to processes that had ended.
+    ///
+    /// Such a transfer may be a retry: the receiver may have applied the transfer before it ended.
     #[must_use]
-    pub fn sent_to_dead(&self, budget: usize) -> u64 {
+    pub fn sent_to_ended_processes(&self, budget: usize) -> u64 {
         let id = Self::budget(budget);
-        self.stranded.values().filter(|(of, _)| *of == id).map(|(_, amount)| amount).sum()
+        self.undeliverable.values().filter(|(of, _)| *of == id).map(|(_, amount)| amount).sum()
     }
 
-    pub(super) fn note_stranded(&mut self, envelope: &Envelope) {
+    pub(super) fn record_undeliverable(&mut self, envelope: &Envelope) {
         if let Message::Transfer(transfer) = &envelope.message {
             let id = (envelope.from, envelope.to, transfer.seq);
-            self.stranded.insert(id, (transfer.budget.clone(), transfer.amount.0));
+            self.undeliverable.insert(id, (transfer.budget.clone(), transfer.amount.0));
         }
     }
 
-    pub(super) fn note_death(&mut self, vm: usize) {
+    pub(super) fn record_process_end(&mut self, vm: usize) {
         let Some(node) = self.node(vm) else {
             return;
         };
-        let had = (0..self.shape.limits.len()).map(|budget| {
+        let held = (0..self.shape.limits.len()).map(|budget| {
             let figures = node.figures(&Self::budget(budget));
-            let ready = figures.free.0 + figures.reserved.0 + figures.sealed.0;
-            ready
+            let spendable = figures.free.0 + figures.reserved.0 + figures.sealed.0;
+            spendable
                 + figures.returning_sealed.0
                 + figures.parked.0
                 + figures.in_transit.0
                 + figures.returning_free.0
         });
-        let had = had.collect();
-        self.deaths.push(Death { vm, at: self.now, had });
+        let tokens = held.collect();
+        self.ended_processes.push(EndedProcess { vm, at: self.now, tokens });
     }
 }
--- a/crates/badgerfield-standin/src/fleet/callers.rs
+++ b/crates/badgerfield-standin/src/fleet/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: what they ask, and how it ends.
+//! Callers, which send requests and record the answers.
 
 use badgerfield_core::Event;
 use badgerfield_core::event::Answer;
@@ -12,18 +12,18 @@
         let id = RequestId(self.next_request);
         self.next_request += 1;
         let arrival = arrival_of(&wish);
-        let (at, first, sent) = (self.now, None, None);
-        let asked = Asked { wish, vm, at, first, sent, data: Vec::new(), end: None };
+        let (at, first_part_at, sent) = (self.now, None, None);
+        let asked = Asked { wish, vm, at, first_part_at, sent, data: Vec::new(), end: None };
         self.asked.insert(id, asked);
         if self.vms[vm].node.is_none() {
-            self.end(id, End::Lost);
+            self.record_end(id, End::Lost);
             return id;
         }
         self.deliver(vm, Event::RequestArrived(id, Box::new(arrival)));
         id
     }
 
-    /// Hangs up on a request.
+    /// Disconnects the caller of a request.
     pub fn hang_up(&mut self, id: RequestId) {
         let Some(vm) = self.asked.get(&id).map(|a| a.vm) else {
             return;
@@ -31,31 +31,31 @@
         self.deliver(vm, Event::CallerDisconnected(id));
     }
 
-    /// Forgets requests that have ended, for long runs.
+    /// Removes requests that have ended, to save memory in long runs.
     pub fn forget_ended(&mut self) {
         self.asked.retain(|_, asked| asked.end.is_none());
     }
 
-    pub(super) fn answered(&mut self, id: RequestId, answer: Answer) {
+    pub(super) fn record_answer(&mut self, id: RequestId, answer: Answer) {
         let now = self.now;
         let Some(asked) = self.asked.get_mut(&id) else {
             return;
         };
         match answer {
             Answer::Head(_) => {
-                asked.first.get_or_insert(now);
+                asked.first_part_at.get_or_insert(now);
             }
             Answer::Data(data) => {
                 let text = std::str::from_utf8(&data).ok().and_then(|t| t.parse().ok());
                 asked.data.push(text.unwrap_or(u64::MAX));
             }
-            Answer::End(cost) => self.end(id, End::Whole(cost)),
-            Answer::Broken(refusal) => self.end(id, End::Broken(refusal)),
-            Answer::Refused(refusal) => self.end(id, End::Refused(refusal)),
+            Answer::End(cost) => self.record_end(id, End::Whole(cost)),
+            Answer::Broken(refusal) => self.record_end(id, End::Broken(refusal)),
+            Answer::Refused(refusal) => self.record_end(id, End::Refused(refusal)),
         }
     }
 
-    pub(super) fn end(&mut self, id: RequestId, end: End) {
+    pub(super) fn record_end(&mut self, id: RequestId, end: End) {
         let now = self.now;
         let Some(asked) = self.asked.get_mut(&id) else {
             return;
--- a/crates/badgerfield-standin/src/fleet/evacuations.rs
+++ b/crates/badgerfield-standin/src/fleet/evacuations.rs
@@ -1,4 +1,4 @@
-//! Evacuations as an operator makes them, and what VMs know of them.
+//! Evacuations by an operator, and which VMs have applied them.
 
 use std::time::Duration;
 
@@ -8,24 +8,25 @@
 use badgerfield_core::event::OperatorChanges;
 use badgerfield_core::ids::Domain;
 
-use super::{Fleet, Turn};
+use super::{Fleet, ScheduledAction};
 
-/// How long ago a VM heard of the list of upstreams: between two turns of its followers.
-const HEARD: Duration = Duration::from_millis(400);
+/// The time since a VM last received the list of upstreams. It is shorter than the interval
+/// between two reads of the VMs that watch the platform.
+const LIST_AGE: Duration = Duration::from_millis(400);
 
 impl Fleet {
-    /// Evacuates a failure domain, or takes it back, as an operator does; `false` while the
-    /// platform is down.
+    /// Evacuates or restores a failure domain, as an operator does. Returns `false` if the store is
+    /// down.
     ///
-    /// Those that follow the platform see it by their watch.
+    /// VMs that watch the platform receive the change.
     pub fn evacuate(&mut self, domain: &Domain, evacuated: bool) -> bool {
         if self.platform.down {
             return false;
         }
         let change = self.platform.evacuate(domain, evacuated);
         let at = self.now.after(self.platform.delay());
-        let followers: Vec<_> = (0..self.size()).filter(|vm| self.watches(*vm)).collect();
-        for vm in followers {
+        let watchers: Vec<_> = (0..self.size()).filter(|vm| self.watches(*vm)).collect();
+        for vm in watchers {
             let event = Event::OperatorChanges(OperatorChanges {
                 revision: change.revision,
                 templates: None,
@@ -33,25 +34,25 @@
                 rollouts: Vec::new(),
             });
             let incarnation = self.vms[vm].member.incarnation;
-            self.at(at, Turn::Event(incarnation, event));
+            self.schedule(at, ScheduledAction::Deliver(incarnation, event));
         }
         true
     }
 
-    /// Returns how many running VMs believe a domain to be evacuated.
+    /// Returns the number of VMs at which a domain is evacuated.
     #[must_use]
-    pub fn evacuated_at(&self, domain: &Domain) -> usize {
-        (0..self.size()).filter(|vm| self.believes(*vm, domain)).count()
+    pub fn evacuated_count(&self, domain: &Domain) -> usize {
+        (0..self.size()).filter(|vm| self.is_evacuated_at(*vm, domain)).count()
     }
 
-    /// Tells whether a VM believes a domain to be evacuated.
+    /// Returns whether a domain is evacuated as far as a VM knows.
     #[must_use]
-    pub fn believes(&self, vm: usize, domain: &Domain) -> bool {
+    pub fn is_evacuated_at(&self, vm: usize, domain: &Domain) -> bool {
         self.vms[vm].evacuated.contains(domain)
     }
 
-    /// Takes in what a VM was told to do about domains.
-    pub(super) fn note_evacuated(&mut self, vm: usize, changes: &[DomainChange]) {
+    /// Applies changes of domains that a node has announced to its driver.
+    pub(super) fn apply_evacuations(&mut self, vm: usize, changes: &[DomainChange]) {
         let known = &mut self.vms[vm].evacuated;
         for change in changes {
             if change.evacuated {
@@ -64,10 +65,11 @@
 
     pub(super) fn watches(&self, vm: usize) -> bool {
         let region = self.region_of(vm);
-        let Some(node) = self.node(vm).filter(|_| !self.platform.cut.contains(&region)) else {
+        let Some(node) = self.node(vm).filter(|_| !self.platform.cut_regions.contains(&region))
+        else {
             return false;
         };
         let local = Time(self.now.since(self.vms[vm].started));
-        node.watches_platform(local, Some(HEARD))
+        node.watches_platform(local, Some(LIST_AGE))
     }
 }
--- a/crates/badgerfield-standin/src/fleet/mod.rs
+++ b/crates/badgerfield-standin/src/fleet/mod.rs
@@ -1,9 +1,10 @@
-//! Drives many nodes in one process, with small fakes at their interfaces.
+//! Simulates a fleet: many nodes in one process, with fakes of the store, the operators, the
+//! callers and the upstreams.
 //!
-//! Time is a number that the fleet moves on; every event has its turn, and the same
-//! seed gives the same history. Messages between nodes take a while, may be lost,
-//! doubled or overtaken; nodes may be killed, frozen or cut off; the key-value service
-//! may be down, or lose replies. [`Truth`] keeps what upstreams really did.
+//! The simulation is deterministic: time is simulated, events are processed one at a time in a
+//! fixed order, and the same seed gives the same history. Messages between nodes are delayed, and
+//! may be lost, duplicated or reordered. Nodes may be killed, suspended or partitioned. The store
+//! may be down or lose replies. [`Truth`] records what upstreams ran and what was billed.
 
 mod balance;
 mod callers;
@@ -31,7 +32,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-pub use balance::{Balance, Death};
+pub use balance::{Balance, EndedProcess};
 pub use link::Link;
 pub use platform::Platform;
 pub use rollouts::{Badness, RolloutTruth, Traffic, service, version};
@@ -40,44 +41,44 @@
 pub use truth::{Truth, key_of};
 use upstreams::Upstreams;
 
-/// How long a message takes within a region.
-const NEAR: Duration = Duration::from_millis(1);
-/// How long a message takes between regions.
-const FAR: Duration = Duration::from_millis(15);
-/// By how much messages may overtake each other.
-const SPREAD: u64 = 3000;
-/// What right clocks show at the start, in milliseconds since 1970.
-const WALL: u64 = 1_800_000_000_000;
+/// The delay of a message within a region.
+const REGION_LATENCY: Duration = Duration::from_millis(1);
+/// The delay of a message between regions.
+const CROSS_REGION_LATENCY: Duration = Duration::from_millis(15);
+/// The upper bound of the random delay that is added to each message, in microseconds.
+const MAX_JITTER_US: u64 = 3000;
+/// The time that correct wall clocks show at the start, in milliseconds since 1970.
+const CLOCK_START_MS: u64 = 1_800_000_000_000;
 
 /// How a request ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum End {
-    /// The whole answer came, and costs this much.
+    /// The whole answer arrived; it cost this many tokens.
     Whole(Tokens),
-    /// It was refused.
+    /// The request was refused.
     Refused(Refusal),
-    /// The answer broke off.
+    /// The answer ended early.
     Broken(Refusal),
-    /// The VM died.
+    /// The process of the VM ended.
     Lost,
 }
 
-/// A request as its caller sees it.
+/// A request, as seen by its caller.
 #[derive(Debug, Clone)]
 pub struct Asked {
-    /// What was asked.
+    /// The content of the request.
     pub wish: Wish,
-    /// Through which VM.
+    /// The VM that received the request.
     pub vm: usize,
-    /// When.
+    /// When the request was sent.
     pub at: Time,
-    /// When the first part of the answer came.
-    pub first: Option<Time>,
-    /// When the upstream was called for it.
+    /// When the head of the answer arrived.
+    pub first_part_at: Option<Time>,
+    /// When the request first reached an upstream.
     pub sent: Option<Time>,
-    /// The data that came.
+    /// The parts of the answer that have arrived.
     pub data: Vec<u64>,
-    /// How it ended, and when.
+    /// How and when the request ended.
     pub end: Option<(End, Time)>,
 }
 
@@ -87,74 +88,75 @@
     member: Member,
     node: Option<Node>,
     started: Time,
-    frozen: bool,
+    is_suspended: bool,
     backlog: Vec<Event>,
     version: TemplateVersion,
-    /// The failure domains that its process believes to be evacuated.
+    /// The failure domains that are evacuated as far as the process knows.
     evacuated: BTreeSet<Domain>,
     gateway: rollouts::Gateway,
 }
 
-/// Something that happens at a later time.
+/// An action that is scheduled for a later time.
 #[derive(Debug)]
-enum Turn {
-    Event(Incarnation, Event),
+enum ScheduledAction {
+    Deliver(Incarnation, Event),
     Tick(Incarnation),
-    Step(usize),
-    KvApply(
+    ExtendStream(usize),
+    ApplyStoreCall(
         Incarnation,
         badgerfield_core::ids::StoreCallId,
         badgerfield_core::event::StoreCall,
         Time,
     ),
-    List,
+    DeliverVmList,
 }
 
-/// Many nodes with all that is around them.
+/// Many nodes, with fakes of the store, the operators, the callers and the upstreams.
 #[derive(Debug)]
 pub struct Fleet {
-    /// By how many milliseconds the clocks of VMs are ahead.
-    ahead: BTreeMap<usize, i64>,
-    /// The present time.
+    /// By how many milliseconds the wall clocks of VMs are ahead.
+    clock_offsets_ms: BTreeMap<usize, i64>,
+    /// The current time.
     pub now: Time,
-    /// The key-value service.
+    /// The store.
     pub platform: Platform,
-    /// What upstreams really did, and what was billed.
+    /// What upstreams ran, and what was billed.
     pub truth: Truth,
-    /// All requests, by their numbers.
+    /// All requests, by id.
     pub asked: BTreeMap<RequestId, Asked>,
-    /// The templates that operators last wrote.
+    /// The templates that the operator wrote last.
     pub templates: TemplateSet,
-    /// Roll-outs, and what versions got.
+    /// Rollouts, and the requests that versions received.
     pub rollouts: RolloutTruth,
-    /// Faults in how a step was carried out, which tests look at.
+    /// Violations of the product's guarantees that the simulation has found.
     pub faults: Vec<String>,
-    /// The link between regions, if it is thin.
+    /// The link between regions, if its bandwidth is limited.
     pub link: Option<Link>,
-    /// What callers' answers leave of the links of single VMs, where that is little.
+    /// Links of single VMs on which answers to callers leave little bandwidth.
     pub full_links: BTreeMap<usize, Link>,
     shape: Shape,
     vms: Vec<Vm>,
     upstreams: Upstreams,
-    turns: BTreeMap<(Time, u64), Turn>,
-    next_turn: u64,
+    scheduled: BTreeMap<(Time, u64), ScheduledAction>,
+    next_action: u64,
     next_request: u64,
     next_incarnation: u64,
-    cut: BTreeSet<usize>,
+    partitioned_regions: BTreeSet<usize>,
     list: VmList,
     kills: u64,
-    deaths: Vec<Death>,
-    /// Transfers to processes that had ended, by giver, receiver and number.
-    stranded: BTreeMap<(Incarnation, Incarnation, u64), (BudgetId, u64)>,
+    ended_processes: Vec<EndedProcess>,
+    /// Transfers to processes that had ended, by sender, receiver and sequence number.
+    undeliverable: BTreeMap<(Incarnation, Incarnation, u64), (BudgetId, u64)>,
     rng: ChaCha8Rng,
+    /// The number and the bytes of messages, by kind.
     messages: BTreeMap<&'static str, (u64, u64)>,
-    /// Those among them that went to another region.
-    crossed: BTreeMap<&'static str, (u64, u64)>,
-    owners: HashMap<Incarnation, usize>,
+    /// The same for messages to another region.
+    cross_region_messages: BTreeMap<&'static str, (u64, u64)>,
+    vm_of: HashMap<Incarnation, usize>,
 }
 
 impl Fleet {
-    /// Makes a fleet that has not started.
+    /// Creates a fleet whose processes have not started.
     #[must_use]
     pub fn new(shape: Shape) -> Self {
         let rng = ChaCha8Rng::seed_from_u64(shape.seed);
@@ -171,20 +173,20 @@
             full_links: BTreeMap::new(),
             vms: Vec::new(),
             upstreams,
-            turns: BTreeMap::new(),
-            next_turn: 0,
+            scheduled: BTreeMap::new(),
+            next_action: 0,
             next_request: 1,
             next_incarnation: 1,
-            cut: BTreeSet::new(),
+            partitioned_regions: BTreeSet::new(),
             list: VmList { version: 1, vms: Vec::new() },
             kills: 0,
-            deaths: Vec::new(),
-            stranded: BTreeMap::new(),
-            ahead: BTreeMap::new(),
+            ended_processes: Vec::new(),
+            undeliverable: BTreeMap::new(),
+            clock_offsets_ms: BTreeMap::new(),
             rng,
             messages: BTreeMap::new(),
-            crossed: BTreeMap::new(),
-            owners: HashMap::new(),
+            cross_region_messages: BTreeMap::new(),
+            vm_of: HashMap::new(),
             shape,
         };
         fleet.make_templates();
@@ -192,7 +194,7 @@
         fleet
     }
 
-    /// Starts a fleet and lets it settle.
+    /// Creates a fleet, starts all processes and advances the time by five seconds.
     #[must_use]
     pub fn started(shape: Shape) -> Self {
         let mut fleet = Self::new(shape);
@@ -203,26 +205,28 @@
         fleet
     }
 
-    /// Returns how many VMs there are.
+    /// Returns the number of VMs.
     #[must_use]
     pub fn size(&self) -> usize {
         self.vms.len()
     }
 
-    /// Returns the node of a VM, if it runs.
+    /// Returns the node of a VM, if its process runs.
     #[must_use]
     pub fn node(&self, vm: usize) -> Option<&Node> {
         self.vms.get(vm)?.node.as_ref()
     }
 
-    /// Returns the VMs that run and are neither frozen nor stopping.
+    /// Returns the VMs whose processes are ready and not suspended.
     #[must_use]
     pub fn usable(&self) -> Vec<usize> {
-        let usable = |vm: &Vm| !vm.frozen && vm.node.as_ref().is_some_and(Node::is_ready);
+        let usable = |vm: &Vm| !vm.is_suspended && vm.node.as_ref().is_some_and(Node::is_ready);
         (0..self.vms.len()).filter(|i| usable(&self.vms[*i])).collect()
     }
 
-    /// Returns the VMs that the directory names, as a VM of a region answers.
+    /// Returns the VMs that the directory lists, as answered by a VM of a region.
+    ///
+    /// If no VM of the region is usable, a VM of another region answers.
     #[must_use]
     pub fn directory(&self, region: usize) -> Vec<usize> {
         let usable = self.usable();
@@ -230,22 +234,22 @@
         near.or_else(|| usable.first()).map(|vm| self.directory_of(*vm)).unwrap_or_default()
     }
 
-    /// Returns the VMs that the directory names, as one VM answers.
+    /// Returns the VMs that the directory lists, as answered by one VM.
     #[must_use]
     pub fn directory_of(&self, vm: usize) -> Vec<usize> {
-        let asked = &self.vms[vm];
-        let local = Time(self.now.since(asked.started));
-        let members = asked.node.as_ref().map(|n| n.available_members(local)).unwrap_or_default();
-        members.iter().filter_map(|m| self.owners.get(&m.incarnation).copied()).collect()
+        let vm = &self.vms[vm];
+        let local = Time(self.now.since(vm.started));
+        let members = vm.node.as_ref().map(|n| n.available_members(local)).unwrap_or_default();
+        members.iter().filter_map(|m| self.vm_of.get(&m.incarnation).copied()).collect()
     }
 
-    /// Tells whether a VM runs.
+    /// Returns whether the process of a VM runs.
     #[must_use]
     pub fn runs(&self, vm: usize) -> bool {
         self.vms[vm].node.is_some()
     }
 
-    /// Returns what the ledger has left of a budget.
+    /// Returns the tokens of a budget that remain in the ledger.
     #[must_use]
     pub fn left(&self, budget: usize) -> u64 {
         let id = Self::budget(budget);
@@ -253,20 +257,20 @@
         self.platform.ledger(shard).budgets.get(&id).map_or(0, |entry| entry.remaining().0)
     }
 
-    /// Returns what the VMs that run hold of a budget.
+    /// Returns the tokens of a budget that running processes hold.
     #[must_use]
     pub fn held(&self, budget: usize) -> u64 {
         let id = Self::budget(budget);
         let mut held = 0;
         for node in self.vms.iter().filter_map(|vm| vm.node.as_ref()) {
             let figures = node.figures(&id);
-            let ready = figures.free.0 + figures.reserved.0 + figures.sealed.0;
-            held += ready + figures.parked.0 + figures.in_transit.0;
+            let spendable = figures.free.0 + figures.reserved.0 + figures.sealed.0;
+            held += spendable + figures.parked.0 + figures.in_transit.0;
         }
         held
     }
 
-    /// Returns the name of a budget.
+    /// Returns the id of a budget.
     #[must_use]
     pub fn budget(index: usize) -> BudgetId {
         format!("account-{index}/main")
@@ -274,27 +278,27 @@
             .unwrap_or_else(|_| unreachable!("the name is valid"))
     }
 
-    /// Returns the messages sent of each kind, with their bytes.
+    /// Returns the number and the bytes of messages sent, by kind.
     #[must_use]
     pub fn messages(&self) -> &BTreeMap<&'static str, (u64, u64)> {
         &self.messages
     }
 
-    /// Returns how many messages of each kind went to another region, with their bytes.
+    /// Returns the number and the bytes of messages sent to another region, by kind.
     #[must_use]
-    pub fn crossed(&self) -> &BTreeMap<&'static str, (u64, u64)> {
-        &self.crossed
+    pub fn cross_region_messages(&self) -> &BTreeMap<&'static str, (u64, u64)> {
+        &self.cross_region_messages
     }
 
-    /// Takes a VM off the platform's list.
-    pub fn unlist(&mut self, index: usize) {
+    /// Removes a VM from the list of VMs.
+    pub fn remove_vm_from_list(&mut self, index: usize) {
         let name = self.vms[index].member.vm.clone();
         self.list.vms.retain(|vm| vm.vm != name);
         self.publish();
     }
 
-    /// Marks an upstream as leaving in the list, which reaches VMs late.
-    pub fn leave_upstream(&mut self, index: usize) {
+    /// Marks an upstream as leaving in the list of VMs, which reaches the processes after a delay.
+    pub fn mark_upstream_leaving(&mut self, index: usize) {
         for vm in &mut self.list.vms {
             if vm.upstream.as_ref().is_some_and(|u| u.id == Upstreams::id(index)) {
                 vm.leaving = true;
@@ -303,35 +307,36 @@
         self.publish();
     }
 
-    /// Writes templates as an operator does; returns whether that operator won the race.
+    /// Writes changed templates, as an operator does. Returns whether they are valid and the store
+    /// accepted them.
     pub fn apply(&mut self, change: impl FnOnce(&mut TemplateSet)) -> bool {
         let mut wanted = self.templates.clone();
         change(&mut wanted);
         let author = "operator".parse().unwrap_or_else(|_| unreachable!("the name is valid"));
-        let mark = self.next_turn.to_string();
+        let mark = self.next_action.to_string();
         let Ok(next) = self.templates.replace(wanted, author, 0, mark) else {
             return false;
         };
         if !self.platform.write_templates(&next) {
             return false;
         }
-        self.truth.limits(&next);
+        self.truth.record_limits(&next);
         self.templates = next;
         true
     }
 
-    fn at(&mut self, time: Time, turn: Turn) {
-        self.next_turn += 1;
-        self.turns.insert((time.max(self.now), self.next_turn), turn);
+    fn schedule(&mut self, time: Time, action: ScheduledAction) {
+        self.next_action += 1;
+        self.scheduled.insert((time.max(self.now), self.next_action), action);
     }
 
     fn index_of(&self, id: Incarnation) -> Option<usize> {
-        let index = *self.owners.get(&id)?;
+        let index = *self.vm_of.get(&id)?;
         let vm = &self.vms[index];
         (vm.member.incarnation == id && vm.node.is_some()).then_some(index)
     }
 
-    /// Returns the region of a VM, by number.
+    /// Returns the index of a VM's region.
     #[must_use]
     pub fn region_of(&self, index: usize) -> usize {
         let mut first = 0;
@@ -358,8 +363,8 @@
 
     fn publish(&mut self) {
         self.list.version += 1;
-        let lag = Duration::from_secs(3);
-        self.at(self.now.after(lag), Turn::List);
+        let delay = Duration::from_secs(3);
+        self.schedule(self.now.after(delay), ScheduledAction::DeliverVmList);
     }
 
     fn make_templates(&mut self) {
@@ -379,8 +384,8 @@
         self.list.vms = self.upstreams.entries();
         let mut index = 0;
         for (region, size) in self.shape.regions.clone().into_iter().enumerate() {
-            for place in 0..size {
-                let domain = place % self.shape.domains.max(1);
+            for offset in 0..size {
+                let domain = offset % self.shape.domains.max(1);
                 let member = member(index, region, domain, Incarnation(0));
                 let entry = VmEntry { vm: member.vm.clone(), leaving: false, upstream: None };
                 self.list.vms.push(entry);
@@ -388,7 +393,7 @@
                     member,
                     node: None,
                     started: self.now,
-                    frozen: false,
+                    is_suspended: false,
                     backlog: Vec::new(),
                     version: TemplateVersion(0),
                     evacuated: BTreeSet::new(),
--- a/crates/badgerfield-standin/src/fleet/platform.rs
+++ b/crates/badgerfield-standin/src/fleet/platform.rs
@@ -1,4 +1,4 @@
-//! The key-value service as the fleet sees it.
+//! A fake of the store, with the operators' values in it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,63 +12,63 @@
 use badgerfield_core::view::View;
 use bytes::Bytes;
 
-use super::{Fleet, Turn, link};
+use super::{Fleet, ScheduledAction, link};
 
-/// How long a call takes on its way.
+/// The delay of a call or an answer.
 const DELAY: Duration = Duration::from_millis(3);
-/// After how long a caller gives a call up.
+/// The time after which a process gives a call up.
 const TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The values and the faults of the key-value service.
+/// The values of the store, and the faults that it shows.
 #[derive(Debug, Default)]
 pub struct Platform {
-    /// Whether it gives no answers and does nothing.
+    /// Whether the store neither executes nor answers calls.
     pub down: bool,
-    /// How many writes take effect with their replies lost.
+    /// How many of the next writes are executed without a reply.
     pub lose_replies: u64,
-    /// Whether every other read gives the value before the present one.
+    /// Whether every other read returns the previous value.
     pub stale: bool,
-    /// How much longer every call takes.
+    /// Additional delay of each call.
     pub slow: Duration,
-    /// Regions that cannot reach it.
-    pub cut: BTreeSet<usize>,
-    /// VMs that cannot reach it.
+    /// Regions that cannot reach the store.
+    pub cut_regions: BTreeSet<usize>,
+    /// VMs that cannot reach the store.
     pub cut_vms: BTreeSet<usize>,
     /// Reads so far.
     pub reads: u64,
-    /// Writes so far.
+    /// Writes so far, with conflicts.
     pub writes: u64,
-    /// Writes that met another value.
+    /// Writes that failed because the revision of the value was not the expected one.
     pub conflicts: u64,
     /// Bytes written so far.
     pub bytes: u64,
     evacuated: BTreeMap<Domain, u64>,
     values: BTreeMap<StoreKey, Versioned>,
-    former: BTreeMap<StoreKey, Versioned>,
+    previous_values: BTreeMap<StoreKey, Versioned>,
     revision: u64,
 }
 
 impl Platform {
-    /// Returns how long a call takes on its way.
+    /// Returns the current delay of a call or an answer.
     pub(super) fn delay(&self) -> Duration {
         DELAY + self.slow
     }
 
-    /// Returns a shard of the ledger as it stands.
+    /// Returns the stored state of a shard of the ledger.
     #[must_use]
     pub fn ledger(&self, shard: u32) -> LedgerShard {
         let value = self.values.get(&StoreKey::Ledger(shard)).and_then(|v| v.value.clone());
         LedgerShard::decode(value.as_deref()).unwrap_or_default()
     }
 
-    /// Returns the view as it stands.
+    /// Returns the stored view.
     #[must_use]
     pub fn view(&self) -> View {
         let value = self.values.get(&StoreKey::View).and_then(|v| v.value.clone());
         View::decode(value.as_deref()).unwrap_or_default()
     }
 
-    /// Writes templates as an operator does; fails while the service is down.
+    /// Writes templates, as an operator does. Returns `false` if the store is down.
     pub(super) fn write_templates(&mut self, set: &TemplateSet) -> bool {
         if self.down {
             return false;
@@ -77,7 +77,7 @@
         true
     }
 
-    /// Evacuates a domain or takes it back, as an operator does.
+    /// Evacuates or restores a domain, as an operator does.
     pub(super) fn evacuate(&mut self, domain: &Domain, evacuated: bool) -> DomainChange {
         self.revision += 1;
         let revision = self.revision;
@@ -89,19 +89,19 @@
         DomainChange { domain: domain.clone(), revision, evacuated }
     }
 
-    /// Counts a change that is kept elsewhere.
-    pub(super) fn change(&mut self) -> u64 {
+    /// Assigns a revision to a change that is kept elsewhere.
+    pub(super) fn next_revision(&mut self) -> u64 {
         self.revision += 1;
         self.revision
     }
 
-    /// Returns a value as it stands.
+    /// Returns a stored value.
     pub fn value(&self, name: &StoreKey) -> Option<Bytes> {
         self.values.get(name)?.value.clone()
     }
 
-    /// Returns all that operators wrote but orders of roll-outs.
-    fn operators(&self, templates: Option<Bytes>) -> OperatorValues {
+    /// Returns the operators' values, without rollout orders.
+    fn operator_values(&self, templates: Option<Bytes>) -> OperatorValues {
         let evacuated = self.evacuated.iter().map(|(domain, revision)| DomainChange {
             domain: domain.clone(),
             revision: *revision,
@@ -120,28 +120,28 @@
         let revision = self.revision;
         let new = Versioned { value: Some(value), revision };
         if let Some(old) = self.values.insert(name.clone(), new) {
-            self.former.insert(name, old);
+            self.previous_values.insert(name, old);
         }
         revision
     }
 
-    /// Carries out a call; returns its result and whether the reply is lost.
-    fn call(&mut self, call: &StoreCall) -> (StoreResult, bool) {
+    /// Executes a call. Returns its result and whether the reply is lost.
+    fn execute_call(&mut self, call: &StoreCall) -> (StoreResult, bool) {
         match call {
             StoreCall::Get(name) => {
                 self.reads += 1;
                 let stale = self.stale && self.reads.is_multiple_of(2);
-                let values = if stale { &self.former } else { &self.values };
+                let values = if stale { &self.previous_values } else { &self.values };
                 let found = values.get(name).cloned().unwrap_or_default();
                 if *name == StoreKey::Templates {
-                    return (StoreResult::Operators(self.operators(found.value)), false);
+                    return (StoreResult::Operators(self.operator_values(found.value)), false);
                 }
                 (StoreResult::Value(found), false)
             }
-            StoreCall::CompareAndSwap { key: name, expected_revision: expect, value } => {
+            StoreCall::CompareAndSwap { key: name, expected_revision, value } => {
                 self.writes += 1;
                 let found = self.values.get(name).cloned().unwrap_or_default();
-                if found.revision != *expect {
+                if found.revision != *expected_revision {
                     self.conflicts += 1;
                     return (StoreResult::Conflict(found), false);
                 }
@@ -156,43 +156,47 @@
 }
 
 impl Fleet {
-    /// Carries out a call that was sent at a time, and answers it.
+    /// Executes a call that was sent at the time `sent`, and schedules its answer.
     pub(super) fn apply_call(
         &mut self,
         from: Incarnation,
-        ticket: StoreCallId,
+        call_id: StoreCallId,
         call: &StoreCall,
         sent: Time,
     ) {
-        let vm = self.owners.get(&from).copied().unwrap_or(0);
+        let vm = self.vm_of.get(&from).copied().unwrap_or(0);
         let region = self.region_of(vm);
-        let is_cut = self.platform.cut.contains(&region) || self.platform.cut_vms.contains(&vm);
-        if self.is_late(from, ticket, call) {
-            let event = Event::StoreReply(ticket, StoreResult::Unknown);
-            self.at(self.now.after(TIMEOUT), Turn::Event(from, event));
+        let is_cut =
+            self.platform.cut_regions.contains(&region) || self.platform.cut_vms.contains(&vm);
+        if self.defer_late_write(from, call_id, call) {
+            let event = Event::StoreReply(call_id, StoreResult::Unknown);
+            self.schedule(self.now.after(TIMEOUT), ScheduledAction::Deliver(from, event));
             return;
         }
         let (result, delay) = if self.platform.down || is_cut {
             (StoreResult::Unknown, TIMEOUT)
         } else {
-            let (result, is_lost) = self.platform.call(call);
+            let (result, is_lost) = self.platform.execute_call(call);
             self.record_written();
             match (self.with_orders(result), is_lost) {
                 (_, true) => (StoreResult::Unknown, TIMEOUT),
                 (result, false) => (result, self.platform.delay()),
             }
         };
-        let size = link::answer_size(&result);
+        let size = link::answer_bytes(&result);
         let (event, at) = match self.answer_over_link(from, region, size, sent) {
-            None => (Event::StoreReply(ticket, result), self.now.after(delay)),
-            Some(Ok(at)) => (Event::StoreReply(ticket, result), at.after(delay)),
-            Some(Err(given_up)) => (Event::StoreReply(ticket, StoreResult::Unknown), given_up),
+            None => (Event::StoreReply(call_id, result), self.now.after(delay)),
+            Some(Ok(at)) => (Event::StoreReply(call_id, result), at.after(delay)),
+            Some(Err(timed_out_at)) => {
+                (Event::StoreReply(call_id, StoreResult::Unknown), timed_out_at)
+            }
         };
-        self.at(at, Turn::Event(from, event));
+        self.schedule(at, ScheduledAction::Deliver(from, event));
     }
 
-    /// Sends an answer of the store over the thin link, if there is one on its way; returns
-    /// when it arrives, or when its caller has given it up.
+    /// Sends an answer of the store over the link between regions, if it has limited bandwidth and
+    /// the receiver is in another region. Returns when the answer arrives, or as an error when the
+    /// call times out before that.
     fn answer_over_link(
         &mut self,
         to: Incarnation,
@@ -202,15 +206,15 @@
     ) -> Option<Result<Time, Time>> {
         let now = self.now;
         let link = self.link.as_mut().filter(|_| region != link::STORE_REGION)?;
-        let until = sent.after(link.patience(to).current());
-        // Nothing is sent to a caller that has given up.
-        let at = link.send(now, (link::STORE_REGION, region), bytes, Some(until));
-        let arrives = at.filter(|at| *at <= until);
+        let deadline = sent.after(link.timeout_of(to).current());
+        // No answer is sent after the call has timed out.
+        let at = link.send(now, (link::STORE_REGION, region), bytes, Some(deadline));
+        let arrives = at.filter(|at| *at <= deadline);
         match arrives {
-            Some(at) => link.patience(to).record_answer(at.since(sent)),
-            None => link.patience(to).record_timeout(),
+            Some(at) => link.timeout_of(to).record_answer(at.since(sent)),
+            None => link.timeout_of(to).record_timeout(),
         }
-        Some(arrives.ok_or(until))
+        Some(arrives.ok_or(deadline))
     }
 
     fn with_orders(&self, result: StoreResult) -> StoreResult {
--- a/crates/badgerfield-standin/src/fleet/processes.rs
+++ b/crates/badgerfield-standin/src/fleet/processes.rs
@@ -1,4 +1,4 @@
-//! Processes of VMs: they start, end, freeze, stop, and are cut off.
+//! Starts, stops, kills, suspends and partitions the processes of VMs.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use badgerfield_core::{Config, Event, Node, Pacing};
 use rand::RngExt;
 
-use super::{End, Fleet, Turn, WALL};
+use super::{CLOCK_START_MS, End, Fleet, ScheduledAction};
 
 impl Fleet {
     /// Starts the process of a VM as a new incarnation.
@@ -19,7 +19,7 @@
         let vm = &mut self.vms[index];
         vm.member.incarnation = incarnation;
         vm.started = self.now;
-        vm.frozen = false;
+        vm.is_suspended = false;
         vm.backlog.clear();
         vm.version = TemplateVersion(0);
         vm.evacuated.clear();
@@ -34,11 +34,11 @@
             pacing,
             seed,
         }));
-        self.owners.insert(incarnation, index);
-        self.take(index, Event::VmList(self.list.clone()));
-        self.take(index, Event::Start);
+        self.vm_of.insert(incarnation, index);
+        self.handle_event(index, Event::VmList(self.list.clone()));
+        self.handle_event(index, Event::Start);
         let phase = Duration::from_micros(self.rng.random_range(0..50_000));
-        self.at(self.now.after(phase), Turn::Tick(incarnation));
+        self.schedule(self.now.after(phase), ScheduledAction::Tick(incarnation));
     }
 
     pub(super) fn pacing(&self) -> Pacing {
@@ -53,20 +53,23 @@
             leave_notice: Duration::from_secs(3),
             policy: Policy::default(),
             seal_holdings: true,
-            rollout: super::rollouts::bound(),
+            rollout: super::rollouts::rollout_bound(),
         }
     }
 
-    /// Returns what the clock of a VM shows; those of a minority are wrong.
+    /// Returns the wall-clock time of a VM, in milliseconds since 1970.
+    ///
+    /// It is wrong by the offset that [`Fleet::step_clock`] has set.
     pub(super) fn wall_clock(&self, index: usize) -> u64 {
-        let truth = WALL.saturating_add(u64::try_from(self.now.0.as_millis()).unwrap_or(u64::MAX));
-        let ahead = self.ahead.get(&index).copied().unwrap_or_default();
+        let truth = CLOCK_START_MS
+            .saturating_add(u64::try_from(self.now.0.as_millis()).unwrap_or(u64::MAX));
+        let ahead = self.clock_offsets_ms.get(&index).copied().unwrap_or_default();
         truth.saturating_add_signed(ahead)
     }
 
-    /// Sets the clock of a VM wrong by some milliseconds.
+    /// Sets the offset of a VM's wall clock from the correct time.
     pub fn step_clock(&mut self, index: usize, millis: i64) {
-        self.ahead.insert(index, millis);
+        self.clock_offsets_ms.insert(index, millis);
     }
 
     /// Returns how many processes were killed.
@@ -82,10 +85,10 @@
     }
 
     pub(super) fn end_process(&mut self, index: usize) {
-        self.note_death(index);
+        self.record_process_end(index);
         let vm = &mut self.vms[index];
         vm.node = None;
-        vm.frozen = false;
+        vm.is_suspended = false;
         vm.backlog.clear();
         for asked in self.asked.values_mut() {
             if asked.vm == index && asked.end.is_none() {
@@ -94,39 +97,39 @@
         }
     }
 
-    /// Freezes the process of a VM: nothing reaches it until it thaws.
+    /// Suspends the process of a VM. Events wait until the process is resumed.
     pub fn freeze(&mut self, index: usize) {
-        self.vms[index].frozen = self.vms[index].node.is_some();
+        self.vms[index].is_suspended = self.vms[index].node.is_some();
     }
 
-    /// Lets a frozen process go on with all that has reached it meanwhile.
+    /// Resumes a suspended process, which then handles the events that have waited.
     pub fn thaw(&mut self, index: usize) {
-        if !std::mem::replace(&mut self.vms[index].frozen, false) {
+        if !std::mem::replace(&mut self.vms[index].is_suspended, false) {
             return;
         }
         for event in std::mem::take(&mut self.vms[index].backlog) {
-            self.take(index, event);
+            self.handle_event(index, event);
         }
         let incarnation = self.vms[index].member.incarnation;
-        self.at(self.now, Turn::Tick(incarnation));
+        self.schedule(self.now, ScheduledAction::Tick(incarnation));
     }
 
-    /// Asks the process of a VM to stop as planned.
+    /// Requests a graceful stop of the process of a VM.
     pub fn stop(&mut self, index: usize) {
         self.deliver(index, Event::Stop);
     }
 
-    /// Cuts a region off from the others, and from the platform if asked.
+    /// Partitions a region from the others, and also from the store if `platform` is set.
     pub fn cut(&mut self, region: usize, platform: bool) {
-        self.cut.insert(region);
+        self.partitioned_regions.insert(region);
         if platform {
-            self.platform.cut.insert(region);
+            self.platform.cut_regions.insert(region);
         }
     }
 
-    /// Ends all cuts.
+    /// Ends all partitions of regions.
     pub fn heal(&mut self) {
-        self.cut.clear();
-        self.platform.cut.clear();
+        self.partitioned_regions.clear();
+        self.platform.cut_regions.clear();
     }
 }
--- a/crates/badgerfield-standin/src/fleet/shape.rs
+++ b/crates/badgerfield-standin/src/fleet/shape.rs
@@ -1,4 +1,4 @@
-//! What a fleet is made of: its VMs, templates and requests.
+//! The configuration of a fleet: its VMs, templates and requests.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,26 +13,26 @@
 
 use super::upstreams::{self, Upstreams};
 
-/// What a fleet is made of.
+/// The configuration of a fleet.
 #[derive(Debug, Clone)]
 pub struct Shape {
-    /// The VMs of each region.
+    /// The number of VMs of each region.
     pub regions: Vec<usize>,
-    /// The failure domains of each region.
+    /// The number of failure domains of each region.
     pub domains: usize,
-    /// The limit of each budget; budget 0 belongs to account 0, and so on.
+    /// The limit of each budget, in tokens. Budget 0 belongs to account 0, and so on.
     pub limits: Vec<u64>,
-    /// How much of a budget the VMs hold ahead of demand.
+    /// The part of a budget that VMs hold ahead of demand, in percent.
     pub spread: u64,
-    /// How many values the ledger is divided into.
+    /// The number of shards of the ledger.
     pub shards: u32,
-    /// The replicas of the model engine.
+    /// The number of engines that serve the model.
     pub engines: usize,
-    /// The share of messages that are lost, and that come twice, in thousandths.
+    /// How many of a thousand messages are lost, and how many are duplicated.
     pub noise: u64,
-    /// Whether tokens held ahead are sealed, instead of parked with a peer.
+    /// Whether tokens held ahead of demand are sealed, instead of parked at a peer.
     pub seals: bool,
-    /// The seed of everything random.
+    /// The seed of all random numbers.
     pub seed: u64,
 }
 
@@ -52,30 +52,30 @@
     }
 }
 
-/// What a caller asks for.
+/// The content of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Wish {
     /// The budget.
     pub budget: usize,
-    /// The caller's key, if it sets one.
+    /// The caller's key, if any.
     pub key: Option<String>,
     /// Whether the request may run at most once.
     pub once: bool,
-    /// Whether it goes to the plain service.
+    /// Whether the request is for the plain service rather than an engine.
     pub service: bool,
-    /// The bound of the prompt.
+    /// The upper bound of the prompt, in tokens.
     pub prompt: u64,
-    /// The output limit.
+    /// The output limit, in tokens.
     pub output: u64,
 }
 
-/// Returns the secret with which callers draw on a budget.
+/// Returns the digest of the secret with which callers use a budget.
 #[must_use]
 pub fn secret(budget: usize) -> KeyDigest {
     KeyDigest::from_secret(&format!("secret-{budget}"))
 }
 
-/// Returns a member of a fleet.
+/// Returns the entry of a VM in the view.
 #[must_use]
 pub fn member(index: usize, region: usize, domain: usize, incarnation: Incarnation) -> Member {
     let name = |text: String| text.parse().unwrap_or_else(|_| unreachable!("the name is valid"));
@@ -99,13 +99,13 @@
     format!("r{region}").parse().unwrap_or_else(|_| unreachable!("the name is valid"))
 }
 
-/// Returns a client account's template as fleets have it.
+/// Returns the template of a client account, as in simulated fleets.
 #[must_use]
 pub fn account() -> AccountTemplate {
     account_template(Percent::new(80).unwrap_or_else(|_| unreachable!("a share")))
 }
 
-/// Returns the entries of some replicas of the model engine.
+/// Returns the entries of a number of engines and of the plain service in the list of VMs.
 #[must_use]
 pub fn engines(count: usize) -> Vec<VmEntry> {
     Upstreams::new(count).entries()
--- a/crates/badgerfield-standin/src/fleet/steps.rs
+++ b/crates/badgerfield-standin/src/fleet/steps.rs
@@ -1,4 +1,4 @@
-//! Steps of time: whose turn it is, and what the orders of a node come to.
+//! The event loop of the simulation: runs scheduled actions and executes the commands of nodes.
 
 use std::time::Duration;
 
@@ -9,43 +9,45 @@
 use badgerfield_core::{Event, TICK_INTERVAL};
 use rand::RngExt;
 
-use super::{FAR, Fleet, NEAR, SPREAD, Turn, link};
+use super::{CROSS_REGION_LATENCY, Fleet, MAX_JITTER_US, REGION_LATENCY, ScheduledAction, link};
 
 impl Fleet {
-    /// Lets time pass.
+    /// Advances the time and runs the actions that are due.
     pub fn advance(&mut self, span: Duration) {
         let until = self.now.after(span);
-        while let Some(entry) = self.turns.first_entry() {
+        while let Some(entry) = self.scheduled.first_entry() {
             if entry.key().0 > until {
                 break;
             }
-            let ((at, _), turn) = entry.remove_entry();
+            let ((at, _), action) = entry.remove_entry();
             self.now = self.now.max(at);
-            self.turn(turn);
+            self.run_action(action);
         }
         self.now = until;
     }
 
-    pub(super) fn turn(&mut self, turn: Turn) {
-        match turn {
-            Turn::Event(to, event) => {
+    pub(super) fn run_action(&mut self, action: ScheduledAction) {
+        match action {
+            ScheduledAction::Deliver(to, event) => {
                 if let Some(index) = self.index_of(to) {
                     self.deliver(index, event);
                 }
             }
-            Turn::Tick(to) => {
-                let Some(index) = self.index_of(to).filter(|i| !self.vms[*i].frozen) else {
+            ScheduledAction::Tick(to) => {
+                let Some(index) = self.index_of(to).filter(|i| !self.vms[*i].is_suspended) else {
                     return;
                 };
                 let wall = self.wall_clock(index);
-                self.take(index, Event::WallClock(wall));
-                self.take(index, Event::Tick);
+                self.handle_event(index, Event::WallClock(wall));
+                self.handle_event(index, Event::Tick);
                 self.gateway_tick(index);
-                self.at(self.now.after(TICK_INTERVAL), Turn::Tick(to));
+                self.schedule(self.now.after(TICK_INTERVAL), ScheduledAction::Tick(to));
             }
-            Turn::Step(stream) => self.step(stream),
-            Turn::KvApply(from, ticket, call, at) => self.apply_call(from, ticket, &call, at),
-            Turn::List => {
+            ScheduledAction::ExtendStream(stream) => self.extend_stream(stream),
+            ScheduledAction::ApplyStoreCall(from, call_id, call, at) => {
+                self.apply_call(from, call_id, &call, at);
+            }
+            ScheduledAction::DeliverVmList => {
                 for index in 0..self.vms.len() {
                     self.deliver(index, Event::VmList(self.list.clone()));
                 }
@@ -53,51 +55,52 @@
         }
     }
 
-    /// Hands an event to a VM, or keeps it while the VM is frozen.
+    /// Passes an event to a VM, or keeps it while the VM is suspended.
     pub(super) fn deliver(&mut self, index: usize, event: Event) {
         let vm = &mut self.vms[index];
-        if vm.frozen {
+        if vm.is_suspended {
             vm.backlog.push(event);
             return;
         }
-        self.take(index, event);
+        self.handle_event(index, event);
     }
 
-    pub(super) fn take(&mut self, index: usize, event: Event) {
+    pub(super) fn handle_event(&mut self, index: usize, event: Event) {
         let vm = &self.vms[index];
         let Some(node) = &vm.node else {
             return;
         };
         let local = Time(self.now.since(vm.started));
-        let orders = node.handle(local, event);
+        let commands = node.handle(local, event);
         let incarnation = vm.member.incarnation;
-        for order in orders {
-            self.carry_out(index, incarnation, order);
+        for command in commands {
+            self.execute(index, incarnation, command);
         }
         self.check_version(index);
     }
 
-    pub(super) fn carry_out(&mut self, index: usize, from: Incarnation, order: Command) {
-        match order {
+    pub(super) fn execute(&mut self, index: usize, from: Incarnation, command: Command) {
+        match command {
             Command::Send(to, message) => {
-                // As in a process: a message goes only to an address that is known.
+                // As in a real process, a message is sent only if the peer's address is known.
                 let node = self.vms[index].node.as_ref();
                 if node.is_some_and(|node| node.peer_address(to).is_some()) {
                     let address = self.vms[index].member.peer;
                     self.send(index, &Envelope { from, sender_address: address, to, message });
                 }
             }
-            Command::CallStore(ticket, call) => {
+            Command::CallStore(call_id, call) => {
                 let sent = self.now;
-                let way = (self.region_of(index), link::STORE_REGION);
-                let crossed = self.cross(way, link::call_size(&call), None).unwrap_or(sent);
-                let at = crossed.after(self.platform.delay());
-                self.at(at, Turn::KvApply(from, ticket, call, sent));
+                let direction = (self.region_of(index), link::STORE_REGION);
+                let arrives_at =
+                    self.cross(direction, link::call_bytes(&call), None).unwrap_or(sent);
+                let at = arrives_at.after(self.platform.delay());
+                self.schedule(at, ScheduledAction::ApplyStoreCall(from, call_id, call, sent));
             }
             Command::Dispatch(attempt, dispatch) => self.dispatch(from, attempt, dispatch),
             Command::Cancel(attempt) => self.cancel(from, attempt),
-            Command::Answer(id, _, answer) => self.answered(id, answer),
-            // These fleets have no routes, and so no list of their upstreams.
+            Command::Answer(id, _, answer) => self.record_answer(id, answer),
+            // Simulated fleets have no routes, so they have no list of upstreams of routes.
             Command::ApplyUpstreamChanges(..)
             | Command::ApplyUpstreamList(_)
             | Command::ConfirmUpstreamList(_)
@@ -108,29 +111,31 @@
             | Command::BlockRequests(_)
             | Command::Log(_)
             | Command::AnswerReserve(..) => {}
-            Command::ApplyRolloutRules(set) => self.put_rules(index, set.rules),
-            Command::ApplyEvacuations(_, changes) => self.note_evacuated(index, &changes),
-            Command::Bill(bill) => self.truth.bill(&bill),
+            Command::ApplyRolloutRules(set) => self.apply_rules(index, set.rules),
+            Command::ApplyEvacuations(_, changes) => self.apply_evacuations(index, &changes),
+            Command::Bill(bill) => self.truth.record_bill(&bill),
             Command::Exit => self.end_process(index),
         }
     }
 
-    /// Sends bytes over the link between two regions; returns when they arrive, or nothing if
-    /// there is no thin link between them or nobody wants them any more.
+    /// Sends bytes over the link between two regions and returns when they arrive.
+    ///
+    /// Returns `None` if both regions are the same, the link has no limited bandwidth, or the bytes
+    /// would still wait for the link at the time `until`.
     pub(super) fn cross(
         &mut self,
-        way: (usize, usize),
+        direction: (usize, usize),
         bytes: usize,
         until: Option<Time>,
     ) -> Option<Time> {
-        let link = self.link.as_mut().filter(|_| way.0 != way.1)?;
-        link.send(self.now, way, bytes, until)
+        let link = self.link.as_mut().filter(|_| direction.0 != direction.1)?;
+        link.send(self.now, direction, bytes, until)
     }
 
-    /// Returns when bytes arrive that wait at the links of their sender and receiver, where
-    /// these are full.
-    fn wait_for_links(&mut self, way: (usize, usize), bytes: usize, at: Time) -> Time {
-        let (from, to) = way;
+    /// Sends bytes over the links of their sender and receiver, where these have limited bandwidth,
+    /// and returns when they arrive.
+    fn wait_for_links(&mut self, direction: (usize, usize), bytes: usize, at: Time) -> Time {
+        let (from, to) = direction;
         let left = self
             .full_links
             .get_mut(&from)
@@ -150,19 +155,22 @@
         let entry = self.messages.entry(kind).or_default();
         *entry = (entry.0 + 1, entry.1 + size);
         let Some(to) = self.index_of(envelope.to) else {
-            self.note_stranded(envelope);
+            self.record_undeliverable(envelope);
             return;
         };
         let (a, b) = (self.region_of(index), self.region_of(to));
         if a != b {
-            let entry = self.crossed.entry(kind).or_default();
+            let entry = self.cross_region_messages.entry(kind).or_default();
             *entry = (entry.0 + 1, entry.1 + size);
         }
-        if a != b && (self.cut.contains(&a) || self.cut.contains(&b)) {
+        if a != b
+            && (self.partitioned_regions.contains(&a) || self.partitioned_regions.contains(&b))
+        {
             return;
         }
-        let near = self.now.after(if a == b { NEAR } else { FAR });
-        let base = self.cross((a, b), bytes, None).unwrap_or(near);
+        let without_link =
+            self.now.after(if a == b { REGION_LATENCY } else { CROSS_REGION_LATENCY });
+        let base = self.cross((a, b), bytes, None).unwrap_or(without_link);
         let base = self.wait_for_links((index, to), bytes, base);
         let copies = match self.rng.random_range(0..1000) {
             n if n < self.shape.noise => 0,
@@ -170,9 +178,9 @@
             _ => 1,
         };
         for _ in 0..copies {
-            let late = Duration::from_micros(self.rng.random_range(0..SPREAD));
-            let at = base.after(late);
-            self.at(at, Turn::Event(envelope.to, Event::Peer(envelope.clone())));
+            let jitter = Duration::from_micros(self.rng.random_range(0..MAX_JITTER_US));
+            let at = base.after(jitter);
+            self.schedule(at, ScheduledAction::Deliver(envelope.to, Event::Peer(envelope.clone())));
         }
     }
 }
--- a/crates/badgerfield-standin/src/fleet/truth.rs
+++ b/crates/badgerfield-standin/src/fleet/truth.rs
@@ -1,4 +1,5 @@
-//! What upstreams really did and what was billed, to hold the system's word against.
+//! A record of what upstreams ran and what was billed, against which answers, refusals and bills
+//! are checked.
 
 use std::collections::BTreeMap;
 
@@ -8,46 +9,46 @@
 use badgerfield_core::refusal::Outcome;
 use badgerfield_core::template::TemplateSet;
 
-use super::upstreams::{parts_of, truth_part};
+use super::upstreams::{expected_part, part_count};
 use super::{End, Fleet, Wish};
 
-/// What really happened.
+/// What upstreams ran and what was billed.
 #[derive(Debug, Default)]
 pub struct Truth {
-    /// How often each key ran.
+    /// How many times each key was run.
     pub runs: BTreeMap<RequestKey, u64>,
-    /// How often each key was billed, and for how much in all.
+    /// How many times each key was billed, and the total cost.
     pub bills: BTreeMap<RequestKey, (u64, Tokens)>,
-    /// Tokens that upstreams served, by budget.
+    /// Tokens served by upstreams, by budget.
     pub served: BTreeMap<usize, u64>,
     /// Tokens billed, by budget.
     pub billed: BTreeMap<BudgetId, u64>,
-    /// Dispatches to each upstream, with the time of the last.
+    /// The number of dispatches to each upstream, and the time of the last one.
     pub dispatches: BTreeMap<UpstreamId, (u64, Time)>,
     allowed: BTreeMap<usize, BTreeMap<Period, u64>>,
 }
 
 impl Truth {
-    /// Notes the limits that operators have set.
-    pub(super) fn limits(&mut self, set: &TemplateSet) {
+    /// Records the limits of templates that an operator wrote.
+    pub(super) fn record_limits(&mut self, set: &TemplateSet) {
         for (i, id) in (0..set.budgets.len()).map(|i| (i, Fleet::budget(i))) {
             let Some(budget) = set.budgets.get(&id) else {
                 continue;
             };
             let periods = self.allowed.entry(i).or_default();
             let allowed = periods.entry(budget.period).or_default();
-            // What was held under a higher limit may still be spent.
+            // Tokens that were held before a limit was lowered may still be spent.
             *allowed = (*allowed).max(budget.limit.0);
         }
     }
 
-    /// Returns what may be served of a budget over all its periods so far.
+    /// Returns the tokens of a budget that upstreams may serve, as the sum over its periods so far.
     #[must_use]
     pub fn allowed(&self, budget: usize) -> u64 {
         self.allowed.get(&budget).map_or(0, |periods| periods.values().sum())
     }
 
-    /// Returns the tokens served beyond what was allowed, over all budgets.
+    /// Returns the tokens served above the allowed amounts, as the sum over all budgets.
     #[must_use]
     pub fn overspend(&self) -> u64 {
         self.served
@@ -56,7 +57,7 @@
             .sum()
     }
 
-    pub(super) fn run(&mut self, wish: &Wish, upstream: &UpstreamId, now: Time) {
+    pub(super) fn record_run(&mut self, wish: &Wish, upstream: &UpstreamId, now: Time) {
         let dispatches = self.dispatches.entry(upstream.clone()).or_default();
         *dispatches = (dispatches.0 + 1, now);
         if let Some(key) = key_of(wish) {
@@ -64,11 +65,11 @@
         }
     }
 
-    pub(super) fn serve(&mut self, budget: usize, _set: &TemplateSet, tokens: u64) {
+    pub(super) fn record_served(&mut self, budget: usize, _set: &TemplateSet, tokens: u64) {
         *self.served.entry(budget).or_default() += tokens;
     }
 
-    pub(super) fn bill(&mut self, bill: &Bill) {
+    pub(super) fn record_bill(&mut self, bill: &Bill) {
         if !bill.billed {
             return;
         }
@@ -80,7 +81,7 @@
         *entry = (entry.0 + 1, entry.1.saturating_add(bill.cost));
     }
 
-    /// Holds the end of a request against the truth.
+    /// Checks the end of a request against this record, and adds violations to `faults`.
     pub(super) fn check_end(&self, wish: &Wish, end: &End, data: &[u64], faults: &mut Vec<String>) {
         let Some(key) = key_of(wish) else {
             return;
@@ -96,7 +97,7 @@
         }
         let name = key.to_string();
         let expected: Vec<_> =
-            (0..parts_of(wish.service)).map(|i| truth_part(&name, i as u64)).collect();
+            (0..part_count(wish.service)).map(|i| expected_part(&name, i as u64)).collect();
         if matches!(end, End::Whole(_)) && data != expected {
             faults.push(format!("{key} got {data:?} as a whole answer"));
         }
@@ -105,7 +106,8 @@
         }
     }
 
-    /// Lists what must never be, as far as it is visible now.
+    /// Returns the violations among all runs and bills so far; `once` returns whether a key is of an
+    /// at-most-once request.
     #[must_use]
     pub fn violations(&self, once: &dyn Fn(&RequestKey) -> bool) -> Vec<String> {
         let mut found = Vec::new();
@@ -129,7 +131,7 @@
     }
 }
 
-/// Returns the key of a wish as the system knows it.
+/// Returns the system's key of a request, if the caller set one.
 #[must_use]
 pub fn key_of(wish: &Wish) -> Option<RequestKey> {
     let key = wish.key.as_ref()?;
--- a/crates/badgerfield-standin/src/fleet/upstreams.rs
+++ b/crates/badgerfield-standin/src/fleet/upstreams.rs
@@ -1,5 +1,5 @@
-//! Upstreams as the fleet sees them: engines whose streams outlive their callers, and
-//! a plain service.
+//! Fake upstreams: engines whose streams continue after their callers have disconnected, and a
+//! plain service.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,18 +12,18 @@
 use bytes::Bytes;
 use rand::RngExt;
 
-use super::{Fleet, Turn, region_name};
+use super::{Fleet, ScheduledAction, region_name};
 
-/// What a call of the plain service costs.
+/// The cost of a call of the plain service, in tokens.
 pub(super) const CALL_COST: u64 = 5;
-/// How many parts an answer has.
+/// The stream_index of parts of an engine's answer.
 const PARTS: u64 = 4;
-/// How long a message to or from an upstream takes.
-const WIRE: Duration = Duration::from_millis(1);
-/// How long an engine takes for the first part, and then for each further one.
-const PACE: Duration = Duration::from_millis(150);
+/// The delay of a message from an upstream.
+const EVENT_DELAY: Duration = Duration::from_millis(1);
+/// The time an upstream takes for each part of an answer.
+const PART_INTERVAL: Duration = Duration::from_millis(150);
 
-/// One stream at an upstream.
+/// An answer that is being generated at an upstream.
 #[derive(Debug)]
 struct Stream {
     upstream: usize,
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub(super) struct Upstreams {
     engines: usize,
-    dead: Vec<bool>,
+    killed: Vec<bool>,
     streams: Vec<Stream>,
     names: HashMap<(usize, String), usize>,
     attempts: HashMap<(Incarnation, AttemptId), usize>,
@@ -51,14 +51,14 @@
     pub(super) fn new(engines: usize) -> Self {
         Self {
             engines,
-            dead: vec![false; engines + 1],
+            killed: vec![false; engines + 1],
             streams: Vec::new(),
             names: HashMap::new(),
             attempts: HashMap::new(),
         }
     }
 
-    /// Returns the name of an upstream; the last one is the plain service.
+    /// Returns the id of an upstream. The last upstream is the plain service.
     pub(super) fn id(index: usize) -> UpstreamId {
         format!("u-{index}").parse().unwrap_or_else(|_| unreachable!("the name is valid"))
     }
@@ -67,9 +67,9 @@
         id.as_str().trim_start_matches("u-").parse().unwrap_or(0)
     }
 
-    /// Kills an upstream; returns the attempts whose connections break.
+    /// Kills an upstream. Returns the attempts that were connected to it.
     pub(super) fn kill(&mut self, index: usize) -> Vec<(Incarnation, AttemptId)> {
-        self.dead[index] = true;
+        self.killed[index] = true;
         self.names.retain(|(upstream, _), _| *upstream != index);
         let streams = self.streams.iter_mut().filter(|s| s.upstream == index);
         let followers = streams.flat_map(|s| std::mem::take(&mut s.followers));
@@ -112,8 +112,8 @@
 impl Fleet {
     pub(super) fn dispatch(&mut self, from: Incarnation, attempt: AttemptId, dispatch: Dispatch) {
         let index = Upstreams::index(&dispatch.upstream);
-        if self.upstreams.dead[index] {
-            self.tell(from, attempt, UpstreamEvent::NotSent);
+        if self.upstreams.killed[index] {
+            self.send_event(from, attempt, UpstreamEvent::NotSent);
             return;
         }
         if let Some(next) = dispatch.resume_from {
@@ -121,15 +121,15 @@
             return;
         }
         let Some(asked) = dispatch.request.and_then(|id| self.asked.get_mut(&id)) else {
-            self.tell(from, attempt, UpstreamEvent::NotSent);
+            self.send_event(from, attempt, UpstreamEvent::NotSent);
             return;
         };
         asked.sent.get_or_insert(self.now);
         let wish = asked.wish.clone();
-        self.truth.run(&wish, &dispatch.upstream, self.now);
+        self.truth.record_run(&wish, &dispatch.upstream, self.now);
         let output = if wish.service { 0 } else { self.rng.random_range(1..=wish.output) };
         let prompt = if wish.service { CALL_COST } else { wish.prompt * 3 / 4 };
-        self.truth.serve(wish.budget, &self.templates, prompt);
+        self.truth.record_served(wish.budget, &self.templates, prompt);
         let stream = Stream {
             upstream: index,
             name: dispatch.stream.clone(),
@@ -141,51 +141,54 @@
             ended: false,
             followers: vec![(from, attempt, 0)],
         };
-        let number = self.upstreams.streams.len();
+        let stream_index = self.upstreams.streams.len();
         self.upstreams.streams.push(stream);
-        self.upstreams.names.insert((index, dispatch.stream), number);
-        self.upstreams.attempts.insert((from, attempt), number);
-        self.tell(from, attempt, UpstreamEvent::Head(head()));
-        self.at(self.now.after(PACE), Turn::Step(number));
+        self.upstreams.names.insert((index, dispatch.stream), stream_index);
+        self.upstreams.attempts.insert((from, attempt), stream_index);
+        self.send_event(from, attempt, UpstreamEvent::Head(head()));
+        self.schedule(self.now.after(PART_INTERVAL), ScheduledAction::ExtendStream(stream_index));
     }
 
     fn resume(&mut self, from: Incarnation, attempt: AttemptId, name: &(usize, String), next: u64) {
-        let Some(number) = self.upstreams.names.get(name).copied() else {
-            self.tell(from, attempt, UpstreamEvent::NoStream);
+        let Some(stream_index) = self.upstreams.names.get(name).copied() else {
+            self.send_event(from, attempt, UpstreamEvent::NoStream);
             return;
         };
-        self.upstreams.attempts.insert((from, attempt), number);
-        self.tell(from, attempt, UpstreamEvent::Head(head()));
-        self.upstreams.streams[number].followers.push((from, attempt, next));
-        self.feed(number);
+        self.upstreams.attempts.insert((from, attempt), stream_index);
+        self.send_event(from, attempt, UpstreamEvent::Head(head()));
+        self.upstreams.streams[stream_index].followers.push((from, attempt, next));
+        self.send_parts(stream_index);
     }
 
-    /// Makes the next part of a stream.
-    pub(super) fn step(&mut self, number: usize) {
-        let stream = &mut self.upstreams.streams[number];
-        if stream.ended || self.upstreams.dead[stream.upstream] {
+    /// Generates the next part of a stream.
+    pub(super) fn extend_stream(&mut self, stream_index: usize) {
+        let stream = &mut self.upstreams.streams[stream_index];
+        if stream.ended || self.upstreams.killed[stream.upstream] {
             return;
         }
-        let place = u64::try_from(stream.parts.len()).unwrap_or(0);
-        let before = stream.output * place / stream.total;
-        let after = stream.output * (place + 1) / stream.total;
-        stream.parts.push(truth_part(&stream.name, place));
-        stream.ended = place + 1 == stream.total;
+        let index = u64::try_from(stream.parts.len()).unwrap_or(0);
+        let before = stream.output * index / stream.total;
+        let after = stream.output * (index + 1) / stream.total;
+        stream.parts.push(expected_part(&stream.name, index));
+        stream.ended = index + 1 == stream.total;
         let (budget, ended) = (stream.budget, stream.ended);
-        self.truth.serve(budget, &self.templates, after - before);
-        self.feed(number);
+        self.truth.record_served(budget, &self.templates, after - before);
+        self.send_parts(stream_index);
         if !ended {
-            self.at(self.now.after(PACE), Turn::Step(number));
+            self.schedule(
+                self.now.after(PART_INTERVAL),
+                ScheduledAction::ExtendStream(stream_index),
+            );
         }
     }
 
-    /// Sends every follower of a stream what it has not got.
-    fn feed(&mut self, number: usize) {
-        let stream = &mut self.upstreams.streams[number];
+    /// Sends each follower of a stream the parts that it has not yet received.
+    fn send_parts(&mut self, stream_index: usize) {
+        let stream = &mut self.upstreams.streams[stream_index];
         let mut events = Vec::new();
-        let made = u64::try_from(stream.parts.len()).unwrap_or(0);
+        let part_count = u64::try_from(stream.parts.len()).unwrap_or(0);
         for (to, attempt, next) in &mut stream.followers {
-            while *next < made {
+            while *next < part_count {
                 let part = stream.parts[usize::try_from(*next).unwrap_or(0)];
                 let usage = Usage {
                     prompt: Tokens(stream.prompt),
@@ -206,67 +209,67 @@
             stream.followers.clear();
         }
         for (to, attempt, event) in events {
-            self.tell(to, attempt, event);
+            self.send_event(to, attempt, event);
         }
     }
 
     pub(super) fn cancel(&mut self, from: Incarnation, attempt: AttemptId) {
-        let Some(number) = self.upstreams.attempts.get(&(from, attempt)).copied() else {
+        let Some(stream_index) = self.upstreams.attempts.get(&(from, attempt)).copied() else {
             return;
         };
-        let stream = &mut self.upstreams.streams[number];
+        let stream = &mut self.upstreams.streams[stream_index];
         stream.ended = true;
         stream.followers.clear();
-        let made = u64::try_from(stream.parts.len()).unwrap_or(0);
-        let output = Tokens(stream.output * made / stream.total);
+        let part_count = u64::try_from(stream.parts.len()).unwrap_or(0);
+        let output = Tokens(stream.output * part_count / stream.total);
         let usage = Usage { prompt: Tokens(stream.prompt), output };
-        self.tell(from, attempt, UpstreamEvent::Ended { parts: 0, usage: Some(usage) });
+        self.send_event(from, attempt, UpstreamEvent::Ended { parts: 0, usage: Some(usage) });
     }
 
-    /// Returns the tokens that upstreams have served of streams that are not over.
+    /// Returns the tokens that upstreams have served so far for streams that still run.
     #[must_use]
     pub fn running(&self, budget: usize) -> u64 {
         let running = self.upstreams.streams.iter().filter(|s| !s.ended && s.budget == budget);
-        let made = |s: &Stream| s.output * u64::try_from(s.parts.len()).unwrap_or(0) / s.total;
-        running.map(|s| s.prompt + made(s)).sum()
+        let output = |s: &Stream| s.output * u64::try_from(s.parts.len()).unwrap_or(0) / s.total;
+        running.map(|s| s.prompt + output(s)).sum()
     }
 
     /// Kills an engine with all its streams.
     pub fn kill_engine(&mut self, index: usize) {
         for (to, attempt) in self.upstreams.kill(index) {
-            self.tell(to, attempt, UpstreamEvent::Broken);
+            self.send_event(to, attempt, UpstreamEvent::Broken);
         }
     }
 
-    /// Sends an event in the order in which the upstream made it, but for noise: a part of
-    /// an answer may come twice, or after the next one.
-    fn tell(&mut self, to: Incarnation, attempt: AttemptId, event: UpstreamEvent) {
-        let at: Time = self.now.after(WIRE);
-        let roll = self.rng.random_range(0..1000);
-        let number = self.upstreams.attempts.get(&(to, attempt));
-        let engine = number.is_some_and(|n| self.upstreams.streams[*n].total > 1);
-        let part = engine && matches!(event, UpstreamEvent::Chunk(_));
-        let late = part && roll < self.shape.noise;
-        let twice = part && roll >= 1000 - self.shape.noise;
-        if late || twice {
-            let late = Turn::Event(to, Event::Upstream(attempt, event.clone()));
-            self.at(at.after(PACE).after(PACE / 4), late);
+    /// Sends an event to an attempt, in the order of generation except for noise: a part of an
+    /// engine's answer may arrive twice, or after the next one.
+    fn send_event(&mut self, to: Incarnation, attempt: AttemptId, event: UpstreamEvent) {
+        let at: Time = self.now.after(EVENT_DELAY);
+        let random = self.rng.random_range(0..1000);
+        let stream_index = self.upstreams.attempts.get(&(to, attempt));
+        let is_engine = stream_index.is_some_and(|n| self.upstreams.streams[*n].total > 1);
+        let is_part = is_engine && matches!(event, UpstreamEvent::Chunk(_));
+        let is_late = is_part && random < self.shape.noise;
+        let is_duplicate = is_part && random >= 1000 - self.shape.noise;
+        if is_late || is_duplicate {
+            let late = ScheduledAction::Deliver(to, Event::Upstream(attempt, event.clone()));
+            self.schedule(at.after(PART_INTERVAL).after(PART_INTERVAL / 4), late);
         }
-        if !late {
-            self.at(at, Turn::Event(to, Event::Upstream(attempt, event)));
+        if !is_late {
+            self.schedule(at, ScheduledAction::Deliver(to, Event::Upstream(attempt, event)));
         }
     }
 }
 
-/// Returns the part of a stream at a place, which its name decides.
-pub(super) fn truth_part(name: &str, place: u64) -> u64 {
+/// Returns the correct part of a stream at an index, which is derived from the stream's name.
+pub(super) fn expected_part(name: &str, index: u64) -> u64 {
     let digests =
         badgerfield_core::vm_upstreams::prefix_digests(&name.as_bytes().repeat(256)[..256]);
-    (digests[0] ^ place) >> 1
+    (digests[0] ^ index) >> 1
 }
 
-/// Returns how many parts an answer has.
-pub(super) fn parts_of(service: bool) -> usize {
+/// Returns the stream_index of parts of an answer.
+pub(super) fn part_count(service: bool) -> usize {
     if service { 1 } else { usize::try_from(PARTS).unwrap_or(0) }
 }
 
--- a/crates/badgerfield-standin/tests/evacuations.rs
+++ b/crates/badgerfield-standin/tests/evacuations.rs
@@ -21,8 +21,8 @@
 /// Lets time pass until so many VMs believe a domain to be evacuated; returns how long it took.
 fn until(fleet: &mut Fleet, domain: &Domain, count: usize) -> Duration {
     let mut took = Duration::ZERO;
-    while fleet.evacuated_at(domain) != count {
-        assert!(took < Duration::from_secs(8), "{} of {count}", fleet.evacuated_at(domain));
+    while fleet.evacuated_count(domain) != count {
+        assert!(took < Duration::from_secs(8), "{} of {count}", fleet.evacuated_count(domain));
         fleet.advance(STEP);
         took += STEP;
     }
@@ -64,8 +64,8 @@
         fleet.platform.down = false;
         fleet.start(3);
         fleet.advance(Duration::from_secs(3));
-        assert!(fleet.believes(3, &one), "{vms} VMs");
-        assert!(!fleet.believes(3, &two), "{vms} VMs: an older state came back");
+        assert!(fleet.is_evacuated_at(3, &one), "{vms} VMs");
+        assert!(!fleet.is_evacuated_at(3, &two), "{vms} VMs: an older state came back");
     }
 }
 
@@ -75,11 +75,11 @@
     for vms in [6, 87] {
         let mut fleet = fleet(vms, 0, 3);
         let zone = domain("d-1");
-        fleet.platform.cut.insert(0);
+        fleet.platform.cut_regions.insert(0);
         assert!(fleet.evacuate(&zone, true));
         fleet.advance(Duration::from_millis(100));
-        assert_eq!(fleet.evacuated_at(&zone), 0, "no watch told it");
-        fleet.platform.cut.clear();
+        assert_eq!(fleet.evacuated_count(&zone), 0, "no watch told it");
+        fleet.platform.cut_regions.clear();
         let took = until(&mut fleet, &zone, vms);
         assert!(took <= Duration::from_secs(4), "{vms} VMs: {took:?}");
     }
@@ -104,6 +104,6 @@
         fleet.evacuate(&zones[1], false);
         fleet.evacuate(&zones[2], true);
         fleet.advance(Duration::from_secs(4));
-        assert_eq!(zones.iter().map(|z| fleet.evacuated_at(z)).collect::<Vec<_>>(), [48, 0, 48]);
+        assert_eq!(zones.iter().map(|z| fleet.evacuated_count(z)).collect::<Vec<_>>(), [48, 0, 48]);
     }
 }
--- a/crates/badgerfield-standin/tests/full_link.rs
+++ b/crates/badgerfield-standin/tests/full_link.rs
@@ -98,7 +98,7 @@
             // The third lender is asked after 1.4 s; what was asked for before the first answer has
             // come and gone two round trips later.
             let is_first = Duration::from_secs(second) < wait.saturating_mul(4) + THIRD;
-            moving.note(is_first, fleet.balance(0).moving);
+            moving.note(is_first, fleet.balance(0).in_transit);
             told.note(is_first, demand(&fleet));
         }
         let transfers = fleet.messages().get("transfer").map_or(0, |sent| sent.0);
--- a/crates/badgerfield-standin/tests/histories.rs
+++ b/crates/badgerfield-standin/tests/histories.rs
@@ -232,7 +232,7 @@
             Step::Raise(budget) => change(fleet, budget, |l, p| (l + 3000, p)),
             Step::Lower(budget) => change(fleet, budget, |l, p| (l.saturating_sub(3000), p)),
             Step::Renew(budget) => change(fleet, budget, |l, p| (l, p + 1)),
-            Step::Unlist(vm) => fleet.unlist(vm),
+            Step::Unlist(vm) => fleet.remove_vm_from_list(vm),
             Step::KillEngine => fleet.kill_engine(0),
             Step::KillAll(millis) => {
                 for vm in 0..VMS {
--- a/crates/badgerfield-standin/tests/lost_tokens.rs
+++ b/crates/badgerfield-standin/tests/lost_tokens.rs
@@ -60,10 +60,10 @@
 fn balance(fleet: &mut Fleet, budget: usize) -> Balance {
     fleet.advance(Duration::from_secs(3));
     let balance = fleet.balance(budget);
-    let had: u64 = fleet.deaths().iter().map(|death| death.had[budget]).sum();
+    let had: u64 = fleet.ended_processes().iter().map(|process| process.tokens[budget]).sum();
     assert_eq!(fleet.truth.overspend(), 0);
-    let sent = fleet.sent_to_dead(budget);
-    let deaths = fleet.deaths();
+    let sent = fleet.sent_to_ended_processes(budget);
+    let deaths = fleet.ended_processes();
     assert!(balance.lost <= had + sent, "{balance}: ended {deaths:?}, and were sent {sent}");
     balance
 }
--- a/crates/badgerfield-standin/tests/poison.rs
+++ b/crates/badgerfield-standin/tests/poison.rs
@@ -35,8 +35,8 @@
 /// Lets time pass until so many VMs block a request; returns how long it took.
 fn until(fleet: &mut Fleet, request: Fingerprint, count: usize, most: Duration) -> Duration {
     let mut took = Duration::ZERO;
-    while fleet.blocked_at(request) != count {
-        assert!(took < most, "{} of {count} after {took:?}", fleet.blocked_at(request));
+    while fleet.blocking_vm_count(request) != count {
+        assert!(took < most, "{} of {count} after {took:?}", fleet.blocking_vm_count(request));
         fleet.advance(STEP);
         took += STEP;
     }
@@ -54,9 +54,9 @@
         assert_eq!(told(&fleet), (0, 0), "nothing is said while no upstream ends");
         let request = request(1);
         // The second crash is seen by another VM, to which the caller came back.
-        fleet.crash(1, crash(request, 1));
+        fleet.report_crash(1, crash(request, 1));
         fleet.advance(Duration::from_millis(100));
-        fleet.crash(vms - 1, crash(request, 2));
+        fleet.report_crash(vms - 1, crash(request, 2));
         let took = until(&mut fleet, request, vms, AIM);
         let sent = told(&fleet);
         println!("{vms} VMs: known after {took:?}, {sent:?} messages, bytes");
@@ -70,9 +70,9 @@
     for seed in 0..5 {
         let mut fleet = noisy_fleet(48, 100, seed);
         let request = request(1);
-        fleet.crash(1, crash(request, 1));
+        fleet.report_crash(1, crash(request, 1));
         fleet.advance(Duration::from_millis(100));
-        fleet.crash(40, crash(request, 2));
+        fleet.report_crash(40, crash(request, 2));
         until(&mut fleet, request, 48, Duration::from_secs(3));
     }
 }
@@ -84,14 +84,14 @@
     // A failure domain is lost: each VM has some requests there.
     for n in 0..560 {
         let vm = usize::try_from(n).expect("few") % vms;
-        fleet.crash(vm, crash(request(n), n % 47));
+        fleet.report_crash(vm, crash(request(n), n % 47));
     }
     fleet.advance(Duration::from_secs(2));
     let (messages, bytes) = told(&fleet);
     println!("{messages} messages, {bytes} bytes");
     let per_vm = bytes / u64::try_from(vms).expect("few");
     assert!(per_vm <= 60_000, "{per_vm} B a VM");
-    let blocked: usize = (0..560).map(|n| fleet.blocked_at(request(n))).sum();
+    let blocked: usize = (0..560).map(|n| fleet.blocking_vm_count(request(n))).sum();
     assert_eq!(blocked, 0, "one crash blocks nobody");
 }
 
@@ -100,8 +100,8 @@
     let vms = 24;
     let mut fleet = fleet(vms, 3);
     let first = request(1);
-    fleet.crash(0, crash(first, 1));
-    fleet.crash(0, crash(first, 2));
+    fleet.report_crash(0, crash(first, 1));
+    fleet.report_crash(0, crash(first, 2));
     until(&mut fleet, first, vms, AIM);
     fleet.advance(Duration::from_secs(1));
     for vm in 0..vms {
@@ -115,8 +115,8 @@
     fleet.advance(Duration::from_secs(4));
     fleet.platform.down = true;
     let second = request(2);
-    fleet.crash(5, crash(second, 1));
-    fleet.crash(6, crash(second, 2));
+    fleet.report_crash(5, crash(second, 1));
+    fleet.report_crash(6, crash(second, 2));
     until(&mut fleet, second, vms, AIM);
     fleet.advance(Duration::from_secs(6));
     fleet.platform.down = false;
@@ -124,7 +124,7 @@
     fleet.kill(7);
     fleet.start(7);
     fleet.advance(Duration::from_secs(3));
-    assert_eq!(fleet.blocked_at(second), vms);
+    assert_eq!(fleet.blocking_vm_count(second), vms);
     for vm in 0..vms {
         fleet.kill(vm);
     }
@@ -132,7 +132,7 @@
         fleet.start(vm);
     }
     until(&mut fleet, second, vms, Duration::from_secs(2));
-    assert_eq!(fleet.blocked_at(first), vms);
+    assert_eq!(fleet.blocking_vm_count(first), vms);
 }
 
 #[test]
@@ -140,13 +140,13 @@
     let vms = 24;
     let mut fleet = fleet(vms, 4);
     let request = request(1);
-    fleet.crash(0, crash(request, 1));
+    fleet.report_crash(0, crash(request, 1));
     fleet.advance(Duration::from_millis(200));
-    fleet.served_whole(3, request);
+    fleet.report_suspect_served(3, request);
     fleet.advance(Duration::from_millis(200));
-    fleet.crash(9, crash(request, 2));
+    fleet.report_crash(9, crash(request, 2));
     fleet.advance(Duration::from_secs(2));
-    assert_eq!(fleet.blocked_at(request), 0);
-    fleet.crash(4, crash(request, 3));
+    assert_eq!(fleet.blocking_vm_count(request), 0);
+    fleet.report_crash(4, crash(request, 3));
     until(&mut fleet, request, vms, AIM);
 }
--- a/crates/badgerfield-standin/tests/promises.rs
+++ b/crates/badgerfield-standin/tests/promises.rs
@@ -24,7 +24,7 @@
 fn leaving_upstream_gets_nothing_new_after_a_few_seconds() {
     let mut fleet = Fleet::started(Shape::default());
     load(&mut fleet, 5);
-    fleet.leave_upstream(0);
+    fleet.mark_upstream_leaving(0);
     // The list lags by 3 s in the bench.
     load(&mut fleet, 4);
     let leaving = "u-0".parse().expect("the name is valid");
--- a/crates/badgerfield-standin/tests/regions.rs
+++ b/crates/badgerfield-standin/tests/regions.rs
@@ -25,7 +25,7 @@
         let earlier = before.get(kind).copied().unwrap_or_default();
         (now.0 - earlier.0, now.1 - earlier.1)
     };
-    fleet.crossed().iter().map(|(kind, now)| (*kind, less(kind, now))).collect()
+    fleet.cross_region_messages().iter().map(|(kind, now)| (*kind, less(kind, now))).collect()
 }
 
 /// Has no divisor in common with the sizes of the fleets.
@@ -37,8 +37,8 @@
 fn what_crosses_between_regions_by_kind() {
     for shape in SHAPES {
         let mut fleet = started(shape);
-        println!("{shape:?} start: {:?}", fleet.crossed());
-        let before = fleet.crossed().clone();
+        println!("{shape:?} start: {:?}", fleet.cross_region_messages());
+        let before = fleet.cross_region_messages().clone();
         fleet.advance(Duration::from_secs(5));
         let calm = since(&fleet, &before);
         println!("{shape:?} 5 s of calm: {calm:?}");
@@ -53,11 +53,11 @@
 fn news_crosses_once_for_each_region_and_follower() {
     for shape in SHAPES {
         let mut fleet = started(shape);
-        let before = fleet.crossed().clone();
+        let before = fleet.cross_region_messages().clone();
         let domain: Domain = "d0-1".parse().expect("a name");
         assert!(fleet.evacuate(&domain, true));
         fleet.advance(Duration::from_secs(1));
-        assert_eq!(fleet.evacuated_at(&domain), fleet.size(), "all know");
+        assert_eq!(fleet.evacuated_count(&domain), fleet.size(), "all know");
         let crossed = since(&fleet, &before).get("evacuations").copied().unwrap_or_default();
         println!("{shape:?} an evacuation: {crossed:?}");
         // Three members follow the platform, and each tells one member of each other region;
--- a/crates/badgerfield-standin/tests/rollouts.rs
+++ b/crates/badgerfield-standin/tests/rollouts.rs
@@ -31,7 +31,12 @@
     let mut fleet = Fleet::started(shape);
     let rate = u32::try_from(600_usize.div_ceil(vms)).unwrap_or(1);
     let bad = bad.into_iter().map(|bad| (version("v2"), bad)).collect();
-    fleet.rollouts.traffic = Traffic { rate, base: 4, bad, faulty: None };
+    fleet.rollouts.traffic = Traffic {
+        requests_per_second: rate,
+        failure_permille: 4,
+        bad_versions: bad,
+        faulty_upstream: None,
+    };
     fleet
 }
 
@@ -81,7 +86,7 @@
             run(&mut fleet, SPAN);
             assert_eq!(fleet.faults, Vec::<String>::new(), "{bad:?}");
             assert_eq!(ended(&fleet), Some(RolloutState::RolledBack), "{vms} VMs, {bad:?}");
-            let (sent, bad_answers, all) = fleet.got("v2");
+            let (sent, bad_answers, all) = fleet.request_counts("v2");
             println!("{vms} VMs {bad:?}: {sent} of {all} requests, {bad_answers} bad answers");
         }
     }
@@ -90,7 +95,7 @@
 #[test]
 fn one_faulty_upstream_is_no_bad_version() {
     let mut fleet = fleet(6, 17, None);
-    fleet.rollouts.traffic.faulty = Some(2);
+    fleet.rollouts.traffic.faulty_upstream = Some(2);
     assert!(fleet.roll_out(Some(order("v2"))));
     run(&mut fleet, SPAN);
     assert_eq!(ended(&fleet), Some(RolloutState::Completed), "{:?}", fleet.record());
@@ -111,7 +116,7 @@
         println!(
             "300 VMs, {state:?}: {:?}, got {:?}",
             fleet.messages().get("rollouts"),
-            fleet.got("v2")
+            fleet.request_counts("v2")
         );
     }
 }
@@ -124,10 +129,10 @@
     fleet.platform.down = true;
     fleet.advance(Duration::from_secs(8));
     assert_eq!(ended(&fleet), None);
-    let before = fleet.got("v2").0;
+    let before = fleet.request_counts("v2").0;
     assert!(before > 0, "the version was not tried, so that nothing could be found");
     fleet.advance(Duration::from_secs(5));
-    assert_eq!(fleet.got("v2").0, before, "requests still go to a version found bad");
+    assert_eq!(fleet.request_counts("v2").0, before, "requests still go to a version found bad");
     fleet.platform.down = false;
     run(&mut fleet, Duration::from_secs(10));
     assert_eq!(ended(&fleet), Some(RolloutState::RolledBack));
@@ -142,7 +147,7 @@
     fleet.platform.down = true;
     fleet.advance(Duration::from_secs(8));
     assert!(fleet.record().is_none(), "the record was written before the store went away");
-    let (sent, _, all) = fleet.got("v2");
+    let (sent, _, all) = fleet.request_counts("v2");
     assert!(sent == 0 && all > 1000, "{sent} of {all} requests before the record was written");
     fleet.platform.down = false;
     run(&mut fleet, SPAN);
@@ -173,10 +178,10 @@
     let mut bad = fleet(6, 22, Some(fail(30)));
     assert!(bad.roll_out(Some(order("v2"))));
     run(&mut bad, SPAN);
-    let before = bad.got("v2").0;
+    let before = bad.request_counts("v2").0;
     end_all(&mut bad);
     bad.advance(Duration::from_secs(10));
-    assert_eq!(bad.got("v2").0, before, "the verdict was forgotten");
+    assert_eq!(bad.request_counts("v2").0, before, "the verdict was forgotten");
     assert_eq!([good.faults, bad.faults].concat(), Vec::<String>::new());
 }
 
@@ -188,16 +193,24 @@
     assert!(fleet.roll_out(Some(order("v3"))));
     run(&mut fleet, SPAN);
     assert_eq!(ended(&fleet), Some(RolloutState::Completed));
-    assert_eq!(fleet.got("v2").0, 0, "requests went to the target of an order that was replaced");
+    assert_eq!(
+        fleet.request_counts("v2").0,
+        0,
+        "requests went to the target of an order that was replaced"
+    );
     assert!(fleet.roll_out(Some(order("v4"))));
     fleet.advance(Duration::from_secs(5));
     assert!(fleet.roll_out(None));
     fleet.advance(Duration::from_secs(3));
     let record = fleet.record().expect("it was written");
     assert_eq!((record.state, &record.target), (RolloutState::RolledBack, &version("v4")));
-    let before = fleet.got("v4").0;
+    let before = fleet.request_counts("v4").0;
     fleet.advance(Duration::from_secs(5));
-    assert_eq!(fleet.got("v4").0, before, "requests go to the target of a withdrawn order");
+    assert_eq!(
+        fleet.request_counts("v4").0,
+        before,
+        "requests go to the target of a withdrawn order"
+    );
     assert_eq!(fleet.faults, Vec::<String>::new());
 }
 
