--- a/crates/badgerfield-standin/src/fleet/mod.rs
+++ b/crates/badgerfield-standin/src/fleet/mod.rs
@@ -102,7 +102,7 @@
     Deliver(Incarnation, Event),
     Tick(Incarnation),
     ExtendStream(usize),
-    ApplyStoreCall(
+    StoreCall(
         Incarnation,
         badgerfield_core::ids::StoreCallId,
         badgerfield_core::event::StoreCall,
--- a/crates/badgerfield-standin/src/fleet/rollouts.rs
+++ b/crates/badgerfield-standin/src/fleet/rollouts.rs
@@ -327,7 +327,7 @@
         self.rollouts.late_writes -= 1;
         self.schedule(
             self.now.after(LATE_WRITE_DELAY),
-            ScheduledAction::ApplyStoreCall(from, call_id, call.clone(), self.now),
+            ScheduledAction::StoreCall(from, call_id, call.clone(), self.now),
         );
         true
     }
--- a/crates/badgerfield-standin/src/fleet/steps.rs
+++ b/crates/badgerfield-standin/src/fleet/steps.rs
@@ -44,9 +44,7 @@
                 self.schedule(self.now.after(TICK_INTERVAL), ScheduledAction::Tick(to));
             }
             ScheduledAction::ExtendStream(stream) => self.extend_stream(stream),
-            ScheduledAction::ApplyStoreCall(from, call_id, call, at) => {
-                self.apply_call(from, call_id, &call, at);
-            }
+            ScheduledAction::StoreCall(from, id, call, at) => self.apply_call(from, id, &call, at),
             ScheduledAction::DeliverVmList => {
                 for index in 0..self.vms.len() {
                     self.deliver(index, Event::VmList(self.list.clone()));
@@ -95,7 +93,7 @@
                 let arrives_at =
                     self.cross(direction, link::call_bytes(&call), None).unwrap_or(sent);
                 let at = arrives_at.after(self.platform.delay());
-                self.schedule(at, ScheduledAction::ApplyStoreCall(from, call_id, call, sent));
+                self.schedule(at, ScheduledAction::StoreCall(from, call_id, call, sent));
             }
             Command::Dispatch(attempt, dispatch) => self.dispatch(from, attempt, dispatch),
             Command::Cancel(attempt) => self.cancel(from, attempt),
