--- a/crates/badgerfield-standin/tests/directory.rs
+++ b/crates/badgerfield-standin/tests/directory.rs
@@ -1,4 +1,4 @@
-//! What the directory of a large fleet names.
+//! The directory of a large fleet must list all VMs that serve callers.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use badgerfield_standin::fleet::{Fleet, Shape};
 
 const VMS: usize = 48;
-/// How many VMs start first, few enough that all hear each other.
-const FIRST: usize = 10;
+/// The number of VMs that start first. It is so small that all exchange heartbeats with each other.
+const FIRST_VMS: usize = 10;
 
-/// Tells the process of a VM whether it serves callers.
+/// Sets whether the process of a VM serves callers.
 fn set_serving(fleet: &Fleet, vm: usize, serving: bool) {
     let node = fleet.node(vm).expect("the VM runs");
     node.handle(Time::from_millis(1), Event::Serving(serving));
@@ -21,24 +21,26 @@
     Fleet::new(shape)
 }
 
+/// Members know from heartbeats which VMs do not serve callers. In a larger fleet they exchange
+/// heartbeats with few members, but must still list a VM when it has begun to serve.
 #[test]
-fn a_vm_that_did_not_serve_while_the_fleet_was_small_is_named_once_it_does() {
+fn vm_that_starts_to_serve_after_the_fleet_has_grown_is_listed() {
     let mut fleet = fleet();
-    for vm in 0..FIRST {
+    for vm in 0..FIRST_VMS {
         fleet.start(vm);
-        set_serving(&fleet, vm, vm >= FIRST / 2);
+        set_serving(&fleet, vm, vm >= FIRST_VMS / 2);
     }
     fleet.advance(Duration::from_secs(3));
-    for vm in FIRST..VMS {
+    for vm in FIRST_VMS..VMS {
         fleet.start(vm);
     }
     fleet.advance(Duration::from_secs(4));
-    for vm in 0..FIRST {
+    for vm in 0..FIRST_VMS {
         set_serving(&fleet, vm, true);
     }
     fleet.advance(Duration::from_secs(8));
     for vm in 0..VMS {
-        let named = fleet.directory_of(vm);
-        assert_eq!(named.len(), VMS, "VM {vm} names {named:?}");
+        let listed = fleet.directory_of(vm);
+        assert_eq!(listed.len(), VMS, "VM {vm} lists {listed:?}");
     }
 }
--- a/crates/badgerfield-standin/tests/healthy.rs
+++ b/crates/badgerfield-standin/tests/healthy.rs
@@ -1,4 +1,4 @@
-//! A healthy fleet serves everybody, bills everything once, and refuses nobody.
+//! A fleet without faults must serve all requests completely and bill each once.
 
 use std::time::Duration;
 
--- a/crates/badgerfield-standin/tests/joining.rs
+++ b/crates/badgerfield-standin/tests/joining.rs
@@ -1,4 +1,4 @@
-//! How the processes of a large fleet get into the view when all start at once.
+//! Joining of the view by all processes of a large fleet at once.
 
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
 use badgerfield_standin::fleet::{Fleet, Shape};
 
 const VMS: usize = 80;
-/// How many writes to the platform a process may cost, on average.
-const WRITES: u64 = 7;
+/// The maximum number of writes to the store per process, on average.
+const MAX_WRITES: u64 = 7;
 
 fn fleet() -> Fleet {
     let shape = Shape { regions: vec![VMS], seals: true, noise: 0, ..Shape::default() };
@@ -25,18 +25,20 @@
     assert_eq!(fleet.usable().len(), VMS, "not all are in the view");
 }
 
+/// If each process wrote the view for itself, most writes would conflict and be repeated.
 #[test]
 fn all_join_with_few_writes() {
     let mut fleet = fleet();
     start_all(&mut fleet);
-    // Writes that met another value are counted among them.
+    // The count includes writes that failed because of a conflict.
     let writes = fleet.platform.writes;
-    let most = WRITES * u64::try_from(VMS).expect("few VMs");
-    assert!(writes <= most, "{writes} writes for {VMS} processes");
+    let max = MAX_WRITES * u64::try_from(VMS).expect("few VMs");
+    assert!(writes <= max, "{writes} writes for {VMS} processes");
 }
 
+/// The same for a restart of all processes, whose former incarnations are still in the view.
 #[test]
-fn all_join_again_after_all_have_ended() {
+fn all_join_again_after_all_were_killed() {
     let mut fleet = fleet();
     start_all(&mut fleet);
     let before = fleet.platform.writes;
@@ -46,16 +48,19 @@
     fleet.advance(Duration::from_secs(1));
     start_all(&mut fleet);
     let writes = fleet.platform.writes - before;
-    let most = WRITES * u64::try_from(VMS).expect("few VMs");
-    assert!(writes <= most, "{writes} writes for {VMS} processes");
+    let max = MAX_WRITES * u64::try_from(VMS).expect("few VMs");
+    assert!(writes <= max, "{writes} writes for {VMS} processes");
 }
 
+/// Processes that joined while the fleet was small exchange messages with few of the later members,
+/// but must receive the whole view too.
 #[test]
-fn everybody_learns_the_whole_view() {
+fn all_members_receive_the_whole_view() {
     for seed in 1..=6 {
         let shape = Shape { regions: vec![VMS], seals: true, noise: 0, seed, ..Shape::default() };
         let mut fleet = Fleet::new(shape);
-        // Some are members while the fleet is small, and hear from few of the others later.
+        // The first twelve processes are members while the fleet is small, and receive messages
+        // from few of the others later.
         for vm in 0..VMS {
             fleet.start(vm);
             if vm == 11 {
@@ -65,14 +70,14 @@
         fleet.advance(Duration::from_secs(4));
         for vm in 0..VMS {
             let known = fleet.node(vm).map_or(0, |node| node.view().members.len());
-            assert_eq!(known, VMS, "seed {seed}: what VM {vm} knows");
+            assert_eq!(known, VMS, "seed {seed}: members known to VM {vm}");
         }
     }
 }
 
-/// Tells whether an order reads or writes the ledger.
-fn is_about_ledger(order: &Command) -> bool {
-    match order {
+/// Returns whether a command reads or writes the ledger.
+fn is_ledger_call(command: &Command) -> bool {
+    match command {
         Command::CallStore(
             _,
             StoreCall::Get(name) | StoreCall::CompareAndSwap { key: name, .. },
@@ -83,8 +88,10 @@
     }
 }
 
+/// A process that has not joined does not know the writers of the ledger. If it wrote the ledger
+/// itself, a start of all processes would cause many conflicts.
 #[test]
-fn who_has_not_joined_yet_leaves_the_ledger_to_its_writers() {
+fn process_that_has_not_joined_does_not_access_the_ledger() {
     let mut fleet = fleet();
     fleet.start(0);
     let node = fleet.node(0).expect("the VM runs");
@@ -92,13 +99,13 @@
     let at = Time::from_millis;
     node.handle(at(1), Event::Templates(Versioned { value, revision: 1 }));
     let (id, budget) = (ReservationId(1), Fleet::budget(0));
-    let ask = ReserveRequest { id, budget, amount: Tokens(100), deadline: at(900) };
-    let mut orders = node.handle(at(2), Event::Reserve(ask));
+    let request = ReserveRequest { id, budget, amount: Tokens(100), deadline: at(900) };
+    let mut commands = node.handle(at(2), Event::Reserve(request));
     for tick in 1..=20 {
-        orders.extend(node.handle(at(tick * 50), Event::Tick));
+        commands.extend(node.handle(at(tick * 50), Event::Tick));
     }
-    assert!(!orders.iter().any(is_about_ledger), "{orders:?}");
-    // It waits for the view, and no longer than it may.
-    let refused = orders.iter().any(|o| matches!(o, Command::AnswerReserve(_, Err(_))));
-    assert!(refused, "{orders:?}");
+    assert!(!commands.iter().any(is_ledger_call), "{commands:?}");
+    // The request waits for the view until its deadline.
+    let refused = commands.iter().any(|o| matches!(o, Command::AnswerReserve(_, Err(_))));
+    assert!(refused, "{commands:?}");
 }
--- a/crates/badgerfield-standin/tests/residency.rs
+++ b/crates/badgerfield-standin/tests/residency.rs
@@ -1,4 +1,4 @@
-//! Accounts that may be served in some regions only, on the product's own interface.
+//! Accounts that are restricted to some regions, for requests of the product's own API.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,18 +6,18 @@
 use badgerfield_core::residency::Residency;
 use badgerfield_standin::fleet::{End, Fleet, Shape, Wish, region_name};
 
-/// The first VMs of the two regions; all upstreams stand in region 0.
-const NEAR: usize = 0;
-const FAR: usize = 4;
+/// The first VM of each of the two regions. All upstreams are in region 0.
+const VM_IN_REGION_0: usize = 0;
+const VM_IN_REGION_1: usize = 4;
 
-fn bind(fleet: &mut Fleet, regions: &[usize]) {
+fn restrict(fleet: &mut Fleet, regions: &[usize]) {
     let regions: BTreeSet<_> = regions.iter().map(|region| region_name(*region)).collect();
-    let done = fleet.apply(|set| {
+    let is_applied = fleet.apply(|set| {
         for account in set.accounts.values_mut() {
             account.regions = Residency::within(regions.clone());
         }
     });
-    assert!(done);
+    assert!(is_applied);
     fleet.advance(Duration::from_secs(6));
 }
 
@@ -32,21 +32,21 @@
     }
 }
 
-/// Returns how many bytes of ended answers a VM keeps.
-fn kept(fleet: &Fleet, vm: usize) -> usize {
-    fleet.node(vm).expect("it runs").status().answer_bytes
+/// Returns how many bytes of ended answers a VM stores for replay.
+fn answer_bytes(fleet: &Fleet, vm: usize) -> usize {
+    fleet.node(vm).expect("the VM runs").status().answer_bytes
 }
 
-fn runs(fleet: &Fleet) -> u64 {
+fn dispatch_count(fleet: &Fleet) -> u64 {
     fleet.truth.dispatches.values().map(|(count, _)| count).sum()
 }
 
-/// An upstream outside the regions gets nothing, and the caller is told at once.
+/// Requests must not be sent to upstreams outside the account's regions. They are refused at once.
 #[test]
 fn nothing_runs_outside_the_regions_of_an_account() {
     for (regions, cause) in [(vec![1], "no_upstream"), (vec![], "no_region_allowed")] {
         let mut fleet = Fleet::started(Shape::default());
-        bind(&mut fleet, &regions);
+        restrict(&mut fleet, &regions);
         for vm in 0..fleet.size() {
             fleet.ask(vm, Wish { key: None, ..keyed("") });
             fleet.ask(vm, keyed(&format!("key-{vm}")));
@@ -58,43 +58,43 @@
             };
             assert_eq!(refusal.cause.code(), cause);
         }
-        assert_eq!(runs(&fleet), 0);
+        assert_eq!(dispatch_count(&fleet), 0);
         assert_eq!(fleet.faults, Vec::<String>::new());
     }
 }
 
-/// A VM outside passes an answer on, and keeps none of it for replay.
+/// A VM outside the account's regions may forward an answer, but must not store it for replay.
 #[test]
-fn an_answer_is_not_kept_outside_the_regions() {
+fn an_answer_is_not_stored_outside_the_regions() {
     let mut fleet = Fleet::started(Shape::default());
-    bind(&mut fleet, &[0]);
-    for vm in [NEAR, FAR] {
+    restrict(&mut fleet, &[0]);
+    for vm in [VM_IN_REGION_0, VM_IN_REGION_1] {
         fleet.ask(vm, keyed(&format!("key-{vm}")));
     }
     fleet.advance(Duration::from_secs(3));
     let whole =
         |asked: &badgerfield_standin::fleet::Asked| matches!(asked.end, Some((End::Whole(_), _)));
-    assert!(fleet.asked.values().all(whole), "both are served");
-    assert!(kept(&fleet, NEAR) > 0);
-    assert_eq!(kept(&fleet, FAR), 0);
-    // What was stored under older templates is dropped under the newer ones.
-    bind(&mut fleet, &[1]);
-    assert_eq!(kept(&fleet, NEAR), 0);
+    assert!(fleet.asked.values().all(whole), "a request was not served");
+    assert!(answer_bytes(&fleet, VM_IN_REGION_0) > 0);
+    assert_eq!(answer_bytes(&fleet, VM_IN_REGION_1), 0);
+    // Answers stored under older templates are removed if newer templates exclude the region.
+    restrict(&mut fleet, &[1]);
+    assert_eq!(answer_bytes(&fleet, VM_IN_REGION_0), 0);
 }
 
-/// A stream that ran at an upstream which newer templates exclude is not resumed there.
+/// A stream must not be resumed at its upstream if newer templates exclude the upstream's region.
 #[test]
-fn a_stream_is_not_resumed_at_an_upstream_that_is_excluded_since() {
+fn a_stream_is_not_resumed_at_an_excluded_upstream() {
     let mut fleet = Fleet::started(Shape::default());
-    fleet.ask(NEAR, keyed("key"));
+    fleet.ask(VM_IN_REGION_0, keyed("key"));
     fleet.advance(Duration::from_millis(200));
-    assert_eq!(runs(&fleet), 1);
-    fleet.kill(NEAR);
-    bind(&mut fleet, &[1]);
-    let again = fleet.ask(FAR, keyed("key"));
+    assert_eq!(dispatch_count(&fleet), 1);
+    fleet.kill(VM_IN_REGION_0);
+    restrict(&mut fleet, &[1]);
+    let retry = fleet.ask(VM_IN_REGION_1, keyed("key"));
     fleet.advance(Duration::from_secs(10));
-    let end = fleet.asked.get(&again).and_then(|asked| asked.end.clone());
+    let end = fleet.asked.get(&retry).and_then(|asked| asked.end.clone());
     assert!(!matches!(end, Some((End::Whole(_), _)) | None), "{end:?}");
-    assert_eq!(runs(&fleet), 1);
+    assert_eq!(dispatch_count(&fleet), 1);
     assert_eq!(fleet.faults, Vec::<String>::new());
 }
--- a/crates/badgerfield-standin/tests/rollouts.rs
+++ b/crates/badgerfield-standin/tests/rollouts.rs
@@ -1,8 +1,8 @@
-//! Roll-outs of good and bad versions in fleets, in calm and under faults.
+//! Rollouts of good and bad versions in fleets, with and without faults.
 //!
-//! The fleet itself notes as faults: more requests to a bad version than the platform allows,
-//! requests to it long after its fiftieth bad answer, requests cut by an order that completed,
-//! and a record that steps back.
+//! The simulated fleet records as faults: more requests to a bad version than the settings allow,
+//! requests to it long after its 50th bad answer, requests that are cut when an order completes,
+//! and a record that returns to an earlier state.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     RolloutOrder { target: version(target), span: SPAN }
 }
 
-/// Makes a fleet in three regions with some hundred requests a second in all.
+/// Creates a fleet in three regions with about 600 requests per second in total.
 fn fleet(vms: usize, seed: u64, bad: Option<Badness>) -> Fleet {
     let shape = Shape {
         regions: vec![vms / 3; 3],
@@ -44,19 +44,22 @@
     fleet.rollouts.ended.map(|(_, state)| state)
 }
 
-/// Lets time pass until the order has ended, or so long.
-fn run(fleet: &mut Fleet, most: Duration) {
-    let until = fleet.now.after(most);
+/// Advances the time until the order has ended, but by no more than `timeout`, and then by another
+/// 1.5 s.
+fn run(fleet: &mut Fleet, timeout: Duration) {
+    let until = fleet.now.after(timeout);
     while fleet.now < until && fleet.rollouts.ended.is_none() {
         fleet.advance(Duration::from_millis(100));
     }
     fleet.advance(Duration::from_millis(1500));
 }
 
+/// Returns the fault of a version that fails this many of a hundred requests.
 fn fail(worse: u32) -> Badness {
     Badness { worse, ..Badness::default() }
 }
 
+/// Guards against a rollout of a good version that is rolled back or late, or that cuts requests.
 #[test]
 fn a_good_version_completes_in_time_and_no_request_is_cut() {
     for (vms, seed) in [(6, 1), (6, 2), (72, 3)] {
@@ -68,8 +71,10 @@
     }
 }
 
+/// Guards against bad versions that complete or receive too many requests: versions that fail or
+/// are slow, on all routes or one, and from the start or after a while.
 #[test]
-fn bad_versions_of_each_kind_are_rolled_back_within_the_exposure() {
+fn bad_versions_of_each_kind_are_rolled_back_in_time() {
     let late = Duration::from_secs(15);
     let kinds = [
         fail(5),
@@ -92,8 +97,9 @@
     }
 }
 
+/// A single faulty upstream of the target must not cause a rollback.
 #[test]
-fn one_faulty_upstream_is_no_bad_version() {
+fn one_faulty_upstream_is_not_a_bad_version() {
     let mut fleet = fleet(6, 17, None);
     fleet.rollouts.traffic.faulty_upstream = Some(2);
     assert!(fleet.roll_out(Some(order("v2"))));
@@ -102,6 +108,8 @@
     assert_eq!(fleet.faults, Vec::<String>::new());
 }
 
+/// In a large fleet each VM sees few answers, so a bad version can be found only from the tallies of
+/// all VMs together.
 #[test]
 fn three_hundred_vms_roll_a_bad_version_back_and_complete_a_good_one() {
     for (bad, state) in
@@ -121,8 +129,10 @@
     }
 }
 
+/// If a verdict took effect only after it was recorded, a bad version would receive requests
+/// throughout an outage of the store.
 #[test]
-fn a_verdict_holds_while_the_store_is_away() {
+fn a_verdict_takes_effect_while_the_store_is_down() {
     let mut fleet = fleet(6, 5, Some(fail(30)));
     assert!(fleet.roll_out(Some(order("v2"))));
     fleet.advance(Duration::from_millis(500));
@@ -130,7 +140,7 @@
     fleet.advance(Duration::from_secs(8));
     assert_eq!(ended(&fleet), None);
     let before = fleet.request_counts("v2").0;
-    assert!(before > 0, "the version was not tried, so that nothing could be found");
+    assert!(before > 0, "the target received no requests before the verdict");
     fleet.advance(Duration::from_secs(5));
     assert_eq!(fleet.request_counts("v2").0, before, "requests still go to a version found bad");
     fleet.platform.down = false;
@@ -139,14 +149,16 @@
     assert_eq!(fleet.faults, Vec::<String>::new());
 }
 
+/// If VMs sent requests to a target before its record was written, an order that was rolled back
+/// earlier could start again.
 #[test]
-fn an_order_gives_nothing_while_no_record_is_known() {
+fn no_requests_go_to_a_target_without_a_record() {
     let mut fleet = fleet(6, 6, Some(fail(30)));
     assert!(fleet.roll_out(Some(order("v2"))));
     fleet.advance(Duration::from_millis(10));
     fleet.platform.down = true;
     fleet.advance(Duration::from_secs(8));
-    assert!(fleet.record().is_none(), "the record was written before the store went away");
+    assert!(fleet.record().is_none(), "the record was written before the outage");
     let (sent, _, all) = fleet.request_counts("v2");
     assert!(sent == 0 && all > 1000, "{sent} of {all} requests before the record was written");
     fleet.platform.down = false;
@@ -155,8 +167,8 @@
     assert_eq!(fleet.faults, Vec::<String>::new());
 }
 
-/// Ends all processes at once, and starts them again a second later.
-fn end_all(fleet: &mut Fleet) {
+/// Kills all processes at once and starts them again a second later.
+fn restart_all(fleet: &mut Fleet) {
     for vm in 0..fleet.size() {
         fleet.kill(vm);
     }
@@ -166,12 +178,14 @@
     }
 }
 
+/// If the start of an order or a verdict were as_expected in memory only, a restart of all processes would
+/// lose it.
 #[test]
-fn what_the_record_says_outlasts_all_processes() {
+fn order_time_and_verdict_survive_a_restart_of_all_processes() {
     let mut good = fleet(6, 21, None);
     assert!(good.roll_out(Some(order("v2"))));
     good.advance(Duration::from_secs(25));
-    end_all(&mut good);
+    restart_all(&mut good);
     run(&mut good, Duration::from_secs(14));
     assert_eq!(ended(&good), Some(RolloutState::Completed), "the time left was forgotten");
 
@@ -179,14 +193,15 @@
     assert!(bad.roll_out(Some(order("v2"))));
     run(&mut bad, SPAN);
     let before = bad.request_counts("v2").0;
-    end_all(&mut bad);
+    restart_all(&mut bad);
     bad.advance(Duration::from_secs(10));
     assert_eq!(bad.request_counts("v2").0, before, "the verdict was forgotten");
     assert_eq!([good.faults, bad.faults].concat(), Vec::<String>::new());
 }
 
+/// Guards against requests to the target of an order that was replaced or withdrawn.
 #[test]
-fn a_withdrawn_order_is_rolled_back_and_a_newer_one_takes_over() {
+fn a_withdrawn_order_is_rolled_back_and_a_newer_one_replaces_the_last() {
     let mut fleet = fleet(6, 9, Some(fail(10)));
     assert!(fleet.roll_out(Some(order("v2"))));
     fleet.advance(Duration::from_millis(300));
@@ -214,8 +229,10 @@
     assert_eq!(fleet.faults, Vec::<String>::new());
 }
 
+/// A suspended member may still send requests to the old version when it resumes, so an order must
+/// not complete before the member has been removed from the view.
 #[test]
-fn a_frozen_member_holds_the_end_up_until_the_view_goes_without_it() {
+fn an_order_does_not_complete_while_a_member_is_suspended() {
     let mut fleet = fleet(6, 13, None);
     assert!(fleet.roll_out(Some(order("v2"))));
     fleet.advance(Duration::from_secs(30));
@@ -229,8 +246,9 @@
     assert_eq!(fleet.faults, Vec::<String>::new());
 }
 
+/// Guards against rollout messages when there is no order, or after it has ended.
 #[test]
-fn no_message_or_call_is_spent_while_nothing_is_rolled_out() {
+fn no_rollout_messages_are_sent_without_a_rollout() {
     let mut fleet = fleet(72, 3, None);
     fleet.advance(Duration::from_secs(20));
     assert_eq!(fleet.messages().get("rollouts"), None);
@@ -238,13 +256,13 @@
     run(&mut fleet, SPAN);
     fleet.advance(Duration::from_secs(5));
     let spent = fleet.messages().get("rollouts").copied();
-    println!("72 VMs: {spent:?} messages and bytes for one roll-out of {SPAN:?}");
+    println!("72 VMs: {spent:?} messages and bytes for one rollout of {SPAN:?}");
     assert!(spent.is_some_and(|(count, _)| count > 0));
     fleet.advance(Duration::from_secs(20));
     assert_eq!(fleet.messages().get("rollouts").copied(), spent);
 }
 
-/// What befalls a fleet in a random history.
+/// A random history of orders and faults.
 struct History {
     fleet: Fleet,
     rng: ChaCha8Rng,
@@ -254,7 +272,7 @@
     withdrawn: bool,
     until: Time,
     phases: Vec<Option<(u64, Option<RolloutPhase>)>>,
-    /// Whether anything went wrong that may cost the deadline.
+    /// How many faults have been caused so far.
     faults: usize,
 }
 
@@ -282,29 +300,29 @@
         }
     }
 
-    fn play(&mut self, most_faults: usize) {
+    fn run(&mut self, max_faults: usize) {
         assert!(self.fleet.roll_out(Some(order("v2"))));
         while self.fleet.now < self.until && !self.is_over() {
-            let pass = self.rng.random_range(200..3000);
-            self.pass(Duration::from_millis(pass));
-            if self.faults < most_faults && self.rng.random_range(0..4) == 0 {
-                self.fault();
+            let millis = self.rng.random_range(200..3000);
+            self.advance(Duration::from_millis(millis));
+            if self.faults < max_faults && self.rng.random_range(0..4) == 0 {
+                self.cause_fault();
                 self.faults += 1;
             }
         }
-        self.pass(Duration::from_millis(500));
+        self.advance(Duration::from_millis(500));
     }
 
-    fn pass(&mut self, span: Duration) {
+    fn advance(&mut self, span: Duration) {
         let until = self.fleet.now.after(span);
         while self.fleet.now < until {
             self.fleet.advance(Duration::from_millis(100));
-            self.check_beliefs();
+            self.check_phases();
         }
     }
 
-    /// Checks that no process takes a step back from what it believed.
-    fn check_beliefs(&mut self) {
+    /// Checks that no process returns to an earlier phase of an order.
+    fn check_phases(&mut self) {
         for vm in 0..6 {
             let Some(node) = self.fleet.node(vm) else {
                 self.phases[vm] = None;
@@ -317,9 +335,9 @@
         }
     }
 
-    fn fault(&mut self) {
+    fn cause_fault(&mut self) {
         let vm = self.rng.random_range(0..6);
-        let lasts = Duration::from_millis(self.rng.random_range(300..6000));
+        let duration = Duration::from_millis(self.rng.random_range(300..6000));
         let fleet = &mut self.fleet;
         match self.rng.random_range(0..10) {
             0 => fleet.kill(vm),
@@ -346,11 +364,11 @@
                 self.phases = vec![None; 6];
             }
         }
-        self.pass(lasts);
-        self.mend();
+        self.advance(duration);
+        self.end_faults();
     }
 
-    fn mend(&mut self) {
+    fn end_faults(&mut self) {
         let fleet = &mut self.fleet;
         fleet.heal();
         fleet.platform.down = false;
@@ -364,63 +382,68 @@
         }
     }
 
-    /// Tells whether the newest order has ended.
+    /// Returns whether the newest order has ended.
     fn is_over(&self) -> bool {
         let open = self.fleet.record().is_some_and(|record| !record.state.is_final());
         if self.withdrawn { !open } else { self.fleet.rollouts.ended.is_some() }
     }
 
-    /// Tells whether the order ended as it should, in time.
-    fn is_kept(&self) -> bool {
+    /// Returns whether the order ended as expected and in time.
+    fn is_as_expected(&self) -> bool {
         if self.withdrawn {
             return self.is_over();
         }
-        let due = if self.bad { RolloutState::RolledBack } else { RolloutState::Completed };
-        self.fleet.rollouts.ended.is_some_and(|(at, state)| state == due && at <= self.until)
+        let expected = if self.bad { RolloutState::RolledBack } else { RolloutState::Completed };
+        self.fleet.rollouts.ended.is_some_and(|(at, state)| state == expected && at <= self.until)
     }
 }
 
-/// Reads a number from the environment, for longer runs than CI's.
-fn number(name: &str, other: u64) -> u64 {
-    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(other)
+/// Reads a number from the environment, for longer runs than in CI.
+fn env_number(name: &str, default: u64) -> u64 {
+    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// Plays histories; returns how many ended as they should, in time.
-fn play(most_faults: usize) -> (u64, u64) {
-    let (first, cases) = (number("BADGERFIELD_SEED", 1), number("BADGERFIELD_CASES", 60));
-    let mut kept = 0;
-    let mut broken = Vec::new();
+/// Runs histories. Returns how many orders ended as expected and in time, and how many histories
+/// ran.
+fn run_histories(max_faults: usize) -> (u64, u64) {
+    let (first, cases) = (env_number("BADGERFIELD_SEED", 1), env_number("BADGERFIELD_CASES", 60));
+    let mut as_expected = 0;
+    let mut violations = Vec::new();
     for seed in first..first + cases {
         let mut history = History::new(seed);
-        history.play(most_faults);
-        let is_kept = history.is_kept();
-        kept += u64::from(is_kept);
-        if !is_kept {
+        history.run(max_faults);
+        let is_as_expected = history.is_as_expected();
+        as_expected += u64::from(is_as_expected);
+        if !is_as_expected {
             println!("seed {seed}: bad {}, {:?}", history.bad, history.fleet.record());
         }
-        // Whatever was missed, the order ends.
+        // An order must end in any case, even if it is late.
         run(&mut history.fleet, Duration::from_mins(2));
         if !history.is_over() {
-            broken.push(format!("seed {seed}: {:?}", history.fleet.record()));
+            violations.push(format!("seed {seed}: {:?}", history.fleet.record()));
         }
-        broken.extend(history.fleet.faults.iter().map(|fault| format!("seed {seed}: {fault}")));
+        violations.extend(history.fleet.faults.iter().map(|fault| format!("seed {seed}: {fault}")));
     }
-    println!("{kept} of {cases} duties kept with up to {most_faults} faults");
-    broken.dedup();
-    assert_eq!(broken, Vec::<String>::new());
-    (kept, cases)
+    println!("{as_expected} of {cases} orders ended as expected with up to {max_faults} faults");
+    violations.dedup();
+    assert_eq!(violations, Vec::<String>::new());
+    (as_expected, cases)
 }
 
+/// Without faults nearly all orders must end as expected: good versions complete, bad versions are
+/// rolled back, in time.
 #[test]
-fn every_duty_is_kept_in_calm() {
-    let (kept, cases) = play(0);
-    assert!(kept * 100 >= cases * 99, "{kept} of {cases}");
+fn orders_end_as_expected_without_faults() {
+    let (as_expected, cases) = run_histories(0);
+    assert!(as_expected * 100 >= cases * 99, "{as_expected} of {cases}");
 }
 
+/// Under random faults no guarantee may be violated, and most orders must still end as expected and
+/// in time.
 #[test]
-fn random_faults_break_no_promise() {
-    let (kept, cases) = play(2);
-    assert!(kept * 10 >= cases * 9, "{kept} of {cases}");
-    let (kept, cases) = play(8);
-    assert!(kept * 10 >= cases * 8, "{kept} of {cases}");
+fn random_faults_violate_no_guarantee() {
+    let (as_expected, cases) = run_histories(2);
+    assert!(as_expected * 10 >= cases * 9, "{as_expected} of {cases}");
+    let (as_expected, cases) = run_histories(8);
+    assert!(as_expected * 10 >= cases * 8, "{as_expected} of {cases}");
 }
--- a/crates/badgerfield-standin/tests/sealed_in_outages.rs
+++ b/crates/badgerfield-standin/tests/sealed_in_outages.rs
@@ -1,9 +1,8 @@
-//! Sealed tokens in an outage: VMs that are seldom asked keep little open, and what they have sealed
-//! comes free over ten seconds.
+//! Sealed tokens during an outage of the store. VMs with few requests keep few tokens unsealed, and
+//! their sealed tokens become free over ten seconds.
 //!
-//! `all_know_it_while_the_store_is_away` was red where some seconds had passed between its requests:
-//! a VM held 288 tokens, of which 251 were sealed, and refused a request of 150 with 5 s as the time
-//! to come back.
+//! A test whose requests were some seconds apart failed: a VM held 288 tokens, of which 251 were
+//! sealed, and refused a request of 150 tokens with a retry delay of 5 s.
 
 use std::time::Duration;
 
@@ -24,59 +23,59 @@
     Fleet::started(shape)
 }
 
-fn wish() -> Wish {
+fn request() -> Wish {
     Wish { budget: 0, key: None, once: false, service: false, prompt: 100, output: 50 }
 }
 
-/// Asks each VM once, some seconds after it was asked first, and lets the platform go at once.
-fn go_out(fleet: &mut Fleet, pause: Duration) {
+/// Sends each VM three requests, the last two `pause` apart, and then starts an outage of the store.
+fn start_outage(fleet: &mut Fleet, pause: Duration) {
     for _ in 0..2 {
         for vm in 0..VMS {
-            fleet.ask(vm, wish());
+            fleet.ask(vm, request());
             fleet.advance(Duration::from_millis(100));
         }
         fleet.advance(pause);
     }
     for vm in 0..VMS {
-        fleet.ask(vm, wish());
+        fleet.ask(vm, request());
     }
     fleet.advance(Duration::from_millis(100));
     fleet.platform.down = true;
 }
 
-/// Asks each VM for so many at once; returns how each request ended, and after how long.
-fn ask_all(fleet: &mut Fleet, each: usize) -> Vec<(End, Duration)> {
-    let asked: Vec<_> = (0..VMS * each).map(|n| fleet.ask(n % VMS, wish())).collect();
+/// Sends each VM `each` requests at once. Returns how each request ended, and after how long.
+fn request_from_all(fleet: &mut Fleet, each: usize) -> Vec<(End, Duration)> {
+    let asked: Vec<_> = (0..VMS * each).map(|n| fleet.ask(n % VMS, request())).collect();
     fleet.advance(Duration::from_secs(8));
     let ends = asked.into_iter().map(|id| {
         let asked = &fleet.asked[&id];
-        let (end, at) = asked.end.clone().expect("it has its answer");
+        let (end, at) = asked.end.clone().expect("the request has ended");
         (end, at.since(asked.at))
     });
     ends.collect()
 }
 
+/// Guards against VMs with few requests that hold fewer tokens than one request needs.
 #[test]
-fn a_vm_that_is_seldom_asked_serves_its_first_request_of_an_outage() {
-    // Guards against shares that are smaller than one request.
+fn vm_with_few_requests_serves_one_during_an_outage() {
     for seconds in 0..20 {
         let mut fleet = fleet();
-        go_out(&mut fleet, Duration::from_secs(seconds));
-        let ends = ask_all(&mut fleet, 1);
-        let whole = ends.iter().filter(|(end, _)| matches!(end, End::Whole(_))).count();
-        assert_eq!(whole, VMS, "{seconds} s between requests: {ends:?}");
+        start_outage(&mut fleet, Duration::from_secs(seconds));
+        let ends = request_from_all(&mut fleet, 1);
+        let served = ends.iter().filter(|(end, _)| matches!(end, End::Whole(_))).count();
+        assert_eq!(served, VMS, "{seconds} s between requests: {ends:?}");
     }
 }
 
+/// Guards against refusals by a VM that holds enough tokens, because it considered only those that
+/// were free when its search for tokens ended.
 #[test]
-fn requests_wait_for_sealed_tokens_that_come_free_in_time() {
-    // Guards against refusals by a VM that holds enough, since it looked only at what was free when
-    // its search ended.
+fn requests_wait_for_sealed_tokens_that_become_free_in_time() {
     for seconds in [4, 5, 9, 12] {
         let mut fleet = fleet();
-        go_out(&mut fleet, Duration::from_secs(seconds));
-        let ends = ask_all(&mut fleet, 3);
-        let whole = ends.iter().filter(|(end, _)| matches!(end, End::Whole(_))).count();
-        assert_eq!(whole, 3 * VMS, "{seconds} s between requests: {ends:?}");
+        start_outage(&mut fleet, Duration::from_secs(seconds));
+        let ends = request_from_all(&mut fleet, 3);
+        let served = ends.iter().filter(|(end, _)| matches!(end, End::Whole(_))).count();
+        assert_eq!(served, 3 * VMS, "{seconds} s between requests: {ends:?}");
     }
 }
--- a/crates/badgerfield-standin/tests/threads.rs
+++ b/crates/badgerfield-standin/tests/threads.rs
@@ -1,12 +1,12 @@
-//! Events that several threads of one process hand over at the same moment.
+//! Events that several threads of one process pass to a node at the same time.
 //!
-//! A process of a busy machine sent one repeatable chat to its engines three times, twice to one
-//! and once to the other, and billed it once: `served 809, bills .. 798`, the bill of the chat with
-//! 3 + 8 tokens. Whoever hands over an event takes waiting requests from the queue afterwards. Two
-//! threads that did so at once both looked at the same first request; each then took it out,
-//! one of them in vain, and both sent it. With four threads here, 1,545 requests were sent 3,541
-//! times. Where a machine has more threads than cores, one is stopped between the look and
-//! the taking, so that it was seen under load only.
+//! A process on a busy machine sent one idempotent chat to its engines three times, twice to one
+//! and once to the other, and billed it once: `served 809, bills .. 798`, where the bill of the chat
+//! was 3 + 8 tokens. Each thread that passes an event to the node dispatches queued requests
+//! afterwards. Two threads read the same first request of the queue. Both then removed it, one of
+//! them without effect, and both sent it. With four threads in this test, 1,545 requests were sent
+//! 3,541 times. The fault occurred only under load: if a machine has more threads than cores, a
+//! thread may be preempted between the read and the removal.
 
 use std::collections::BTreeMap;
 use std::sync::Barrier;
@@ -21,7 +21,7 @@
 const THREADS: u64 = 4;
 const REQUESTS: u64 = 400;
 
-fn arrival() -> IncomingRequest {
+fn incoming_request() -> IncomingRequest {
     let chat = Chat {
         model: "m".parse().expect("the name is valid"),
         adapter: None,
@@ -39,22 +39,23 @@
     }
 }
 
-fn wish() -> Wish {
+fn request() -> Wish {
     Wish { budget: 0, key: None, once: false, service: false, prompt: 3, output: 8 }
 }
 
-/// Hands over arrivals from several threads at once; returns how often each run was sent.
+/// Passes requests to a node from several threads at once. Returns how many times each run was sent.
 fn send_from_threads(node: &Node, now: Time) -> BTreeMap<RunId, usize> {
-    let barrier = Barrier::new(usize::try_from(THREADS).expect("few"));
-    let ask = |thread: u64| {
+    let barrier = Barrier::new(usize::try_from(THREADS).expect("few threads"));
+    let send_requests = |thread: u64| {
         let mut sent = Vec::new();
         for n in 0..REQUESTS {
             if n % 20 == 0 {
                 barrier.wait();
             }
             let id = RequestId(1_000_000 + thread * REQUESTS + n);
-            for order in node.handle(now, Event::RequestArrived(id, Box::new(arrival()))) {
-                if let Command::Dispatch(_, Dispatch { run, .. }) = order {
+            for command in node.handle(now, Event::RequestArrived(id, Box::new(incoming_request())))
+            {
+                if let Command::Dispatch(_, Dispatch { run, .. }) = command {
                     sent.push(run);
                 }
             }
@@ -63,7 +64,8 @@
     };
     let mut counts = BTreeMap::new();
     std::thread::scope(|scope| {
-        let threads: Vec<_> = (0..THREADS).map(|thread| scope.spawn(move || ask(thread))).collect();
+        let threads: Vec<_> =
+            (0..THREADS).map(|thread| scope.spawn(move || send_requests(thread))).collect();
         for thread in threads {
             for run in thread.join().expect("no thread panics") {
                 *counts.entry(run).or_default() += 1;
@@ -73,17 +75,18 @@
     counts
 }
 
+/// Guards against threads that dispatch the same queued request.
 #[test]
-fn a_request_is_sent_once_though_many_threads_look_at_the_queue() {
+fn queued_request_is_sent_once_by_concurrent_threads() {
     let mut fleet = Fleet::started(Shape { engines: 64, noise: 0, ..Shape::default() });
-    // Demand, so that the process holds tokens.
+    // Demand makes the process hold tokens.
     for _ in 0..200 {
-        fleet.ask(0, Wish { prompt: 900, output: 100, ..wish() });
+        fleet.ask(0, Wish { prompt: 900, output: 100, ..request() });
         fleet.advance(Duration::from_millis(20));
     }
     fleet.advance(Duration::from_secs(5));
     let now = Time(fleet.now.since(Time::from_millis(1000)));
-    let node = fleet.node(0).expect("it runs");
+    let node = fleet.node(0).expect("the VM runs");
     let sent = send_from_threads(node, now);
     assert!(sent.len() > 500, "only {} were sent", sent.len());
     let total: usize = sent.values().sum();
