--- a/crates/badgerfield-standin/src/fleet/callers.rs
+++ b/crates/badgerfield-standin/src/fleet/callers.rs
@@ -7,13 +7,13 @@
 use super::{Asked, End, Fleet, Wish, arrival_of};
 
 impl Fleet {
-    /// Sends a request through a VM.
+    /// Sends a request to a VM. It ends at once if the process of the VM does not run.
     pub fn ask(&mut self, vm: usize, wish: Wish) -> RequestId {
         let id = RequestId(self.next_request);
         self.next_request += 1;
         let arrival = arrival_of(&wish);
-        let (at, first_part_at, sent) = (self.now, None, None);
-        let asked = Asked { wish, vm, at, first_part_at, sent, data: Vec::new(), end: None };
+        let (at, head_at, sent) = (self.now, None, None);
+        let asked = Asked { wish, vm, at, head_at, sent, data: Vec::new(), end: None };
         self.asked.insert(id, asked);
         if self.vms[vm].node.is_none() {
             self.record_end(id, End::Lost);
@@ -43,7 +43,7 @@
         };
         match answer {
             Answer::Head(_) => {
-                asked.first_part_at.get_or_insert(now);
+                asked.head_at.get_or_insert(now);
             }
             Answer::Data(data) => {
                 let text = std::str::from_utf8(&data).ok().and_then(|t| t.parse().ok());
--- a/crates/badgerfield-standin/src/fleet/link.rs
+++ b/crates/badgerfield-standin/src/fleet/link.rs
@@ -1,5 +1,5 @@
 //! A link with limited bandwidth, between regions or of a single VM. Data waits until everything
-//! that was sent earlier in the same direction has sent_at.
+//! that was sent earlier in the same direction has been sent.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -28,7 +28,7 @@
     pub one_way: Duration,
     /// The bandwidth of each direction, in bits per second.
     pub rate: f64,
-    /// When everything sent so far has sent_at, by direction.
+    /// The time at which everything sent so far has left, by direction.
     free_at: BTreeMap<(usize, usize), Time>,
     /// The timeout of each process for answers of the store.
     timeouts: BTreeMap<Incarnation, AdaptiveTimeout>,
--- a/crates/badgerfield-standin/src/fleet/mod.rs
+++ b/crates/badgerfield-standin/src/fleet/mod.rs
@@ -73,7 +73,7 @@
     /// When the request was sent.
     pub at: Time,
     /// When the head of the answer arrived.
-    pub first_part_at: Option<Time>,
+    pub head_at: Option<Time>,
     /// When the request first reached an upstream.
     pub sent: Option<Time>,
     /// The parts of the answer that have arrived.
--- a/crates/badgerfield-standin/src/fleet/rollouts.rs
+++ b/crates/badgerfield-standin/src/fleet/rollouts.rs
@@ -1,5 +1,5 @@
-//! Rollouts ordered_at by an operator, a small gateway at each VM that follows the rules of its node,
-//! and the requests that versions really received.
+//! Rollouts ordered by an operator, a small gateway at each VM that follows the rules of its
+//! node, and the requests that versions really received.
 //!
 //! One version is in use until an order completes. An order adds upstreams of its target version.
 
--- a/crates/badgerfield-standin/src/fleet/upstreams.rs
+++ b/crates/badgerfield-standin/src/fleet/upstreams.rs
@@ -16,7 +16,7 @@
 
 /// The cost of a call of the plain service, in tokens.
 pub(super) const CALL_COST: u64 = 5;
-/// The stream_index of parts of an engine's answer.
+/// The number of parts of an engine's answer.
 const PARTS: u64 = 4;
 /// The delay of a message from an upstream.
 const EVENT_DELAY: Duration = Duration::from_millis(1);
@@ -268,7 +268,7 @@
     (digests[0] ^ index) >> 1
 }
 
-/// Returns the stream_index of parts of an answer.
+/// Returns the number of parts of an answer.
 pub(super) fn part_count(service: bool) -> usize {
     if service { 1 } else { usize::try_from(PARTS).unwrap_or(0) }
 }
--- a/crates/badgerfield-standin/tests/evacuations.rs
+++ b/crates/badgerfield-standin/tests/evacuations.rs
@@ -6,8 +6,8 @@
 use badgerfield_core::ids::Domain;
 use badgerfield_standin::fleet::{Fleet, Shape};
 
-/// The time within which an update must reach all VMs without faults. Users
-/// require 5 s.
+/// The time within which an update must reach all VMs without faults. The
+/// limit that users require is 5 s.
 const UPDATE_TIMEOUT: Duration = Duration::from_millis(1000);
 /// The interval at which the VMs are checked while an update is distributed.
 const STEP: Duration = Duration::from_millis(10);
@@ -44,8 +44,10 @@
             (wait_until_evacuated(&mut fleet, &zone, vms), fleet.messages()["evacuations"]);
         assert!(fleet.evacuate(&zone, false));
         let restored = wait_until_evacuated(&mut fleet, &zone, 0);
-        println!("{vms} VMs: evacuated after {evacuated:?}, restored after {restored:?}");
-        println!("{vms} VMs: {sent:?} messages and bytes for the evacuation");
+        println!(
+            "{vms} VMs: evacuated after {evacuated:?}, restored after {restored:?}, \
+             {sent:?} messages, bytes"
+        );
         assert!(
             evacuated <= UPDATE_TIMEOUT && restored <= UPDATE_TIMEOUT,
             "{vms} VMs: {evacuated:?}, {restored:?}"
