--- a/crates/badgerfield-standin/tests/evacuations.rs
+++ b/crates/badgerfield-standin/tests/evacuations.rs
@@ -6,8 +6,7 @@
 use badgerfield_core::ids::Domain;
 use badgerfield_standin::fleet::{Fleet, Shape};
 
-/// The time within which an update must reach all VMs without faults. The
-/// limit that users require is 5 s.
+/// The time within which an update must reach all VMs if there are no faults. Users require 5 s.
 const UPDATE_TIMEOUT: Duration = Duration::from_millis(1000);
 /// The interval at which the VMs are checked while an update is distributed.
 const STEP: Duration = Duration::from_millis(10);
--- a/crates/badgerfield-standin/tests/histories.rs
+++ b/crates/badgerfield-standin/tests/histories.rs
@@ -228,15 +228,9 @@
             Step::Slow(millis) => fleet.platform.slow = Duration::from_millis(millis),
             Step::Stale(stale) => fleet.platform.stale = stale,
             Step::LoseReplies(count) => fleet.platform.lose_replies = count,
-            Step::Raise(budget) => {
-                change_budget(fleet, budget, |limit, period| (limit + 3000, period))
-            }
-            Step::Lower(budget) => {
-                change_budget(fleet, budget, |limit, period| (limit.saturating_sub(3000), period))
-            }
-            Step::Renew(budget) => {
-                change_budget(fleet, budget, |limit, period| (limit, period + 1))
-            }
+            Step::Raise(budget) => change_budget(fleet, budget, |l, p| (l + 3000, p)),
+            Step::Lower(budget) => change_budget(fleet, budget, |l, p| (l.saturating_sub(3000), p)),
+            Step::Renew(budget) => change_budget(fleet, budget, |l, p| (l, p + 1)),
             Step::Unlist(vm) => fleet.remove_vm_from_list(vm),
             Step::KillEngine => fleet.kill_engine(0),
             Step::KillAll(millis) => {
--- a/crates/badgerfield-standin/tests/large_fleet.rs
+++ b/crates/badgerfield-standin/tests/large_fleet.rs
@@ -122,7 +122,8 @@
     assert_eq!(spent.handovers, 0, "{spent:?}");
 }
 
-/// Guards against a view that never becomes complete: claims of earlier epochs would stay uncertain.
+/// Guards against a view that never becomes complete: claims of earlier epochs would stay
+/// uncertain.
 #[test]
 fn the_view_becomes_complete_in_a_large_fleet() {
     let mut fleet = start(VMS);
--- a/crates/badgerfield-standin/tests/lost_tokens.rs
+++ b/crates/badgerfield-standin/tests/lost_tokens.rs
@@ -56,7 +56,7 @@
 
 /// Waits until no request runs, and returns the balance of a budget.
 ///
-/// Checks that no more tokens are lost than ended processes held and than were sent to them.
+/// Checks that no more tokens are lost than ended processes held, plus those sent to them later.
 fn settled_balance(fleet: &mut Fleet, budget: usize) -> Balance {
     fleet.advance(Duration::from_secs(3));
     let balance = fleet.balance(budget);
@@ -100,7 +100,8 @@
     settled_balance(fleet, 0)
 }
 
-/// Stops and restarts VMs one after the other. Those that take longer than [`STOP_TIMEOUT`] are killed.
+/// Stops and restarts VMs one after the other. Those that take longer than [`STOP_TIMEOUT`] are
+/// killed.
 fn stop_in_turn(fleet: &mut Fleet, vms: &[usize]) {
     for vm in vms {
         fleet.stop(*vm);
--- a/crates/badgerfield-standin/tests/rollouts.rs
+++ b/crates/badgerfield-standin/tests/rollouts.rs
@@ -178,8 +178,8 @@
     }
 }
 
-/// If the start of an order or a verdict were as_expected in memory only, a restart of all processes would
-/// lose it.
+/// If the start of an order or a verdict were kept in memory only, a restart of all processes
+/// would lose it.
 #[test]
 fn order_time_and_verdict_survive_a_restart_of_all_processes() {
     let mut good = fleet(6, 21, None);
