--- a/crates/badgerfield-standin/src/fleet/mod.rs
+++ b/crates/badgerfield-standin/src/fleet/mod.rs
@@ -35,7 +35,7 @@
 pub use balance::{Balance, EndedProcess};
 pub use link::Link;
 pub use platform::Platform;
-pub use rollouts::{Badness, RolloutTruth, Traffic, service, version};
+pub use rollouts::{RolloutTruth, Traffic, VersionFault, service, version};
 pub use shape::{Shape, Wish, account, engines, member, region_name, secret};
 use shape::{account_template, arrival_of, budget_template};
 pub use truth::{Truth, key_of};
--- a/crates/badgerfield-standin/src/fleet/rollouts.rs
+++ b/crates/badgerfield-standin/src/fleet/rollouts.rs
@@ -47,14 +47,14 @@
     /// How many of a thousand requests fail at any version.
     pub failure_permille: u32,
     /// The bad versions.
-    pub bad_versions: BTreeMap<SoftwareVersion, Badness>,
+    pub bad_versions: BTreeMap<SoftwareVersion, VersionFault>,
     /// An upstream that fails half of its requests, at any version that is not in use.
     pub faulty_upstream: Option<u32>,
 }
 
 /// The fault of a bad version.
 #[derive(Debug, Clone, Default)]
-pub struct Badness {
+pub struct VersionFault {
     /// How many of a hundred answers are bad.
     pub worse: u32,
     /// Whether bad answers are slow; otherwise they fail.
@@ -70,6 +70,7 @@
 pub(super) struct Gateway {
     rules: Vec<RolloutRule>,
     credits: [f64; ROUTES],
+    /// The requests to send, in twentieths: a second has 20 ticks.
     request_credit: u32,
     routes: Vec<RouteTally>,
     upstreams: BTreeMap<u32, AnswerCounts>,
--- a/crates/badgerfield-standin/src/fleet/truth.rs
+++ b/crates/badgerfield-standin/src/fleet/truth.rs
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Returns the violations among all runs and bills so far; `once` returns whether a key is of an
-    /// at-most-once request.
+    /// Returns the violations among all runs and bills so far. `once` returns whether a key belongs
+    /// to an at-most-once request.
     #[must_use]
     pub fn violations(&self, once: &dyn Fn(&RequestKey) -> bool) -> Vec<String> {
         let mut found = Vec::new();
--- a/crates/badgerfield-standin/tests/full_link.rs
+++ b/crates/badgerfield-standin/tests/full_link.rs
@@ -1,8 +1,8 @@
 //! Loans to a VM whose link is full of its answers to callers, so that messages wait for seconds.
 //!
-//! An account sends all its requests to this VM, which borrows the tokens. Each waiting request made
-//! the VM request its own tokens and all prefetched tokens once more, as if no tokens were in
-//! transit. A tenth of the budget was always in transit, to the VM and back to its lenders
+//! An account sends all its requests to this VM, which borrows the tokens. For each waiting request
+//! the VM requested the tokens of this request and those to prefetch once more, as if no tokens
+//! were in transit. A tenth of the budget was always in transit, to the VM and back to its lenders
 //! (`drawn .. moving=1085719` of 18.6 M, and 1046521 for six seconds). Requests were sent again
 //! every 300 ms regardless of replies (`messages ask=955 transfer=7260` in 20 s). The lenders
 //! counted all loans as demand (`rate=1048894`, with `rate=344200` at the VM) and drew half of the
--- a/crates/badgerfield-standin/tests/poison.rs
+++ b/crates/badgerfield-standin/tests/poison.rs
@@ -1,5 +1,5 @@
-//! Crashes of upstreams under poison requests: updates must reach all VMs, and blocked requests must
-//! stay blocked when processes restart.
+//! Crashes of upstreams under poison requests: updates must reach all VMs, and blocked requests
+//! must stay blocked when processes restart.
 
 use std::time::Duration;
 
@@ -53,8 +53,8 @@
     fleet.messages().get("crashes").copied().unwrap_or_default()
 }
 
-/// If a VM did not know of a crash in time, it would send the retry of a poison request to another
-/// upstream.
+/// If a VM did not receive the update in time, it would send the retry of a poison request to
+/// another upstream.
 #[test]
 fn all_vms_block_a_poison_request_before_its_caller_retries() {
     for vms in [6, 87, 300] {
@@ -149,8 +149,8 @@
     assert_eq!(fleet.blocking_vm_count(first), vms);
 }
 
-/// A request that an upstream has served completely is not the cause of the crash before. Only
-/// crashes after that count.
+/// A request that an upstream has served completely did not cause the crash before. Only crashes
+/// after the complete answer count.
 #[test]
 fn request_that_was_served_is_not_blocked() {
     let vms = 24;
--- a/crates/badgerfield-standin/tests/power_after_outage.rs
+++ b/crates/badgerfield-standin/tests/power_after_outage.rs
@@ -2,7 +2,7 @@
 //!
 //! The tokens held ahead for the outage were all sealed for only 3.2 s. After the outage the ledger
 //! could not know which of them were unspent, so it counted all as spent. At second 30 the VMs held
-//! 10.4 M tokens (`drawn .. held=`, all budgets), at 35.4 they had 4.1 M left, and at 38 7.1 M of
+//! 10.4 M tokens (`drawn .. held=`, all budgets), at 35.4 they had 4.1 M left, and at 38, 7.1 M of
 //! 95.7 M were lost, with those of running requests. Service returned within six seconds and failed
 //! again: fifteen seconds later 1,590 of 3,600 requests ended with `outcome=budget_spent`, for
 //! budgets with 8 to 19 percent of their limits unspent.
--- a/crates/badgerfield-standin/tests/promises.rs
+++ b/crates/badgerfield-standin/tests/promises.rs
@@ -35,7 +35,8 @@
     assert_eq!(fleet.faults, Vec::<String>::new());
 }
 
-/// Guards against VMs that still use older templates 4 s after a change, in fleets of several sizes.
+/// Guards against VMs that still use older templates 4 s after a change, in fleets of several
+/// sizes.
 #[test]
 fn template_change_reaches_all_vms_within_four_seconds() {
     for size in [4, 16, 32] {
--- a/crates/badgerfield-standin/tests/rollouts.rs
+++ b/crates/badgerfield-standin/tests/rollouts.rs
@@ -8,7 +8,7 @@
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::rollout::{RolloutOrder, RolloutPhase, RolloutState};
-use badgerfield_standin::fleet::{Badness, Fleet, Shape, Traffic, version};
+use badgerfield_standin::fleet::{Fleet, Shape, Traffic, VersionFault, version};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -19,7 +19,7 @@
 }
 
 /// Creates a fleet in three regions with about 600 requests per second in total.
-fn fleet(vms: usize, seed: u64, bad: Option<Badness>) -> Fleet {
+fn fleet(vms: usize, seed: u64, bad: Option<VersionFault>) -> Fleet {
     let shape = Shape {
         regions: vec![vms / 3; 3],
         limits: vec![1000],
@@ -55,8 +55,8 @@
 }
 
 /// Returns the fault of a version that fails this many of a hundred requests.
-fn fail(worse: u32) -> Badness {
-    Badness { worse, ..Badness::default() }
+fn fail(worse: u32) -> VersionFault {
+    VersionFault { worse, ..VersionFault::default() }
 }
 
 /// Guards against a rollout of a good version that is rolled back or late, or that cuts requests.
@@ -80,9 +80,9 @@
         fail(5),
         fail(10),
         fail(100),
-        Badness { slow: true, ..fail(20) },
-        Badness { route: Some(1), ..fail(20) },
-        Badness { after: late, ..fail(30) },
+        VersionFault { slow: true, ..fail(20) },
+        VersionFault { route: Some(1), ..fail(20) },
+        VersionFault { after: late, ..fail(30) },
     ];
     for (vms, kinds) in [(6, &kinds[..]), (72, &kinds[1..3])] {
         for bad in kinds {
@@ -108,8 +108,8 @@
     assert_eq!(fleet.faults, Vec::<String>::new());
 }
 
-/// In a large fleet each VM sees few answers, so a bad version can be found only from the tallies of
-/// all VMs together.
+/// In a large fleet each VM sees few answers, so a bad version can be found only from the tallies
+/// of all VMs together.
 #[test]
 fn three_hundred_vms_roll_a_bad_version_back_and_complete_a_good_one() {
     for (bad, state) in
@@ -280,7 +280,7 @@
     fn new(seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let bad = rng.random_range(0..2) == 0;
-        let kind = Badness {
+        let kind = VersionFault {
             worse: [5, 10, 30, 100][rng.random_range(0..4)],
             slow: rng.random_range(0..3) == 0,
             route: (rng.random_range(0..4) == 0).then_some(0),
--- a/crates/badgerfield-standin/tests/sealed_in_outages.rs
+++ b/crates/badgerfield-standin/tests/sealed_in_outages.rs
@@ -27,7 +27,7 @@
     Wish { budget: 0, key: None, once: false, service: false, prompt: 100, output: 50 }
 }
 
-/// Sends each VM three requests, the last two `pause` apart, and then starts an outage of the store.
+/// Sends each VM three requests, with `pause` between them, and then starts an outage of the store.
 fn start_outage(fleet: &mut Fleet, pause: Duration) {
     for _ in 0..2 {
         for vm in 0..VMS {
--- a/crates/badgerfield-standin/tests/seals.rs
+++ b/crates/badgerfield-standin/tests/seals.rs
@@ -1,5 +1,5 @@
-//! Sealed tokens when all processes are killed at once: unspent tokens must be recovered, and tokens
-//! spent during an outage of the store must not be spent again.
+//! Sealed tokens when all processes are killed at once: unspent tokens must be recovered, and
+//! tokens spent during an outage of the store must not be spent again.
 
 use std::time::Duration;
 
--- a/crates/badgerfield-standin/tests/threads.rs
+++ b/crates/badgerfield-standin/tests/threads.rs
@@ -1,8 +1,8 @@
 //! Events that several threads of one process pass to a node at the same time.
 //!
 //! A process on a busy machine sent one idempotent chat to its engines three times, twice to one
-//! and once to the other, and billed it once: `served 809, bills .. 798`, where the bill of the chat
-//! was 3 + 8 tokens. Each thread that passes an event to the node dispatches queued requests
+//! and once to the other, and billed it once: `served 809, bills .. 798`; the bill of the chat was
+//! 3 + 8 tokens. Each thread that passes an event to the node dispatches queued requests
 //! afterwards. Two threads read the same first request of the queue. Both then removed it, one of
 //! them without effect, and both sent it. With four threads in this test, 1,545 requests were sent
 //! 3,541 times. The fault occurred only under load: if a machine has more threads than cores, a
@@ -43,7 +43,7 @@
     Wish { budget: 0, key: None, once: false, service: false, prompt: 3, output: 8 }
 }
 
-/// Passes requests to a node from several threads at once. Returns how many times each run was sent.
+/// Passes requests to a node from several threads at once. Returns how often each run was sent.
 fn send_from_threads(node: &Node, now: Time) -> BTreeMap<RunId, usize> {
     let barrier = Barrier::new(usize::try_from(THREADS).expect("few threads"));
     let send_requests = |thread: u64| {
