--- a/crates/badgerfield-standin/src/fleet/platform.rs
+++ b/crates/badgerfield-standin/src/fleet/platform.rs
@@ -177,7 +177,7 @@
             (StoreResult::Unknown, TIMEOUT)
         } else {
             let (result, is_lost) = self.platform.execute_call(call);
-            self.record_written();
+            self.check_record_change();
             match (self.with_orders(result), is_lost) {
                 (_, true) => (StoreResult::Unknown, TIMEOUT),
                 (result, false) => (result, self.platform.delay()),
--- a/crates/badgerfield-standin/src/fleet/rollouts.rs
+++ b/crates/badgerfield-standin/src/fleet/rollouts.rs
@@ -278,7 +278,7 @@
 
     /// Checks a change of the stored record. If the order has completed, the target becomes the
     /// version in use, and running requests at other versions are faults.
-    pub(super) fn record_written(&mut self) {
+    pub(super) fn check_record_change(&mut self) {
         let value = self.platform.value(&StoreKey::Rollout(service()));
         let Ok(Some(next)) = RolloutRecord::decode(value.as_deref()) else {
             return;
