--- a/crates/badgerfield-standin/tests/full_link.rs
+++ b/crates/badgerfield-standin/tests/full_link.rs
@@ -26,7 +26,7 @@
     [Duration::from_millis(400), Duration::from_millis(1500), Duration::from_secs(3)];
 /// The bandwidth of the link, in bits per second. Only the delay matters here.
 const LINK_BITS_PER_SECOND: f64 = 1e6;
-/// The time after which a third lender is asked because two have not answered.
+/// The time after which a third lender receives a request because two have not answered.
 const THIRD_LENDER_DELAY: Duration = Duration::from_millis(1400);
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
 
@@ -86,8 +86,8 @@
 
 /// Bounds the tokens in transit and the demand that holders report to the ledger.
 ///
-/// Before the first answer of a lender three lenders are asked, since two may be lost, and each of
-/// them counts the demand as its own for a while.
+/// Until a lender answers for the first time, requests go to three lenders, since two may be lost.
+/// Each of the three counts the demand as its own for a while.
 #[test]
 fn tokens_in_transit_to_a_vm_behind_a_full_link_are_bounded() {
     let mut faults = Vec::new();
@@ -97,7 +97,7 @@
         let (mut in_transit, mut demands) = (Maximum::default(), Maximum::default());
         for second in 0..16 {
             load(&mut fleet, 1.0);
-            // The third lender is asked after 1.4 s. Tokens requested before the first answer have
+            // The third lender receives a request after 1.4 s. Tokens requested before the first answer have
             // arrived and been returned after two round trips.
             let is_first =
                 Duration::from_secs(second) < wait.saturating_mul(4) + THIRD_LENDER_DELAY;
--- a/crates/badgerfield-standin/tests/large_fleet.rs
+++ b/crates/badgerfield-standin/tests/large_fleet.rs
@@ -86,7 +86,7 @@
 fn start_of_all_vms_needs_few_messages_and_writes() {
     let fleet = start(VMS);
     let spent = Counts::of(&fleet).per_vm(VMS);
-    println!("start of {VMS}: {spent:?} a VM");
+    println!("start of {VMS}: {spent:?} per VM");
     assert_eq!(Counts::of(&fleet).handovers, 0, "no VM has claims to hand over");
     assert!(spent.messages <= 250, "{spent:?}");
     assert!(spent.bytes <= 30_000, "{spent:?}");
@@ -100,7 +100,7 @@
     let (small, large) = (75, VMS);
     let few = Counts::of(&start(small)).per_vm(small);
     let many = Counts::of(&start(large)).per_vm(large);
-    println!("start of {small}: {few:?}, of {large}: {many:?} a VM");
+    println!("start of {small}: {few:?}, of {large}: {many:?} per VM");
     // Neighbors are at doubling distances in the ring, so messages per VM grow with the logarithm
     // of the number of VMs.
     assert!(many.messages <= few.messages * 2, "{few:?} {many:?}");
@@ -117,7 +117,7 @@
     let before = Counts::of(&fleet);
     fleet.advance(Duration::from_secs(5));
     let spent = Counts::of(&fleet).since(before).per_vm(VMS);
-    println!("5 s of calm: {spent:?} a VM");
+    println!("5 s without requests: {spent:?} per VM");
     assert!(spent.bytes / 5 <= 2_000, "{spent:?}");
     assert_eq!(spent.handovers, 0, "{spent:?}");
 }
@@ -158,7 +158,7 @@
     fleet.advance(START_TIMEOUT);
     assert_views_match_running_vms(&fleet);
     let spent = Counts::of(&fleet).since(before).per_vm(VMS);
-    println!("45 in 100 replaced: {spent:?} a VM");
+    println!("45 percent replaced: {spent:?} per VM");
     assert_eq!(spent.handovers, 0, "no VM has claims to hand over");
     assert!(spent.messages <= 300, "{spent:?}");
     assert!(spent.bytes <= 30_000, "{spent:?}");
--- a/crates/badgerfield-standin/tests/promises.rs
+++ b/crates/badgerfield-standin/tests/promises.rs
@@ -115,9 +115,9 @@
         fleet.ask(0, wish.clone());
         fleet.advance(Duration::from_millis(300));
         fleet.kill(0);
-        let again = fleet.ask(1, wish.clone());
+        let retry = fleet.ask(1, wish.clone());
         fleet.advance(Duration::from_secs(10));
-        let end = &fleet.asked[&again].end;
+        let end = &fleet.asked[&retry].end;
         assert!(matches!(end, Some((End::Whole(_), _))), "{end:?}");
         let key = key_of(&wish).expect("the wish has a key");
         assert_eq!(fleet.truth.runs[&key], 1, "seed {}: the stream ran again", n + 1);
--- a/crates/badgerfield-standin/tests/rollouts.rs
+++ b/crates/badgerfield-standin/tests/rollouts.rs
@@ -270,7 +270,7 @@
     /// Whether the target of the newest order is bad.
     bad: bool,
     withdrawn: bool,
-    until: Time,
+    deadline: Time,
     phases: Vec<Option<(u64, Option<RolloutPhase>)>>,
     /// How many faults have been caused so far.
     faults: usize,
@@ -287,14 +287,14 @@
             after: Duration::from_secs([0, 0, 5, 15][rng.random_range(0..4)]),
         };
         let fleet = fleet(6, seed, bad.then_some(kind));
-        let until = fleet.now.after(SPAN);
+        let deadline = fleet.now.after(SPAN);
         Self {
             fleet,
             rng,
             is_v2_bad: bad,
             bad,
             withdrawn: false,
-            until,
+            deadline,
             phases: vec![None; 6],
             faults: 0,
         }
@@ -302,7 +302,7 @@
 
     fn run(&mut self, max_faults: usize) {
         assert!(self.fleet.roll_out(Some(order("v2"))));
-        while self.fleet.now < self.until && !self.is_over() {
+        while self.fleet.now < self.deadline && !self.is_over() {
             let millis = self.rng.random_range(200..3000);
             self.advance(Duration::from_millis(millis));
             if self.faults < max_faults && self.rng.random_range(0..4) == 0 {
@@ -354,7 +354,7 @@
                 if fleet.roll_out(next.clone()) {
                     self.bad = self.is_v2_bad && target == "v2";
                     self.withdrawn = next.is_none();
-                    self.until = fleet.now.after(SPAN);
+                    self.deadline = fleet.now.after(SPAN);
                 }
             }
             _ => {
@@ -394,7 +394,10 @@
             return self.is_over();
         }
         let expected = if self.bad { RolloutState::RolledBack } else { RolloutState::Completed };
-        self.fleet.rollouts.ended.is_some_and(|(at, state)| state == expected && at <= self.until)
+        self.fleet
+            .rollouts
+            .ended
+            .is_some_and(|(at, state)| state == expected && at <= self.deadline)
     }
 }
 
