--- a/crates/badgerfield-standin/src/fleet/upstreams.rs
+++ b/crates/badgerfield-standin/src/fleet/upstreams.rs
@@ -186,9 +186,9 @@
     fn send_parts(&mut self, stream_index: usize) {
         let stream = &mut self.upstreams.streams[stream_index];
         let mut events = Vec::new();
-        let part_count = u64::try_from(stream.parts.len()).unwrap_or(0);
+        let generated_parts = u64::try_from(stream.parts.len()).unwrap_or(0);
         for (to, attempt, next) in &mut stream.followers {
-            while *next < part_count {
+            while *next < generated_parts {
                 let part = stream.parts[usize::try_from(*next).unwrap_or(0)];
                 let usage = Usage {
                     prompt: Tokens(stream.prompt),
@@ -220,8 +220,8 @@
         let stream = &mut self.upstreams.streams[stream_index];
         stream.ended = true;
         stream.followers.clear();
-        let part_count = u64::try_from(stream.parts.len()).unwrap_or(0);
-        let output = Tokens(stream.output * part_count / stream.total);
+        let generated_parts = u64::try_from(stream.parts.len()).unwrap_or(0);
+        let output = Tokens(stream.output * generated_parts / stream.total);
         let usage = Usage { prompt: Tokens(stream.prompt), output };
         self.send_event(from, attempt, UpstreamEvent::Ended { parts: 0, usage: Some(usage) });
     }
--- a/crates/badgerfield-standin/tests/full_link.rs
+++ b/crates/badgerfield-standin/tests/full_link.rs
@@ -97,8 +97,8 @@
         let (mut in_transit, mut demands) = (Maximum::default(), Maximum::default());
         for second in 0..16 {
             load(&mut fleet, 1.0);
-            // The third lender receives a request after 1.4 s. Tokens requested before the first answer have
-            // arrived and been returned after two round trips.
+            // The third lender receives a request after 1.4 s. Tokens requested before the first
+            // answer have arrived and been returned after two round trips.
             let is_first =
                 Duration::from_secs(second) < wait.saturating_mul(4) + THIRD_LENDER_DELAY;
             in_transit.record(is_first, fleet.balance(0).in_transit);
