--- a/crates/badgerfield-standin/src/kv.rs
+++ b/crates/badgerfield-standin/src/kv.rs
@@ -1,7 +1,8 @@
-//! Stands in for the key-value service: etcd version 3 by its JSON gateway.
+//! Stand-in for the key-value service: the JSON gateway of etcd version 3.
 //!
-//! It knows what the system uses: a read of one key, and a transaction that compares
-//! the revision of one key and writes or reads it.
+//! It implements the calls that badgerfield uses: a read of one key, and a transaction
+//! that compares the revision of one key, then writes the key if the revision matches and
+//! reads it otherwise.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -13,18 +14,18 @@
 use hyper::{Method, StatusCode};
 use serde_json::{Value, json};
 
-use crate::server::{Answer, Read, ok, serve, status};
+use crate::server::{BufferedRequest, Reply, error_reply, json_reply, serve};
 
-/// What an operator of the stand-in may set.
+/// The faults that `POST /faults` on the admin port sets.
 #[derive(Debug, Clone, Copy, Default)]
 struct Faults {
-    /// Refuse every call.
+    /// Answer every call with status 503.
     down: bool,
-    /// Take no action and give no reply.
+    /// Ignore calls and close their connections without a reply.
     silent: bool,
-    /// How many writes take effect with their replies dropped.
+    /// The number of next writes that are applied but get no reply.
     drop_replies: u64,
-    /// Wait before every call.
+    /// The delay before every call.
     delay: Duration,
 }
 
@@ -33,51 +34,51 @@
     values: HashMap<String, (String, u64)>,
     revision: u64,
     faults: Faults,
-    calls: BTreeMap<&'static str, u64>,
+    call_counts: BTreeMap<&'static str, u64>,
 }
 
-type Shared = Arc<Mutex<Store>>;
+type SharedStore = Arc<Mutex<Store>>;
 
-/// Runs the stand-in until the process ends.
+/// Starts the stand-in and its admin port; both serve until the process ends.
 ///
 /// # Errors
 ///
-/// Fails if an address is taken.
+/// Fails if a listener cannot be bound to its address.
 pub async fn run(address: SocketAddr, admin: SocketAddr) -> Result<()> {
-    let store = Shared::default();
+    let store = SharedStore::default();
     let admin_store = Arc::clone(&store);
-    serve(address, move |read| call(Arc::clone(&store), read)).await?;
-    serve(admin, move |read| {
-        let answer = administer(&admin_store, &read);
-        async move { answer }
+    serve(address, move |request| handle_call(Arc::clone(&store), request)).await?;
+    serve(admin, move |request| {
+        let reply = handle_admin_request(&admin_store, &request);
+        async move { reply }
     })
     .await
 }
 
-async fn call(store: Shared, read: Read) -> Answer {
+async fn handle_call(store: SharedStore, request: BufferedRequest) -> Reply {
     let faults = lock(&store).faults;
     tokio::time::sleep(faults.delay).await;
     if faults.silent {
         return None;
     }
     if faults.down {
-        return status(StatusCode::SERVICE_UNAVAILABLE);
+        return error_reply(StatusCode::SERVICE_UNAVAILABLE);
     }
-    let body = read.json();
-    match (read.method, read.path.as_str()) {
-        (Method::POST, "/v3/kv/range") => ok(&lock(&store).range(&body, "reads")),
-        (Method::POST, "/v3/kv/txn") => lock(&store).txn(&body),
-        _ => status(StatusCode::NOT_FOUND),
+    let body = request.json();
+    match (request.method, request.path.as_str()) {
+        (Method::POST, "/v3/kv/range") => json_reply(&lock(&store).read_key(&body, "reads")),
+        (Method::POST, "/v3/kv/txn") => lock(&store).run_transaction(&body),
+        _ => error_reply(StatusCode::NOT_FOUND),
     }
 }
 
 impl Store {
-    fn count(&mut self, what: &'static str) {
-        *self.calls.entry(what).or_default() += 1;
+    fn count_call(&mut self, kind: &'static str) {
+        *self.call_counts.entry(kind).or_default() += 1;
     }
 
-    fn range(&mut self, body: &Value, what: &'static str) -> Value {
-        self.count(what);
+    fn read_key(&mut self, body: &Value, kind: &'static str) -> Value {
+        self.count_call(kind);
         let key = body["key"].as_str().unwrap_or_default();
         let header = json!({ "revision": self.revision.to_string() });
         let Some((value, revision)) = self.values.get(key) else {
@@ -87,17 +88,20 @@
         json!({ "header": header, "kvs": [pair], "count": "1" })
     }
 
-    fn txn(&mut self, body: &Value) -> Answer {
-        self.count("writes");
+    fn run_transaction(&mut self, body: &Value) -> Reply {
+        self.count_call("writes");
         let compare = &body["compare"][0];
         let key = compare["key"].as_str().unwrap_or_default().to_owned();
-        let expect = compare["mod_revision"].as_str().and_then(|r| r.parse().ok()).unwrap_or(0);
-        let found = self.values.get(&key).map_or(0, |(_, revision)| *revision);
-        if found != expect {
-            self.count("conflicts");
-            let range = self.range(&json!({ "key": key }), "reads_after_conflict");
+        let expected_revision =
+            compare["mod_revision"].as_str().and_then(|r| r.parse().ok()).unwrap_or(0);
+        let current_revision = self.values.get(&key).map_or(0, |(_, revision)| *revision);
+        if current_revision != expected_revision {
+            self.count_call("conflicts");
+            let range = self.read_key(&json!({ "key": key }), "reads_after_conflict");
             let header = range["header"].clone();
-            return ok(&json!({ "header": header, "responses": [{ "response_range": range }] }));
+            return json_reply(
+                &json!({ "header": header, "responses": [{ "response_range": range }] }),
+            );
         }
         let value = body["success"][0]["request_put"]["value"].as_str().unwrap_or_default();
         self.revision += 1;
@@ -106,15 +110,17 @@
             self.faults.drop_replies -= 1;
             return None;
         }
-        ok(&json!({ "header": { "revision": self.revision.to_string() }, "succeeded": true }))
+        json_reply(
+            &json!({ "header": { "revision": self.revision.to_string() }, "succeeded": true }),
+        )
     }
 }
 
-fn administer(store: &Shared, read: &Read) -> Answer {
+fn handle_admin_request(store: &SharedStore, request: &BufferedRequest) -> Reply {
     let mut store = lock(store);
-    match (&read.method, read.path.as_str()) {
+    match (&request.method, request.path.as_str()) {
         (&Method::POST, "/faults") => {
-            let body = read.json();
+            let body = request.json();
             let flag = |name: &str| body[name].as_bool().unwrap_or(false);
             store.faults = Faults {
                 down: flag("down"),
@@ -122,9 +128,9 @@
                 drop_replies: body["drop_replies"].as_u64().unwrap_or(0),
                 delay: Duration::from_millis(body["delay_ms"].as_u64().unwrap_or(0)),
             };
-            ok(&json!({ "set": body }))
+            json_reply(&json!({ "set": body }))
         }
-        (&Method::GET, "/calls") => ok(&json!(store.calls)),
-        _ => status(StatusCode::NOT_FOUND),
+        (&Method::GET, "/calls") => json_reply(&json!(store.call_counts)),
+        _ => error_reply(StatusCode::NOT_FOUND),
     }
 }
--- a/crates/badgerfield-standin/src/lib.rs
+++ b/crates/badgerfield-standin/src/lib.rs
@@ -1,11 +1,12 @@
-//! Small stand-ins of the systems around badgerfield, for tests and trials only.
+//! Stand-ins for the systems that badgerfield depends on, for tests and experiments only.
 //!
-//! Each is a process of its own and speaks the published protocol of what it stands
-//! for: [`kv`] the key-value service, [`engine`] a model engine, [`service`] a plain
-//! service, [`vms`] the VM list. Each has an admin port that sets faults and tells what
-//! was truly done. [`load`] sends requests as callers do and compares what they got
-//! with that truth. [`fleet`] drives many nodes in one process, for proofs and for the
-//! figures of [`measure`], [`capacity`] and [`route`].
+//! Each stand-in is a separate process that speaks the published protocol of its system:
+//! [`kv`] the key-value service, [`engine`] a model engine, [`service`] a plain service,
+//! [`vms`] the VM list. Each has an admin port that sets faults; most also report there
+//! which requests they executed. [`site`] starts them together with badgerfield processes.
+//! [`load`] sends requests as callers do and compares the answers with the reports of the
+//! engines. [`fleet`] runs many nodes in one process, for tests and for the measurements of
+//! [`measure`], [`capacity`] and [`route`].
 
 pub mod capacity;
 pub mod engine;
--- a/crates/badgerfield-standin/src/load.rs
+++ b/crates/badgerfield-standin/src/load.rs
@@ -1,8 +1,9 @@
-//! Sends requests as callers do, and compares what they got with the truth.
+//! Sends requests as callers do, and compares the answers with what the engines served.
 //!
-//! Arrivals are open-loop: they come at their time, however slow the answers are. A
-//! caller asks the directory, keeps its answer for as long as it may, retries with the
-//! same key when a VM is gone or says when to come back, and gives up after a while.
+//! Arrivals are open-loop: requests are sent on schedule, however slow the answers are. A
+//! caller fetches the directory and caches it until its TTL ends. It retries with the same
+//! key if the connection fails or the refusal has a `Retry-After` header, and gives up after
+//! [`MAX_ATTEMPTS`] attempts.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -20,68 +21,71 @@
 use rand_chacha::ChaCha8Rng;
 use serde_json::{Value, json};
 
-use crate::engine::{prompt_of, words};
+use crate::engine::{answer_words, prompt_text};
 
-/// How often a caller tries one request.
-const TRIES: u32 = 4;
-/// How long one try may take.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// The first pause before a retry; it doubles.
-const PAUSE: Duration = Duration::from_millis(200);
-/// How many prompts share each prefix.
-const PREFIXES: u64 = 10;
-/// The largest time that a histogram holds, in microseconds.
+/// The maximum number of attempts for one request.
+const MAX_ATTEMPTS: u32 = 4;
+/// The timeout of one attempt.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(60);
+/// The minimum delay before the first retry; it doubles with each retry.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// The number of different shared prefixes.
+const PREFIX_COUNT: u64 = 10;
+/// The largest duration that a histogram holds, in microseconds.
 const MAX_MICROS: u64 = 120_000_000;
 
-/// What to send.
+/// The requests of one load run.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// A VM that answers for the directory.
+    /// The address of a VM that answers directory requests.
     pub directory: SocketAddr,
-    /// The caller's key.
+    /// The API key of the caller.
     pub key: String,
-    /// The model.
+    /// The model of the requests.
     pub model: String,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: u64,
-    /// For how long.
-    pub length: Duration,
-    /// The output limit of each request.
-    pub output: u64,
-    /// The share of requests that begin with a shared prefix, in hundredths.
-    pub shared: u64,
-    /// The seed of arrivals and prompts.
+    /// The time during which requests are sent.
+    pub duration: Duration,
+    /// The output limit of each request, in tokens.
+    pub output_limit: u64,
+    /// The percentage of requests that begin with a shared prefix.
+    pub shared_percent: u64,
+    /// The seed of the arrivals and prompts.
     pub seed: u64,
-    /// The admin ports of the engines, which tell the truth.
-    pub engines: Vec<SocketAddr>,
-    /// The limit of the budget, to compare with what was served.
-    pub limit: u64,
+    /// The admin addresses of the engines, which report the served tokens.
+    pub engine_admins: Vec<SocketAddr>,
+    /// The limit of the budget, which is compared with the served tokens.
+    pub budget_limit: u64,
 }
 
 #[derive(Debug, Default)]
 struct Counts {
-    whole: AtomicU64,
+    complete: AtomicU64,
     wrong: AtomicU64,
-    spent: AtomicU64,
+    budget_spent: AtomicU64,
     refused: AtomicU64,
-    lost: AtomicU64,
+    abandoned: AtomicU64,
     retries: AtomicU64,
 }
 
-struct Shared {
+struct LoadRun {
     plan: Plan,
     client: HttpClient,
-    vms: Mutex<(Vec<SocketAddr>, Instant)>,
+    directory: Mutex<(Vec<SocketAddr>, Instant)>,
     counts: Counts,
-    first: Mutex<Histogram<u64>>,
-    gaps: Mutex<Histogram<u64>>,
+    first_token_times: Mutex<Histogram<u64>>,
+    token_gaps: Mutex<Histogram<u64>>,
 }
 
-/// How one try ended.
-enum Tried {
-    Whole(String),
-    Final(u64),
-    Again(Duration),
+/// The result of one attempt.
+enum AttemptResult {
+    /// The text of a complete answer.
+    Complete(String),
+    /// The status of a refusal that must not be retried.
+    Refused(u64),
+    /// The request may be retried after at least this delay.
+    Retry(Duration),
 }
 
 /// Runs a plan and prints a report, as text or as JSON.
@@ -89,22 +93,22 @@
 /// # Errors
 ///
 /// Fails if the directory or an engine does not answer.
-pub async fn run(plan: Plan, machine: bool) -> Result<()> {
+pub async fn run(plan: Plan, as_json: bool) -> Result<()> {
     let client = http::client();
-    let vms = directory(&client, &plan).await.context("the directory does not answer")?;
-    let before = served(&client, &plan.engines).await?;
-    let shared = Arc::new(Shared {
-        vms: Mutex::new(vms),
+    let vms = fetch_directory(&client, &plan).await.context("fetch the directory")?;
+    let before = fetch_served(&client, &plan.engine_admins).await?;
+    let shared = Arc::new(LoadRun {
+        directory: Mutex::new(vms),
         counts: Counts::default(),
-        first: Mutex::new(Histogram::new_with_bounds(1, MAX_MICROS, 3)?),
-        gaps: Mutex::new(Histogram::new_with_bounds(1, MAX_MICROS, 3)?),
+        first_token_times: Mutex::new(Histogram::new_with_bounds(1, MAX_MICROS, 3)?),
+        token_gaps: Mutex::new(Histogram::new_with_bounds(1, MAX_MICROS, 3)?),
         client,
         plan,
     });
-    send_all(&shared).await;
-    let after = served(&shared.client, &shared.plan.engines).await?;
-    let report = report(&shared, after.saturating_sub(before), after);
-    if machine {
+    send_requests(&shared).await;
+    let after = fetch_served(&shared.client, &shared.plan.engine_admins).await?;
+    let report = build_report(&shared, after.saturating_sub(before), after);
+    if as_json {
         println!("{report}");
         return Ok(());
     }
@@ -114,112 +118,124 @@
     Ok(())
 }
 
-async fn send_all(shared: &Arc<Shared>) {
+async fn send_requests(shared: &Arc<LoadRun>) {
     let mut rng = ChaCha8Rng::seed_from_u64(shared.plan.seed);
     let start = Instant::now();
     let mut at = Duration::ZERO;
-    let mut open = tokio::task::JoinSet::new();
+    let mut open_requests = tokio::task::JoinSet::new();
     let mut number = 0_u64;
-    while at < shared.plan.length {
+    while at < shared.plan.duration {
         let unit: f64 = rng.random_range(1e-9..1.0);
         let rate = f64::from(u32::try_from(shared.plan.rate.max(1)).unwrap_or(u32::MAX));
         at += Duration::from_secs_f64(-unit.ln() / rate);
-        let prompt = prompt(shared.plan.shared, number, &mut rng);
+        let prompt = random_prompt(shared.plan.shared_percent, number, &mut rng);
         let seed = rng.random();
         tokio::time::sleep_until((start + at).into()).await;
         let shared = Arc::clone(shared);
         let key = format!("load-{}-{number}", shared.plan.seed);
-        open.spawn(async move { shared.caller(&key, &prompt, seed).await });
+        open_requests.spawn(async move { shared.send_request(&key, &prompt, seed).await });
         number += 1;
     }
-    while open.join_next().await.is_some() {}
+    while open_requests.join_next().await.is_some() {}
 }
 
-fn prompt(shared: u64, number: u64, rng: &mut ChaCha8Rng) -> String {
-    let own = format!("question {number}: {}", "why ".repeat(rng.random_range(1..40)));
-    if rng.random_range(0..100) >= shared {
-        return own;
+fn random_prompt(shared_percent: u64, number: u64, rng: &mut ChaCha8Rng) -> String {
+    let unshared = format!("question {number}: {}", "why ".repeat(rng.random_range(1..40)));
+    if rng.random_range(0..100) >= shared_percent {
+        return unshared;
     }
-    let prefix = format!("deed {} ", rng.random_range(0..PREFIXES)).repeat(200);
-    format!("{prefix}{own}")
+    let prefix = format!("deed {} ", rng.random_range(0..PREFIX_COUNT)).repeat(200);
+    format!("{prefix}{unshared}")
 }
 
-impl Shared {
-    async fn caller(&self, key: &str, prompt: &str, seed: u64) {
+impl LoadRun {
+    async fn send_request(&self, key: &str, prompt: &str, seed: u64) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let start = Instant::now();
-        for attempt in 0..TRIES {
-            let vm = self.vm(&mut rng).await;
-            match self.attempt(vm, key, prompt, start).await {
-                Tried::Whole(text) => {
+        for attempt in 0..MAX_ATTEMPTS {
+            let vm = self.choose_vm(&mut rng).await;
+            match self.send_attempt(vm, key, prompt, start).await {
+                AttemptResult::Complete(text) => {
                     let body = json!({ "messages": [{ "content": prompt }] });
-                    let expected = words(&prompt_of(&body), self.plan.output).concat();
+                    let expected =
+                        answer_words(&prompt_text(&body), self.plan.output_limit).concat();
                     let count =
-                        if text == expected { &self.counts.whole } else { &self.counts.wrong };
+                        if text == expected { &self.counts.complete } else { &self.counts.wrong };
                     count.fetch_add(1, Ordering::Relaxed);
                     return;
                 }
-                Tried::Final(status) => {
-                    let count =
-                        if status == 402 { &self.counts.spent } else { &self.counts.refused };
+                AttemptResult::Refused(status) => {
+                    let count = if status == 402 {
+                        &self.counts.budget_spent
+                    } else {
+                        &self.counts.refused
+                    };
                     count.fetch_add(1, Ordering::Relaxed);
                     return;
                 }
-                Tried::Again(after) => {
+                AttemptResult::Retry(retry_after) => {
                     self.counts.retries.fetch_add(1, Ordering::Relaxed);
-                    let pause = after.max(PAUSE.saturating_mul(1 << attempt));
+                    let delay = retry_after.max(MIN_RETRY_DELAY.saturating_mul(1 << attempt));
                     let jitter = Duration::from_millis(rng.random_range(0..100));
-                    tokio::time::sleep(pause + jitter).await;
+                    tokio::time::sleep(delay + jitter).await;
                 }
             }
         }
-        self.counts.lost.fetch_add(1, Ordering::Relaxed);
+        self.counts.abandoned.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Returns a VM that the directory names.
-    async fn vm(&self, rng: &mut ChaCha8Rng) -> SocketAddr {
-        let (mut vms, until) = lock(&self.vms).clone();
-        if Instant::now() >= until
-            && let Some(fresh) = directory(&self.client, &self.plan).await
+    /// Returns a random VM of the directory, which is fetched again once its TTL has ended.
+    async fn choose_vm(&self, rng: &mut ChaCha8Rng) -> SocketAddr {
+        let (mut vms, expires_at) = lock(&self.directory).clone();
+        if Instant::now() >= expires_at
+            && let Some(fetched) = fetch_directory(&self.client, &self.plan).await
         {
-            vms.clone_from(&fresh.0);
-            *lock(&self.vms) = fresh;
+            vms.clone_from(&fetched.0);
+            *lock(&self.directory) = fetched;
         }
         vms.get(rng.random_range(0..vms.len().max(1))).copied().unwrap_or(self.plan.directory)
     }
 
-    async fn attempt(&self, vm: SocketAddr, key: &str, prompt: &str, start: Instant) -> Tried {
+    async fn send_attempt(
+        &self,
+        vm: SocketAddr,
+        key: &str,
+        prompt: &str,
+        start: Instant,
+    ) -> AttemptResult {
         let body = json!({
             "model": self.plan.model,
             "stream": true,
-            "max_tokens": self.plan.output,
+            "max_tokens": self.plan.output_limit,
             "messages": [{ "role": "user", "content": prompt }],
         });
         let request = Request::post(format!("http://{vm}/v1/chat/completions"))
             .header("authorization", format!("Bearer {}", self.plan.key))
             .header("idempotency-key", key)
             .body(Full::new(Bytes::from(body.to_string())));
-        let again = Tried::Again(Duration::ZERO);
+        let retry = AttemptResult::Retry(Duration::ZERO);
         let Ok(request) = request else {
-            return again;
+            return retry;
         };
-        let work = async {
+        let attempt = async {
             let response = self.client.request(request).await.ok()?;
             let status = response.status().as_u16();
-            let wait = response.headers().get("retry-after").and_then(|v| v.to_str().ok());
-            let wait = wait.and_then(|v| v.parse().ok()).map(Duration::from_secs);
+            let retry_after = response.headers().get("retry-after").and_then(|v| v.to_str().ok());
+            let retry_after = retry_after.and_then(|v| v.parse().ok()).map(Duration::from_secs);
             if status != 200 {
-                return Some(wait.map_or(Tried::Final(status.into()), Tried::Again));
+                return Some(
+                    retry_after.map_or(AttemptResult::Refused(status.into()), AttemptResult::Retry),
+                );
             }
-            self.read(response.into_body(), start).await.map(Tried::Whole)
+            self.read_stream(response.into_body(), start).await.map(AttemptResult::Complete)
         };
-        tokio::time::timeout(PATIENCE, work).await.ok().flatten().unwrap_or(again)
+        tokio::time::timeout(ATTEMPT_TIMEOUT, attempt).await.ok().flatten().unwrap_or(retry)
     }
 
-    /// Reads a stream; returns its text if it is whole.
-    async fn read(&self, mut body: hyper::body::Incoming, start: Instant) -> Option<String> {
+    /// Reads a stream and records its timing; returns the text if the stream is complete.
+    async fn read_stream(&self, mut body: hyper::body::Incoming, start: Instant) -> Option<String> {
         let (mut text, mut buffer) = (String::new(), Vec::new());
-        let mut last: Option<Instant> = None;
+        let mut last_event_at: Option<Instant> = None;
         while let Some(frame) = body.frame().await {
             let Ok(data) = frame.ok()?.into_data() else {
                 continue;
@@ -232,9 +248,9 @@
                     return Some(text);
                 }
                 let now = Instant::now();
-                match last.replace(now) {
-                    None => record(&self.first, now - start),
-                    Some(before) => record(&self.gaps, now - before),
+                match last_event_at.replace(now) {
+                    None => record(&self.first_token_times, now - start),
+                    Some(previous) => record(&self.token_gaps, now - previous),
                 }
                 let event: Value = serde_json::from_slice(event).ok()?;
                 text.push_str(event["choices"][0]["delta"]["content"].as_str().unwrap_or_default());
@@ -244,7 +260,7 @@
     }
 }
 
-async fn directory(client: &HttpClient, plan: &Plan) -> Option<(Vec<SocketAddr>, Instant)> {
+async fn fetch_directory(client: &HttpClient, plan: &Plan) -> Option<(Vec<SocketAddr>, Instant)> {
     let request = Request::get(format!("http://{}/v1/vms", plan.directory))
         .header("authorization", format!("Bearer {}", plan.key))
         .body(Full::default())
@@ -256,8 +272,8 @@
     Some((vms, Instant::now() + ttl))
 }
 
-/// Returns the tokens that the engines have truly served.
-async fn served(client: &HttpClient, engines: &[SocketAddr]) -> Result<u64> {
+/// Returns the sum of the prompt and output tokens that the engines have served.
+async fn fetch_served(client: &HttpClient, engines: &[SocketAddr]) -> Result<u64> {
     let mut sum = 0;
     for admin in engines {
         let request = Request::get(format!("http://{admin}/truth")).body(Full::default())?;
@@ -269,26 +285,26 @@
     Ok(sum)
 }
 
-fn report(shared: &Shared, served: u64, total: u64) -> Value {
+fn build_report(shared: &LoadRun, served: u64, total: u64) -> Value {
     let counts = &shared.counts;
-    let get = |count: &AtomicU64| count.load(Ordering::Relaxed);
-    let limit = shared.plan.limit;
-    let (first, gaps) = (lock(&shared.first), lock(&shared.gaps));
-    let millis = |h: &Histogram<u64>, q: f64| {
-        f64::from(u32::try_from(h.value_at_quantile(q)).unwrap_or(0)) / 1000.0
+    let load = |count: &AtomicU64| count.load(Ordering::Relaxed);
+    let limit = shared.plan.budget_limit;
+    let (first, gaps) = (lock(&shared.first_token_times), lock(&shared.token_gaps));
+    let millis = |histogram: &Histogram<u64>, quantile: f64| {
+        f64::from(u32::try_from(histogram.value_at_quantile(quantile)).unwrap_or(0)) / 1000.0
     };
-    // What was refused for want of budget is false as far as the engines served less.
-    let left = limit.saturating_sub(total);
+    // If this is not zero, refusals for a spent budget were false.
+    let unserved = limit.saturating_sub(total);
     json!({
-        "whole answers": get(&counts.whole),
-        "wrong answers": get(&counts.wrong),
-        "refused, budget spent": get(&counts.spent),
-        "refused otherwise": get(&counts.refused),
-        "given up after retries": get(&counts.lost),
-        "retries": get(&counts.retries),
+        "whole answers": load(&counts.complete),
+        "wrong answers": load(&counts.wrong),
+        "refused, budget spent": load(&counts.budget_spent),
+        "refused otherwise": load(&counts.refused),
+        "given up after retries": load(&counts.abandoned),
+        "retries": load(&counts.retries),
         "tokens served": served,
         "overspend": total.saturating_sub(limit),
-        "budget not served": left,
+        "budget not served": unserved,
         "first token ms p50": millis(&first, 0.5),
         "first token ms p95": millis(&first, 0.95),
         "first token ms p99": millis(&first, 0.99),
@@ -298,8 +314,8 @@
     })
 }
 
-fn record(histogram: &Mutex<Histogram<u64>>, span: Duration) {
-    let micros = u64::try_from(span.as_micros()).unwrap_or(MAX_MICROS).clamp(1, MAX_MICROS);
-    // A value within the bounds can always be recorded.
+fn record(histogram: &Mutex<Histogram<u64>>, duration: Duration) {
+    let micros = u64::try_from(duration.as_micros()).unwrap_or(MAX_MICROS).clamp(1, MAX_MICROS);
+    // Recording fails only for values out of the bounds, and the value is clamped to them.
     let _ = lock(histogram).record(micros);
 }
--- a/crates/badgerfield-standin/src/main.rs
+++ b/crates/badgerfield-standin/src/main.rs
@@ -9,46 +9,46 @@
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
 fn command() -> Command {
-    let listen = || address("listen", "Where the stand-in listens");
-    let admin = || address("admin", "Where its admin port listens");
-    let part = |name: &'static str, about: &'static str| {
+    let listen = || address("listen", "The address that the stand-in listens on");
+    let admin = || address("admin", "The address of its admin port");
+    let standin = |name: &'static str, about: &'static str| {
         Command::new(name).about(about).arg(listen()).arg(admin())
     };
     Command::new("badgerfield-standin")
-        .about("Small stand-ins of the systems around badgerfield, for tests and trials only")
+        .about("Stand-ins for the systems that badgerfield depends on, for tests and experiments only")
         .subcommand_required(true)
-        .subcommand(part("kv", "The key-value service"))
+        .subcommand(standin("kv", "The key-value service"))
         .subcommand(
-            part("engine", "A model engine")
-                .arg(number("prefill", "20000", "Prompt tokens read in a second"))
-                .arg(number("decode", "50", "Output tokens of each stream in a second"))
-                .arg(number("slots", "32", "Streams that run at once"))
-                .arg(number("cache", "4000", "Prefix digests that the cache holds")),
+            standin("engine", "A model engine")
+                .arg(number("prefill", "20000", "Prompt tokens read per second"))
+                .arg(number("decode", "50", "Output tokens of each stream per second"))
+                .arg(number("slots", "32", "The maximum number of concurrent streams"))
+                .arg(number("cache", "4000", "The number of prefix digests that the cache holds")),
         )
-        .subcommand(part("service", "A plain service"))
+        .subcommand(standin("service", "A plain service"))
         .subcommand(
             Command::new("measure")
                 .about("Measures overspend and false refusals against naive baselines")
-                .arg(number("seed", "1", "The seed of arrivals and delays")),
+                .arg(number("seed", "1", "The seed of the arrivals and delays")),
         )
         .subcommand(load_command())
-        .subcommand(Command::new("route").about("Compares ways to choose an upstream").arg(number(
+        .subcommand(Command::new("route").about("Compares policies for choosing an upstream").arg(number(
             "seed",
             "1",
-            "The seed of arrivals",
+            "The seed of the arrivals",
         )))
         .subcommand(
             Command::new("capacity")
-                .about("Measures the slopes of state, messages, calls and time")
-                .arg(number("seed", "1", "The seed of arrivals and delays")),
+                .about("Measures how state, messages, calls and CPU time grow with the size of the fleet")
+                .arg(number("seed", "1", "The seed of the arrivals and delays")),
         )
         .subcommand(
-            part("vms", "The VM list").arg(
+            standin("vms", "The VM list").arg(
                 Arg::new("file")
                     .long("file")
                     .required(true)
                     .value_parser(value_parser!(PathBuf))
-                    .help("The first list, as JSON"),
+                    .help("A JSON file with the initial list"),
             ),
         )
 }
@@ -56,20 +56,22 @@
 fn load_command() -> Command {
     let text = |name: &'static str| Arg::new(name).long(name);
     Command::new("load")
-        .about("Sends requests as callers do, and compares the answers with the truth")
-        .arg(address("directory", "A VM that answers for the directory"))
-        .arg(text("key").required(true).help("The caller's key"))
-        .arg(text("model").default_value("land-7b").help("The model"))
+        .about(
+            "Sends requests as callers do, and compares the answers with what the engines served",
+        )
+        .arg(address("directory", "The address of a VM that answers directory requests"))
+        .arg(text("key").required(true).help("The API key of the caller"))
+        .arg(text("model").default_value("land-7b").help("The model of the requests"))
         .arg(
-            address("engine", "The admin port of an engine; once for each")
+            address("engine", "The admin address of an engine; repeat it for each engine")
                 .action(ArgAction::Append),
         )
-        .arg(number("limit", "0", "The limit of the budget"))
-        .arg(number("rate", "20", "Requests a second"))
-        .arg(number("seconds", "10", "For how long"))
-        .arg(number("output", "60", "The output limit of each request"))
-        .arg(number("shared", "50", "The share of requests with a shared prefix"))
-        .arg(number("seed", "1", "The seed of arrivals and prompts"))
+        .arg(number("limit", "0", "The limit of the budget in tokens"))
+        .arg(number("rate", "20", "Requests per second"))
+        .arg(number("seconds", "10", "The duration in seconds"))
+        .arg(number("output", "60", "The output limit of each request in tokens"))
+        .arg(number("shared", "50", "The percentage of requests with a shared prefix"))
+        .arg(number("seed", "1", "The seed of the arrivals and prompts"))
         .arg(text("json").action(ArgAction::SetTrue).help("Print the report as JSON"))
 }
 
@@ -77,16 +79,16 @@
     Arg::new(name).long(name).required(true).value_parser(value_parser!(SocketAddr)).help(help)
 }
 
-fn number(name: &'static str, other: &'static str, help: &'static str) -> Arg {
-    Arg::new(name).long(name).default_value(other).value_parser(value_parser!(u64)).help(help)
+fn number(name: &'static str, default: &'static str, help: &'static str) -> Arg {
+    Arg::new(name).long(name).default_value(default).value_parser(value_parser!(u64)).help(help)
 }
 
 #[tokio::main]
 async fn main() -> Result<()> {
     let matches = command().get_matches();
     let (name, args) = matches.subcommand().context("expected a subcommand")?;
-    let measures = ["measure", "capacity", "route"].contains(&name);
-    if let Some(seed) = args.try_get_one("seed").ok().flatten().filter(|_| measures) {
+    let is_measurement = ["measure", "capacity", "route"].contains(&name);
+    if let Some(seed) = args.try_get_one("seed").ok().flatten().filter(|_| is_measurement) {
         match name {
             "measure" => measure::print(*seed),
             "capacity" => capacity::print(*seed),
@@ -95,21 +97,21 @@
         return Ok(());
     }
     if name == "load" {
-        return load::run(plan(args)?, args.get_flag("json")).await;
+        return load::run(load_plan(args)?, args.get_flag("json")).await;
     }
     let listen = *args.get_one("listen").context("expected --listen")?;
     let admin = *args.get_one("admin").context("expected --admin")?;
     match name {
         "kv" => kv::run(listen, admin).await?,
-        "engine" => engine::run(listen, admin, speed(args)?).await?,
+        "engine" => engine::run(listen, admin, engine_speed(args)?).await?,
         "service" => service::run(listen, admin).await?,
-        _ => vms::run(listen, admin, list(args)?).await?,
+        _ => vms::run(listen, admin, read_list(args)?).await?,
     }
     tokio::signal::ctrl_c().await?;
     Ok(())
 }
 
-fn plan(args: &ArgMatches) -> Result<load::Plan> {
+fn load_plan(args: &ArgMatches) -> Result<load::Plan> {
     let get = |name: &str| args.get_one::<u64>(name).copied().context("expected a number");
     let text = |name: &str| args.get_one::<String>(name).cloned().context("expected a text");
     Ok(load::Plan {
@@ -117,16 +119,16 @@
         key: text("key")?,
         model: text("model")?,
         rate: get("rate")?,
-        length: Duration::from_secs(get("seconds")?),
-        output: get("output")?,
-        shared: get("shared")?,
+        duration: Duration::from_secs(get("seconds")?),
+        output_limit: get("output")?,
+        shared_percent: get("shared")?,
         seed: get("seed")?,
-        engines: args.get_many("engine").into_iter().flatten().copied().collect(),
-        limit: get("limit")?,
+        engine_admins: args.get_many("engine").into_iter().flatten().copied().collect(),
+        budget_limit: get("limit")?,
     })
 }
 
-fn speed(args: &ArgMatches) -> Result<engine::Speed> {
+fn engine_speed(args: &ArgMatches) -> Result<engine::Speed> {
     let get = |name: &str| args.get_one::<u64>(name).copied().context("expected a number");
     Ok(engine::Speed {
         prefill: get("prefill")?,
@@ -136,7 +138,7 @@
     })
 }
 
-fn list(args: &ArgMatches) -> Result<serde_json::Value> {
+fn read_list(args: &ArgMatches) -> Result<serde_json::Value> {
     let path: &PathBuf = args.get_one("file").context("expected --file")?;
     let text = std::fs::read_to_string(path).with_context(|| path.display().to_string())?;
     Ok(serde_json::from_str(&text)?)
--- a/crates/badgerfield-standin/src/vms.rs
+++ b/crates/badgerfield-standin/src/vms.rs
@@ -1,4 +1,4 @@
-//! Stands in for the platform's VM list.
+//! Stand-in for the VM list of the platform.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -8,35 +8,36 @@
 use hyper::{Method, StatusCode};
 use serde_json::{Value, json};
 
-use crate::server::{Answer, Read, ok, serve, status};
+use crate::server::{BufferedRequest, Reply, error_reply, json_reply, serve};
 
-/// Runs the stand-in with a first list until the process ends.
+/// Starts the stand-in with an initial list, and its admin port; both serve until the
+/// process ends.
 ///
 /// # Errors
 ///
-/// Fails if an address is taken.
-pub async fn run(address: SocketAddr, admin: SocketAddr, first: Value) -> Result<()> {
-    let list = Arc::new(Mutex::new(json!({ "version": 1, "vms": first })));
-    let other = Arc::clone(&list);
+/// Fails if a listener cannot be bound to its address.
+pub async fn run(address: SocketAddr, admin: SocketAddr, initial: Value) -> Result<()> {
+    let list = Arc::new(Mutex::new(json!({ "version": 1, "vms": initial })));
+    let admin_list = Arc::clone(&list);
     serve(address, move |_| {
-        let answer = ok(&lock(&list));
-        async move { answer }
+        let reply = json_reply(&lock(&list));
+        async move { reply }
     })
     .await?;
-    serve(admin, move |read| {
-        let answer = administer(&other, &read);
-        async move { answer }
+    serve(admin, move |request| {
+        let reply = handle_admin_request(&admin_list, &request);
+        async move { reply }
     })
     .await
 }
 
-/// Replaces the list with `PUT /vms`, a list of entries; its version goes up by one.
-fn administer(list: &Mutex<Value>, read: &Read) -> Answer {
-    if read.method != Method::PUT || read.path != "/vms" {
-        return status(StatusCode::NOT_FOUND);
+/// Replaces the list by the entries in the body of `PUT /vms`, and increments its version.
+fn handle_admin_request(list: &Mutex<Value>, request: &BufferedRequest) -> Reply {
+    if request.method != Method::PUT || request.path != "/vms" {
+        return error_reply(StatusCode::NOT_FOUND);
     }
     let mut list = lock(list);
     let version = list["version"].as_u64().unwrap_or(0) + 1;
-    *list = json!({ "version": version, "vms": read.json() });
-    ok(&list)
+    *list = json!({ "version": version, "vms": request.json() });
+    json_reply(&list)
 }
