--- a/crates/badgerfield-standin/src/load.rs
+++ b/crates/badgerfield-standin/src/load.rs
@@ -2,8 +2,8 @@
 //!
 //! Arrivals are open-loop: requests are sent on schedule, however slow the answers are. A
 //! caller fetches the directory and caches it until its TTL ends. It retries with the same
-//! key if the connection fails or the refusal has a `Retry-After` header, and gives up after
-//! [`MAX_ATTEMPTS`] attempts.
+//! key if the connection fails, the answer is incomplete or the refusal has a `Retry-After`
+//! header, and gives up after [`MAX_ATTEMPTS`] attempts.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -97,7 +97,7 @@
     let client = http::client();
     let vms = fetch_directory(&client, &plan).await.context("fetch the directory")?;
     let before = fetch_served(&client, &plan.engine_admins).await?;
-    let shared = Arc::new(LoadRun {
+    let run = Arc::new(LoadRun {
         directory: Mutex::new(vms),
         counts: Counts::default(),
         first_token_times: Mutex::new(Histogram::new_with_bounds(1, MAX_MICROS, 3)?),
@@ -105,9 +105,9 @@
         client,
         plan,
     });
-    send_requests(&shared).await;
-    let after = fetch_served(&shared.client, &shared.plan.engine_admins).await?;
-    let report = build_report(&shared, after.saturating_sub(before), after);
+    send_requests(&run).await;
+    let after = fetch_served(&run.client, &run.plan.engine_admins).await?;
+    let report = build_report(&run, after.saturating_sub(before), after);
     if as_json {
         println!("{report}");
         return Ok(());
@@ -118,22 +118,22 @@
     Ok(())
 }
 
-async fn send_requests(shared: &Arc<LoadRun>) {
-    let mut rng = ChaCha8Rng::seed_from_u64(shared.plan.seed);
+async fn send_requests(run: &Arc<LoadRun>) {
+    let mut rng = ChaCha8Rng::seed_from_u64(run.plan.seed);
     let start = Instant::now();
     let mut at = Duration::ZERO;
     let mut open_requests = tokio::task::JoinSet::new();
     let mut number = 0_u64;
-    while at < shared.plan.duration {
+    while at < run.plan.duration {
         let unit: f64 = rng.random_range(1e-9..1.0);
-        let rate = f64::from(u32::try_from(shared.plan.rate.max(1)).unwrap_or(u32::MAX));
+        let rate = f64::from(u32::try_from(run.plan.rate.max(1)).unwrap_or(u32::MAX));
         at += Duration::from_secs_f64(-unit.ln() / rate);
-        let prompt = random_prompt(shared.plan.shared_percent, number, &mut rng);
+        let prompt = random_prompt(run.plan.shared_percent, number, &mut rng);
         let seed = rng.random();
         tokio::time::sleep_until((start + at).into()).await;
-        let shared = Arc::clone(shared);
-        let key = format!("load-{}-{number}", shared.plan.seed);
-        open_requests.spawn(async move { shared.send_request(&key, &prompt, seed).await });
+        let run = Arc::clone(run);
+        let key = format!("load-{}-{number}", run.plan.seed);
+        open_requests.spawn(async move { run.send_request(&key, &prompt, seed).await });
         number += 1;
     }
     while open_requests.join_next().await.is_some() {}
@@ -285,15 +285,15 @@
     Ok(sum)
 }
 
-fn build_report(shared: &LoadRun, served: u64, total: u64) -> Value {
-    let counts = &shared.counts;
+fn build_report(run: &LoadRun, served: u64, total: u64) -> Value {
+    let counts = &run.counts;
     let load = |count: &AtomicU64| count.load(Ordering::Relaxed);
-    let limit = shared.plan.budget_limit;
-    let (first, gaps) = (lock(&shared.first_token_times), lock(&shared.token_gaps));
+    let limit = run.plan.budget_limit;
+    let (first, gaps) = (lock(&run.first_token_times), lock(&run.token_gaps));
     let millis = |histogram: &Histogram<u64>, quantile: f64| {
         f64::from(u32::try_from(histogram.value_at_quantile(quantile)).unwrap_or(0)) / 1000.0
     };
-    // If this is not zero, refusals for a spent budget were false.
+    // Refusals for a spent budget are false up to the tokens that the engines did not serve.
     let unserved = limit.saturating_sub(total);
     json!({
         "whole answers": load(&counts.complete),
--- a/crates/badgerfield-standin/src/site.rs
+++ b/crates/badgerfield-standin/src/site.rs
@@ -1,4 +1,4 @@
-//! A small site of real processes on loopback, for tests that kill and freeze them.
+//! A small site of real processes on loopback, for tests that kill and freeze processes.
 
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::path::{Path, PathBuf};
@@ -14,42 +14,42 @@
 use hyper::{Method, Request};
 use serde_json::{Value, json};
 
-/// The secret with which callers of the site draw on its budget.
-pub const KEY: &str = "site-key";
-/// The name of the site's budget.
-pub const BUDGET: &str = "parcelview/accra";
-/// The secret that the site's processes share.
-const FLEET: &str = "6f3d1c0f8a5b4e7d9c2a1b0e6f5d4c3b2a1908f7e6d5c4b3a29180f7e6d5c4b3";
+/// The API key of callers, which draws on the budget of the site.
+pub const CALLER_KEY: &str = "site-key";
+/// The name of the budget of the site.
+pub const BUDGET_NAME: &str = "parcelview/accra";
+/// The secret that the VM processes of the site share.
+const FLEET_SECRET: &str = "6f3d1c0f8a5b4e7d9c2a1b0e6f5d4c3b2a1908f7e6d5c4b3a29180f7e6d5c4b3";
 /// The first port that sites use.
 const FIRST_PORT: u16 = 22_000;
-/// How many ports sites use.
-const PORTS: u16 = 8_000;
-/// How long an answer may take.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// How long a condition is waited for.
-const WAIT: Duration = Duration::from_mins(1);
-/// The lines of a log that say the same every few seconds.
-const PERIODIC: [&str; 2] = ["node: messages ", "platform: calls "];
-/// How long to wait between two looks.
-const LOOK: Duration = Duration::from_millis(100);
-
-/// What a caller got.
+/// The number of ports that sites use.
+const PORT_COUNT: u16 = 8_000;
+/// The timeout of a request, with its whole answer.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
+/// The timeout of [`Site::wait`].
+const CONDITION_TIMEOUT: Duration = Duration::from_mins(1);
+/// Texts of log lines that are written every few seconds, and left out of printed logs.
+const PERIODIC_TEXTS: [&str; 2] = ["node: messages ", "platform: calls "];
+/// The interval at which [`Site::wait`] checks its condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+
+/// The answer to a request.
 #[derive(Debug, Clone)]
 pub struct Got {
-    /// The HTTP status; 0 if no answer came.
+    /// The HTTP status; 0 if no complete answer was received.
     pub status: u16,
-    /// The body.
+    /// The whole body.
     pub body: String,
 }
 
 impl Got {
-    /// Returns the body as JSON; null if it is none.
+    /// Returns the body as JSON; null if it is not valid JSON.
     #[must_use]
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or_default()
     }
 
-    /// Returns the text of a streamed answer, if it is whole.
+    /// Returns the text of a streamed answer, if it is complete.
     #[must_use]
     pub fn streamed(&self) -> Option<String> {
         let mut text = String::new();
@@ -64,55 +64,58 @@
     }
 }
 
-/// One VM process.
+/// One VM and its process, if it was started.
 #[derive(Debug)]
 struct Vm {
-    settings: PathBuf,
-    callers: SocketAddr,
-    operators: SocketAddr,
-    child: Option<Child>,
+    settings_path: PathBuf,
+    caller_address: SocketAddr,
+    operator_address: SocketAddr,
+    process: Option<Child>,
 }
 
 /// A running site.
 #[derive(Debug)]
 pub struct Site {
-    /// The admin port of the key-value service.
+    /// The admin address of the key-value service.
     pub kv_admin: SocketAddr,
-    /// The admin port of the plain service.
+    /// The admin address of the plain service.
     pub service_admin: SocketAddr,
-    /// The admin ports of the engines.
+    /// The admin addresses of the engines.
     pub engine_admins: Vec<SocketAddr>,
     folder: PathBuf,
-    programs: PathBuf,
+    program_folder: PathBuf,
     client: HttpClient,
-    kv: SocketAddr,
-    list: SocketAddr,
+    kv_address: SocketAddr,
+    list_address: SocketAddr,
     vms: Vec<Vm>,
-    others: Vec<Child>,
+    standins: Vec<Child>,
 }
 
 impl Site {
-    /// Starts a site with a number of VMs and a budget, and waits until it is ready.
+    /// Starts a site with `vms` VMs, 2 engines and a budget of `limit` tokens, and waits until
+    /// every VM is ready.
+    ///
+    /// The engines produce `decode` tokens per second for each stream.
     ///
     /// # Errors
     ///
     /// Fails if a process does not start or does not become ready.
-    pub async fn start(programs: &Path, vms: usize, limit: u64, decode: u64) -> Result<Self> {
-        Self::start_with_engines(programs, (vms, 2), limit, decode).await
+    pub async fn start(program_folder: &Path, vms: usize, limit: u64, decode: u64) -> Result<Self> {
+        Self::start_with_engines(program_folder, (vms, 2), limit, decode).await
     }
 
-    /// Does the same with a number of VMs and one of engines.
+    /// Does the same as [`Site::start`] with a given number of VMs and of engines.
     ///
     /// # Errors
     ///
     /// Fails if a process does not start or does not become ready.
     pub async fn start_with_engines(
-        programs: &Path,
+        program_folder: &Path,
         (vms, engines): (usize, usize),
         limit: u64,
         decode: u64,
     ) -> Result<Self> {
-        // A folder of its own: what an earlier run has left would count as this one's.
+        // The folder is new for each site: `bills` would count log lines of an earlier run.
         let name = format!("badgerfield-{}-{}", std::process::id(), free_address()?.port());
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&folder)?;
@@ -121,15 +124,15 @@
             service_admin: free_address()?,
             engine_admins: (0..engines).map(|_| free_address()).collect::<Result<_>>()?,
             folder,
-            programs: programs.to_owned(),
+            program_folder: program_folder.to_owned(),
             client: http::client(),
-            kv: free_address()?,
-            list: free_address()?,
+            kv_address: free_address()?,
+            list_address: free_address()?,
             vms: Vec::new(),
-            others: Vec::new(),
+            standins: Vec::new(),
         };
-        site.start_others(vms, decode)?;
-        site.wait("the VM list", async |s| s.get(s.list, "/").await.status == 200).await?;
+        site.start_standins(vms, decode)?;
+        site.wait("the VM list", async |s| s.get(s.list_address, "/").await.status == 200).await?;
         site.wait("the key-value service", async |s| {
             s.get(s.kv_admin, "/calls").await.status == 200
         })
@@ -137,28 +140,28 @@
         for admin in site.engine_admins.clone().into_iter().chain([site.service_admin]) {
             site.wait("an upstream", async |s| s.get(admin, "/truth").await.status == 200).await?;
         }
-        for number in 0..vms {
-            site.add_vm(number)?;
-            site.start_vm(number)?;
+        for index in 0..vms {
+            site.add_vm(index)?;
+            site.start_vm(index)?;
         }
         site.apply(limit)?;
-        for number in 0..vms {
-            site.wait("a VM", async |s| s.is_ready(number).await).await?;
+        for index in 0..vms {
+            site.wait("a VM", async |s| s.is_ready(index).await).await?;
         }
         Ok(site)
     }
 
-    /// Starts the process of a VM.
+    /// Starts the process of a VM; its output is appended to the log of the VM.
     ///
     /// # Errors
     ///
     /// Fails if the program cannot be run.
-    pub fn start_vm(&mut self, number: usize) -> Result<()> {
-        let log = self.folder.join(format!("vm-{number}.log"));
+    pub fn start_vm(&mut self, index: usize) -> Result<()> {
+        let log = self.folder.join(format!("vm-{index}.log"));
         let log = std::fs::OpenOptions::new().create(true).append(true).open(log)?;
-        let mut command = Command::new(self.programs.join("badgerfield"));
-        command.arg("run").arg("--settings").arg(&self.vms[number].settings);
-        self.vms[number].child = Some(command.stdout(log.try_clone()?).stderr(log).spawn()?);
+        let mut command = Command::new(self.program_folder.join("badgerfield"));
+        command.arg("run").arg("--settings").arg(&self.vms[index].settings_path);
+        self.vms[index].process = Some(command.stdout(log.try_clone()?).stderr(log).spawn()?);
         Ok(())
     }
 
@@ -166,75 +169,78 @@
     ///
     /// # Errors
     ///
-    /// Fails if there is no such process.
-    pub fn signal(&mut self, number: usize, name: &str) -> Result<()> {
-        let child = self.vms[number].child.as_mut().context("the VM runs")?;
-        let done =
-            Command::new("kill").arg(format!("-{name}")).arg(child.id().to_string()).status()?;
-        if !done.success() {
-            bail!("kill -{name} failed");
+    /// Fails if the VM was not started or `kill` fails.
+    pub fn signal(&mut self, index: usize, signal: &str) -> Result<()> {
+        let process = self.vms[index].process.as_mut().context("the VM was not started")?;
+        let status = Command::new("kill")
+            .arg(format!("-{signal}"))
+            .arg(process.id().to_string())
+            .status()?;
+        if !status.success() {
+            bail!("kill -{signal} failed");
         }
-        if name == "KILL" {
-            child.wait()?;
+        if signal == "KILL" {
+            process.wait()?;
         }
         Ok(())
     }
 
-    /// Returns the process number of a VM; 0 if it does not run.
+    /// Returns the process id of a VM; 0 if it was not started.
     #[must_use]
-    pub fn pid(&self, number: usize) -> u32 {
-        self.vms[number].child.as_ref().map_or(0, Child::id)
+    pub fn pid(&self, index: usize) -> u32 {
+        self.vms[index].process.as_ref().map_or(0, Child::id)
     }
 
-    /// Tells whether the process of a VM has ended.
+    /// Returns whether the process of a VM has ended.
     ///
     /// # Errors
     ///
-    /// Fails if the process cannot be looked at.
-    pub fn has_ended(&mut self, number: usize) -> Result<bool> {
-        let child = self.vms[number].child.as_mut().context("the VM was started")?;
-        Ok(child.try_wait()?.is_some())
+    /// Fails if the VM was not started or the state of its process cannot be read.
+    pub fn has_ended(&mut self, index: usize) -> Result<bool> {
+        let process = self.vms[index].process.as_mut().context("the VM was not started")?;
+        Ok(process.try_wait()?.is_some())
     }
 
-    /// Tells whether a VM is ready for callers.
-    pub async fn is_ready(&self, number: usize) -> bool {
-        self.get(self.vms[number].operators, "/readyz").await.status == 200
+    /// Returns whether a VM is ready to serve callers.
+    pub async fn is_ready(&self, index: usize) -> bool {
+        self.get(self.vms[index].operator_address, "/readyz").await.status == 200
     }
 
-    /// Returns the state of a VM.
-    pub async fn status(&self, number: usize) -> Value {
-        self.get(self.vms[number].operators, "/v1/status").await.json()
+    /// Returns the status report of a VM.
+    pub async fn status(&self, index: usize) -> Value {
+        self.get(self.vms[index].operator_address, "/v1/status").await.json()
     }
 
-    /// Asks for a streamed chat completion through a VM.
-    pub async fn chat(&self, number: usize, key: Option<&str>, prompt: &str, output: u64) -> Got {
+    /// Sends a request for a streamed chat completion to a VM.
+    pub async fn chat(&self, index: usize, key: Option<&str>, prompt: &str, output: u64) -> Got {
         let body = json!({
             "model": "land-7b",
             "stream": true,
             "max_tokens": output,
             "messages": [{ "role": "user", "content": prompt }],
         });
-        let address = self.vms[number].callers;
+        let address = self.vms[index].caller_address;
         self.send(address, Method::POST, "/v1/chat/completions", key, body.to_string()).await
     }
 
-    /// Calls the plain service through a VM.
-    pub async fn call(&self, number: usize, key: &str, path: &str) -> Got {
+    /// Sends a request for the plain service to a VM.
+    pub async fn call(&self, index: usize, key: &str, path: &str) -> Got {
         let path = format!("/svc/scoring/{path}");
-        self.send(self.vms[number].callers, Method::POST, &path, Some(key), "team 4".into()).await
+        self.send(self.vms[index].caller_address, Method::POST, &path, Some(key), "team 4".into())
+            .await
     }
 
-    /// Sets faults of a stand-in.
+    /// Sets the faults of a stand-in.
     pub async fn faults(&self, admin: SocketAddr, faults: &Value) -> Got {
         self.send(admin, Method::POST, "/faults", None, faults.to_string()).await
     }
 
-    /// Returns what a stand-in truly did.
+    /// Returns the requests that a stand-in executed.
     pub async fn truth(&self, admin: SocketAddr) -> Value {
         self.get(admin, "/truth").await.json()
     }
 
-    /// Returns how many engines have ended.
+    /// Returns the number of engines whose process has ended.
     pub async fn ended_engines(&self) -> usize {
         let mut ended = 0;
         for admin in &self.engine_admins {
@@ -243,7 +249,7 @@
         ended
     }
 
-    /// Returns the tokens that all engines served.
+    /// Returns the sum of the prompt and output tokens that all engines served.
     pub async fn served(&self) -> u64 {
         let mut served = 0;
         for admin in &self.engine_admins {
@@ -256,38 +262,38 @@
         served
     }
 
-    /// Returns what a VM has logged.
+    /// Returns the log of a VM.
     #[must_use]
-    pub fn log(&self, number: usize) -> String {
-        std::fs::read_to_string(self.folder.join(format!("vm-{number}.log"))).unwrap_or_default()
+    pub fn log(&self, index: usize) -> String {
+        std::fs::read_to_string(self.folder.join(format!("vm-{index}.log"))).unwrap_or_default()
     }
 
-    /// Returns the bill lines of all VMs: key, cost, and whether it was billed.
+    /// Returns the bill lines in the logs of all VMs: key, cost, and whether it was billed.
     #[must_use]
     pub fn bills(&self) -> Vec<(String, u64, bool)> {
         let mut bills = Vec::new();
-        for number in 0..self.vms.len() {
-            for line in self.log(number).lines().filter(|line| line.contains(" bills: ")) {
+        for index in 0..self.vms.len() {
+            for line in self.log(index).lines().filter(|line| line.contains(" bills: ")) {
                 let words: Vec<_> = line.split_whitespace().collect();
-                let after = |name: &str| {
-                    let place = words.iter().position(|w| *w == name)?;
-                    words.get(place + 1).map(|w| w.trim_end_matches(':').to_owned())
+                let word_after = |name: &str| {
+                    let position = words.iter().position(|w| *w == name)?;
+                    words.get(position + 1).map(|w| w.trim_end_matches(':').to_owned())
                 };
-                let key = after("stream").unwrap_or_default();
-                let cost = after("cost").and_then(|c| c.parse().ok()).unwrap_or(0);
+                let key = word_after("stream").unwrap_or_default();
+                let cost = word_after("cost").and_then(|c| c.parse().ok()).unwrap_or(0);
                 bills.push((key, cost, line.ends_with(": billed")));
             }
         }
         bills
     }
 
-    /// Returns the tokens of all bill lines.
+    /// Returns the sum of the costs of all bill lines, in tokens.
     #[must_use]
     pub fn billed(&self) -> u64 {
         self.bills().iter().map(|bill| bill.1).sum()
     }
 
-    /// Returns what all engines truly did.
+    /// Returns the requests that each engine executed.
     pub async fn all_truth(&self) -> Vec<Value> {
         let mut truth = Vec::new();
         for admin in &self.engine_admins {
@@ -300,40 +306,40 @@
     ///
     /// # Errors
     ///
-    /// Fails if it does not hold in time.
-    pub async fn wait(&self, what: &str, holds: impl AsyncFn(&Self) -> bool) -> Result<()> {
-        let until = Instant::now() + WAIT;
-        while Instant::now() < until {
+    /// Fails after a timeout, with the status and the last log lines of each VM.
+    pub async fn wait(&self, name: &str, holds: impl AsyncFn(&Self) -> bool) -> Result<()> {
+        let deadline = Instant::now() + CONDITION_TIMEOUT;
+        while Instant::now() < deadline {
             if holds(self).await {
                 return Ok(());
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        let mut found = String::new();
-        for number in 0..self.vms.len() {
-            let (status, log) = (self.status(number).await, self.log(number));
+        let mut states = String::new();
+        for index in 0..self.vms.len() {
+            let (status, log) = (self.status(index).await, self.log(index));
             let lines: Vec<_> = log.lines().rev().take(12).collect();
-            found = format!("{found}\nVM {number}: {status}\n{}", lines.join("\n"));
+            states = format!("{states}\nVM {index}: {status}\n{}", lines.join("\n"));
         }
-        bail!("waited in vain for {what}{found}")
+        bail!("timed out waiting for {name}{states}")
     }
 
-    /// Writes the site's templates with a limit.
+    /// Applies the templates of the site, with a limit of its budget in tokens.
     ///
     /// # Errors
     ///
-    /// Fails if the command does.
+    /// Fails if `badgerfield template apply` fails.
     pub fn apply(&self, limit: u64) -> Result<()> {
         let file = self.folder.join("templates.ini");
         std::fs::write(&file, templates(limit))?;
-        let done = Command::new(self.programs.join("badgerfield"))
+        let status = Command::new(self.program_folder.join("badgerfield"))
             .args(["template", "apply", "--author", "site", "--settings"])
-            .arg(&self.vms[0].settings)
+            .arg(&self.vms[0].settings_path)
             .arg(&file)
             .stdout(Stdio::null())
             .status()?;
-        if !done.success() {
-            bail!("template apply failed: {done}");
+        if !status.success() {
+            bail!("template apply failed: {status}");
         }
         Ok(())
     }
@@ -351,34 +357,34 @@
         body: String,
     ) -> Got {
         let mut request = Request::builder().method(method).uri(format!("http://{to}{path}"));
-        request = request.header("authorization", format!("Bearer {KEY}"));
+        request = request.header("authorization", format!("Bearer {CALLER_KEY}"));
         if let Some(key) = key {
             request = request.header("idempotency-key", key);
         }
-        let lost = Got { status: 0, body: String::new() };
+        let no_answer = Got { status: 0, body: String::new() };
         let Ok(request) = request.body(Full::new(Bytes::from(body))) else {
-            return lost;
+            return no_answer;
         };
-        let work = async {
+        let request = async {
             let response = self.client.request(request).await.ok()?;
             let status = response.status().as_u16();
             let body = http::read_body(response.into_body(), 16_000_000).await?;
             Some(Got { status, body: String::from_utf8_lossy(&body).into_owned() })
         };
-        tokio::time::timeout(PATIENCE, work).await.ok().flatten().unwrap_or(lost)
+        tokio::time::timeout(REQUEST_TIMEOUT, request).await.ok().flatten().unwrap_or(no_answer)
     }
 
-    fn start_others(&mut self, vms: usize, decode: u64) -> Result<()> {
+    fn start_standins(&mut self, vms: usize, decode: u64) -> Result<()> {
         let service = free_address()?;
         let engines: Vec<_> =
             self.engine_admins.iter().map(|_| free_address()).collect::<Result<_>>()?;
         let list = self.folder.join("vms.json");
         std::fs::write(&list, vm_list(vms, service, &engines).to_string())?;
-        let (kv, kv_admin) = (self.kv, self.kv_admin);
+        let (kv, kv_admin) = (self.kv_address, self.kv_admin);
         self.spawn("kv", kv, kv_admin, &[])?;
         self.spawn("service", service, self.service_admin, &[])?;
         let file = list.to_string_lossy().into_owned();
-        self.spawn("vms", self.list, free_address()?, &["--file", &file])?;
+        self.spawn("vms", self.list_address, free_address()?, &["--file", &file])?;
         for (engine, admin) in engines.into_iter().zip(self.engine_admins.clone()) {
             self.spawn("engine", engine, admin, &["--decode", &decode.to_string()])?;
         }
@@ -387,48 +393,54 @@
 
     fn spawn(
         &mut self,
-        part: &str,
+        kind: &str,
         listen: SocketAddr,
         admin: SocketAddr,
-        more: &[&str],
+        extra_args: &[&str],
     ) -> Result<()> {
-        let child = Command::new(self.programs.join("badgerfield-standin"))
-            .arg(part)
+        let child = Command::new(self.program_folder.join("badgerfield-standin"))
+            .arg(kind)
             .args(["--listen", &listen.to_string(), "--admin", &admin.to_string()])
-            .args(more)
+            .args(extra_args)
             .stdout(Stdio::null())
             .spawn()
-            .with_context(|| format!("start the stand-in {part}; build the workspace first"))?;
-        self.others.push(child);
+            .with_context(|| format!("start the stand-in {kind}; build the workspace first"))?;
+        self.standins.push(child);
         Ok(())
     }
 
-    fn add_vm(&mut self, number: usize) -> Result<()> {
+    fn add_vm(&mut self, index: usize) -> Result<()> {
         let (callers, peers, operators) = (free_address()?, free_address()?, free_address()?);
-        let settings = self.folder.join(format!("vm-{number}.ini"));
-        let region = if number.is_multiple_of(2) { "north" } else { "south" };
+        let settings = self.folder.join(format!("vm-{index}.ini"));
+        let region = if index.is_multiple_of(2) { "north" } else { "south" };
         let text = format!(
-            "[vm]\nname = vm-{number}\nregion = {region}\ndomain = d{number}\n\
+            "[vm]\nname = vm-{index}\nregion = {region}\ndomain = d{index}\n\
              [listen]\ncallers = {callers}\npeers = {peers}\noperators = {operators}\n\
              [platform]\nkv = http://{}\nvm_list = http://{}/\nvm_poll = 500ms\n\
-             [keys]\nfleet = {FLEET}\n[limits]\ndirectory = 1s\nsilence = 4s\n",
-            self.kv, self.list
+             [keys]\nfleet = {FLEET_SECRET}\n[limits]\ndirectory = 1s\nsilence = 4s\n",
+            self.kv_address, self.list_address
         );
         std::fs::write(&settings, text)?;
-        self.vms.push(Vm { settings, callers, operators, child: None });
+        self.vms.push(Vm {
+            settings_path: settings,
+            caller_address: callers,
+            operator_address: operators,
+            process: None,
+        });
         Ok(())
     }
 }
 
 impl Site {
-    /// Prints what all VMs have logged of requests and budgets, in the order of time: a failed test
-    /// is a trace of itself.
+    /// Prints the logs of all VMs in the order of time, without the periodic lines, so that the
+    /// output of a failed test shows its events.
     fn print_logs(&self) {
         let mut lines = Vec::new();
-        for number in 0..self.vms.len() {
-            let log = self.log(number);
-            let told = log.lines().filter(|line| !PERIODIC.iter().any(|word| line.contains(word)));
-            lines.extend(told.map(|line| format!("{line} [vm-{number}]")));
+        for index in 0..self.vms.len() {
+            let log = self.log(index);
+            let shown =
+                log.lines().filter(|line| !PERIODIC_TEXTS.iter().any(|text| line.contains(text)));
+            lines.extend(shown.map(|line| format!("{line} [vm-{index}]")));
         }
         lines.sort();
         eprintln!("{}", lines.join("\n"));
@@ -437,33 +449,34 @@
 
 impl Drop for Site {
     fn drop(&mut self) {
-        let vms = self.vms.iter_mut().filter_map(|vm| vm.child.as_mut());
-        for child in vms.chain(self.others.iter_mut()) {
-            // A process that has ended already needs no killing.
+        let vms = self.vms.iter_mut().filter_map(|vm| vm.process.as_mut());
+        for child in vms.chain(self.standins.iter_mut()) {
+            // An error means that the process has already ended.
             let _ = child.kill();
             let _ = child.wait();
         }
         if std::thread::panicking() {
             self.print_logs();
         } else {
-            // What is left of a good run is of no use to anybody.
+            // The logs are needed only after a failure. An error leaves the folder behind.
             let _ = std::fs::remove_dir_all(&self.folder);
         }
     }
 }
 
-/// Returns an address that is free for TCP and UDP, and that no other site gets: one that is taken
-/// while a VM stands still between two processes would keep the next one from starting.
+/// Returns an address that is free for TCP and UDP and that no other site uses.
 ///
-/// The range of ports lies below those that the system gives to outgoing connections.
+/// If another site took the address of a VM while the VM has no process, the next process of
+/// the VM could not start. The range of ports lies below the ports that the system assigns to
+/// outgoing connections.
 fn free_address() -> Result<SocketAddr> {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let [.., high, low] = std::process::id().to_be_bytes();
-    for _ in 0..PORTS {
-        let step = NEXT.fetch_add(1, Ordering::Relaxed);
-        let number = FIRST_PORT + step % PORTS;
-        // Processes that test at the same time have loopback addresses of their own.
-        let address = SocketAddr::from(([127, high, low, 1], number));
+    for _ in 0..PORT_COUNT {
+        let offset = NEXT.fetch_add(1, Ordering::Relaxed);
+        let port = FIRST_PORT + offset % PORT_COUNT;
+        // Test processes that run at the same time use different loopback addresses.
+        let address = SocketAddr::from(([127, high, low, 1], port));
         if TcpListener::bind(address).is_ok() && UdpSocket::bind(address).is_ok() {
             return Ok(address);
         }
@@ -490,9 +503,9 @@
 }
 
 fn templates(limit: u64) -> String {
-    let digest = KeyDigest::from_secret(KEY);
+    let digest = KeyDigest::from_secret(CALLER_KEY);
     format!(
         "[account parcelview]\nmodels = land-7b\nservices = scoring\nunrepeatable = scoring/score\n\
-         output_limit = 64\n[budget {BUDGET}]\nlimit = {limit}\nkeys = {digest}\n"
+         output_limit = 64\n[budget {BUDGET_NAME}]\nlimit = {limit}\nkeys = {digest}\n"
     )
 }
