--- a/crates/badgerfield-standin/src/measure/mod.rs
+++ b/crates/badgerfield-standin/src/measure/mod.rs
@@ -1,8 +1,8 @@
-//! Measures overspend and false refusals, for the system and for naive baselines.
+//! Measures overspend and false refusals of badgerfield and of naive baselines.
 //!
-//! All run the same arrivals under the same faults. A refusal is false if an
-//! all-knowing ledger, which sees every reservation and every end at once, would have
-//! admitted the request at that moment.
+//! All systems run the same arrivals under the same faults. A refusal is false if an ideal
+//! ledger, which sees every reservation and every end without delay, would have admitted the
+//! request at that moment.
 
 mod naive;
 mod ours;
@@ -13,41 +13,41 @@
 
 pub use naive::{Central, Lease, Split};
 pub use ours::Ours;
-pub use workload::{Case, Fault, Load};
+pub use workload::{Arrival, Case, Fault};
 
-/// What one run of one system in one case gave.
+/// The results of one system in one case.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Figures {
-    /// Requests that callers sent.
+pub struct CaseResult {
+    /// The requests that callers sent.
     pub requests: u64,
-    /// Tokens served beyond prepaid budgets.
+    /// The tokens served beyond the prepaid budgets.
     pub overspend: u64,
-    /// Requests turned away although budget remained.
+    /// The false refusals: requests refused although the budget had enough left.
     pub refused: u64,
-    /// Requests turned away because the budget had too little left.
+    /// The requests refused because the budget had too little left.
     pub spent_out: u64,
-    /// The false refusals, by cause.
+    /// The false refusals by cause.
     pub causes: BTreeMap<&'static str, u64>,
-    /// Requests whose VM died under them.
+    /// The requests that ended because their VM was killed.
     pub lost: u64,
-    /// Tokens left in budgets that nobody could spend at the end.
+    /// The tokens that are left at the end but that no VM can spend.
     pub stranded: u64,
-    /// Calls to the key-value service a second.
+    /// Calls to the key-value service per second.
     pub kv_calls: f64,
-    /// Time from arrival to dispatch, for half and for 99 in 100 of the requests.
-    pub delay: (Duration, Duration),
+    /// The 50th and 99th percentile of the time from arrival to dispatch.
+    pub dispatch_delay: (Duration, Duration),
 }
 
-/// One system that is measured.
+/// A system under measurement.
 pub trait System {
-    /// Returns its name.
+    /// Returns the name that the table shows.
     fn name(&self) -> &'static str;
 
-    /// Runs one case.
-    fn run(&self, case: &Case) -> Figures;
+    /// Runs one case and returns its results.
+    fn run(&self, case: &Case) -> CaseResult;
 }
 
-/// Runs all systems in all cases and prints a table.
+/// Runs all systems in all cases and prints a table for each case.
 pub fn print(seed: u64) {
     let systems: [&dyn System; 4] = [&Ours, &Central, &Split, &Lease];
     println!(
@@ -55,7 +55,7 @@
     );
     for case in Case::all(seed) {
         println!();
-        println!("{}: {}", case.name, case.about);
+        println!("{}: {}", case.name, case.description);
         println!(
             "  {:<24} {:>8} {:>9} {:>8} {:>9} {:>6} {:>9} {:>7} {:>8} {:>8}",
             "",
@@ -70,21 +70,21 @@
             "p99"
         );
         for system in systems {
-            let f = system.run(&case);
+            let result = system.run(&case);
             println!(
                 "  {:<24} {:>8} {:>9} {:>8} {:>9} {:>6} {:>9} {:>7.1} {:>8} {:>8}",
                 system.name(),
-                f.requests,
-                f.overspend,
-                f.refused,
-                f.spent_out,
-                f.lost,
-                f.stranded,
-                f.kv_calls,
-                millis(f.delay.0),
-                millis(f.delay.1)
+                result.requests,
+                result.overspend,
+                result.refused,
+                result.spent_out,
+                result.lost,
+                result.stranded,
+                result.kv_calls,
+                format_millis(result.dispatch_delay.0),
+                format_millis(result.dispatch_delay.1)
             );
-            for (cause, count) in &f.causes {
+            for (cause, count) in &result.causes {
                 println!("    of these {cause}: {count}");
             }
         }
@@ -97,12 +97,12 @@
     println!("stranded: tokens nobody can spend at the end; p50, p99: from arrival to dispatch");
 }
 
-fn millis(span: Duration) -> String {
-    format!("{:.1}ms", span.as_secs_f64() * 1000.0)
+fn format_millis(duration: Duration) -> String {
+    format!("{:.1}ms", duration.as_secs_f64() * 1000.0)
 }
 
-/// Returns the figure below which a share of the sorted spans lies.
-fn quantile(sorted: &[Duration], share: usize) -> Duration {
+/// Returns a percentile of sorted durations; zero if there are none.
+fn percentile(sorted: &[Duration], percent: usize) -> Duration {
     let last = sorted.len().saturating_sub(1);
-    sorted.get(last * share / 100).copied().unwrap_or_default()
+    sorted.get(last * percent / 100).copied().unwrap_or_default()
 }
--- a/crates/badgerfield-standin/src/measure/naive.rs
+++ b/crates/badgerfield-standin/src/measure/naive.rs
@@ -1,7 +1,7 @@
-//! Naive baselines, clear and never shipped.
+//! Naive baselines, which are only measured and never shipped.
 //!
 //! - [`Central`]: one ledger write for each request, before it runs.
-//! - [`Split`]: every VM gets an equal part of every budget, once.
+//! - [`Split`]: every VM gets an equal part of every budget once, at the start.
 //! - [`Lease`]: each budget has one VM that counts in memory under a lease of 10 s and
 //!   writes the count to the platform every second.
 
@@ -12,91 +12,93 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::workload::{ACCOUNTS, LENGTH, VMS};
-use super::{Case, Fault, Figures, Load, System, quantile};
+use super::workload::{ACCOUNTS, CASE_DURATION, VMS};
+use super::{Arrival, Case, CaseResult, Fault, System, percentile};
 
-/// How long a call to the platform takes.
-const CALL: Duration = Duration::from_millis(6);
-/// How long a request runs.
-const RUN: Duration = Duration::from_millis(600);
-/// How long a lease lasts.
-const LEASE: Duration = Duration::from_secs(10);
-/// How often the count is written.
-const WRITE: Duration = Duration::from_secs(1);
+/// The duration of a call to the platform.
+const CALL_TIME: Duration = Duration::from_millis(6);
+/// The duration of a request after its dispatch.
+const REQUEST_TIME: Duration = Duration::from_millis(600);
+/// The duration of a lease.
+const LEASE_TIME: Duration = Duration::from_secs(10);
+/// The interval at which a lease holder writes its count.
+const WRITE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What is up and what is not.
+/// The faults that are in effect.
 #[derive(Debug, Clone, Default)]
-struct World {
-    down: bool,
-    cut: bool,
-    dead: [bool; VMS],
+struct SiteState {
+    platform_down: bool,
+    region_cut: bool,
+    killed: [bool; VMS],
     frozen: [bool; VMS],
     stopping: [bool; VMS],
 }
 
-impl World {
+impl SiteState {
     fn apply(&mut self, fault: Fault) {
         match fault {
-            Fault::Down(down) => self.down = down,
-            Fault::Cut(cut) => self.cut = cut,
-            Fault::Kill(vm) => self.dead[vm] = true,
+            Fault::PlatformDown(is_down) => self.platform_down = is_down,
+            Fault::RegionCut(is_cut) => self.region_cut = is_cut,
+            Fault::Kill(vm) => self.killed[vm] = true,
             Fault::Stop(vm) => self.stopping[vm] = true,
             Fault::Start(vm) => {
-                self.dead[vm] = false;
+                self.killed[vm] = false;
                 self.stopping[vm] = false;
             }
-            Fault::Freeze(vm, frozen) => self.frozen[vm] = frozen,
+            Fault::Freeze(vm, is_frozen) => self.frozen[vm] = is_frozen,
         }
     }
 
-    fn serves(&self, vm: usize) -> bool {
-        !self.dead[vm] && !self.stopping[vm]
+    fn is_serving(&self, vm: usize) -> bool {
+        !self.killed[vm] && !self.stopping[vm]
     }
 
-    fn platform(&self, vm: usize) -> bool {
-        let outside = self.cut && vm >= VMS / 2;
-        !self.down && !outside
+    fn can_reach_platform(&self, vm: usize) -> bool {
+        let is_cut_off = self.region_cut && vm >= VMS / 2;
+        !self.platform_down && !is_cut_off
     }
 
-    fn linked(&self, a: usize, b: usize) -> bool {
-        !(self.cut && (a >= VMS / 2) != (b >= VMS / 2))
+    fn are_linked(&self, a: usize, b: usize) -> bool {
+        !(self.region_cut && (a >= VMS / 2) != (b >= VMS / 2))
     }
 
-    /// Returns the VM that a caller ends up at.
-    fn reach(&self, vm: usize) -> usize {
-        if self.serves(vm) {
+    /// Returns the VM that serves a caller of `vm`: `vm` itself if it serves, otherwise another
+    /// one, in the same region if possible.
+    fn choose_vm(&self, vm: usize) -> usize {
+        if self.is_serving(vm) {
             return vm;
         }
-        let region = vm / (VMS / 2) * (VMS / 2);
-        let near = region..region + VMS / 2;
-        near.chain(0..VMS).find(|v| self.serves(*v) && !self.frozen[*v]).unwrap_or(vm)
+        let region_start = vm / (VMS / 2) * (VMS / 2);
+        let in_region = region_start..region_start + VMS / 2;
+        in_region.chain(0..VMS).find(|v| self.is_serving(*v) && !self.frozen[*v]).unwrap_or(vm)
     }
 }
 
-/// What a baseline decides about a request.
-enum Verdict {
-    /// It runs, with this delay to its dispatch.
-    Run(Duration),
-    /// It is turned away.
+/// The decision of a baseline about a request.
+enum Admission {
+    /// The request runs, with this delay to its dispatch.
+    Admit(Duration),
+    /// The request is refused.
     Refuse,
 }
 
-/// One way to guard budgets.
-trait Guard {
-    /// Decides about a request at a VM.
-    fn admit(&mut self, now: Duration, world: &World, vm: usize, load: &Load) -> Verdict;
+/// The admission control of one baseline.
+trait BudgetGuard {
+    /// Decides whether a request runs at a VM, and reserves its maximum cost if so.
+    fn admit(&mut self, now: Duration, site: &SiteState, vm: usize, arrival: &Arrival)
+    -> Admission;
 
-    /// Settles a request that set aside its bound and used less.
-    fn settle(&mut self, now: Duration, world: &World, vm: usize, load: &Load, used: u64);
+    /// Returns the reserved tokens that an ended request did not use.
+    fn settle(&mut self, now: Duration, site: &SiteState, vm: usize, arrival: &Arrival, used: u64);
 
-    /// Learns of a fault before it takes effect.
-    fn fault(&mut self, now: Duration, world: &World, fault: Fault);
+    /// Reacts to a fault before it takes effect.
+    fn handle_fault(&mut self, now: Duration, site: &SiteState, fault: Fault);
 
-    /// Returns its calls to the platform so far.
-    fn calls(&self) -> u64;
+    /// Returns the number of calls to the platform so far.
+    fn call_count(&self) -> u64;
 }
 
-/// One request that runs.
+/// A running request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Running {
     end: Duration,
@@ -107,116 +109,122 @@
     used: u64,
 }
 
-struct Bench<'a> {
+/// The simulation of one case under one baseline.
+struct Simulation<'a> {
     case: &'a Case,
-    world: World,
+    site: SiteState,
     running: BinaryHeap<Reverse<Running>>,
+    /// The tokens served for each account.
     served: Vec<u64>,
+    /// The maximum cost of the running requests of each account.
     reserved: Vec<u64>,
-    waiting: Vec<(usize, Load)>,
-    delays: Vec<Duration>,
-    figures: Figures,
+    /// Requests that wait at frozen VMs.
+    waiting: Vec<(usize, Arrival)>,
+    dispatch_delays: Vec<Duration>,
+    result: CaseResult,
     rng: ChaCha8Rng,
 }
 
-impl<'a> Bench<'a> {
-    fn run(case: &'a Case, guard: &mut dyn Guard) -> Figures {
-        let mut bench = Self {
+impl<'a> Simulation<'a> {
+    fn run(case: &'a Case, guard: &mut dyn BudgetGuard) -> CaseResult {
+        let mut simulation = Self {
             case,
-            world: World::default(),
+            site: SiteState::default(),
             running: BinaryHeap::new(),
             served: vec![0; ACCOUNTS],
             reserved: vec![0; ACCOUNTS],
             waiting: Vec::new(),
-            delays: Vec::new(),
-            figures: Figures::default(),
+            dispatch_delays: Vec::new(),
+            result: CaseResult::default(),
             rng: ChaCha8Rng::seed_from_u64(case.seed),
         };
-        bench.play(guard);
-        bench.figures
+        simulation.simulate(guard);
+        simulation.result
     }
 
-    fn play(&mut self, guard: &mut dyn Guard) {
+    fn simulate(&mut self, guard: &mut dyn BudgetGuard) {
         let mut faults = self.case.faults.iter().copied().peekable();
-        for load in &self.case.loads {
-            while let Some((at, fault)) = faults.next_if(|(at, _)| *at <= load.at) {
-                self.end_until(at, guard);
-                guard.fault(at, &self.world, fault);
-                self.world.apply(fault);
-                self.thaw(at, guard);
+        for arrival in &self.case.arrivals {
+            while let Some((at, fault)) = faults.next_if(|(at, _)| *at <= arrival.at) {
+                self.end_requests(at, guard);
+                guard.handle_fault(at, &self.site, fault);
+                self.site.apply(fault);
+                self.admit_waiting(at, guard);
             }
-            self.end_until(load.at, guard);
-            self.figures.requests += 1;
-            let vm = self.world.reach(load.vm);
-            if self.world.frozen[vm] {
-                self.waiting.push((vm, *load));
+            self.end_requests(arrival.at, guard);
+            self.result.requests += 1;
+            let vm = self.site.choose_vm(arrival.vm);
+            if self.site.frozen[vm] {
+                self.waiting.push((vm, *arrival));
                 continue;
             }
-            self.offer(load.at, vm, load, guard);
+            self.admit(arrival.at, vm, arrival, guard);
         }
-        self.end_until(LENGTH + RUN, guard);
-        self.sum_up(guard);
+        self.end_requests(CASE_DURATION + REQUEST_TIME, guard);
+        self.complete_result(guard);
     }
 
-    fn offer(&mut self, now: Duration, vm: usize, load: &Load, guard: &mut dyn Guard) {
-        match guard.admit(now, &self.world, vm, load) {
-            Verdict::Run(delay) => {
-                let output = self.rng.random_range(1..=load.output);
-                let used = load.prompt * 3 / 4 + output;
-                let (account, prompt, output) = (load.account, load.prompt, load.output);
-                let end = now + delay + RUN;
+    fn admit(&mut self, now: Duration, vm: usize, arrival: &Arrival, guard: &mut dyn BudgetGuard) {
+        match guard.admit(now, &self.site, vm, arrival) {
+            Admission::Admit(delay) => {
+                let output = self.rng.random_range(1..=arrival.output);
+                let used = arrival.prompt * 3 / 4 + output;
+                let (account, prompt, output) = (arrival.account, arrival.prompt, arrival.output);
+                let end = now + delay + REQUEST_TIME;
                 self.running.push(Reverse(Running { end, vm, account, prompt, output, used }));
-                self.reserved[account] += load.bound();
-                self.delays.push(delay);
+                self.reserved[account] += arrival.max_cost();
+                self.dispatch_delays.push(delay);
             }
-            Verdict::Refuse => {
-                let used = self.served[load.account] + self.reserved[load.account];
-                if self.case.limits[load.account].saturating_sub(used) >= load.bound() {
-                    self.figures.refused += 1;
+            Admission::Refuse => {
+                let used = self.served[arrival.account] + self.reserved[arrival.account];
+                if self.case.limits[arrival.account].saturating_sub(used) >= arrival.max_cost() {
+                    self.result.refused += 1;
                 } else {
-                    self.figures.spent_out += 1;
+                    self.result.spent_out += 1;
                 }
             }
         }
     }
 
-    /// Lets requests go on that reached a VM while it was frozen.
-    fn thaw(&mut self, now: Duration, guard: &mut dyn Guard) {
-        for (vm, load) in std::mem::take(&mut self.waiting) {
-            if self.world.frozen[vm] {
-                self.waiting.push((vm, load));
+    /// Admits the requests that waited at VMs that are no longer frozen.
+    fn admit_waiting(&mut self, now: Duration, guard: &mut dyn BudgetGuard) {
+        for (vm, arrival) in std::mem::take(&mut self.waiting) {
+            if self.site.frozen[vm] {
+                self.waiting.push((vm, arrival));
                 continue;
             }
-            self.offer(now, vm, &load, guard);
+            self.admit(now, vm, &arrival, guard);
         }
     }
 
-    fn end_until(&mut self, now: Duration, guard: &mut dyn Guard) {
+    /// Ends the running requests whose end is not after `now`.
+    fn end_requests(&mut self, now: Duration, guard: &mut dyn BudgetGuard) {
         while let Some(Reverse(run)) = self.running.peek().copied() {
             if run.end > now {
                 return;
             }
             self.running.pop();
             let (account, prompt, output) = (run.account, run.prompt, run.output);
-            let load = Load { at: run.end, account, vm: run.vm, prompt, output };
-            self.reserved[account] -= load.bound();
+            let arrival = Arrival { at: run.end, account, vm: run.vm, prompt, output };
+            self.reserved[account] -= arrival.max_cost();
             self.served[account] += run.used;
-            if self.world.dead[run.vm] {
-                self.figures.lost += 1;
+            if self.site.killed[run.vm] {
+                self.result.lost += 1;
                 continue;
             }
-            guard.settle(run.end, &self.world, run.vm, &load, run.used);
+            guard.settle(run.end, &self.site, run.vm, &arrival, run.used);
         }
     }
 
-    fn sum_up(&mut self, guard: &dyn Guard) {
+    fn complete_result(&mut self, guard: &dyn BudgetGuard) {
         for (served, limit) in self.served.iter().zip(&self.case.limits) {
-            self.figures.overspend += served.saturating_sub(*limit);
+            self.result.overspend += served.saturating_sub(*limit);
         }
-        self.delays.sort_unstable();
-        self.figures.delay = (quantile(&self.delays, 50), quantile(&self.delays, 99));
-        let calls = u32::try_from(guard.calls()).unwrap_or(u32::MAX);
-        self.figures.kv_calls = f64::from(calls) / LENGTH.as_secs_f64();
+        self.dispatch_delays.sort_unstable();
+        self.result.dispatch_delay =
+            (percentile(&self.dispatch_delays, 50), percentile(&self.dispatch_delays, 99));
+        let calls = u32::try_from(guard.call_count()).unwrap_or(u32::MAX);
+        self.result.kv_calls = f64::from(calls) / CASE_DURATION.as_secs_f64();
     }
 }
 
@@ -224,9 +232,10 @@
 pub struct Central;
 
 struct CentralGuard {
-    left: Vec<u64>,
+    remaining: Vec<u64>,
     calls: u64,
-    busy: Duration,
+    /// The time until which earlier writes occupy the ledger.
+    busy_until: Duration,
 }
 
 impl System for Central {
@@ -234,47 +243,54 @@
         "one write a request"
     }
 
-    fn run(&self, case: &Case) -> Figures {
-        let left = case.limits.clone();
-        Bench::run(case, &mut CentralGuard { left, calls: 0, busy: Duration::ZERO })
+    fn run(&self, case: &Case) -> CaseResult {
+        let remaining = case.limits.clone();
+        Simulation::run(case, &mut CentralGuard { remaining, calls: 0, busy_until: Duration::ZERO })
     }
 }
 
-impl Guard for CentralGuard {
-    fn admit(&mut self, now: Duration, world: &World, vm: usize, load: &Load) -> Verdict {
-        if !world.platform(vm) {
-            return Verdict::Refuse;
+impl BudgetGuard for CentralGuard {
+    fn admit(
+        &mut self,
+        now: Duration,
+        site: &SiteState,
+        vm: usize,
+        arrival: &Arrival,
+    ) -> Admission {
+        if !site.can_reach_platform(vm) {
+            return Admission::Refuse;
         }
         self.calls += 2;
-        let Some(rest) = self.left[load.account].checked_sub(load.bound()) else {
-            return Verdict::Refuse;
+        let Some(left) = self.remaining[arrival.account].checked_sub(arrival.max_cost()) else {
+            return Admission::Refuse;
         };
-        self.left[load.account] = rest;
-        // A write that meets another one starts again after it.
-        let start = self.busy.max(now);
-        self.busy = start + CALL / 2;
-        Verdict::Run((start + CALL + CALL).saturating_sub(now))
+        self.remaining[arrival.account] = left;
+        // A write that conflicts with another one is repeated after it.
+        let start = self.busy_until.max(now);
+        self.busy_until = start + CALL_TIME / 2;
+        Admission::Admit((start + CALL_TIME + CALL_TIME).saturating_sub(now))
     }
 
-    fn settle(&mut self, _: Duration, world: &World, vm: usize, load: &Load, used: u64) {
-        if world.platform(vm) {
+    fn settle(&mut self, _: Duration, site: &SiteState, vm: usize, arrival: &Arrival, used: u64) {
+        if site.can_reach_platform(vm) {
             self.calls += 2;
-            self.left[load.account] += load.bound() - used;
+            self.remaining[arrival.account] += arrival.max_cost() - used;
         }
     }
 
-    fn fault(&mut self, _: Duration, _: &World, _: Fault) {}
+    fn handle_fault(&mut self, _: Duration, _: &SiteState, _: Fault) {}
 
-    fn calls(&self) -> u64 {
+    fn call_count(&self) -> u64 {
         self.calls
     }
 }
 
-/// An equal part of every budget for every VM.
+/// A static equal part of every budget for every VM.
 pub struct Split;
 
 struct SplitGuard {
-    left: Vec<[u64; VMS]>,
+    /// The tokens left for each account and VM.
+    remaining: Vec<[u64; VMS]>,
 }
 
 impl System for Split {
@@ -282,51 +298,57 @@
         "static equal split"
     }
 
-    fn run(&self, case: &Case) -> Figures {
-        let part = |limit: &u64| [limit / u64::try_from(VMS).unwrap_or(1); VMS];
-        let left = case.limits.iter().map(part).collect();
-        Bench::run(case, &mut SplitGuard { left })
+    fn run(&self, case: &Case) -> CaseResult {
+        let equal_parts = |limit: &u64| [limit / u64::try_from(VMS).unwrap_or(1); VMS];
+        let remaining = case.limits.iter().map(equal_parts).collect();
+        Simulation::run(case, &mut SplitGuard { remaining })
     }
 }
 
-impl Guard for SplitGuard {
-    fn admit(&mut self, _: Duration, _: &World, vm: usize, load: &Load) -> Verdict {
-        let left = &mut self.left[load.account][vm];
-        let Some(rest) = left.checked_sub(load.bound()) else {
-            return Verdict::Refuse;
+impl BudgetGuard for SplitGuard {
+    fn admit(&mut self, _: Duration, _: &SiteState, vm: usize, arrival: &Arrival) -> Admission {
+        let remaining = &mut self.remaining[arrival.account][vm];
+        let Some(left) = remaining.checked_sub(arrival.max_cost()) else {
+            return Admission::Refuse;
         };
-        *left = rest;
-        Verdict::Run(Duration::ZERO)
+        *remaining = left;
+        Admission::Admit(Duration::ZERO)
     }
 
-    fn settle(&mut self, _: Duration, _: &World, vm: usize, load: &Load, used: u64) {
-        self.left[load.account][vm] += load.bound() - used;
+    fn settle(&mut self, _: Duration, _: &SiteState, vm: usize, arrival: &Arrival, used: u64) {
+        self.remaining[arrival.account][vm] += arrival.max_cost() - used;
     }
 
-    fn fault(&mut self, _: Duration, _: &World, fault: Fault) {
-        // What a killed process held is gone; a stopped one hands it to its successor.
+    fn handle_fault(&mut self, _: Duration, _: &SiteState, fault: Fault) {
+        // A killed process loses its tokens; a stopped one hands them to its successor.
         if let Fault::Kill(vm) = fault {
-            for left in &mut self.left {
-                left[vm] = 0;
+            for remaining in &mut self.remaining {
+                remaining[vm] = 0;
             }
         }
     }
 
-    fn calls(&self) -> u64 {
+    fn call_count(&self) -> u64 {
         0
     }
 }
 
-/// One counting VM for each budget, under a lease.
+/// One VM for each budget that counts in memory, under a lease.
 pub struct Lease;
 
 struct LeaseGuard {
-    holder: Vec<usize>,
-    until: Vec<Duration>,
+    /// The lease holder of each account.
+    holders: Vec<usize>,
+    /// The end of the lease of each account.
+    expires_at: Vec<Duration>,
+    /// The remaining tokens of each account, as each VM counts them.
     counts: Vec<[u64; VMS]>,
-    written: Vec<u64>,
-    wrote: Vec<Duration>,
-    believes: Vec<[bool; VMS]>,
+    /// The remaining tokens of each account as last written to the platform.
+    written_counts: Vec<u64>,
+    /// The time of the last write for each account.
+    written_at: Vec<Duration>,
+    /// Whether each VM takes itself for the lease holder of each account.
+    assumes_lease: Vec<[bool; VMS]>,
     calls: u64,
 }
 
@@ -335,82 +357,91 @@
         "lease-guarded counter"
     }
 
-    fn run(&self, case: &Case) -> Figures {
+    fn run(&self, case: &Case) -> CaseResult {
         let mut guard = LeaseGuard {
-            holder: (0..ACCOUNTS).map(|a| a % VMS).collect(),
-            until: vec![LEASE; ACCOUNTS],
+            holders: (0..ACCOUNTS).map(|a| a % VMS).collect(),
+            expires_at: vec![LEASE_TIME; ACCOUNTS],
             counts: case.limits.iter().map(|l| [*l; VMS]).collect(),
-            written: case.limits.clone(),
-            wrote: vec![Duration::ZERO; ACCOUNTS],
-            believes: (0..ACCOUNTS).map(|a| std::array::from_fn(|v| v == a % VMS)).collect(),
+            written_counts: case.limits.clone(),
+            written_at: vec![Duration::ZERO; ACCOUNTS],
+            assumes_lease: (0..ACCOUNTS).map(|a| std::array::from_fn(|v| v == a % VMS)).collect(),
             calls: 0,
         };
-        Bench::run(case, &mut guard)
+        Simulation::run(case, &mut guard)
     }
 }
 
 impl LeaseGuard {
-    /// Renews, writes, or moves the lease of an account, as far as the world allows.
-    fn keep(&mut self, now: Duration, world: &World, vm: usize, account: usize) {
-        let holder = self.holder[account];
-        let alive = world.serves(holder) && !world.frozen[holder] && world.platform(holder);
-        if alive && now >= self.wrote[account] + WRITE {
-            self.written[account] = self.counts[account][holder];
-            self.wrote[account] = now;
-            self.until[account] = now + LEASE;
+    /// Writes the count and renews the lease of an account if its holder can, and moves an
+    /// expired lease to `vm`.
+    fn update_lease(&mut self, now: Duration, site: &SiteState, vm: usize, account: usize) {
+        let holder = self.holders[account];
+        let can_renew =
+            site.is_serving(holder) && !site.frozen[holder] && site.can_reach_platform(holder);
+        if can_renew && now >= self.written_at[account] + WRITE_INTERVAL {
+            self.written_counts[account] = self.counts[account][holder];
+            self.written_at[account] = now;
+            self.expires_at[account] = now + LEASE_TIME;
             self.calls += 2;
         }
-        if now < self.until[account] || !world.platform(vm) {
+        if now < self.expires_at[account] || !site.can_reach_platform(vm) {
             return;
         }
         self.calls += 2;
-        self.holder[account] = vm;
-        self.counts[account][vm] = self.written[account];
-        self.believes[account][vm] = true;
-        self.until[account] = now + LEASE;
+        self.holders[account] = vm;
+        self.counts[account][vm] = self.written_counts[account];
+        self.assumes_lease[account][vm] = true;
+        self.expires_at[account] = now + LEASE_TIME;
     }
 }
 
-impl Guard for LeaseGuard {
-    fn admit(&mut self, now: Duration, world: &World, vm: usize, load: &Load) -> Verdict {
-        let account = load.account;
-        self.keep(now, world, vm, account);
-        // A holder that was frozen acts on its own belief before it looks at the lease.
-        let holder = if self.believes[account][vm] { vm } else { self.holder[account] };
-        let reached = world.serves(holder) && !world.frozen[holder] && world.linked(vm, holder);
-        if !reached {
-            return Verdict::Refuse;
+impl BudgetGuard for LeaseGuard {
+    fn admit(
+        &mut self,
+        now: Duration,
+        site: &SiteState,
+        vm: usize,
+        arrival: &Arrival,
+    ) -> Admission {
+        let account = arrival.account;
+        self.update_lease(now, site, vm, account);
+        // A holder that was frozen still counts for itself until it checks the lease.
+        let holder = if self.assumes_lease[account][vm] { vm } else { self.holders[account] };
+        let is_reachable =
+            site.is_serving(holder) && !site.frozen[holder] && site.are_linked(vm, holder);
+        if !is_reachable {
+            return Admission::Refuse;
         }
-        let Some(rest) = self.counts[account][holder].checked_sub(load.bound()) else {
-            return Verdict::Refuse;
+        let Some(left) = self.counts[account][holder].checked_sub(arrival.max_cost()) else {
+            return Admission::Refuse;
         };
-        self.counts[account][holder] = rest;
+        self.counts[account][holder] = left;
         let delay = if holder == vm { 0 } else { 2 };
-        Verdict::Run(Duration::from_millis(delay))
+        Admission::Admit(Duration::from_millis(delay))
     }
 
-    fn settle(&mut self, now: Duration, world: &World, vm: usize, load: &Load, used: u64) {
-        let account = load.account;
-        self.keep(now, world, vm, account);
-        let holder = if self.believes[account][vm] { vm } else { self.holder[account] };
-        if world.linked(vm, holder) {
-            self.counts[account][holder] += load.bound() - used;
+    fn settle(&mut self, now: Duration, site: &SiteState, vm: usize, arrival: &Arrival, used: u64) {
+        let account = arrival.account;
+        self.update_lease(now, site, vm, account);
+        let holder = if self.assumes_lease[account][vm] { vm } else { self.holders[account] };
+        if site.are_linked(vm, holder) {
+            self.counts[account][holder] += arrival.max_cost() - used;
         }
-        // It notices at its next write that the lease is another's.
-        if holder != self.holder[account] && now >= self.wrote[account] + WRITE {
-            self.believes[account][vm] = false;
+        // At its next write the former holder notices that another VM holds the lease.
+        if holder != self.holders[account] && now >= self.written_at[account] + WRITE_INTERVAL {
+            self.assumes_lease[account][vm] = false;
         }
     }
 
-    fn fault(&mut self, _: Duration, _: &World, fault: Fault) {
+    fn handle_fault(&mut self, _: Duration, _: &SiteState, fault: Fault) {
         if let Fault::Kill(vm) | Fault::Stop(vm) = fault {
-            for believes in &mut self.believes {
-                believes[vm] = false;
+            for assumes_lease in &mut self.assumes_lease {
+                assumes_lease[vm] = false;
             }
         }
     }
 
-    fn calls(&self) -> u64 {
+    fn call_count(&self) -> u64 {
         self.calls
     }
 }
--- a/crates/badgerfield-standin/src/measure/ours.rs
+++ b/crates/badgerfield-standin/src/measure/ours.rs
@@ -1,4 +1,4 @@
-//! The system itself, driven in one process.
+//! Runs badgerfield as a simulated fleet in one process.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,14 +6,14 @@
 use badgerfield_core::amount::Time;
 use badgerfield_core::ids::RequestId;
 
-use super::workload::{ACCOUNTS, LENGTH, VMS};
-use super::{Case, Fault, Figures, Load, System, quantile};
+use super::workload::{ACCOUNTS, CASE_DURATION, VMS};
+use super::{Arrival, Case, CaseResult, Fault, System, percentile};
 use crate::fleet::{End, Fleet, Shape, Wish};
 
-/// How long a caller keeps an answer of the directory.
-const DIRECTORY: Duration = Duration::from_secs(2);
+/// The time for which a caller caches an answer of the directory.
+const DIRECTORY_TTL: Duration = Duration::from_secs(2);
 
-/// The system itself.
+/// Badgerfield, with one simulated node for each VM.
 pub struct Ours;
 
 impl System for Ours {
@@ -21,18 +21,19 @@
         "badgerfield"
     }
 
-    fn run(&self, case: &Case) -> Figures {
+    fn run(&self, case: &Case) -> CaseResult {
         Run::new(case).finish(case)
     }
 }
 
 struct Run {
     fleet: Fleet,
-    figures: Figures,
-    open: BTreeMap<RequestId, Load>,
+    result: CaseResult,
+    open_requests: BTreeMap<RequestId, Arrival>,
+    /// The maximum cost of the open requests of each account.
     reserved: Vec<u64>,
-    /// When the directory named each VM last.
-    named: [Time; VMS],
+    /// The last time at which the directory listed each VM.
+    listed_at: [Time; VMS],
 }
 
 impl Run {
@@ -46,117 +47,119 @@
         let fleet = Fleet::started(shape);
         Self {
             fleet,
-            figures: Figures::default(),
-            open: BTreeMap::new(),
+            result: CaseResult::default(),
+            open_requests: BTreeMap::new(),
             reserved: vec![0; ACCOUNTS],
-            named: [Time::default(); VMS],
+            listed_at: [Time::default(); VMS],
         }
     }
 
-    fn finish(mut self, case: &Case) -> Figures {
+    fn finish(mut self, case: &Case) -> CaseResult {
         let start = self.fleet.now.0;
         let calls = self.fleet.platform.reads + self.fleet.platform.writes;
         let mut faults = case.faults.iter().copied().peekable();
-        for load in &case.loads {
-            while let Some((at, fault)) = faults.next_if(|(at, _)| *at <= load.at) {
-                self.pass(start + at);
-                self.fault(fault);
+        for arrival in &case.arrivals {
+            while let Some((at, fault)) = faults.next_if(|(at, _)| *at <= arrival.at) {
+                self.advance_to(start + at);
+                self.apply_fault(fault);
             }
-            self.pass(start + load.at);
-            self.ask(*load, load.vm);
+            self.advance_to(start + arrival.at);
+            self.send_request(*arrival, arrival.vm);
         }
-        self.pass(start + LENGTH);
+        self.advance_to(start + CASE_DURATION);
         let calls = self.fleet.platform.reads + self.fleet.platform.writes - calls;
-        self.pass(start + LENGTH + Duration::from_secs(10));
+        self.advance_to(start + CASE_DURATION + Duration::from_secs(10));
         let mut delays: Vec<_> =
             self.fleet.asked.values().filter_map(|a| Some(a.sent?.since(a.at))).collect();
         delays.sort_unstable();
-        self.figures.delay = (quantile(&delays, 50), quantile(&delays, 99));
-        self.figures.overspend = self.fleet.truth.overspend();
-        self.figures.kv_calls = real(calls) / LENGTH.as_secs_f64();
-        self.figures.stranded = self.stranded(case);
-        self.figures
+        self.result.dispatch_delay = (percentile(&delays, 50), percentile(&delays, 99));
+        self.result.overspend = self.fleet.truth.overspend();
+        self.result.kv_calls = to_f64(calls) / CASE_DURATION.as_secs_f64();
+        self.result.stranded = self.stranded(case);
+        self.result
     }
 
-    /// Lets time pass in small steps, so that every refusal is judged when it is made.
-    fn pass(&mut self, until: Duration) {
-        while self.fleet.now.0 < until {
-            let step = until.saturating_sub(self.fleet.now.0).min(Duration::from_millis(2));
+    /// Advances the simulated time in steps of at most 2 ms, so that each refusal is classified
+    /// by the state of the budgets at its time.
+    fn advance_to(&mut self, time: Duration) {
+        while self.fleet.now.0 < time {
+            let step = time.saturating_sub(self.fleet.now.0).min(Duration::from_millis(2));
             self.fleet.advance(step);
-            self.judge();
+            self.classify_ended();
         }
     }
 
-    fn ask(&mut self, load: Load, vm: usize) {
-        let (account, prompt, output) = (load.account, load.prompt, load.output);
+    fn send_request(&mut self, arrival: Arrival, vm: usize) {
+        let (account, prompt, output) = (arrival.account, arrival.prompt, arrival.output);
         let wish = Wish { budget: account, key: None, once: false, service: false, prompt, output };
-        self.figures.requests += 1;
-        let vm = self.reachable(vm);
+        self.result.requests += 1;
+        let vm = self.choose_vm(vm);
         let id = self.fleet.ask(vm, wish);
-        self.reserved[account] += load.bound();
-        self.open.insert(id, load);
-        self.judge();
+        self.reserved[account] += arrival.max_cost();
+        self.open_requests.insert(id, arrival);
+        self.classify_ended();
     }
 
-    /// Returns the VM that a caller ends up at.
+    /// Returns the VM that a caller sends its request to.
     ///
-    /// It keeps the directory's answer for a while, and then asks again when its VM is
-    /// not named any more, or refuses connections.
-    fn reachable(&mut self, vm: usize) -> usize {
+    /// A caller keeps its VM while a cached answer of the directory lists it and it accepts
+    /// connections. Otherwise it takes another listed VM, in its region if possible.
+    fn choose_vm(&mut self, vm: usize) -> usize {
         let region = self.fleet.region_of(vm);
-        let usable = self.fleet.directory(region);
+        let listed = self.fleet.directory(region);
         let now = self.fleet.now;
-        for other in &usable {
-            self.named[*other] = now;
+        for other in &listed {
+            self.listed_at[*other] = now;
         }
-        let kept = now.since(self.named[vm]) <= DIRECTORY && self.fleet.runs(vm);
-        if kept {
+        let is_usable = now.since(self.listed_at[vm]) <= DIRECTORY_TTL && self.fleet.runs(vm);
+        if is_usable {
             return vm;
         }
-        let near = usable.iter().copied().find(|other| self.fleet.region_of(*other) == region);
-        near.or_else(|| usable.first().copied()).unwrap_or(vm)
+        let in_region = listed.iter().copied().find(|other| self.fleet.region_of(*other) == region);
+        in_region.or_else(|| listed.first().copied()).unwrap_or(vm)
     }
 
-    fn judge(&mut self) {
+    /// Counts the requests that have ended, by their outcome.
+    fn classify_ended(&mut self) {
         let ended: Vec<_> = self
-            .open
+            .open_requests
             .keys()
             .filter_map(|id| Some((*id, self.fleet.asked.get(id)?.end.clone()?.0)))
             .collect();
         for (id, end) in ended {
-            let Some(load) = self.open.remove(&id) else {
+            let Some(arrival) = self.open_requests.remove(&id) else {
                 continue;
             };
-            self.reserved[load.account] -= load.bound();
+            self.reserved[arrival.account] -= arrival.max_cost();
             match end {
                 End::Whole(_) | End::Broken(_) => {}
-                End::Lost => self.figures.lost += 1,
-                End::Refused(refusal) if self.would_admit(&load) => {
-                    self.figures.refused += 1;
-                    *self.figures.causes.entry(refusal.cause.code()).or_default() += 1;
+                End::Lost => self.result.lost += 1,
+                End::Refused(refusal) if self.would_admit(&arrival) => {
+                    self.result.refused += 1;
+                    *self.result.causes.entry(refusal.cause.code()).or_default() += 1;
                 }
-                End::Refused(_) => self.figures.spent_out += 1,
+                End::Refused(_) => self.result.spent_out += 1,
             }
         }
     }
 
-    /// Tells whether an all-knowing ledger would admit a request now.
-    fn would_admit(&self, load: &Load) -> bool {
-        let account = load.account;
+    /// Returns whether an ideal ledger would admit a request now.
+    fn would_admit(&self, arrival: &Arrival) -> bool {
+        let account = arrival.account;
         let served = self.fleet.truth.served.get(&account).copied().unwrap_or(0);
-        // What is served of running requests counts within their reservations.
+        // Tokens served to running requests are already counted in their reservations.
         let running: u64 = self.fleet.running(account);
         let ended = served.saturating_sub(running);
         let used = ended + self.reserved[account];
-        self.fleet.truth.allowed(account).saturating_sub(used) >= load.bound()
+        self.fleet.truth.allowed(account).saturating_sub(used) >= arrival.max_cost()
     }
 
-    fn fault(&mut self, fault: Fault) {
+    fn apply_fault(&mut self, fault: Fault) {
         let fleet = &mut self.fleet;
         match fault {
-            Fault::Down(down) => fleet.platform.down = down,
-            Fault::Cut(true) => fleet.cut(1, true),
-            Fault::Cut(false) => fleet.heal(),
+            Fault::PlatformDown(down) => fleet.platform.down = down,
+            Fault::RegionCut(true) => fleet.cut(1, true),
+            Fault::RegionCut(false) => fleet.heal(),
             Fault::Kill(vm) => fleet.kill(vm),
             Fault::Start(vm) => {
                 if !fleet.runs(vm) {
@@ -169,19 +172,20 @@
         }
     }
 
-    /// Returns what is neither served, nor left in the ledger, nor held by a VM that runs.
+    /// Returns the tokens that are not served, not left in the ledger and not held by a running
+    /// VM.
     fn stranded(&self, case: &Case) -> u64 {
         let mut stranded = 0;
         for (account, limit) in case.limits.iter().enumerate() {
             let served = self.fleet.truth.served.get(&account).copied().unwrap_or(0);
-            let within = served + self.fleet.left(account) + self.fleet.held(account);
-            stranded += limit.saturating_sub(within);
+            let accounted = served + self.fleet.left(account) + self.fleet.held(account);
+            stranded += limit.saturating_sub(accounted);
         }
         stranded
     }
 }
 
-#[expect(clippy::cast_precision_loss, reason = "a figure in a table")]
-fn real(count: u64) -> f64 {
+#[expect(clippy::cast_precision_loss, reason = "values of printed tables")]
+fn to_f64(count: u64) -> f64 {
     count as f64
 }
--- a/crates/badgerfield-standin/src/measure/workload.rs
+++ b/crates/badgerfield-standin/src/measure/workload.rs
@@ -1,77 +1,77 @@
-//! Arrivals and faults, the same for every system.
+//! Arrivals and faults of the measured cases, the same for every system.
 
 use std::time::Duration;
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// How many client accounts there are; account 0 is the largest.
+/// The number of client accounts; account 0 sends the most requests.
 pub(super) const ACCOUNTS: usize = 10;
-/// How many VMs there are, half of them in each region.
+/// The number of VMs, half of them in each region.
 pub(super) const VMS: usize = 8;
-/// How long a case lasts.
-pub(super) const LENGTH: Duration = Duration::from_mins(4);
-/// When the fault of a case begins.
-const BEGIN: Duration = Duration::from_mins(1);
-/// When it ends.
-const END: Duration = Duration::from_mins(3);
-/// Requests a second of all accounts.
-const RATE: u64 = 30;
-
-/// One arrival.
+/// The duration of a case.
+pub(super) const CASE_DURATION: Duration = Duration::from_mins(4);
+/// The time at which the fault of a case begins.
+const FAULT_START: Duration = Duration::from_mins(1);
+/// The time at which the fault of a case ends, unless the case sets another time.
+const FAULT_END: Duration = Duration::from_mins(3);
+/// Requests per second of all accounts together.
+const REQUESTS_PER_SECOND: u64 = 30;
+
+/// One request and the time of its arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Load {
-    /// When, since the start.
+pub struct Arrival {
+    /// The time of arrival since the start of the case.
     pub at: Duration,
-    /// Which account.
+    /// The index of the account.
     pub account: usize,
-    /// The VM that the caller uses.
+    /// The VM that the caller prefers.
     pub vm: usize,
-    /// The bound of the prompt.
+    /// The upper bound of the prompt tokens.
     pub prompt: u64,
-    /// The output limit.
+    /// The output limit in tokens.
     pub output: u64,
 }
 
-impl Load {
-    /// Returns the most that the request can cost.
+impl Arrival {
+    /// Returns the maximum cost of the request in tokens.
     #[must_use]
-    pub fn bound(&self) -> u64 {
+    pub fn max_cost(&self) -> u64 {
         self.prompt + self.output
     }
 }
 
-/// What goes wrong.
+/// A fault, or its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The platform gives no answers, or gives them again.
-    Down(bool),
-    /// Region 1 is cut off from region 0 and the platform, or is not any more.
-    Cut(bool),
-    /// The process of a VM dies.
+    /// The platform stops answering (true) or answers again (false).
+    PlatformDown(bool),
+    /// Region 1 loses (true) or regains (false) its links to region 0 and the platform.
+    RegionCut(bool),
+    /// The process of a VM is killed.
     Kill(usize),
     /// The process of a VM starts.
     Start(usize),
-    /// The process of a VM stops as planned.
+    /// The process of a VM is asked to stop.
     Stop(usize),
-    /// The process of a VM is frozen, or goes on.
+    /// The process of a VM is frozen (true) or continues (false).
     Freeze(usize, bool),
 }
 
-/// One case.
+/// One case: arrivals, budgets and faults.
 #[derive(Debug, Clone)]
 pub struct Case {
-    /// Its name.
+    /// The name of the case.
     pub name: &'static str,
-    /// What happens in it.
-    pub about: &'static str,
-    /// The limits of the budgets.
+    /// A summary of its faults and budgets.
+    pub description: &'static str,
+    /// The budget limit of each account, in tokens.
     pub limits: Vec<u64>,
-    /// The arrivals.
-    pub loads: Vec<Load>,
-    /// The faults with their times.
+    /// The arrivals in the order of time.
+    pub arrivals: Vec<Arrival>,
+    /// The faults with their times, in the order of time.
     pub faults: Vec<(Duration, Fault)>,
-    /// The seed.
+    /// The seed of the arrivals.
     pub seed: u64,
 }
 
@@ -79,59 +79,76 @@
     /// Returns all cases.
     #[must_use]
     pub fn all(seed: u64) -> Vec<Self> {
-        let one = |name, about, share, faults| Self::new(name, about, share, faults, seed);
+        let case = |name, description, percent, faults| {
+            Self::new(name, description, percent, faults, seed)
+        };
         vec![
-            one("healthy", "nothing fails; budgets of 4 times the demand", 400, vec![]),
-            one("outage", "the platform gives no answers for 2 minutes", 400, outage()),
-            one("cut", "region 1 is cut off, also from the platform, for 2 minutes", 400, cut()),
-            one("kill", "one VM is killed and comes back after 30 s", 400, kill()),
-            one("pause", "one VM is frozen for 30 s, longer than any lease", 100, pause()),
-            one("rolling", "every VM is replaced, one after the other", 400, rolling()),
-            one("all at once", "outage, cut, kill, pause, and two replacements", 400, all()),
-            one("last 5%", "budgets of 5% of the demand", 5, vec![]),
-            one("tight cut", "budgets of the demand, region 1 cut off for 2 minutes", 100, cut()),
+            case("healthy", "nothing fails; budgets of 4 times the demand", 400, vec![]),
+            case("outage", "the platform gives no answers for 2 minutes", 400, outage_faults()),
+            case(
+                "cut",
+                "region 1 is cut off, also from the platform, for 2 minutes",
+                400,
+                cut_faults(),
+            ),
+            case("kill", "one VM is killed and comes back after 30 s", 400, kill_faults()),
+            case("pause", "one VM is frozen for 30 s, longer than any lease", 100, pause_faults()),
+            case("rolling", "every VM is replaced, one after the other", 400, rolling_restart()),
+            case(
+                "all at once",
+                "outage, cut, kill, pause, and two replacements",
+                400,
+                all_faults(),
+            ),
+            case("last 5%", "budgets of 5% of the demand", 5, vec![]),
+            case(
+                "tight cut",
+                "budgets of the demand, region 1 cut off for 2 minutes",
+                100,
+                cut_faults(),
+            ),
         ]
     }
 
     fn new(
         name: &'static str,
-        about: &'static str,
-        share: u64,
+        description: &'static str,
+        limit_percent: u64,
         faults: Vec<(Duration, Fault)>,
         seed: u64,
     ) -> Self {
-        let loads = loads(seed);
+        let arrivals = generate_arrivals(seed);
         let mut demand = [0; ACCOUNTS];
-        for load in &loads {
-            // On average half of the output limit is used, and 3 in 4 of the prompt's bound.
-            demand[load.account] += load.prompt * 3 / 4 + load.output / 2;
+        for arrival in &arrivals {
+            // On average a request uses half of its output limit and 3/4 of its prompt bound.
+            demand[arrival.account] += arrival.prompt * 3 / 4 + arrival.output / 2;
         }
-        let limits = demand.iter().map(|d| d * share / 100).collect();
-        Self { name, about, limits, loads, faults, seed }
+        let limits = demand.iter().map(|d| d * limit_percent / 100).collect();
+        Self { name, description, limits, arrivals, faults, seed }
     }
 }
 
-fn loads(seed: u64) -> Vec<Load> {
+fn generate_arrivals(seed: u64) -> Vec<Arrival> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut loads = Vec::new();
+    let mut arrivals = Vec::new();
     let mut at = Duration::ZERO;
     loop {
-        // Gaps of a memoryless stream.
+        // Arrivals are a Poisson process, with exponential times between them.
         let unit: f64 = rng.random_range(1e-9..1.0);
-        let rate = f64::from(u32::try_from(RATE).unwrap_or(1));
+        let rate = f64::from(u32::try_from(REQUESTS_PER_SECOND).unwrap_or(1));
         at += Duration::from_secs_f64(-unit.ln() / rate);
-        if at >= LENGTH {
-            return loads;
+        if at >= CASE_DURATION {
+            return arrivals;
         }
-        // Account n gets a share of 1 / (n + 1).
-        let account = pick(&mut rng);
+        // The share of account n is proportional to 1 / (n + 1).
+        let account = pick_account(&mut rng);
         let vm = rng.random_range(0..VMS);
         let (prompt, output) = (rng.random_range(50..300), rng.random_range(50..200));
-        loads.push(Load { at, account, vm, prompt, output });
+        arrivals.push(Arrival { at, account, vm, prompt, output });
     }
 }
 
-fn pick(rng: &mut ChaCha8Rng) -> usize {
+fn pick_account(rng: &mut ChaCha8Rng) -> usize {
     let total: f64 = (1..=ACCOUNTS).map(|n| 1.0 / f64::from(u32::try_from(n).unwrap_or(1))).sum();
     let mut point = rng.random_range(0.0..total);
     for n in 0..ACCOUNTS {
@@ -143,25 +160,25 @@
     ACCOUNTS - 1
 }
 
-fn outage() -> Vec<(Duration, Fault)> {
-    vec![(BEGIN, Fault::Down(true)), (END, Fault::Down(false))]
+fn outage_faults() -> Vec<(Duration, Fault)> {
+    vec![(FAULT_START, Fault::PlatformDown(true)), (FAULT_END, Fault::PlatformDown(false))]
 }
 
-fn cut() -> Vec<(Duration, Fault)> {
-    vec![(BEGIN, Fault::Cut(true)), (END, Fault::Cut(false))]
+fn cut_faults() -> Vec<(Duration, Fault)> {
+    vec![(FAULT_START, Fault::RegionCut(true)), (FAULT_END, Fault::RegionCut(false))]
 }
 
-fn kill() -> Vec<(Duration, Fault)> {
-    let back = BEGIN + Duration::from_secs(30);
-    vec![(BEGIN, Fault::Kill(1)), (back, Fault::Start(1))]
+fn kill_faults() -> Vec<(Duration, Fault)> {
+    let restart = FAULT_START + Duration::from_secs(30);
+    vec![(FAULT_START, Fault::Kill(1)), (restart, Fault::Start(1))]
 }
 
-fn pause() -> Vec<(Duration, Fault)> {
-    let back = BEGIN + Duration::from_secs(30);
-    vec![(BEGIN, Fault::Freeze(1, true)), (back, Fault::Freeze(1, false))]
+fn pause_faults() -> Vec<(Duration, Fault)> {
+    let restart = FAULT_START + Duration::from_secs(30);
+    vec![(FAULT_START, Fault::Freeze(1, true)), (restart, Fault::Freeze(1, false))]
 }
 
-fn rolling() -> Vec<(Duration, Fault)> {
+fn rolling_restart() -> Vec<(Duration, Fault)> {
     let mut faults = Vec::new();
     for vm in 0..VMS {
         let at = Duration::from_secs(20 + 25 * u64::try_from(vm).unwrap_or(0));
@@ -171,22 +188,22 @@
     faults
 }
 
-fn all() -> Vec<(Duration, Fault)> {
-    let at = Duration::from_secs;
+fn all_faults() -> Vec<(Duration, Fault)> {
+    let seconds = Duration::from_secs;
     let mut faults = vec![
-        (at(30), Fault::Stop(6)),
-        (at(55), Fault::Start(6)),
-        (at(60), Fault::Down(true)),
-        (at(70), Fault::Cut(true)),
-        (at(80), Fault::Kill(1)),
-        (at(90), Fault::Freeze(5, true)),
-        (at(110), Fault::Start(1)),
-        (at(125), Fault::Freeze(5, false)),
-        (at(130), Fault::Down(false)),
-        (at(150), Fault::Cut(false)),
-        (at(170), Fault::Stop(2)),
-        (at(200), Fault::Start(2)),
-        (at(201), Fault::Start(5)),
+        (seconds(30), Fault::Stop(6)),
+        (seconds(55), Fault::Start(6)),
+        (seconds(60), Fault::PlatformDown(true)),
+        (seconds(70), Fault::RegionCut(true)),
+        (seconds(80), Fault::Kill(1)),
+        (seconds(90), Fault::Freeze(5, true)),
+        (seconds(110), Fault::Start(1)),
+        (seconds(125), Fault::Freeze(5, false)),
+        (seconds(130), Fault::PlatformDown(false)),
+        (seconds(150), Fault::RegionCut(false)),
+        (seconds(170), Fault::Stop(2)),
+        (seconds(200), Fault::Start(2)),
+        (seconds(201), Fault::Start(5)),
     ];
     faults.sort_by_key(|(at, _)| *at);
     faults
--- a/crates/badgerfield-standin/src/route.rs
+++ b/crates/badgerfield-standin/src/route.rs
@@ -1,8 +1,8 @@
-//! Compares ways to choose an upstream, on the same arrivals.
+//! Compares policies for choosing an upstream, on the same arrivals.
 //!
-//! Engines read prompts one after the other, less what their bounded prefix cache holds,
-//! and give every stream its tokens at the decode rate while a slot is free. Several VMs
-//! choose at the same time, each on its own late reports.
+//! Engines read prompts one after the other, except the tokens that their bounded prefix
+//! cache holds, and produce the tokens of up to [`SLOTS`] streams at the decode rate. Several
+//! VMs choose independently, each from its own requests and from delayed load reports.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -22,43 +22,51 @@
 
 use crate::fleet::{account, region_name};
 
+/// The number of VMs that choose.
 const VMS: usize = 8;
+/// The number of engines to choose from.
 const ENGINES: usize = 20;
+/// The maximum number of concurrent streams of an engine.
 const SLOTS: u32 = 32;
-const PREFILL: u64 = 20_000;
-const DECODE: u64 = 40;
-/// Prefixes that an engine's cache holds.
-const CACHED: usize = 8;
-/// Tokens of a shared prefix, and of the rest of the prompt.
-const PROMPT: (u64, u64) = (2048, 200);
-const LENGTH: Duration = Duration::from_secs(90);
-/// When an engine slows down or dies.
-const FAULT: Duration = Duration::from_secs(30);
-/// The users' aim for the first token.
-const AIM: Duration = Duration::from_millis(1400);
-/// How long a request waits for a free engine before it is refused.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// How often a waiting request looks again.
-const LOOK: Duration = Duration::from_millis(50);
-
-/// One case.
+/// Prompt tokens that an engine reads per second.
+const PREFILL_RATE: u64 = 20_000;
+/// Output tokens of each stream per second.
+const DECODE_RATE: u64 = 40;
+/// The number of prefixes that the cache of an engine holds.
+const CACHE_SIZE: usize = 8;
+/// The tokens of the prefix, and of the rest of the prompt.
+const PROMPT_TOKENS: (u64, u64) = (2048, 200);
+/// The time during which requests arrive.
+const CASE_DURATION: Duration = Duration::from_secs(90);
+/// The time at which engine 0 slows down or fails.
+const FAULT_TIME: Duration = Duration::from_secs(30);
+/// The target for the time to the first token.
+const FIRST_TOKEN_TARGET: Duration = Duration::from_millis(1400);
+/// The maximum time that a request waits for an engine before it is refused.
+const MAX_WAIT: Duration = Duration::from_secs(5);
+/// The interval at which a waiting request chooses again.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
+
+/// One simulated case.
 struct Case {
     name: &'static str,
-    /// Requests a second.
+    /// Requests per second.
     rate: u64,
-    /// The share of requests with a shared prefix, and that of the hottest, in hundredths.
-    shared: (u64, u64),
-    lag: Duration,
-    /// By how much every second engine is slower.
-    mixed: u64,
-    /// By how much engine 0 slows down at the fault; 0 means that it dies.
-    fault: Option<u64>,
+    /// The percentage of requests with a shared prefix, and the percentage with the most
+    /// frequent prefix.
+    prefix_percent: (u64, u64),
+    /// The interval of the load reports, which is also their maximum age.
+    report_interval: Duration,
+    /// The factor by which every second engine is slower.
+    slow_factor: u64,
+    /// The factor by which engine 0 slows down at the fault; 0 means that it fails.
+    fault_factor: Option<u64>,
 }
 
-/// One request.
+/// One request and the VM that receives it.
 #[derive(Clone)]
 struct Job {
-    at: Duration,
+    arrives_at: Duration,
     vm: usize,
     prefix: Option<u64>,
     output: u64,
@@ -67,31 +75,31 @@
 
 #[derive(Default)]
 struct Engine {
-    /// When the prompt reader is free.
-    free: Duration,
+    /// The time at which the last admitted prompt will have been read.
+    prefill_end: Duration,
     running: u32,
-    waiting: VecDeque<usize>,
+    queue: VecDeque<usize>,
     cache: VecDeque<u64>,
-    slow: u64,
-    dead: bool,
+    slowdown: u64,
+    has_failed: bool,
 }
 
-/// A way to choose.
+/// A policy for choosing an engine, with its state on all VMs.
 trait Policy {
     fn name(&self) -> &'static str;
     fn choose(&mut self, now: Duration, job: &Job) -> Option<usize>;
-    fn sent(&mut self, _now: Duration, _job: &Job, _engine: usize) {}
-    fn first(&mut self, _job: &Job, _engine: usize, _took: Duration) {}
-    fn ended(&mut self, _job: &Job, _engine: usize) {}
-    fn failed(&mut self, _now: Duration, _job: &Job, _engine: usize) {}
-    fn report(&mut self, _now: Duration, _vm: usize, _engine: usize, _report: LoadReport) {}
+    fn record_sent(&mut self, _now: Duration, _job: &Job, _engine: usize) {}
+    fn record_first_token(&mut self, _job: &Job, _engine: usize, _took: Duration) {}
+    fn record_end(&mut self, _job: &Job, _engine: usize) {}
+    fn record_failure(&mut self, _now: Duration, _job: &Job, _engine: usize) {}
+    fn apply_report(&mut self, _now: Duration, _vm: usize, _engine: usize, _report: LoadReport) {}
 }
 
-/// Prints all cases.
+/// Runs every policy in every case and prints the results.
 pub fn print(seed: u64) {
     println!(
         "{VMS} VMs, {ENGINES} engines, {} s, seed {seed}; first token and time between tokens in ms",
-        LENGTH.as_secs()
+        CASE_DURATION.as_secs()
     );
     for case in cases() {
         println!();
@@ -100,284 +108,315 @@
             "  {:<28} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>8} {:>8}",
             "", "p50", "p95", "p99", "tbt p95", "tbt p99", "hits %", "in aim %", "refused"
         );
-        let jobs = jobs(&case, seed);
+        let jobs = generate_jobs(&case, seed);
         let policies: [Box<dyn Policy>; 6] = [
             Box::new(RoundRobin { next: [0; VMS] }),
-            Box::new(Least { loads: Loads::new(), two: None }),
-            Box::new(Least { loads: Loads::new(), two: Some(ChaCha8Rng::seed_from_u64(seed)) }),
-            Box::new(PrefixHash { bound: None, loads: Loads::new() }),
-            Box::new(PrefixHash { bound: Some(125), loads: Loads::new() }),
-            Box::new(Ours::new(&case)),
+            Box::new(LeastOutstanding { loads: Loads::new(), two_choices: None }),
+            Box::new(LeastOutstanding {
+                loads: Loads::new(),
+                two_choices: Some(ChaCha8Rng::seed_from_u64(seed)),
+            }),
+            Box::new(PrefixHash { bound_percent: None, loads: Loads::new() }),
+            Box::new(PrefixHash { bound_percent: Some(125), loads: Loads::new() }),
+            Box::new(BadgerfieldPolicy::new(&case)),
         ];
         for mut policy in policies {
-            Bench::run(&case, &jobs, policy.as_mut()).print(policy.name());
+            Simulation::run(&case, &jobs, policy.as_mut()).print(policy.name());
         }
     }
     println!();
-    println!("in aim: requests whose first token came within {} ms, of all", AIM.as_millis());
+    println!(
+        "in aim: requests whose first token came within {} ms, of all",
+        FIRST_TOKEN_TARGET.as_millis()
+    );
 }
 
 fn cases() -> Vec<Case> {
     let base = |name| Case {
         name,
         rate: 60,
-        shared: (50, 10),
-        lag: Duration::from_millis(500),
-        mixed: 1,
-        fault: None,
+        prefix_percent: (50, 10),
+        report_interval: Duration::from_millis(500),
+        slow_factor: 1,
+        fault_factor: None,
     };
     let millis = Duration::from_millis;
     vec![
-        Case { shared: (0, 0), ..base("no shared prefixes, reports 0.5 s late") },
+        Case { prefix_percent: (0, 0), ..base("no shared prefixes, reports 0.5 s late") },
         base("half of the requests share 40 prefixes, reports 0.5 s late"),
-        Case { shared: (90, 10), ..base("9 in 10 share 40 prefixes, reports 0.5 s late") },
-        Case { shared: (90, 60), ..base("one hot prefix at 60%, reports 0.5 s late") },
-        Case { lag: millis(1), ..base("half shared, reports at once") },
-        Case { lag: millis(2000), ..base("half shared, reports 2 s late") },
-        Case { mixed: 3, rate: 40, ..base("half shared, every second engine 3 times slower") },
-        Case { fault: Some(5), ..base("half shared, one engine slows down 5 times") },
-        Case { fault: Some(0), ..base("half shared, one engine dies") },
+        Case { prefix_percent: (90, 10), ..base("9 in 10 share 40 prefixes, reports 0.5 s late") },
+        Case { prefix_percent: (90, 60), ..base("one hot prefix at 60%, reports 0.5 s late") },
+        Case { report_interval: millis(1), ..base("half shared, reports at once") },
+        Case { report_interval: millis(2000), ..base("half shared, reports 2 s late") },
+        Case {
+            slow_factor: 3,
+            rate: 40,
+            ..base("half shared, every second engine 3 times slower")
+        },
+        Case { fault_factor: Some(5), ..base("half shared, one engine slows down 5 times") },
+        Case { fault_factor: Some(0), ..base("half shared, one engine dies") },
         Case { rate: 120, ..base("half shared, 1.4 times the capacity") },
     ]
 }
 
-fn jobs(case: &Case, seed: u64) -> Vec<Job> {
+fn generate_jobs(case: &Case, seed: u64) -> Vec<Job> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut jobs = Vec::new();
-    let mut at = Duration::ZERO;
-    while at < LENGTH {
+    let mut arrives_at = Duration::ZERO;
+    while arrives_at < CASE_DURATION {
         let unit: f64 = rng.random_range(1e-9..1.0);
-        at += Duration::from_secs_f64(-unit.ln() / real(case.rate));
-        let roll = rng.random_range(0..100);
-        let prefix = if roll < case.shared.1 {
+        arrives_at += Duration::from_secs_f64(-unit.ln() / to_f64(case.rate));
+        let percent = rng.random_range(0..100);
+        let prefix = if percent < case.prefix_percent.1 {
             Some(0)
-        } else if roll < case.shared.0 {
+        } else if percent < case.prefix_percent.0 {
             Some(rng.random_range(1..40))
         } else {
             None
         };
-        let own = rng.random::<u64>();
-        let digests =
-            (0..PROMPT.0 / 256).map(|i| prefix.unwrap_or(own).wrapping_mul(31) + i).collect();
+        let unshared = rng.random::<u64>();
+        let digests = (0..PROMPT_TOKENS.0 / 256)
+            .map(|i| prefix.unwrap_or(unshared).wrapping_mul(31) + i)
+            .collect();
         let work = Work::Chat(Chat {
             model: "m".parse().unwrap_or_else(|_| unreachable!("the name is valid")),
             adapter: None,
-            prompt_tokens: Tokens(PROMPT.0 + PROMPT.1),
+            prompt_tokens: Tokens(PROMPT_TOKENS.0 + PROMPT_TOKENS.1),
             output_limit: None,
             prefix_digests: digests,
         });
         let (vm, output) = (rng.random_range(0..VMS), rng.random_range(50..350));
-        jobs.push(Job { at, vm, prefix, output, work });
+        jobs.push(Job { arrives_at, vm, prefix, output, work });
     }
     jobs
 }
 
-/// What happens next.
+/// An event of the simulation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Turn {
+enum Event {
+    /// A job arrives, or chooses again.
     Arrive(usize),
+    /// A job gets its first token from an engine.
     First(usize, usize),
+    /// A job ends at an engine.
     End(usize, usize),
+    /// All VMs receive the load report of an engine.
     Report(usize),
+    /// The fault of the case occurs.
     Fault,
 }
 
-struct Bench<'a> {
+/// The simulation of one case under one policy.
+struct Simulation<'a> {
     case: &'a Case,
     jobs: &'a [Job],
     engines: Vec<Engine>,
-    turns: BinaryHeap<Reverse<(Duration, usize, Turn)>>,
-    count: usize,
-    firsts: Vec<Duration>,
-    gaps: Vec<Duration>,
-    hits: u64,
-    shared: u64,
+    /// The pending events with their times; the sequence number orders events of the same
+    /// time.
+    events: BinaryHeap<Reverse<(Duration, usize, Event)>>,
+    event_count: usize,
+    first_token_times: Vec<Duration>,
+    token_gaps: Vec<Duration>,
+    cache_hits: u64,
+    /// The requests with a shared prefix.
+    prefix_requests: u64,
     refused: u64,
 }
 
-/// What came of one run.
+/// The results of one simulation.
 struct Outcome {
-    firsts: Vec<Duration>,
-    gaps: Vec<Duration>,
-    hits: f64,
-    in_aim: f64,
+    first_token_times: Vec<Duration>,
+    token_gaps: Vec<Duration>,
+    /// The percentage of requests with a shared prefix that hit the prefix cache.
+    hit_percent: f64,
+    /// The percentage of requests whose first token came within the target.
+    on_target_percent: f64,
     refused: u64,
 }
 
 impl Outcome {
     fn print(&self, name: &str) {
-        let at = |spans: &[Duration], share: usize| {
-            let last = spans.len().saturating_sub(1);
-            spans.get(last * share / 100).copied().unwrap_or_default().as_secs_f64() * 1000.0
+        let quantile_ms = |sorted: &[Duration], percent: usize| {
+            let last = sorted.len().saturating_sub(1);
+            sorted.get(last * percent / 100).copied().unwrap_or_default().as_secs_f64() * 1000.0
         };
         println!(
             "  {name:<28} {:>7.0} {:>7.0} {:>7.0} {:>7.0} {:>7.0} {:>7.0} {:>8.1} {:>8}",
-            at(&self.firsts, 50),
-            at(&self.firsts, 95),
-            at(&self.firsts, 99),
-            at(&self.gaps, 95),
-            at(&self.gaps, 99),
-            self.hits,
-            self.in_aim,
+            quantile_ms(&self.first_token_times, 50),
+            quantile_ms(&self.first_token_times, 95),
+            quantile_ms(&self.first_token_times, 99),
+            quantile_ms(&self.token_gaps, 95),
+            quantile_ms(&self.token_gaps, 99),
+            self.hit_percent,
+            self.on_target_percent,
             self.refused
         );
     }
 }
 
-impl<'a> Bench<'a> {
+impl<'a> Simulation<'a> {
     fn run(case: &'a Case, jobs: &'a [Job], policy: &mut dyn Policy) -> Outcome {
         let engine = |i: usize| Engine {
-            slow: if i % 2 == 1 { case.mixed } else { 1 },
+            slowdown: if i % 2 == 1 { case.slow_factor } else { 1 },
             ..Engine::default()
         };
-        let mut bench = Self {
+        let mut simulation = Self {
             case,
             jobs,
             engines: (0..ENGINES).map(engine).collect(),
-            turns: BinaryHeap::new(),
-            count: 0,
-            firsts: Vec::new(),
-            gaps: Vec::new(),
-            hits: 0,
-            shared: 0,
+            events: BinaryHeap::new(),
+            event_count: 0,
+            first_token_times: Vec::new(),
+            token_gaps: Vec::new(),
+            cache_hits: 0,
+            prefix_requests: 0,
             refused: 0,
         };
-        bench.play(policy);
-        bench.outcome()
+        simulation.simulate(policy);
+        simulation.into_outcome()
     }
 
-    fn outcome(mut self) -> Outcome {
-        self.firsts.sort_unstable();
-        self.gaps.sort_unstable();
-        let in_time = self.firsts.iter().filter(|f| **f <= AIM).count();
+    fn into_outcome(mut self) -> Outcome {
+        self.first_token_times.sort_unstable();
+        self.token_gaps.sort_unstable();
+        let on_target = self.first_token_times.iter().filter(|f| **f <= FIRST_TOKEN_TARGET).count();
         Outcome {
-            hits: 100.0 * real(self.hits) / real(self.shared.max(1)),
-            in_aim: 100.0 * real(in_time) / real(self.jobs.len()),
+            hit_percent: 100.0 * to_f64(self.cache_hits) / to_f64(self.prefix_requests.max(1)),
+            on_target_percent: 100.0 * to_f64(on_target) / to_f64(self.jobs.len()),
             refused: self.refused,
-            firsts: self.firsts,
-            gaps: self.gaps,
+            first_token_times: self.first_token_times,
+            token_gaps: self.token_gaps,
         }
     }
 
-    fn at(&mut self, time: Duration, turn: Turn) {
-        self.count += 1;
-        self.turns.push(Reverse((time, self.count, turn)));
+    fn schedule(&mut self, time: Duration, event: Event) {
+        self.event_count += 1;
+        self.events.push(Reverse((time, self.event_count, event)));
     }
 
-    fn play(&mut self, policy: &mut dyn Policy) {
+    fn simulate(&mut self, policy: &mut dyn Policy) {
         for (n, job) in self.jobs.iter().enumerate() {
-            self.at(job.at, Turn::Arrive(n));
+            self.schedule(job.arrives_at, Event::Arrive(n));
         }
-        self.at(FAULT, Turn::Fault);
+        self.schedule(FAULT_TIME, Event::Fault);
         for engine in 0..ENGINES {
-            self.at(Duration::ZERO, Turn::Report(engine));
+            self.schedule(Duration::ZERO, Event::Report(engine));
         }
-        while let Some(Reverse((now, _, turn))) = self.turns.pop() {
-            match turn {
-                Turn::Arrive(job) => self.arrive(now, job, policy),
-                Turn::First(job, engine) => self.first(now, job, engine, policy),
-                Turn::End(job, engine) => self.end(now, job, engine, policy),
-                Turn::Report(engine) => self.report(now, engine, policy),
-                Turn::Fault => self.fault(),
+        while let Some(Reverse((now, _, event))) = self.events.pop() {
+            match event {
+                Event::Arrive(job) => self.dispatch(now, job, policy),
+                Event::First(job, engine) => self.produce_first_token(now, job, engine, policy),
+                Event::End(job, engine) => self.end_request(now, job, engine, policy),
+                Event::Report(engine) => self.send_reports(now, engine, policy),
+                Event::Fault => self.apply_fault(),
             }
         }
     }
 
-    fn arrive(&mut self, now: Duration, n: usize, policy: &mut dyn Policy) {
+    fn dispatch(&mut self, now: Duration, n: usize, policy: &mut dyn Policy) {
         let jobs = self.jobs;
         let job = &jobs[n];
         let choice = policy.choose(now, job);
-        let Some(engine) = choice.filter(|e| !self.engines[*e].dead) else {
-            if let Some(dead) = choice {
-                policy.failed(now, job, dead);
+        let Some(engine) = choice.filter(|e| !self.engines[*e].has_failed) else {
+            if let Some(failed) = choice {
+                policy.record_failure(now, job, failed);
             }
-            if now.saturating_sub(job.at) >= PATIENCE {
+            if now.saturating_sub(job.arrives_at) >= MAX_WAIT {
                 self.refused += 1;
             } else {
-                self.at(now + LOOK, Turn::Arrive(n));
+                self.schedule(now + RETRY_INTERVAL, Event::Arrive(n));
             }
             return;
         };
-        policy.sent(now, job, engine);
-        self.engines[engine].waiting.push_back(n);
+        policy.record_sent(now, job, engine);
+        self.engines[engine].queue.push_back(n);
         self.admit(now, engine);
     }
 
-    /// Lets the engine take waiting requests into free slots.
+    /// Admits queued requests of an engine into its free slots.
     fn admit(&mut self, now: Duration, number: usize) {
         while self.engines[number].running < SLOTS {
-            let Some(n) = self.engines[number].waiting.pop_front() else {
+            let Some(n) = self.engines[number].queue.pop_front() else {
                 return;
             };
             let engine = &mut self.engines[number];
             engine.running += 1;
-            let mut tokens = PROMPT.0 + PROMPT.1;
+            let mut tokens = PROMPT_TOKENS.0 + PROMPT_TOKENS.1;
             if let Some(prefix) = self.jobs[n].prefix {
-                self.shared += 1;
+                self.prefix_requests += 1;
                 if engine.cache.contains(&prefix) {
-                    tokens = PROMPT.1;
-                    self.hits += 1;
+                    tokens = PROMPT_TOKENS.1;
+                    self.cache_hits += 1;
                 }
                 engine.cache.retain(|p| *p != prefix);
                 engine.cache.push_back(prefix);
-                if engine.cache.len() > CACHED {
+                if engine.cache.len() > CACHE_SIZE {
                     engine.cache.pop_front();
                 }
             }
-            let start = engine.free.max(now);
-            let micros = tokens * 1_000_000 / PREFILL * engine.slow;
-            engine.free = start + Duration::from_micros(micros);
-            let first = engine.free + self.gap(number);
-            self.at(first, Turn::First(n, number));
+            let start = engine.prefill_end.max(now);
+            let micros = tokens * 1_000_000 / PREFILL_RATE * engine.slowdown;
+            engine.prefill_end = start + Duration::from_micros(micros);
+            let first = engine.prefill_end + self.token_gap(number);
+            self.schedule(first, Event::First(n, number));
         }
     }
 
-    /// Returns the time between two tokens, which grows a little with the batch.
-    fn gap(&self, number: usize) -> Duration {
+    /// Returns the time between two tokens of a stream.
+    ///
+    /// It grows with the batch, to 1.5 times its base when all slots are taken.
+    fn token_gap(&self, number: usize) -> Duration {
         let engine = &self.engines[number];
-        let base = 1_000_000 / DECODE * engine.slow;
+        let base = 1_000_000 / DECODE_RATE * engine.slowdown;
         Duration::from_micros(base + base * u64::from(engine.running) / u64::from(SLOTS) / 2)
     }
 
-    fn first(&mut self, now: Duration, n: usize, engine: usize, policy: &mut dyn Policy) {
+    fn produce_first_token(
+        &mut self,
+        now: Duration,
+        n: usize,
+        engine: usize,
+        policy: &mut dyn Policy,
+    ) {
         let job = &self.jobs[n];
-        self.firsts.push(now.saturating_sub(job.at));
-        policy.first(job, engine, now.saturating_sub(job.at));
-        let gap = self.gap(engine);
-        self.gaps.push(gap);
+        self.first_token_times.push(now.saturating_sub(job.arrives_at));
+        policy.record_first_token(job, engine, now.saturating_sub(job.arrives_at));
+        let gap = self.token_gap(engine);
+        self.token_gaps.push(gap);
         let tokens = u32::try_from(job.output).unwrap_or(1);
-        self.at(now + gap * tokens, Turn::End(n, engine));
+        self.schedule(now + gap * tokens, Event::End(n, engine));
     }
 
-    fn end(&mut self, now: Duration, n: usize, engine: usize, policy: &mut dyn Policy) {
-        policy.ended(&self.jobs[n], engine);
+    fn end_request(&mut self, now: Duration, n: usize, engine: usize, policy: &mut dyn Policy) {
+        policy.record_end(&self.jobs[n], engine);
         self.engines[engine].running -= 1;
         self.admit(now, engine);
     }
 
-    fn report(&mut self, now: Duration, number: usize, policy: &mut dyn Policy) {
+    fn send_reports(&mut self, now: Duration, number: usize, policy: &mut dyn Policy) {
         let engine = &self.engines[number];
-        let backlog = engine.free.saturating_sub(now).as_micros() * u128::from(PREFILL) / 1_000_000;
+        let backlog = engine.prefill_end.saturating_sub(now).as_micros() * u128::from(PREFILL_RATE)
+            / 1_000_000;
         let report = LoadReport {
             running: engine.running,
-            queued: u32::try_from(engine.waiting.len()).unwrap_or(u32::MAX),
+            queued: u32::try_from(engine.queue.len()).unwrap_or(u32::MAX),
             prefill: Tokens(u64::try_from(backlog).unwrap_or(u64::MAX)),
             leaving: false,
         };
         for vm in 0..VMS {
-            policy.report(now, vm, number, report);
+            policy.apply_report(now, vm, number, report);
         }
-        if now < LENGTH {
-            // The report that arrives now was made when the last one arrived.
-            self.at(now + self.case.lag, Turn::Report(number));
+        if now < CASE_DURATION {
+            // The VMs use this report until the next one arrives, one interval later.
+            self.schedule(now + self.case.report_interval, Event::Report(number));
         }
     }
 
-    fn fault(&mut self) {
-        match self.case.fault {
+    fn apply_fault(&mut self) {
+        match self.case.fault_factor {
             None => {}
-            Some(0) => self.engines[0].dead = true,
-            Some(factor) => self.engines[0].slow *= factor,
+            Some(0) => self.engines[0].has_failed = true,
+            Some(factor) => self.engines[0].slowdown *= factor,
         }
     }
 }
@@ -397,77 +436,79 @@
     }
 }
 
-/// What each VM knows of the engines' loads: its own requests, and the last reports.
+/// The load of each engine as each VM knows it: its own requests, and the last reports.
 struct Loads {
-    own: Vec<[u32; ENGINES]>,
-    seen: Vec<[u32; ENGINES]>,
+    own_requests: Vec<[u32; ENGINES]>,
+    reported: Vec<[u32; ENGINES]>,
 }
 
 impl Loads {
     fn new() -> Self {
-        Self { own: vec![[0; ENGINES]; VMS], seen: vec![[0; ENGINES]; VMS] }
+        Self { own_requests: vec![[0; ENGINES]; VMS], reported: vec![[0; ENGINES]; VMS] }
     }
 
-    fn of(&self, vm: usize, engine: usize) -> u32 {
-        self.seen[vm][engine].max(self.own[vm][engine])
+    fn load(&self, vm: usize, engine: usize) -> u32 {
+        self.reported[vm][engine].max(self.own_requests[vm][engine])
     }
 
-    fn sent(&mut self, vm: usize, engine: usize) {
-        self.own[vm][engine] += 1;
-        self.seen[vm][engine] += 1;
+    fn record_sent(&mut self, vm: usize, engine: usize) {
+        self.own_requests[vm][engine] += 1;
+        self.reported[vm][engine] += 1;
     }
 
-    fn ended(&mut self, vm: usize, engine: usize) {
-        self.own[vm][engine] -= 1;
+    fn record_end(&mut self, vm: usize, engine: usize) {
+        self.own_requests[vm][engine] -= 1;
     }
 
-    fn report(&mut self, vm: usize, engine: usize, report: LoadReport) {
-        self.seen[vm][engine] = report.running + report.queued;
+    fn apply_report(&mut self, vm: usize, engine: usize, report: LoadReport) {
+        self.reported[vm][engine] = report.running + report.queued;
     }
 }
 
-/// The least outstanding requests, of all engines or of two at random.
-struct Least {
+/// Chooses the engine with the fewest outstanding requests, of all engines or of two random
+/// ones.
+struct LeastOutstanding {
     loads: Loads,
-    two: Option<ChaCha8Rng>,
+    two_choices: Option<ChaCha8Rng>,
 }
 
-impl Policy for Least {
+impl Policy for LeastOutstanding {
     fn name(&self) -> &'static str {
-        if self.two.is_some() { "power of two choices" } else { "least outstanding" }
+        if self.two_choices.is_some() { "power of two choices" } else { "least outstanding" }
     }
 
     fn choose(&mut self, _: Duration, job: &Job) -> Option<usize> {
-        let load = |e: &usize| self.loads.of(job.vm, *e);
-        let Some(rng) = &mut self.two else {
+        let load = |e: &usize| self.loads.load(job.vm, *e);
+        let Some(rng) = &mut self.two_choices else {
             return (0..ENGINES).min_by_key(load);
         };
         let pair = [rng.random_range(0..ENGINES), rng.random_range(0..ENGINES)];
         pair.into_iter().min_by_key(load)
     }
 
-    fn sent(&mut self, _: Duration, job: &Job, engine: usize) {
-        self.loads.sent(job.vm, engine);
+    fn record_sent(&mut self, _: Duration, job: &Job, engine: usize) {
+        self.loads.record_sent(job.vm, engine);
     }
 
-    fn ended(&mut self, job: &Job, engine: usize) {
-        self.loads.ended(job.vm, engine);
+    fn record_end(&mut self, job: &Job, engine: usize) {
+        self.loads.record_end(job.vm, engine);
     }
 
-    fn report(&mut self, _: Duration, vm: usize, engine: usize, report: LoadReport) {
-        self.loads.report(vm, engine, report);
+    fn apply_report(&mut self, _: Duration, vm: usize, engine: usize, report: LoadReport) {
+        self.loads.apply_report(vm, engine, report);
     }
 }
 
-/// The engine that a digest of the prefix names, or the next that is not too full.
+/// Chooses the engine that the prefix hashes to, or the next one below a load bound.
 struct PrefixHash {
-    bound: Option<u32>,
+    /// The maximum load of an engine, in percent of the mean load.
+    bound_percent: Option<u32>,
     loads: Loads,
 }
 
 impl Policy for PrefixHash {
     fn name(&self) -> &'static str {
-        if self.bound.is_some() { "prefix hash, bounded load" } else { "prefix hash" }
+        if self.bound_percent.is_some() { "prefix hash, bounded load" } else { "prefix hash" }
     }
 
     fn choose(&mut self, _: Duration, job: &Job) -> Option<usize> {
@@ -478,105 +519,105 @@
             &chat.prefix_digests[0].to_be_bytes().repeat(32),
         )[0];
         let first = usize::try_from(digest % u64::try_from(ENGINES).ok()?).ok()?;
-        let Some(bound) = self.bound else {
+        let Some(bound_percent) = self.bound_percent else {
             return Some(first);
         };
-        let load = |e: usize| self.loads.of(job.vm, e);
+        let load = |e: usize| self.loads.load(job.vm, e);
         let total: u32 = (0..ENGINES).map(load).sum();
-        let most = (total * bound / 100).div_ceil(u32::try_from(ENGINES).ok()?) + 1;
-        (0..ENGINES).map(|i| (first + i) % ENGINES).find(|e| load(*e) < most).or(Some(first))
+        let max_load = (total * bound_percent / 100).div_ceil(u32::try_from(ENGINES).ok()?) + 1;
+        (0..ENGINES).map(|i| (first + i) % ENGINES).find(|e| load(*e) < max_load).or(Some(first))
     }
 
-    fn sent(&mut self, _: Duration, job: &Job, engine: usize) {
-        self.loads.sent(job.vm, engine);
+    fn record_sent(&mut self, _: Duration, job: &Job, engine: usize) {
+        self.loads.record_sent(job.vm, engine);
     }
 
-    fn ended(&mut self, job: &Job, engine: usize) {
-        self.loads.ended(job.vm, engine);
+    fn record_end(&mut self, job: &Job, engine: usize) {
+        self.loads.record_end(job.vm, engine);
     }
 
-    fn report(&mut self, _: Duration, vm: usize, engine: usize, report: LoadReport) {
-        self.loads.report(vm, engine, report);
+    fn apply_report(&mut self, _: Duration, vm: usize, engine: usize, report: LoadReport) {
+        self.loads.apply_report(vm, engine, report);
     }
 }
 
-/// The system's own choice: one table for each VM.
-struct Ours {
+/// Chooses as badgerfield does, with one upstream table for each VM.
+struct BadgerfieldPolicy {
     tables: Vec<VmUpstreams>,
     template: AccountTemplate,
     region: Region,
-    count: u64,
+    choice_count: u64,
 }
 
-impl Ours {
+impl BadgerfieldPolicy {
     fn new(case: &Case) -> Self {
-        let vms: Vec<_> = (0..ENGINES).map(|i| entry(case, i)).collect();
+        let vms: Vec<_> = (0..ENGINES).map(|i| vm_entry(case, i)).collect();
         let table = || {
             let mut table = VmUpstreams::default();
             table.apply_list(&VmList { version: 1, vms: vms.clone() });
             table
         };
         let tables = (0..VMS).map(|_| table()).collect();
-        Self { tables, template: account(), region: region_name(0), count: 0 }
+        Self { tables, template: account(), region: region_name(0), choice_count: 0 }
     }
 }
 
-impl Policy for Ours {
+impl Policy for BadgerfieldPolicy {
     fn name(&self) -> &'static str {
         "badgerfield"
     }
 
     fn choose(&mut self, now: Duration, job: &Job) -> Option<usize> {
-        self.count += 1;
-        let seed = self.count.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let wish = VmUpstreamCriteria {
+        self.choice_count += 1;
+        let seed = self.choice_count.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let criteria = VmUpstreamCriteria {
             work: &job.work,
             template: &self.template,
             residency: &EVERYWHERE,
             region: &self.region,
             seed,
         };
-        match self.tables[job.vm].choose(Time(now), &wish) {
+        match self.tables[job.vm].choose(Time(now), &criteria) {
             VmUpstreamChoice::Selected(id) => id.as_str().trim_start_matches("e-").parse().ok(),
             VmUpstreamChoice::Full(_) | VmUpstreamChoice::Unavailable => None,
         }
     }
 
-    fn sent(&mut self, now: Duration, job: &Job, engine: usize) {
-        self.tables[job.vm].record_dispatch(Time(now), &name(engine), &job.work);
+    fn record_sent(&mut self, now: Duration, job: &Job, engine: usize) {
+        self.tables[job.vm].record_dispatch(Time(now), &engine_id(engine), &job.work);
     }
 
-    fn first(&mut self, job: &Job, engine: usize, took: Duration) {
-        self.tables[job.vm].record_first_token(&name(engine), &job.work, took);
+    fn record_first_token(&mut self, job: &Job, engine: usize, took: Duration) {
+        self.tables[job.vm].record_first_token(&engine_id(engine), &job.work, took);
     }
 
-    fn ended(&mut self, job: &Job, engine: usize) {
-        self.tables[job.vm].record_end(&name(engine), &job.work, true);
+    fn record_end(&mut self, job: &Job, engine: usize) {
+        self.tables[job.vm].record_end(&engine_id(engine), &job.work, true);
     }
 
-    fn failed(&mut self, now: Duration, job: &Job, engine: usize) {
-        self.tables[job.vm].record_failure(Time(now), &name(engine));
+    fn record_failure(&mut self, now: Duration, job: &Job, engine: usize) {
+        self.tables[job.vm].record_failure(Time(now), &engine_id(engine));
     }
 
-    fn report(&mut self, now: Duration, vm: usize, engine: usize, report: LoadReport) {
-        self.tables[vm].apply_report(Time(now), &name(engine), report);
+    fn apply_report(&mut self, now: Duration, vm: usize, engine: usize, report: LoadReport) {
+        self.tables[vm].apply_report(Time(now), &engine_id(engine), report);
     }
 }
 
-fn name(engine: usize) -> UpstreamId {
+fn engine_id(engine: usize) -> UpstreamId {
     format!("e-{engine}").parse().unwrap_or_else(|_| unreachable!("the name is valid"))
 }
 
-fn entry(case: &Case, engine: usize) -> VmEntry {
-    let slow = if engine % 2 == 1 { case.mixed } else { 1 };
+fn vm_entry(case: &Case, engine: usize) -> VmEntry {
+    let slowdown = if engine % 2 == 1 { case.slow_factor } else { 1 };
     let kind = UpstreamKind::Engine(EngineInfo {
         model: "m".parse().unwrap_or_else(|_| unreachable!("the name is valid")),
         adapters: std::collections::BTreeSet::new(),
-        prefill: TokenRate(PREFILL / slow),
-        decode: TokenRate(DECODE / slow),
+        prefill: TokenRate(PREFILL_RATE / slowdown),
+        decode: TokenRate(DECODE_RATE / slowdown),
     });
     let upstream = VmUpstreamInfo {
-        id: name(engine),
+        id: engine_id(engine),
         address: ([127, 0, 0, 1], 1).into(),
         region: region_name(0),
         hardware: "new".parse().unwrap_or_else(|_| unreachable!("the name is valid")),
@@ -587,7 +628,7 @@
     VmEntry { vm, leaving: false, upstream: Some(upstream) }
 }
 
-#[expect(clippy::cast_precision_loss, reason = "a figure in a table")]
-fn real(count: impl TryInto<u64>) -> f64 {
+#[expect(clippy::cast_precision_loss, reason = "values of printed tables")]
+fn to_f64(count: impl TryInto<u64>) -> f64 {
     count.try_into().unwrap_or(0) as f64
 }
