--- a/crates/badgerfield-standin/src/capacity.rs
+++ b/crates/badgerfield-standin/src/capacity.rs
@@ -125,7 +125,9 @@
         "  {:>5} {:>8} {:>9} {:>10} {:>10} {:>9} {:>9} {:>9} {:>10}",
         "nodes", "budgets", "req/s", "msgs/s", "B/s", "% core", "kv reads", "kv writes", "kv B/s"
     );
-    println!("  (requests, messages, bytes and time of one core a node; the rest for the fleet)");
+    println!(
+        "  (requests, messages, bytes and time of one core per node; the rest for the whole fleet)"
+    );
 }
 
 fn measure_nodes(seed: u64) {
--- a/crates/badgerfield-standin/src/load.rs
+++ b/crates/badgerfield-standin/src/load.rs
@@ -293,7 +293,7 @@
     let millis = |histogram: &Histogram<u64>, quantile: f64| {
         f64::from(u32::try_from(histogram.value_at_quantile(quantile)).unwrap_or(0)) / 1000.0
     };
-    // Refusals for a spent budget are false up to the tokens that the engines did not serve.
+    // Refusals for a spent budget were false if the engines served less than the limit.
     let unserved = limit.saturating_sub(total);
     json!({
         "whole answers": load(&counts.complete),
--- a/crates/badgerfield-standin/src/measure/mod.rs
+++ b/crates/badgerfield-standin/src/measure/mod.rs
@@ -90,11 +90,11 @@
         }
     }
     println!();
-    println!("refused: turned away although an all-knowing ledger would have admitted the request");
+    println!("refused: refused although an ideal ledger would have admitted the request");
+    println!("spent out: refused as by an ideal ledger; lost: ended because the VM was killed");
     println!(
-        "spent out: turned away as the all-knowing ledger would have; lost: the VM died under it"
+        "stranded: tokens that no VM can spend at the end; p50, p99: from arrival to dispatch"
     );
-    println!("stranded: tokens nobody can spend at the end; p50, p99: from arrival to dispatch");
 }
 
 fn format_millis(duration: Duration) -> String {
--- a/crates/badgerfield-standin/src/measure/naive.rs
+++ b/crates/badgerfield-standin/src/measure/naive.rs
@@ -333,7 +333,7 @@
     }
 }
 
-/// One VM for each budget that counts in memory, under a lease.
+/// For each budget, one VM that counts in memory under a lease.
 pub struct Lease;
 
 struct LeaseGuard {
@@ -347,7 +347,7 @@
     written_counts: Vec<u64>,
     /// The time of the last write for each account.
     written_at: Vec<Duration>,
-    /// Whether each VM takes itself for the lease holder of each account.
+    /// Whether each VM considers itself the lease holder of each account.
     assumes_lease: Vec<[bool; VMS]>,
     calls: u64,
 }
--- a/crates/badgerfield-standin/src/route.rs
+++ b/crates/badgerfield-standin/src/route.rs
@@ -126,7 +126,7 @@
     }
     println!();
     println!(
-        "in aim: requests whose first token came within {} ms, of all",
+        "in aim: requests whose first token came within {} ms, of all requests",
         FIRST_TOKEN_TARGET.as_millis()
     );
 }
@@ -154,7 +154,7 @@
             ..base("half shared, every second engine 3 times slower")
         },
         Case { fault_factor: Some(5), ..base("half shared, one engine slows down 5 times") },
-        Case { fault_factor: Some(0), ..base("half shared, one engine dies") },
+        Case { fault_factor: Some(0), ..base("half shared, one engine fails") },
         Case { rate: 120, ..base("half shared, 1.4 times the capacity") },
     ]
 }
@@ -295,8 +295,8 @@
     }
 
     fn simulate(&mut self, policy: &mut dyn Policy) {
-        for (n, job) in self.jobs.iter().enumerate() {
-            self.schedule(job.arrives_at, Event::Arrive(n));
+        for (job_index, job) in self.jobs.iter().enumerate() {
+            self.schedule(job.arrives_at, Event::Arrive(job_index));
         }
         self.schedule(FAULT_TIME, Event::Fault);
         for engine in 0..ENGINES {
@@ -313,9 +313,9 @@
         }
     }
 
-    fn dispatch(&mut self, now: Duration, n: usize, policy: &mut dyn Policy) {
+    fn dispatch(&mut self, now: Duration, job_index: usize, policy: &mut dyn Policy) {
         let jobs = self.jobs;
-        let job = &jobs[n];
+        let job = &jobs[job_index];
         let choice = policy.choose(now, job);
         let Some(engine) = choice.filter(|e| !self.engines[*e].has_failed) else {
             if let Some(failed) = choice {
@@ -324,25 +324,25 @@
             if now.saturating_sub(job.arrives_at) >= MAX_WAIT {
                 self.refused += 1;
             } else {
-                self.schedule(now + RETRY_INTERVAL, Event::Arrive(n));
+                self.schedule(now + RETRY_INTERVAL, Event::Arrive(job_index));
             }
             return;
         };
         policy.record_sent(now, job, engine);
-        self.engines[engine].queue.push_back(n);
+        self.engines[engine].queue.push_back(job_index);
         self.admit(now, engine);
     }
 
     /// Admits queued requests of an engine into its free slots.
-    fn admit(&mut self, now: Duration, number: usize) {
-        while self.engines[number].running < SLOTS {
-            let Some(n) = self.engines[number].queue.pop_front() else {
+    fn admit(&mut self, now: Duration, engine_index: usize) {
+        while self.engines[engine_index].running < SLOTS {
+            let Some(job_index) = self.engines[engine_index].queue.pop_front() else {
                 return;
             };
-            let engine = &mut self.engines[number];
+            let engine = &mut self.engines[engine_index];
             engine.running += 1;
             let mut tokens = PROMPT_TOKENS.0 + PROMPT_TOKENS.1;
-            if let Some(prefix) = self.jobs[n].prefix {
+            if let Some(prefix) = self.jobs[job_index].prefix {
                 self.prefix_requests += 1;
                 if engine.cache.contains(&prefix) {
                     tokens = PROMPT_TOKENS.1;
@@ -357,16 +357,16 @@
             let start = engine.prefill_end.max(now);
             let micros = tokens * 1_000_000 / PREFILL_RATE * engine.slowdown;
             engine.prefill_end = start + Duration::from_micros(micros);
-            let first = engine.prefill_end + self.token_gap(number);
-            self.schedule(first, Event::First(n, number));
+            let first = engine.prefill_end + self.token_gap(engine_index);
+            self.schedule(first, Event::First(job_index, engine_index));
         }
     }
 
     /// Returns the time between two tokens of a stream.
     ///
     /// It grows with the batch, to 1.5 times its base when all slots are taken.
-    fn token_gap(&self, number: usize) -> Duration {
-        let engine = &self.engines[number];
+    fn token_gap(&self, engine_index: usize) -> Duration {
+        let engine = &self.engines[engine_index];
         let base = 1_000_000 / DECODE_RATE * engine.slowdown;
         Duration::from_micros(base + base * u64::from(engine.running) / u64::from(SLOTS) / 2)
     }
@@ -374,27 +374,33 @@
     fn produce_first_token(
         &mut self,
         now: Duration,
-        n: usize,
+        job_index: usize,
         engine: usize,
         policy: &mut dyn Policy,
     ) {
-        let job = &self.jobs[n];
+        let job = &self.jobs[job_index];
         self.first_token_times.push(now.saturating_sub(job.arrives_at));
         policy.record_first_token(job, engine, now.saturating_sub(job.arrives_at));
         let gap = self.token_gap(engine);
         self.token_gaps.push(gap);
         let tokens = u32::try_from(job.output).unwrap_or(1);
-        self.schedule(now + gap * tokens, Event::End(n, engine));
+        self.schedule(now + gap * tokens, Event::End(job_index, engine));
     }
 
-    fn end_request(&mut self, now: Duration, n: usize, engine: usize, policy: &mut dyn Policy) {
-        policy.record_end(&self.jobs[n], engine);
+    fn end_request(
+        &mut self,
+        now: Duration,
+        job_index: usize,
+        engine: usize,
+        policy: &mut dyn Policy,
+    ) {
+        policy.record_end(&self.jobs[job_index], engine);
         self.engines[engine].running -= 1;
         self.admit(now, engine);
     }
 
-    fn send_reports(&mut self, now: Duration, number: usize, policy: &mut dyn Policy) {
-        let engine = &self.engines[number];
+    fn send_reports(&mut self, now: Duration, engine_index: usize, policy: &mut dyn Policy) {
+        let engine = &self.engines[engine_index];
         let backlog = engine.prefill_end.saturating_sub(now).as_micros() * u128::from(PREFILL_RATE)
             / 1_000_000;
         let report = LoadReport {
@@ -404,11 +410,11 @@
             leaving: false,
         };
         for vm in 0..VMS {
-            policy.apply_report(now, vm, number, report);
+            policy.apply_report(now, vm, engine_index, report);
         }
         if now < CASE_DURATION {
             // The VMs use this report until the next one arrives, one interval later.
-            self.schedule(now + self.case.report_interval, Event::Report(number));
+            self.schedule(now + self.case.report_interval, Event::Report(engine_index));
         }
     }
 
