--- a/crates/badgerfield-standin/src/load.rs
+++ b/crates/badgerfield-standin/src/load.rs
@@ -3,7 +3,7 @@
 //! Arrivals are open-loop: requests are sent on schedule, however slow the answers are. A
 //! caller fetches the directory and caches it until its TTL ends. It retries with the same
 //! key if the connection fails, the answer is incomplete or the refusal has a `Retry-After`
-//! header, and gives up after [`MAX_ATTEMPTS`] attempts.
+//! header, and gives up after `MAX_ATTEMPTS` attempts.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/badgerfield-standin/src/measure/ours.rs
+++ b/crates/badgerfield-standin/src/measure/ours.rs
@@ -134,7 +134,7 @@
             match end {
                 End::Whole(_) | End::Broken(_) => {}
                 End::Lost => self.result.lost += 1,
-                End::Refused(refusal) if self.would_admit(&arrival) => {
+                End::Refused(refusal) if self.ideal_ledger_admits(&arrival) => {
                     self.result.refused += 1;
                     *self.result.causes.entry(refusal.cause.code()).or_default() += 1;
                 }
@@ -144,13 +144,13 @@
     }
 
     /// Returns whether an ideal ledger would admit a request now.
-    fn would_admit(&self, arrival: &Arrival) -> bool {
+    fn ideal_ledger_admits(&self, arrival: &Arrival) -> bool {
         let account = arrival.account;
         let served = self.fleet.truth.served.get(&account).copied().unwrap_or(0);
         // Tokens served to running requests are already counted in their reservations.
-        let running: u64 = self.fleet.running(account);
-        let ended = served.saturating_sub(running);
-        let used = ended + self.reserved[account];
+        let served_running: u64 = self.fleet.running(account);
+        let served_ended = served.saturating_sub(served_running);
+        let used = served_ended + self.reserved[account];
         self.fleet.truth.allowed(account).saturating_sub(used) >= arrival.max_cost()
     }
 
--- a/crates/badgerfield-standin/src/measure/workload.rs
+++ b/crates/badgerfield-standin/src/measure/workload.rs
@@ -71,7 +71,7 @@
     pub arrivals: Vec<Arrival>,
     /// The faults with their times, in the order of time.
     pub faults: Vec<(Duration, Fault)>,
-    /// The seed of the arrivals.
+    /// The seed of the arrivals and of the simulation.
     pub seed: u64,
 }
 
@@ -169,13 +169,13 @@
 }
 
 fn kill_faults() -> Vec<(Duration, Fault)> {
-    let restart = FAULT_START + Duration::from_secs(30);
-    vec![(FAULT_START, Fault::Kill(1)), (restart, Fault::Start(1))]
+    let restart_at = FAULT_START + Duration::from_secs(30);
+    vec![(FAULT_START, Fault::Kill(1)), (restart_at, Fault::Start(1))]
 }
 
 fn pause_faults() -> Vec<(Duration, Fault)> {
-    let restart = FAULT_START + Duration::from_secs(30);
-    vec![(FAULT_START, Fault::Freeze(1, true)), (restart, Fault::Freeze(1, false))]
+    let thaw_at = FAULT_START + Duration::from_secs(30);
+    vec![(FAULT_START, Fault::Freeze(1, true)), (thaw_at, Fault::Freeze(1, false))]
 }
 
 fn rolling_restart() -> Vec<(Duration, Fault)> {
--- a/crates/badgerfield-standin/src/route.rs
+++ b/crates/badgerfield-standin/src/route.rs
@@ -1,7 +1,7 @@
 //! Compares policies for choosing an upstream, on the same arrivals.
 //!
 //! Engines read prompts one after the other, except the tokens that their bounded prefix
-//! cache holds, and produce the tokens of up to [`SLOTS`] streams at the decode rate. Several
+//! cache holds, and produce the tokens of up to `SLOTS` streams at the decode rate. Several
 //! VMs choose independently, each from its own requests and from delayed load reports.
 
 use std::cmp::Reverse;
--- a/crates/badgerfield-standin/src/site.rs
+++ b/crates/badgerfield-standin/src/site.rs
@@ -315,13 +315,13 @@
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        let mut states = String::new();
+        let mut vm_reports = String::new();
         for index in 0..self.vms.len() {
             let (status, log) = (self.status(index).await, self.log(index));
             let lines: Vec<_> = log.lines().rev().take(12).collect();
-            states = format!("{states}\nVM {index}: {status}\n{}", lines.join("\n"));
+            vm_reports = format!("{vm_reports}\nVM {index}: {status}\n{}", lines.join("\n"));
         }
-        bail!("timed out waiting for {name}{states}")
+        bail!("timed out waiting for {name}{vm_reports}")
     }
 
     /// Applies the templates of the site, with a limit of its budget in tokens.
