--- a/crates/badgerfield-standin/src/load.rs
+++ b/crates/badgerfield-standin/src/load.rs
@@ -95,7 +95,7 @@
 /// Fails if the directory or an engine does not answer.
 pub async fn run(plan: Plan, as_json: bool) -> Result<()> {
     let client = http::client();
-    let vms = fetch_directory(&client, &plan).await.context("fetch the directory")?;
+    let vms = fetch_directory(&client, &plan).await.context("the directory did not answer")?;
     let before = fetch_served(&client, &plan.engine_admins).await?;
     let run = Arc::new(LoadRun {
         directory: Mutex::new(vms),
--- a/crates/badgerfield-standin/src/site.rs
+++ b/crates/badgerfield-standin/src/site.rs
@@ -404,7 +404,9 @@
             .args(extra_args)
             .stdout(Stdio::null())
             .spawn()
-            .with_context(|| format!("start the stand-in {kind}; build the workspace first"))?;
+            .with_context(|| {
+                format!("failed to start the stand-in {kind}; build the workspace first")
+            })?;
         self.standins.push(child);
         Ok(())
     }
