--- a/crates/badgerfield-core/src/claims/mod.rs
+++ b/crates/badgerfield-core/src/claims/mod.rs
@@ -128,7 +128,7 @@
     ) -> Option<ClaimDecision> {
         if request.epoch != self.view.epoch || !self.can_decide(request.key, request.home.as_ref())
         {
-            return Some(ClaimDecision::Wait { hint: self.hint(request.key) });
+            return Some(ClaimDecision::Wait { last_upstream: self.hint(request.key) });
         }
         if let Some(decision) = self.try_claim(now, from, request) {
             return Some(decision);
@@ -260,7 +260,7 @@
     }
 
     /// Records that the backup has a claim; returns the decision that now takes effect.
-    pub fn copied(
+    pub fn handle_backup_ack(
         &mut self,
         from: Incarnation,
         key: RequestKey,
@@ -324,7 +324,7 @@
     ///
     /// Returns `false` if the arbiter decided under another epoch: the new arbiter may not have the
     /// decision.
-    pub fn agreed(&mut self, now: Time, epoch: Epoch, record: &ClaimRecord) -> bool {
+    pub fn record_agreed_charge(&mut self, now: Time, epoch: Epoch, record: &ClaimRecord) -> bool {
         let owner_changes = self.entries.get(&record.key).map_or(0, |e| e.record.owner_changes);
         let record = ClaimRecord { owner_changes, ..record.clone() };
         self.record_claim(now, epoch, &record)
--- a/crates/badgerfield-core/src/event.rs
+++ b/crates/badgerfield-core/src/event.rs
@@ -73,7 +73,7 @@
     /// The version of the list of upstreams of this process.
     UpstreamListVersion(ListVersion),
     /// The demand for engines of the requests of this process.
-    EngineNeeds(Vec<EngineDemand>),
+    EngineDemand(Vec<EngineDemand>),
     /// The upstreams at which requests of this process are queued.
     DelayReports(Vec<DelayReport>),
     /// Rate limits that upstreams have announced, to be sent to other processes.
@@ -455,7 +455,7 @@
         /// The tokens that the ledger granted.
         granted: Tokens,
         /// The tokens that remain in the ledger.
-        left: Tokens,
+        remaining: Tokens,
         /// The tokens that the process holds now: parked, sealed or free.
         held: Tokens,
         /// The sealed tokens among those held.
@@ -465,7 +465,7 @@
         /// The tokens reserved for running requests.
         reserved: Tokens,
         /// The tokens in transit to other processes and not acknowledged.
-        moving: Tokens,
+        in_transit: Tokens,
         /// The time that the ledger took to answer.
         took: Duration,
         /// The ledger's plan for the holding.
--- a/crates/badgerfield-core/src/handlers/admission.rs
+++ b/crates/badgerfield-core/src/handlers/admission.rs
@@ -85,11 +85,11 @@
             budget: matched.budget,
             period: matched.period,
             priority: matched.template.priority,
-            keyed,
+            key: keyed,
             residency: matched.template.regions,
-            once,
+            at_most_once: once,
             claimed,
-            over: None,
+            replaces: None,
             earlier: None,
             until: now.after(wait),
             bound,
@@ -136,7 +136,7 @@
     fn join_or_start(&self, now: Time, request: RequestId, run: Run, out: &mut Outbox) {
         let (id, is_new) = {
             let mut runs = self.state.runs();
-            let same = run.keyed.as_ref().and_then(|k| runs.with_key(k.key));
+            let same = run.key.as_ref().and_then(|k| runs.with_key(k.key));
             match same {
                 Some(id) => {
                     runs.listen(id, request);
--- a/crates/badgerfield-core/src/handlers/answer.rs
+++ b/crates/badgerfield-core/src/handlers/answer.rs
@@ -68,7 +68,7 @@
             let is_needed = listening > 0 || run.has_ended();
             match &run.stage {
                 _ if is_needed => return,
-                Stage::Running { .. } if run.keyed.is_some() => return,
+                Stage::Running { .. } if run.key.is_some() => return,
                 Stage::Running { attempt, .. } => (id, Some(*attempt)),
                 _ => (id, None),
             }
@@ -91,7 +91,7 @@
             }
             listener.next = run.parts.len();
         }
-        let Some(keyed) = &run.keyed else {
+        let Some(keyed) = &run.key else {
             return;
         };
         for (to, next) in &mut run.followers {
@@ -115,7 +115,7 @@
             let answer = if has_begun { Answer::Broken(refusal) } else { Answer::Refused(refusal) };
             out.answer(listener.request, listener.next, answer);
         }
-        if let Some(keyed) = &run.keyed {
+        if let Some(keyed) = &run.key {
             let (key, serial) = (keyed.key, id.0);
             for (to, next) in &run.followers {
                 if *next == 0 {
@@ -165,14 +165,17 @@
                 return;
             };
             run.earlier = None;
-            !run.once && run.parts.is_empty()
+            !run.at_most_once && run.parts.is_empty()
         };
         if can_requeue {
             self.requeue(now, id, out);
             return;
         }
-        let is_once =
-            self.state.runs().get_mut(id).is_some_and(|run| run.once && run.parts.is_empty());
+        let is_once = self
+            .state
+            .runs()
+            .get_mut(id)
+            .is_some_and(|run| run.at_most_once && run.parts.is_empty());
         if is_once {
             self.refuse(now, id, Refusal::may_have_run(Cause::KeyLost), out);
             return;
@@ -319,7 +322,7 @@
 fn adjust_outcome(run: &Run, refusal: Refusal) -> Refusal {
     let is_certain = match run.claimed {
         Claimed::Unneeded => true,
-        Claimed::Fresh => run.once,
+        Claimed::Fresh => run.at_most_once,
         Claimed::Open | Claimed::Inherited | Claimed::Assumed => false,
     };
     if is_certain {
--- a/crates/badgerfield-core/src/handlers/charging.rs
+++ b/crates/badgerfield-core/src/handlers/charging.rs
@@ -19,7 +19,7 @@
             let reserved = std::mem::take(&mut run.reserved);
             let mut holdings = self.state.holdings();
             holdings.settle(now, &run.budget, run.period, reserved, cost);
-            if run.keyed.is_none() {
+            if run.key.is_none() {
                 holdings.record_charge(&run.budget, run.period, cost, true);
             }
             (self.new_pending_charge(id, run, cost), self.new_bill(id, run, cost))
@@ -33,7 +33,7 @@
     }
 
     fn new_pending_charge(&self, id: RunId, run: &Run, cost: Tokens) -> Option<PendingCharge> {
-        let keyed = run.keyed.as_ref()?;
+        let keyed = run.key.as_ref()?;
         Some(PendingCharge {
             id: ChargeId { owner: self.id(), serial: id.0 },
             account: run.account.clone(),
@@ -117,7 +117,7 @@
             return;
         };
         // A billed charge must be recorded here before it is billed.
-        if billed && !self.state.claims().agreed(now, epoch, &record) {
+        if billed && !self.state.claims().record_agreed_charge(now, epoch, &record) {
             return;
         }
         self.end_charge(id, billed, out);
--- a/crates/badgerfield-core/src/handlers/claims.rs
+++ b/crates/badgerfield-core/src/handlers/claims.rs
@@ -33,7 +33,7 @@
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
-            if run.keyed.is_none() {
+            if run.key.is_none() {
                 drop(runs);
                 self.reserve(now, id, out);
                 return;
@@ -104,8 +104,8 @@
         };
         let is_retry = now > *since;
         *sent = now;
-        let keyed = run.keyed.clone()?;
-        let (once, over) = (run.once, run.over);
+        let keyed = run.key.clone()?;
+        let (once, over) = (run.at_most_once, run.replaces);
         let request = ClaimRequest {
             key: keyed.key,
             home: keyed.home,
@@ -161,7 +161,7 @@
         out: &mut Outbox,
     ) {
         let (key, id, ended) = claim;
-        let settlement = self.state.claims().copied(from, key, id.0, ended);
+        let settlement = self.state.claims().handle_backup_ack(from, key, id.0, ended);
         let serial = id.0;
         match settlement {
             None => {}
@@ -212,7 +212,7 @@
             ClaimDecision::Owned { owner, serial, ended, .. } => {
                 self.follow(now, id, (owner, serial, ended), out);
             }
-            ClaimDecision::Wait { hint } => self.record_hint(id, hint),
+            ClaimDecision::Wait { last_upstream: hint } => self.record_hint(id, hint),
             ClaimDecision::Uncertain => {
                 self.refuse(now, id, Refusal::may_have_run(Cause::KeyLost), out);
             }
@@ -226,9 +226,9 @@
             (vec![], vec![], vec![], vec![], vec![]);
         for (id, run) in self.state.runs().iter_mut() {
             match run.stage {
-                Stage::Claiming { .. } if now >= run.until && run.once => expired.push(id),
+                Stage::Claiming { .. } if now >= run.until && run.at_most_once => expired.push(id),
                 Stage::Claiming { since, .. }
-                    if !run.once && now.since(since) >= ARBITER_TIMEOUT =>
+                    if !run.at_most_once && now.since(since) >= ARBITER_TIMEOUT =>
                 {
                     assume.push(id);
                 }
@@ -298,8 +298,7 @@
             let mut runs = self.state.runs();
             let charge = ChargeId { owner: self.id(), serial };
             let settling = self.state.charges().contains(charge);
-            let own_run =
-                runs.get_mut(id).filter(|r| r.keyed.as_ref().is_some_and(|k| k.key == key));
+            let own_run = runs.get_mut(id).filter(|r| r.key.as_ref().is_some_and(|k| k.key == key));
             if let Some(run) = own_run {
                 let next = usize::try_from(offset).unwrap_or(usize::MAX).min(run.parts.len());
                 run.followers.insert(from, next);
@@ -407,7 +406,7 @@
                 return;
             };
             let (owner, serial, ended) = owner;
-            run.over = None;
+            run.replaces = None;
             run.stage = Stage::Following { owner, serial, ended, sent: now, heard: now };
         }
         self.request_answer_parts(now, id, out);
@@ -423,7 +422,7 @@
             return;
         };
         *sent = now;
-        let Some(keyed) = run.keyed.clone() else {
+        let Some(keyed) = run.key.clone() else {
             return;
         };
         let (key, home) = (keyed.key, keyed.home);
@@ -440,7 +439,7 @@
             let Stage::Following { owner, serial, ended, .. } = run.stage else {
                 return;
             };
-            run.over = Some((owner, serial));
+            run.replaces = Some((owner, serial));
             run.until = run.until.max(now.after(OWNER_TIMEOUT));
             run.stage = Stage::Claiming { since: now, sent: now };
             ended
@@ -464,7 +463,7 @@
                 return;
             };
             run.claimed = Claimed::Assumed;
-            run.keyed.as_ref().map(|keyed| keyed.key)
+            run.key.as_ref().map(|keyed| keyed.key)
         };
         // This process may be the backup and know where the key has run.
         let hint = key.and_then(|key| self.state.claims().hint(key));
@@ -477,7 +476,7 @@
         let Some(run) = runs.get_mut(id) else {
             return false;
         };
-        let same = run.keyed.as_ref().is_some_and(|k| k.key == key);
+        let same = run.key.as_ref().is_some_and(|k| k.key == key);
         same && run.is_claiming()
     }
 
@@ -505,7 +504,7 @@
             let Some(run) = runs.get_mut(id) else {
                 return false;
             };
-            let Some(keyed) = run.keyed.clone() else {
+            let Some(keyed) = run.key.clone() else {
                 return false;
             };
             ClaimRecord {
@@ -514,7 +513,7 @@
                 owner: self.id(),
                 serial: id.0,
                 owner_changes,
-                at_most_once: run.once,
+                at_most_once: run.at_most_once,
                 progress: earlier
                     .map_or(ClaimProgress::Held, |id| ClaimProgress::Dispatched(id.clone())),
             }
@@ -532,7 +531,7 @@
         let Some(run) = runs.get_mut(id) else {
             return false;
         };
-        run.claimed = if run.over.is_some() { Claimed::Inherited } else { Claimed::Fresh };
+        run.claimed = if run.replaces.is_some() { Claimed::Inherited } else { Claimed::Fresh };
         run.earlier = earlier;
         true
     }
--- a/crates/badgerfield-core/src/handlers/dispatch.rs
+++ b/crates/badgerfield-core/src/handlers/dispatch.rs
@@ -115,7 +115,7 @@
     fn send_first_attempt(&self, now: Time, id: RunId, upstream: &UpstreamId, out: &mut Outbox) {
         let keyed = {
             let mut runs = self.state.runs();
-            runs.get_mut(id).and_then(|run| run.keyed.clone())
+            runs.get_mut(id).and_then(|run| run.key.clone())
         };
         if let Some(keyed) = keyed {
             self.state.claims().record_dispatch(now, self.id(), keyed.key, id.0, upstream.clone());
@@ -286,7 +286,7 @@
 
     /// Returns the name of a run's stream at its upstream. It is the same for all owners of a key.
     pub(crate) fn stream_name(&self, id: RunId, run: &Run) -> String {
-        match &run.keyed {
+        match &run.key {
             Some(keyed) => keyed.key.to_string(),
             None => format!("{}-{}", self.id(), id.0),
         }
--- a/crates/badgerfield-core/src/handlers/members.rs
+++ b/crates/badgerfield-core/src/handlers/members.rs
@@ -66,7 +66,7 @@
                 rollouts_digest: rollouts,
                 blocked_digest: blocked,
                 wall_ms: members.wall_ms(now),
-                needs: members.needs.average(now),
+                engine_demand: members.needs.average(now),
                 delay_reports: members.delay_reports.clone(),
             };
             (members.neighbours(), heartbeat)
@@ -79,7 +79,7 @@
     /// Returns whether this process watches the store's values itself. `last_update` is the
     /// time since it last received an update of the list of upstreams.
     #[must_use]
-    pub fn watches_platform(&self, now: Time, last_update: Option<Duration>) -> bool {
+    pub fn watches_store(&self, now: Time, last_update: Option<Duration>) -> bool {
         self.state.membership().watches_platform(now, last_update)
     }
 
@@ -93,7 +93,7 @@
     /// Returns whether this process is one of the few that probe the store often while it does
     /// not answer. They notify the others once it answers again.
     #[must_use]
-    pub fn probes_platform(&self) -> bool {
+    pub fn can_probe_store(&self) -> bool {
         self.state.membership().probes_platform()
     }
 
@@ -196,7 +196,7 @@
 
     /// Applies a newer view from a peer, or fetches the whole view if the update does not apply to
     /// the current one.
-    pub(crate) fn update_view(
+    pub(crate) fn receive_view_update(
         &self,
         now: Time,
         from: Incarnation,
@@ -227,7 +227,7 @@
         let (gone, removed) = {
             let mut members = self.state.membership();
             let was_removed = members.removed;
-            let Some(gone) = members.adopt(now, view) else {
+            let Some(gone) = members.apply_view(now, view) else {
                 return;
             };
             (gone, members.removed && !was_removed)
@@ -244,7 +244,7 @@
     }
 
     /// Reads the store's values and writes the view if that is due.
-    pub(crate) fn read_platform(&self, now: Time, out: &mut Outbox) {
+    pub(crate) fn tick_store_reads(&self, now: Time, out: &mut Outbox) {
         let complete = self.state.claims().complete_epoch();
         let version = self.state.templates().version;
         let mut members = self.state.membership();
--- a/crates/badgerfield-core/src/handlers/stopping.rs
+++ b/crates/badgerfield-core/src/handlers/stopping.rs
@@ -25,7 +25,7 @@
             members.intent = MembershipIntent::Leave;
         }
         self.state.holdings().retire();
-        self.read_platform(now, out);
+        self.tick_store_reads(now, out);
     }
 
     /// Takes the next step of a planned stop.
--- a/crates/badgerfield-core/src/handlers/templates.rs
+++ b/crates/badgerfield-core/src/handlers/templates.rs
@@ -28,7 +28,7 @@
     pub(crate) fn apply_templates(&self, now: Time, set: TemplateSet, out: &mut Outbox) {
         {
             let mut table = self.state.templates();
-            if set.version <= table.version || !set.faults().is_empty() {
+            if set.version <= table.version || !set.errors().is_empty() {
                 return;
             }
             *table = set;
--- a/crates/badgerfield-core/src/membership.rs
+++ b/crates/badgerfield-core/src/membership.rs
@@ -253,7 +253,7 @@
     /// Makes a newer view the current one and returns the members that were removed.
     ///
     /// Returns `None` if the view has no newer epoch.
-    pub(crate) fn adopt(&mut self, now: Time, view: &Arc<View>) -> Option<Vec<Incarnation>> {
+    pub(crate) fn apply_view(&mut self, now: Time, view: &Arc<View>) -> Option<Vec<Incarnation>> {
         if view.epoch == self.view.epoch && view.complete > self.view.complete {
             self.view = Arc::clone(view);
         }
@@ -306,7 +306,7 @@
         if let Some(heartbeat) = heartbeat {
             contact.last_heartbeat = now;
             contact.not_serving = !heartbeat.serving;
-            self.needs.record_peer(now, from, &heartbeat.needs);
+            self.needs.record_peer(now, from, &heartbeat.engine_demand);
             contact.wall_offset =
                 heartbeat.wall_ms.map(|wall_ms| wall_ms.saturating_sub(to_millis(now)));
         }
--- a/crates/badgerfield-core/src/message.rs
+++ b/crates/badgerfield-core/src/message.rs
@@ -181,7 +181,7 @@
         /// The epoch of the view.
         epoch: Epoch,
         /// The index of the part.
-        part: u32,
+        index: u32,
     },
     /// Asks the owner of a key for its answer from an offset on.
     AnswerRequest {
@@ -327,7 +327,7 @@
     /// The wall-clock time of the sender, in milliseconds since 1970, if its driver has set one.
     pub wall_ms: Option<u64>,
     /// The demand for engines of all requests, as estimated by the sender.
-    pub needs: Vec<EngineDemand>,
+    pub engine_demand: Vec<EngineDemand>,
     /// The upstreams at which requests are queued, as known to the sender.
     pub delay_reports: Vec<DelayReport>,
 }
@@ -427,7 +427,7 @@
     /// The process cannot decide: it has another epoch, waits for handovers, or is not the arbiter.
     Wait {
         /// The upstream at which the request may have run, as known to the process.
-        hint: Option<UpstreamId>,
+        last_upstream: Option<UpstreamId>,
     },
     /// Earlier claims of the key may be lost, so an at-most-once request is not run.
     Uncertain,
--- a/crates/badgerfield-core/src/node.rs
+++ b/crates/badgerfield-core/src/node.rs
@@ -192,7 +192,7 @@
 
     /// Returns the balance of a budget at this process.
     #[must_use]
-    pub fn figures(&self, budget: &BudgetId) -> HoldingBalance {
+    pub fn balance(&self, budget: &BudgetId) -> HoldingBalance {
         self.state.holdings().balance(budget)
     }
 
@@ -340,7 +340,7 @@
     fn handle_event(&self, now: Time, event: Event, out: &mut Outbox) {
         match event {
             Event::Start => {
-                self.read_platform(now, out);
+                self.tick_store_reads(now, out);
                 self.tick_poison(now, out);
             }
             Event::Tick => self.tick(now, out),
@@ -370,7 +370,7 @@
             }
             Event::UpstreamListsDiffer(from) => self.fetch_all_upstreams(now, from, out),
             Event::UpstreamListVersion(version) => self.state.membership().note_list(version),
-            Event::EngineNeeds(demand) => {
+            Event::EngineDemand(demand) => {
                 let mut members = self.state.membership();
                 members.needs.set_own(demand);
                 out.push(Command::DivideEngines(members.needs.average(now)));
@@ -394,7 +394,7 @@
         self.tick_heartbeat(now, out);
         self.tick_rollouts(now, out);
         self.tick_poison(now, out);
-        self.read_platform(now, out);
+        self.tick_store_reads(now, out);
         self.request_bootstrap(now, out);
         self.tick_claims(now, out);
         self.tick_holdings(now, out);
@@ -426,7 +426,7 @@
                 self.handle_fetch(from, epoch, version, whole, out);
             }
             Message::Join(joiner) => self.handle_join_request(now, from, joiner, out),
-            Message::View(update) => self.update_view(now, from, &update, out),
+            Message::View(update) => self.receive_view_update(now, from, &update, out),
             Message::TemplateDelta(delta) => self.apply_template_delta(now, from, *delta, out),
             Message::Templates(set) => self.apply_templates(now, *set, out),
             Message::UpstreamChanges(delta) => self.receive_upstream_update(now, from, delta, out),
@@ -475,10 +475,10 @@
             Message::Handover(part) => {
                 let (epoch, index) = (part.epoch, part.index);
                 if self.state.claims().receive_handover(now, from, &part) {
-                    out.send(from, Message::HandoverAck { epoch, part: index });
+                    out.send(from, Message::HandoverAck { epoch, index: index });
                 }
             }
-            Message::HandoverAck { epoch, part } => {
+            Message::HandoverAck { epoch, index: part } => {
                 self.state.claims().handle_handover_ack(now, from, epoch, part, out);
             }
             Message::AnswerRequest { key, home, serial, offset } => {
--- a/crates/badgerfield-core/src/queueing_delay.rs
+++ b/crates/badgerfield-core/src/queueing_delay.rs
@@ -36,12 +36,12 @@
 const MIN_REPORTED_PLAIN_MS: f64 = 100.0;
 /// The maximum number of reports per heartbeat. They take some 60 B, or 1.2 KB/s at 20 heartbeats
 /// a second, and only while so many upstreams are delayed.
-pub(crate) const MAX_NOTES: usize = 8;
+pub(crate) const MAX_REPORTS: usize = 8;
 /// The unit of [`DelayReport::delay`], in milliseconds.
 const DELAY_UNIT_MS: f64 = 10.0;
 
 /// Returns the tolerated delay of a service, in milliseconds, from the delays of its upstreams.
-pub(crate) fn ordinary(mut delays: Vec<f64>) -> f64 {
+pub(crate) fn tolerated_delay(mut delays: Vec<f64>) -> f64 {
     let middle = delays.len() / 2;
     if delays.is_empty() {
         return TOLERATED_MS;
@@ -64,16 +64,16 @@
 
 /// The queueing delay of one upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub(crate) struct Lag {
+pub(crate) struct QueueingDelay {
     /// The delay at `observed_at`, in milliseconds.
     observed_ms: f64,
     /// The time of the last observation by any process.
     observed_at: Option<Time>,
 }
 
-impl Lag {
+impl QueueingDelay {
     /// Returns the delay in milliseconds, decayed by its age.
-    pub(crate) fn millis(&self, now: Time) -> f64 {
+    pub(crate) fn current_ms(&self, now: Time) -> f64 {
         let Some(observed_at) = self.observed_at else {
             return 0.0;
         };
@@ -86,22 +86,22 @@
     /// Each request scales the delay by a random factor from 0.5 to 1.5. As a delay decays, a few
     /// requests try the upstream before all others do, and their observations are reported to
     /// the other processes.
-    pub(crate) fn cost(&self, now: Time, tolerated: f64, random: u64) -> f64 {
+    pub(crate) fn excess_ms(&self, now: Time, tolerated: f64, random: u64) -> f64 {
         let [byte, ..] = random.to_be_bytes();
         let (min, max) = SCALE_RANGE;
         let scale = min + (max - min) * f64::from(byte) / f64::from(u8::MAX);
-        (self.millis(now) * scale - tolerated).max(0.0)
+        (self.current_ms(now) * scale - tolerated).max(0.0)
     }
 
     /// Records how long a request waited beyond the time to read its prompt.
-    pub(crate) fn observe(&mut self, now: Time, delay: Duration) {
-        let current = self.millis(now);
+    pub(crate) fn record(&mut self, now: Time, delay: Duration) {
+        let current = self.current_ms(now);
         self.observed_ms = current + (delay.as_secs_f64() * 1e3 - current) * SAMPLE_WEIGHT;
         self.observed_at = Some(now);
     }
 
     /// Applies another process's report if its observation is newer.
-    pub(crate) fn hear(&mut self, now: Time, report: DelayReport) {
+    pub(crate) fn apply_report(&mut self, now: Time, report: DelayReport) {
         let age = Duration::from_millis(report.age.into());
         let is_newer = self.observed_at.is_none_or(|at| now.since(at) > age);
         if is_newer {
@@ -111,9 +111,14 @@
     }
 
     /// Returns a report for other processes if the delay is large enough to be reported.
-    pub(crate) fn note(&self, now: Time, upstream: u32, is_plain: bool) -> Option<DelayReport> {
+    pub(crate) fn to_report(
+        &self,
+        now: Time,
+        upstream: u32,
+        is_plain: bool,
+    ) -> Option<DelayReport> {
         let min_ms = if is_plain { MIN_REPORTED_PLAIN_MS } else { MIN_REPORTED_MS };
-        let observed_at = self.observed_at.filter(|_| self.millis(now) >= min_ms)?;
+        let observed_at = self.observed_at.filter(|_| self.current_ms(now) >= min_ms)?;
         let age = u16::try_from(now.since(observed_at).as_millis()).ok()?;
         let units = (self.observed_ms / DELAY_UNIT_MS).min(f64::from(u16::MAX));
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "within range")]
--- a/crates/badgerfield-core/src/rate_limit.rs
+++ b/crates/badgerfield-core/src/rate_limit.rs
@@ -21,7 +21,7 @@
 use thiserror::Error;
 
 use crate::amount::Time;
-use crate::warm_up::{Bucket, SenderShare, Senders};
+use crate::warm_up::{SenderShare, Senders, TokenBucket};
 
 /// The number of senders to an upstream with a small limit.
 const MIN_SENDERS: f64 = 2.0;
@@ -154,7 +154,7 @@
     /// The rank of this VM and the number of VMs; `None` outside the view.
     rank: Option<(usize, usize)>,
     /// The requests that it may send, if it is a sender.
-    bucket: Option<Bucket>,
+    bucket: Option<TokenBucket>,
     /// The span in which it had requests for the upstream, without a pause of
     /// [`MIN_PROBE_DELAY`] or longer.
     demand: Option<(Time, Time)>,
@@ -183,7 +183,7 @@
     fn choose_role(&mut self, from: Time) {
         let senders = usize::try_from(self.sender_count()).unwrap_or(usize::MAX);
         let is_sender = self.rank.is_some_and(|(rank, _)| rank < senders);
-        self.bucket = is_sender.then(|| self.bucket.unwrap_or_else(|| Bucket::new(from)));
+        self.bucket = is_sender.then(|| self.bucket.unwrap_or_else(|| TokenBucket::new(from)));
     }
 
     /// Returns how long this process waits for an announcement or report before it probes the
@@ -206,7 +206,7 @@
 
     fn admits(&self, now: Time, announced_at: Time) -> bool {
         match &self.bucket {
-            Some(bucket) => bucket.may_send(now, self.share()),
+            Some(bucket) => bucket.can_send(now, self.share()),
             None => self.can_probe(now, announced_at),
         }
     }
--- a/crates/badgerfield-core/src/request_mix.rs
+++ b/crates/badgerfield-core/src/request_mix.rs
@@ -44,7 +44,7 @@
 const MIN_SHARE: f64 = 0.15;
 /// The assumed time to read a prompt token before enough prompts were observed, in
 /// milliseconds. The published data of the engines' hardware gives 0.018 to 0.031.
-pub(crate) const READ_MS_PRIOR: f64 = 0.025;
+pub(crate) const DEFAULT_MS_PER_TOKEN: f64 = 0.025;
 /// The bounds of the estimated time to read a prompt token, in milliseconds: ten times faster
 /// and slower than known engines.
 const READ_MS_RANGE: (f64, f64) = (0.002, 0.5);
@@ -133,7 +133,7 @@
 
     /// Returns whether the engine at a position, from 0 to 1, serves a group.
     #[must_use]
-    pub fn takes(&self, group: PromptGroup, position: f64) -> bool {
+    pub fn has_engine(&self, group: PromptGroup, position: f64) -> bool {
         (position < self.short_share) == (group == PromptGroup::Short)
     }
 }
@@ -198,7 +198,7 @@
     fn add(&mut self, timing: &ObservedTiming) {
         let wait = timing.time_to_first.as_secs_f64() * 1e3;
         if wait <= MAX_READ_WAIT_MS {
-            let x = float(timing.uncached_tokens) / 1e3;
+            let x = to_f64(timing.uncached_tokens) / 1e3;
             let sums = [
                 &mut self.count,
                 &mut self.sum_x,
@@ -217,7 +217,7 @@
         let spread = self.count * self.sum_xx - self.sum_x * self.sum_x;
         // The slope is unreliable unless prompts differ in length.
         if self.count < MIN_READ_SAMPLES || spread < self.count * self.count * 0.01 {
-            return READ_MS_PRIOR;
+            return DEFAULT_MS_PER_TOKEN;
         }
         let slope = (self.count * self.sum_xy - self.sum_x * self.sum_y) / spread;
         (slope / 1e3).clamp(READ_MS_RANGE.0, READ_MS_RANGE.1)
@@ -245,9 +245,9 @@
         };
         stats.decayed_count = stats.current_count(now) + 1.0;
         stats.updated_at = now;
-        stats.prompt_tokens.add(float(size.total_tokens));
+        stats.prompt_tokens.add(to_f64(size.total_tokens));
         if stats.answer_ms.weight == 0.0 {
-            stats.uncached_tokens.add(float(size.unshared_tokens));
+            stats.uncached_tokens.add(to_f64(size.unshared_tokens));
         }
     }
 
@@ -257,7 +257,7 @@
         let Some(stats) = self.routes.get_mut(route) else {
             return;
         };
-        stats.uncached_tokens.add(float(timing.uncached_tokens));
+        stats.uncached_tokens.add(to_f64(timing.uncached_tokens));
         stats.answer_ms.add((timing.time_to_first + timing.stream_time).as_secs_f64() * 1e3);
     }
 
@@ -269,7 +269,7 @@
 
     /// Returns the mean prompt length of a route, in tokens, or `None` without recent requests.
     #[must_use]
-    pub fn prompt(&self, route: &str) -> Option<f64> {
+    pub fn mean_prompt_tokens(&self, route: &str) -> Option<f64> {
         self.routes.get(route).map(|stats| stats.prompt_tokens.value)
     }
 
@@ -298,7 +298,7 @@
         let fleet_threshold = self.division.map(|division| division.long_threshold);
         let own_threshold = self.find_threshold(now);
         let Some(threshold) = own_threshold.or(fleet_threshold) else {
-            return EngineDemand { service: service_number(service), ..EngineDemand::default() };
+            return EngineDemand { service: service_hash(service), ..EngineDemand::default() };
         };
         let (mut short, mut long) = ((0.0, 0.0), (0.0, 0.0));
         for stats in self.routes.values() {
@@ -311,7 +311,7 @@
             (read / MAX_READ_UTILIZATION).max(busy / MAX_SLOT_UTILIZATION)
         };
         EngineDemand {
-            service: service_number(service),
+            service: service_hash(service),
             short: to_u32(engines(short) * 1e3),
             long: to_u32(engines(long) * 1e3),
             long_threshold: own_threshold.map_or(0, to_u32),
@@ -383,7 +383,7 @@
         }
         let mean = |field: fn(&EngineDemand) -> u32| {
             let sum: f64 = others.iter().map(|d| f64::from(field(d))).sum();
-            sum / float(others.len().try_into().unwrap_or(u64::MAX))
+            sum / to_f64(others.len().try_into().unwrap_or(u64::MAX))
         };
         let average = |field: fn(&EngineDemand) -> u32| {
             to_u32(f64::from(field(&own)) * OWN_WEIGHT + mean(field) * (1.0 - OWN_WEIGHT))
@@ -402,7 +402,7 @@
 }
 
 /// Returns the hash that identifies a service in messages between processes.
-pub(crate) fn service_number(service: &Service) -> u32 {
+pub(crate) fn service_hash(service: &Service) -> u32 {
     let hash = xxh3_64(service.as_str().as_bytes());
     u32::try_from(hash >> 32).unwrap_or_default()
 }
@@ -418,6 +418,6 @@
 }
 
 /// Converts a count to a floating-point number. Counts here are far below `u32::MAX`.
-pub(crate) fn float(count: u64) -> f64 {
+pub(crate) fn to_f64(count: u64) -> f64 {
     f64::from(u32::try_from(count).unwrap_or(u32::MAX))
 }
--- a/crates/badgerfield-core/src/runs.rs
+++ b/crates/badgerfield-core/src/runs.rs
@@ -71,13 +71,13 @@
     pub(crate) budget: BudgetId,
     pub(crate) period: Period,
     pub(crate) priority: u32,
-    pub(crate) keyed: Option<RunKey>,
+    pub(crate) key: Option<RunKey>,
     /// The regions in which the request may be served, as of its admission.
     pub(crate) residency: Residency,
-    pub(crate) once: bool,
+    pub(crate) at_most_once: bool,
     pub(crate) claimed: Claimed,
     /// The owner and serial number of the claim that the next claim request replaces.
-    pub(crate) over: Option<(Incarnation, u64)>,
+    pub(crate) replaces: Option<(Incarnation, u64)>,
     /// The upstream on which an earlier owner may have run the request.
     pub(crate) earlier: Option<UpstreamId>,
     /// The deadline for waiting for a claim, for tokens and for an upstream.
@@ -167,7 +167,7 @@
     pub(crate) fn add(&mut self, run: Run, request: RequestId) -> RunId {
         let id = RunId(self.next_run);
         self.next_run += 1;
-        if let Some(keyed) = &run.keyed {
+        if let Some(keyed) = &run.key {
             self.by_key.insert(keyed.key, id);
         }
         self.by_request.insert(request, id);
@@ -235,7 +235,7 @@
         for listener in &run.listeners {
             self.by_request.remove(&listener.request);
         }
-        if let Some(keyed) = &run.keyed
+        if let Some(keyed) = &run.key
             && self.by_key.get(&keyed.key) == Some(&id)
         {
             self.by_key.remove(&keyed.key);
@@ -265,7 +265,7 @@
                 continue;
             };
             let is_delivered = run.listeners.iter().all(|l| l.next >= run.parts.len());
-            let is_needed = run.keyed.is_some()
+            let is_needed = run.key.is_some()
                 && now.since(at) < self.answer_retention
                 && kept_bytes <= self.max_answer_bytes;
             let is_needed = is_needed && may_store(run);
--- a/crates/badgerfield-core/src/template.rs
+++ b/crates/badgerfield-core/src/template.rs
@@ -201,7 +201,7 @@
 impl TemplateSet {
     /// Returns all errors in the set.
     #[must_use]
-    pub fn faults(&self) -> Vec<TemplateError> {
+    pub fn errors(&self) -> Vec<TemplateError> {
         let mut errors = Vec::new();
         for (id, account) in &self.accounts {
             account.collect_errors(id, &mut errors);
@@ -288,7 +288,7 @@
                 diff.push(format!("budget {id} removed"));
             }
         }
-        errors.extend(wanted.faults());
+        errors.extend(wanted.errors());
         if !errors.is_empty() {
             return Err(errors);
         }
@@ -334,7 +334,7 @@
     /// Returns an error if the value is not JSON of the expected form or the set has an error.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let set: Self = serde_json::from_slice(bytes)?;
-        let errors = set.faults();
+        let errors = set.errors();
         if let Some(error) = errors.into_iter().next() {
             return Err(DecodeError::Faulty(Box::new(error)));
         }
@@ -386,7 +386,7 @@
         }
         let is_complete =
             next.accounts.len() == delta.account_count && next.budgets.len() == delta.budget_count;
-        if !is_complete || !next.faults().is_empty() {
+        if !is_complete || !next.errors().is_empty() {
             return false;
         }
         *self = next;
--- a/crates/badgerfield-core/src/upstream_table/choice.rs
+++ b/crates/badgerfield-core/src/upstream_table/choice.rs
@@ -33,8 +33,9 @@
         let pool = self.candidates(now, criteria);
         let mix = self.request_mixes.get(criteria.service).filter(|_| !criteria.parts.is_empty());
         let params = CostParams::new(mix, criteria);
-        let ordinary =
-            queueing_delay::ordinary(pool.iter().map(|u| u.queueing_delay.millis(now)).collect());
+        let ordinary = queueing_delay::tolerated_delay(
+            pool.iter().map(|u| u.queueing_delay.current_ms(now)).collect(),
+        );
         let in_group: Vec<_> = pool.iter().copied().filter(|u| params.is_in_group(u)).collect();
         let preferred = preferred_upstreams(
             if in_group.is_empty() { &pool } else { &in_group },
@@ -49,11 +50,11 @@
             cost += self.distance_costs.cost(upstream.distance, criteria.bytes);
             if criteria.parts.is_empty() {
                 cost += overload::wait_cost(
-                    upstream.queueing_delay.millis(now),
+                    upstream.queueing_delay.current_ms(now),
                     upstream.seed ^ criteria.random,
                 );
             } else {
-                cost += upstream.queueing_delay.cost(now, ordinary, criteria.random);
+                cost += upstream.queueing_delay.excess_ms(now, ordinary, criteria.random);
             }
             cost
         };
@@ -71,7 +72,7 @@
         let is_preferred = preferred.contains(&&upstream.info.id);
         Some(ChosenUpstream {
             uncached_tokens: upstream.uncached_tokens(now, criteria.parts, is_preferred),
-            queueing_delay: upstream.queueing_delay.millis(now),
+            queueing_delay: upstream.queueing_delay.current_ms(now),
             group: params.division.map(|(_, group)| (group, params.is_in_group(upstream))),
             id: upstream.info.id.clone(),
             address: upstream.info.address,
--- a/crates/badgerfield-core/src/upstream_table/mod.rs
+++ b/crates/badgerfield-core/src/upstream_table/mod.rs
@@ -31,8 +31,8 @@
 use crate::locality::{CrossingReason, Distance, DistanceCosts, Location};
 use crate::queueing_delay::{self, DelayReport};
 use crate::request_mix::{
-    EngineDemand, EngineDivision, ObservedTiming, PromptGroup, PromptSize, READ_MS_PRIOR,
-    RequestMix, float, service_number,
+    DEFAULT_MS_PER_TOKEN, EngineDemand, EngineDivision, ObservedTiming, PromptGroup, PromptSize,
+    RequestMix, service_hash, to_f64,
 };
 use crate::residency::{RegionMap, Residency};
 use crate::rollout::tally::Tallies;
@@ -305,7 +305,7 @@
             self.upstreams.values().map(|u| u.info.service.clone()).collect();
         let mut changed = Vec::new();
         for service in services {
-            let number = service_number(&service);
+            let number = service_hash(&service);
             let demand = demand.iter().find(|demand| demand.service == number);
             let mix = self.request_mixes.entry(service.clone()).or_default();
             // Without any demand the service is no longer divided.
@@ -337,9 +337,9 @@
         let read_ms = self
             .request_mixes
             .get(&upstream.info.service)
-            .map_or(READ_MS_PRIOR, RequestMix::ms_per_token);
-        let read_time = Duration::from_secs_f64(float(uncached) * read_ms / 1e3);
-        upstream.queueing_delay.observe(now, wait.saturating_sub(read_time));
+            .map_or(DEFAULT_MS_PER_TOKEN, RequestMix::ms_per_token);
+        let read_time = Duration::from_secs_f64(to_f64(uncached) * read_ms / 1e3);
+        upstream.queueing_delay.record(now, wait.saturating_sub(read_time));
     }
 
     /// Records the response time of a request at an upstream of a plain service; a rejected request
@@ -348,7 +348,7 @@
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
-        upstream.queueing_delay.observe(now, elapsed);
+        upstream.queueing_delay.record(now, elapsed);
         if !self.plain_services.contains(&upstream.info.service) {
             self.plain_services.insert(upstream.info.service.clone());
         }
@@ -359,14 +359,19 @@
     #[must_use]
     pub fn delay_reports(&self, now: Time, round: usize) -> Vec<DelayReport> {
         let report = |u: &Upstream| {
-            u.queueing_delay.note(now, u.short_id(), self.plain_services.contains(&u.info.service))
+            u.queueing_delay.to_report(
+                now,
+                u.short_id(),
+                self.plain_services.contains(&u.info.service),
+            )
         };
         let all: Vec<_> = self.upstreams.values().filter_map(report).collect();
-        let start = if all.is_empty() { 0 } else { round * queueing_delay::MAX_NOTES % all.len() };
+        let start =
+            if all.is_empty() { 0 } else { round * queueing_delay::MAX_REPORTS % all.len() };
         all.iter()
             .cycle()
             .skip(start)
-            .take(all.len().min(queueing_delay::MAX_NOTES))
+            .take(all.len().min(queueing_delay::MAX_REPORTS))
             .copied()
             .collect()
     }
@@ -376,7 +381,7 @@
         for upstream in self.upstreams.values_mut() {
             let short_id = upstream.short_id();
             if let Some(report) = reports.iter().find(|report| report.upstream == short_id) {
-                upstream.queueing_delay.hear(now, *report);
+                upstream.queueing_delay.apply_report(now, *report);
             }
         }
     }
--- a/crates/badgerfield-core/src/upstream_table/rollout.rs
+++ b/crates/badgerfield-core/src/upstream_table/rollout.rs
@@ -7,7 +7,7 @@
 use super::{UpstreamCriteria, UpstreamTable};
 use crate::amount::Time;
 use crate::ids::{Service, UpstreamId};
-use crate::request_mix::{READ_MS_PRIOR, RequestMix, float};
+use crate::request_mix::{DEFAULT_MS_PER_TOKEN, RequestMix, to_f64};
 use crate::rollout::tally::{AnswerSource, AnswerSpeed, Tally};
 use crate::rollout::{Allowance, RolloutRule, RolloutRules, RolloutTally};
 
@@ -165,7 +165,7 @@
         let upstream = self.upstreams.get(id);
         let mix = upstream.and_then(|upstream| self.request_mixes.get(&upstream.info.service));
         Duration::from_secs_f64(
-            float(uncached) * mix.map_or(READ_MS_PRIOR, RequestMix::ms_per_token) / 1e3,
+            to_f64(uncached) * mix.map_or(DEFAULT_MS_PER_TOKEN, RequestMix::ms_per_token) / 1e3,
         )
     }
 
--- a/crates/badgerfield-core/src/upstream_table/slow_start.rs
+++ b/crates/badgerfield-core/src/upstream_table/slow_start.rs
@@ -48,6 +48,6 @@
 
     /// Returns the share of one sender at a cold upstream of a service.
     pub(super) fn sender_share(&self, service: &Service) -> Option<SenderShare> {
-        SenderShare::of(&self.warm_up(service)?, &self.bound?, self.sender_count)
+        SenderShare::new(&self.warm_up(service)?, &self.bound?, self.sender_count)
     }
 }
--- a/crates/badgerfield-core/src/upstream_table/upstream.rs
+++ b/crates/badgerfield-core/src/upstream_table/upstream.rs
@@ -9,14 +9,14 @@
 use crate::amount::Time;
 use crate::ids::Region;
 use crate::locality::{Distance, Location};
-use crate::queueing_delay::Lag;
+use crate::queueing_delay::QueueingDelay;
 use crate::rate_limit;
-use crate::request_mix::{EngineDivision, PromptGroup, READ_MS_PRIOR, RequestMix, float};
+use crate::request_mix::{DEFAULT_MS_PER_TOKEN, EngineDivision, PromptGroup, RequestMix, to_f64};
 use crate::residency::RegionMap;
 use crate::upstream_list::{ListedUpstream, UpstreamEntry, digest_of};
 use crate::upstream_table::announcements::Announcements;
 use crate::upstream_table::slow_start::SlowStart;
-use crate::warm_up::{Bucket, HOLD_OFF, SenderShare};
+use crate::warm_up::{SENDER_DELAY, SenderShare, TokenBucket};
 
 /// The expected delay from each running request at an engine, in milliseconds.
 const RUNNING_REQUEST_COST_MS: f64 = 1.5;
@@ -81,7 +81,7 @@
     pub(super) avoid_until: Time,
     pub(super) parts: HashMap<u64, Time>,
     /// The queueing delay at the upstream.
-    pub(super) queueing_delay: Lag,
+    pub(super) queueing_delay: QueueingDelay,
     /// Whether operators have evacuated its failure domain.
     pub(super) evacuated: bool,
     /// Its region, if known.
@@ -102,7 +102,7 @@
     /// can mark it as warm.
     since_revision: u64,
     /// The requests that this process may send, if it is a sender.
-    bucket: Option<Bucket>,
+    bucket: Option<TokenBucket>,
 }
 
 /// The parameters from which the costs of upstreams are computed for one request.
@@ -120,10 +120,11 @@
 
 impl CostParams {
     pub(super) fn new(mix: Option<&RequestMix>, criteria: &UpstreamCriteria<'_>) -> Self {
-        let prompt = float(criteria.parts.iter().map(|part| part.tokens).sum());
-        let ms_per_token = mix.map_or(READ_MS_PRIOR, RequestMix::ms_per_token);
+        let prompt = to_f64(criteria.parts.iter().map(|part| part.tokens).sum());
+        let ms_per_token = mix.map_or(DEFAULT_MS_PER_TOKEN, RequestMix::ms_per_token);
         let division = mix.and_then(RequestMix::division).map(|division| {
-            let typical_tokens = mix.and_then(|mix| mix.prompt(criteria.route)).unwrap_or(prompt);
+            let typical_tokens =
+                mix.and_then(|mix| mix.mean_prompt_tokens(criteria.route)).unwrap_or(prompt);
             (division, division.group(typical_tokens))
         });
         let other_group_ms =
@@ -133,11 +134,11 @@
 
     /// Returns how long an engine takes to read parts of a prompt, in milliseconds.
     pub(super) fn read_ms(&self, parts: &[PromptPart]) -> f64 {
-        float(parts.iter().map(|part| part.tokens).sum()) * self.ms_per_token
+        to_f64(parts.iter().map(|part| part.tokens).sum()) * self.ms_per_token
     }
 
     pub(super) fn is_in_group(&self, upstream: &Upstream) -> bool {
-        self.division.is_none_or(|(division, group)| division.takes(group, upstream.position))
+        self.division.is_none_or(|(division, group)| division.has_engine(group, upstream.position))
     }
 }
 
@@ -162,7 +163,7 @@
             consecutive_failures: 0,
             avoid_until: Time::default(),
             parts: HashMap::new(),
-            queueing_delay: Lag::default(),
+            queueing_delay: QueueingDelay::default(),
             evacuated: false,
             region: None,
             distance: Distance::default(),
@@ -190,7 +191,7 @@
         self.consecutive_failures = 0;
         self.avoid_until = Time::default();
         self.parts.clear();
-        self.queueing_delay = Lag::default();
+        self.queueing_delay = QueueingDelay::default();
         self.cold = None;
         self.announced = Announcements::default();
     }
@@ -274,7 +275,7 @@
         let known = self.cold.filter(|cold| cold.until > now);
         let bucket = match known {
             Some(cold) => cold.bucket,
-            None => slow_start.is_sender(self.seed).then(|| Bucket::new(now)),
+            None => slow_start.is_sender(self.seed).then(|| TokenBucket::new(now)),
         };
         self.cold = Some(ColdState { until, since_revision: revision, bucket });
     }
@@ -282,14 +283,14 @@
     /// Applies the senders of a new view. A process that becomes a sender waits for [`HOLD_OFF`]
     /// until the others have received the view.
     pub(super) fn apply_senders(&mut self, now: Time, slow_start: &SlowStart) {
-        let from = now.after(HOLD_OFF);
+        let from = now.after(SENDER_DELAY);
         let seed = self.seed;
         self.announced.limit.set_rank(from, || rate_limit::sender_rank(slow_start.senders(), seed));
         let Some(cold) = &mut self.cold else {
             return;
         };
         let is_sender = slow_start.is_sender(self.seed);
-        cold.bucket = is_sender.then(|| cold.bucket.unwrap_or_else(|| Bucket::new(from)));
+        cold.bucket = is_sender.then(|| cold.bucket.unwrap_or_else(|| TokenBucket::new(from)));
     }
 
     /// Returns whether the warm-up of the upstream allows another request; `share` is the share of
@@ -299,7 +300,7 @@
             return true;
         };
         let bucket = cold.bucket.zip(share);
-        bucket.is_some_and(|(bucket, share)| bucket.may_send(now, share))
+        bucket.is_some_and(|(bucket, share)| bucket.can_send(now, share))
     }
 
     /// Records that a request is sent to the upstream.
@@ -340,7 +341,7 @@
             return running * RUNNING_CALL_COST_MS + failure_cost + jitter;
         }
         let read =
-            float(self.uncached_tokens(now, criteria.parts, is_preferred)) * params.ms_per_token;
+            to_f64(self.uncached_tokens(now, criteria.parts, is_preferred)) * params.ms_per_token;
         let group_cost = if params.is_in_group(self) { 0.0 } else { params.other_group_ms };
         read + group_cost + running * RUNNING_REQUEST_COST_MS + failure_cost + jitter
     }
--- a/crates/badgerfield-core/src/vm_upstreams.rs
+++ b/crates/badgerfield-core/src/vm_upstreams.rs
@@ -19,7 +19,7 @@
 use crate::template::AccountTemplate;
 
 /// The number of prompt bytes between two prefix digests.
-pub const PREFIX_STEP: usize = 256;
+pub const PREFIX_STEP_BYTES: usize = 256;
 /// The maximum number of prefix digests recorded per upstream.
 const MAX_PREFIXES: usize = 4096;
 /// The age at which a recorded prefix counts for half.
@@ -445,7 +445,7 @@
 ///
 /// The prompt's own length is an upper bound that counts bytes in the same way.
 fn covered_tokens(index: usize, chat: &Chat) -> f64 {
-    let tokens = u64::try_from((index + 1) * PREFIX_STEP).unwrap_or(u64::MAX);
+    let tokens = u64::try_from((index + 1) * PREFIX_STEP_BYTES).unwrap_or(u64::MAX);
     to_f64(tokens.min(chat.prompt_tokens.0))
 }
 
@@ -454,7 +454,7 @@
 pub fn prefix_digests(prompt: &[u8]) -> Vec<u64> {
     let mut digests = Vec::new();
     let mut digest = 0_u64;
-    for step in prompt.chunks_exact(PREFIX_STEP) {
+    for step in prompt.chunks_exact(PREFIX_STEP_BYTES) {
         let mut bytes = digest.to_be_bytes().to_vec();
         bytes.extend_from_slice(step);
         digest = xxh3_64(&bytes);
--- a/crates/badgerfield-core/src/warm_up.rs
+++ b/crates/badgerfield-core/src/warm_up.rs
@@ -24,7 +24,7 @@
 /// How long a process sends nothing after it has become a sender. It equals the second over
 /// which the bound applies, and must exceed the time in which a view reaches all VMs. The delay
 /// of a view to the last VM is not known exactly; `tests/warm_up.rs` assumes up to 0.9 s.
-pub const HOLD_OFF: Duration = Duration::from_secs(1);
+pub const SENDER_DELAY: Duration = Duration::from_secs(1);
 /// The number of requests that a sender may send at once.
 const BURST: f64 = 1.0;
 /// The number of views that may be in force at once in different processes.
@@ -78,7 +78,7 @@
 impl SenderShare {
     /// Returns the share of each sender, or `None` if so many senders would exceed the bound.
     #[must_use]
-    pub fn of(warm_up: &WarmUp, bound: &WarmUpBound, senders: usize) -> Option<Self> {
+    pub fn new(warm_up: &WarmUp, bound: &WarmUpBound, senders: usize) -> Option<Self> {
         let senders = f64::from(u32::try_from(senders).ok().filter(|n| *n > 0)?);
         // In any second, a sender may send its burst in addition to its rate.
         let rate = bound.max_rate(warm_up) / MAX_VIEWS / senders - BURST;
@@ -90,12 +90,12 @@
 
 /// A token bucket that limits the requests of a sender; one token is one request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Bucket {
+pub struct TokenBucket {
     tokens: f64,
     updated_at: Time,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// Returns an empty bucket that starts to fill at a given time.
     #[must_use]
     pub fn new(from: Time) -> Self {
@@ -104,7 +104,7 @@
 
     /// Returns whether a request may be sent now.
     #[must_use]
-    pub fn may_send(&self, now: Time, share: SenderShare) -> bool {
+    pub fn can_send(&self, now: Time, share: SenderShare) -> bool {
         self.available(now, share) >= 1.0
     }
 
--- a/crates/badgerfield-core/tests/mix.rs
+++ b/crates/badgerfield-core/tests/mix.rs
@@ -123,8 +123,8 @@
 fn each_engine_takes_one_group() {
     let division = EngineDivision { long_threshold: 3000.0, short_share: 0.4 };
     for position in [0.0, 0.2, 0.39, 0.41, 0.99] {
-        let served =
-            [PromptGroup::Short, PromptGroup::Long].map(|group| division.takes(group, position));
+        let served = [PromptGroup::Short, PromptGroup::Long]
+            .map(|group| division.has_engine(group, position));
         assert_ne!(served[0], served[1], "at {position}");
     }
 }
--- a/crates/badgerfield-core/tests/warm_up.rs
+++ b/crates/badgerfield-core/tests/warm_up.rs
@@ -101,7 +101,7 @@
         let warm_up = WarmUp { interval: Duration::from_secs_f64(1.0 / rate), ..warm_up() };
         for senders in 1..10_u32 {
             let count = usize::try_from(senders).expect("small");
-            let Some(share) = SenderShare::of(&warm_up, &BOUND, count) else {
+            let Some(share) = SenderShare::new(&warm_up, &BOUND, count) else {
                 continue;
             };
             let total = 2.0 * f64::from(senders) * (1.0 + share.rate);
@@ -109,7 +109,7 @@
             assert!(share.rate * f64::from(senders) <= rate + 1e-6);
         }
     }
-    assert_eq!(SenderShare::of(&warm_up(), &BOUND, 0), None);
+    assert_eq!(SenderShare::new(&warm_up(), &BOUND, 0), None);
 }
 
 /// Observed when an evacuated failure domain was restored: its cold upstreams received as many
--- a/crates/badgerfield-node/src/adapter.rs
+++ b/crates/badgerfield-node/src/adapter.rs
@@ -33,7 +33,7 @@
     /// The list of upstreams of the platform.
     pub discovery: Arc<dyn Discovery>,
     /// The formats of requests, of calls to upstreams and of the directory.
-    pub dialect: Arc<dyn Protocol>,
+    pub protocol: Arc<dyn Protocol>,
 }
 
 /// The result of waiting for a change.
@@ -42,7 +42,7 @@
     /// A change. Its revision is where the next wait continues.
     Changed(T),
     /// Nothing has changed up to this revision of the store.
-    Quiet(u64),
+    Unchanged(u64),
     /// The wait failed or changes may have been missed. The watched values must be read again.
     Lost,
 }
@@ -87,7 +87,7 @@
     /// The id that the caller gave the request.
     pub id: String,
     /// The maximum time that the caller waits for the response.
-    pub patience: Option<Duration>,
+    pub max_wait: Option<Duration>,
     /// The API key of the caller.
     pub key: Option<String>,
     /// The number of prompt tokens, and the maximum number of output tokens.
@@ -106,7 +106,7 @@
     Missing(&'static str),
     /// A header is present more than once.
     #[error("expected the header {0} once")]
-    Twice(&'static str),
+    Duplicate(&'static str),
     /// A header has an invalid format.
     #[error("expected {expected} in the header {name}")]
     Malformed {
@@ -158,7 +158,7 @@
 
 impl UpstreamAnnouncement {
     /// Returns whether any of the headers cannot be parsed.
-    pub fn is_unreadable(&self) -> bool {
+    pub fn has_invalid_header(&self) -> bool {
         self.limit == ParsedHeader::Invalid || self.back_off == ParsedHeader::Invalid
     }
 }
@@ -201,13 +201,13 @@
     /// # Errors
     ///
     /// Fails if a header is missing, duplicated or invalid.
-    fn read(&self, head: &HeaderMap) -> Result<RequestHeaders, HeaderError>;
+    fn parse_request_headers(&self, head: &HeaderMap) -> Result<RequestHeaders, HeaderError>;
 
     /// Converts the headers of a caller's request to those of a call to an upstream.
     fn write_headers(&self, head: &mut HeaderMap, headers: &UpstreamHeaders<'_>);
 
     /// Classifies the response of an upstream to the request `id` by its head.
-    fn verdict(&self, id: &str, status: StatusCode, head: &HeaderMap) -> ResponseKind;
+    fn classify_response(&self, id: &str, status: StatusCode, head: &HeaderMap) -> ResponseKind;
 
     /// Parses the announcements in the head of a response. Returns `None` if it comes from another
     /// upstream than `asked`.
--- a/crates/badgerfield-node/src/caller_api.rs
+++ b/crates/badgerfield-node/src/caller_api.rs
@@ -83,7 +83,7 @@
 ///
 /// Fails if the address cannot be bound.
 pub async fn serve(driver: Arc<Driver>) -> Result<(), StartError> {
-    let address = driver.settings.callers;
+    let address = driver.settings.caller_address;
     let listener = listen(address).await?;
     tokio::spawn(async move {
         loop {
@@ -248,7 +248,7 @@
 }
 
 async fn read_body(driver: &Driver, body: Incoming) -> Result<Bytes, RequestError> {
-    let limit = driver.settings.limits.body;
+    let limit = driver.settings.limits.max_body_bytes;
     let read = http::read_body(body, limit);
     let body =
         tokio::time::timeout(BODY_TIMEOUT, read).await.map_err(|_| RequestError::BodyTimeout)?;
@@ -463,8 +463,8 @@
     let answer = json!({
         "templates": driver.node.templates().version,
         "vms": vms,
-        "ttl_s": limits.directory.as_secs(),
-        "keys_kept_s": limits.remember.as_secs(),
+        "ttl_s": limits.directory_ttl.as_secs(),
+        "keys_kept_s": limits.key_retention.as_secs(),
     });
     http::json_response(StatusCode::OK, &answer)
 }
--- a/crates/badgerfield-node/src/clock.rs
+++ b/crates/badgerfield-node/src/clock.rs
@@ -58,7 +58,7 @@
 
 /// A period during which the process did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct StoodStill {
+pub(crate) struct Stall {
     /// The time from the last tick before the period to the first tick after it.
     pub(crate) span: Duration,
     /// The part of the period during which the VM was suspended.
@@ -100,7 +100,7 @@
 
     /// Records a tick. Returns the period since the last tick if the process was stalled or the VM
     /// was suspended during that period.
-    pub(crate) fn tick(&self) -> Option<StoodStill> {
+    pub(crate) fn tick(&self) -> Option<Stall> {
         let before = self.clocks.monotonic();
         let boot = self.clocks.boottime();
         let after = self.clocks.monotonic();
@@ -123,11 +123,11 @@
             self.resume_count.send_modify(|resume_count| *resume_count += 1);
         }
         let suspended = if is_suspended { suspended } else { Duration::ZERO };
-        Some(StoodStill { span, suspended })
+        Some(Stall { span, suspended })
     }
 
     /// Returns whether the process was stalled or suspended at any time since the given time.
-    pub(crate) fn stood_still_since(&self, since: Time) -> bool {
+    pub(crate) fn has_stalled_since(&self, since: Time) -> bool {
         let ticks = *lock(&self.ticks);
         let is_stalled = ticks.last.is_some_and(|last| self.now().since(last) >= MIN_STALL);
         is_stalled || ticks.last_resumed.is_some_and(|at| at >= since)
--- a/crates/badgerfield-node/src/driver.rs
+++ b/crates/badgerfield-node/src/driver.rs
@@ -26,7 +26,7 @@
 
 use crate::adapter::{KeyValueStore, PlatformAdapter};
 use crate::caller_api::Outgoing;
-use crate::clock::{Clock, StoodStill, SystemClocks, VmClocks};
+use crate::clock::{Clock, Stall, SystemClocks, VmClocks};
 use crate::follow;
 use crate::gateway::state::Gateway;
 use crate::http;
@@ -123,25 +123,30 @@
     ) -> Result<Arc<Self>, StartError> {
         let incarnation = Incarnation(getrandom::u64()?);
         let seed = getrandom::u64()?;
-        let peers =
-            PeerTransport::listen(settings.peer_address, &settings.secret, &settings.accepted)?;
+        let peers = PeerTransport::listen(
+            settings.peer_address,
+            &settings.fleet_secret,
+            &settings.accepted_secrets,
+        )?;
         let member = Member {
             vm: settings.vm.clone(),
             incarnation,
             region: settings.region.clone(),
             domain: settings.domain.clone(),
             peer: settings.advertised_address,
-            caller: settings.gateway.map_or(settings.callers, |gateway| gateway.request_address),
+            caller: settings
+                .gateway
+                .map_or(settings.caller_address, |gateway| gateway.request_address),
             standing: MemberState::Active,
         };
         let limits = settings.limits;
         let node = Node::new(Config {
             member,
             ledger_shards: limits.shards,
-            key_retention: limits.remember,
-            answer_retention: limits.replay,
-            max_answer_bytes: limits.replay_bytes,
-            directory_ttl: limits.directory,
+            key_retention: limits.key_retention,
+            answer_retention: limits.replay_retention,
+            max_answer_bytes: limits.max_replay_bytes,
+            directory_ttl: limits.directory_ttl,
             pacing: settings.pacing,
             seed,
         });
@@ -151,14 +156,14 @@
             .map(|adapter| Arc::new(Gateway::new(adapter, settings.retries, Arc::clone(&clock))));
         if let Some(gateway) = &gateway {
             let senders = settings.pacing.policy.warm_up_senders;
-            gateway.replicas().set_warm_up_bound(settings.warm_up, senders);
+            gateway.upstreams().set_warm_up_bound(settings.warm_up, senders);
             let (domain, region) = (settings.domain.clone(), settings.region.clone());
             let location = Location { domain: Some(domain), region: Some(region) };
-            let mut replicas = gateway.replicas();
+            let mut replicas = gateway.upstreams();
             replicas.set_regions(settings.regions.clone());
             replicas.set_location(location, settings.locality);
         }
-        let upstream_client = UpstreamClient::new(limits.silence);
+        let upstream_client = UpstreamClient::new(limits.silence_timeout);
         Ok(Arc::new(Self {
             node,
             metrics: Metrics::new(),
@@ -222,7 +227,7 @@
     }
 
     /// Waits until a span has passed since the planned stop started.
-    pub(crate) async fn lingered(&self, span: Duration) {
+    pub(crate) async fn sleep_until_stopped_for(&self, span: Duration) {
         let mut stopping_since = self.stopping_since.subscribe();
         // The sender lives as long as the driver.
         let started =
@@ -235,7 +240,8 @@
     /// Returns whether so much of the grace period of a stop has passed that a new request
     /// might not finish before its end.
     pub(crate) fn refuses_new(&self) -> bool {
-        let grace = self.settings.gateway.map_or(Duration::ZERO, |gateway| gateway.grace);
+        let grace =
+            self.settings.gateway.map_or(Duration::ZERO, |gateway| gateway.shutdown_timeout);
         let stopping_since = *self.stopping_since.borrow();
         stopping_since
             .is_some_and(|started| self.now().since(started) >= grace * ADMISSION_PERCENT / 100)
@@ -284,7 +290,7 @@
         outgoing: Outgoing,
     ) -> Option<(RequestId, mpsc::UnboundedReceiver<IndexedAnswer>)> {
         let mut requests = lock(&self.requests);
-        if requests.len() >= self.settings.limits.requests {
+        if requests.len() >= self.settings.limits.max_requests {
             return None;
         }
         let id = RequestId(self.next_request.fetch_add(1, Ordering::Relaxed));
@@ -307,7 +313,7 @@
                     return;
                 };
                 let from = self.node.id();
-                self.metrics.messages.count(&message);
+                self.metrics.peer_traffic.count(&message);
                 let envelope = Envelope {
                     from,
                     sender_address: self.settings.advertised_address,
@@ -318,10 +324,10 @@
             }
             Command::CallStore(id, call) => {
                 let driver = Arc::clone(self);
-                self.metrics.calls.count(CallKind::of(&call));
+                self.metrics.store_calls.count(CallKind::of(&call));
                 tokio::spawn(async move {
                     let result = driver.store.call(&call).await;
-                    driver.metrics.count_kv(&result);
+                    driver.metrics.count_store_result(&result);
                     driver.feed(Event::StoreReply(id, result));
                 });
             }
@@ -346,13 +352,13 @@
             Command::ApplyUpstreamList(list) => self.apply_upstream_list(list, UpdateSource::Peer),
             Command::ConfirmUpstreamList(revision) => {
                 if let Some(gateway) = &self.gateway {
-                    gateway.replicas().confirm_revision(self.now(), revision);
+                    gateway.upstreams().confirm_revision(self.now(), revision);
                 }
             }
             Command::DivideEngines(demand) => self.divide_engines(&demand),
             Command::ApplyDelayReports(reports) => {
                 if let Some(gateway) = &self.gateway {
-                    gateway.replicas().apply_delay_reports(self.now(), &reports);
+                    gateway.upstreams().apply_delay_reports(self.now(), &reports);
                 }
             }
             Command::ApplyLimitReports(from, reports) => self.learn_limits(from, &reports),
@@ -361,7 +367,7 @@
             Command::SendUpstreamList(to, since) => self.send_upstream_list(to, since),
             Command::BlockRequests(requests) => {
                 if let Some(gateway) = &self.gateway {
-                    gateway.note_blocked(requests.len());
+                    gateway.notify_blocked(requests.len());
                 }
             }
             Command::Bill(bill) => self.log_bill(&bill),
@@ -378,7 +384,7 @@
         let Some(gateway) = &self.gateway else {
             return;
         };
-        let changed = gateway.replicas().divide_engines(demand);
+        let changed = gateway.upstreams().divide_engines(demand);
         for (service, EngineDivision { long_threshold, short_share }) in changed {
             log::info!(
                 target: NODE,
@@ -418,7 +424,7 @@
             LogEntry::Templates(version) => {
                 if let Some(gateway) = &self.gateway {
                     let (version, table) = self.node.route_table();
-                    gateway.put_in_force(version, table);
+                    gateway.update_routes(version, table);
                     self.update_warm_ups();
                 }
                 log::info!(target: NODE, "templates {version} in force");
@@ -440,12 +446,12 @@
                 budget,
                 limit,
                 granted,
-                left,
+                remaining: left,
                 held,
                 sealed,
                 promised,
                 reserved,
-                moving,
+                in_transit: moving,
                 took,
                 plan,
                 rate,
@@ -500,7 +506,7 @@
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            if let Some(StoodStill { span, suspended }) = self.clock.tick() {
+            if let Some(Stall { span, suspended }) = self.clock.tick() {
                 log::warn!(
                     target: NODE,
                     "stood still for_ms={} suspended_ms={}",
@@ -514,10 +520,10 @@
             }
             count = count.wrapping_add(1);
             let now = self.now();
-            if now.since(logged_at) >= store_calls::LOG_EVERY {
+            if now.since(logged_at) >= store_calls::LOG_INTERVAL {
                 logged_at = now;
-                self.metrics.calls.log();
-                self.metrics.messages.log();
+                self.metrics.store_calls.log();
+                self.metrics.peer_traffic.log();
             }
             if now.since(reported_at) >= REPORT_INTERVAL {
                 reported_at = now;
@@ -537,7 +543,7 @@
             return;
         };
         let client = http::client();
-        let interval = self.settings.platform.vm_poll;
+        let interval = self.settings.platform.vm_poll_interval;
         loop {
             match fetch_vm_list(&client, uri, self.settings.platform.timeout).await {
                 Some(list) => {
--- a/crates/badgerfield-node/src/evacuations.rs
+++ b/crates/badgerfield-node/src/evacuations.rs
@@ -15,8 +15,8 @@
         let now = self.now();
         let from = from.map_or_else(|| "platform".to_owned(), |id| id.to_string());
         for change in changes {
-            let affected = gateway.replicas().apply_evacuations(now, std::slice::from_ref(change));
-            let (evacuated, cold) = gateway.replicas().restricted_counts(now);
+            let affected = gateway.upstreams().apply_evacuations(now, std::slice::from_ref(change));
+            let (evacuated, cold) = gateway.upstreams().restricted_counts(now);
             self.metrics.evacuations.inc();
             log::info!(
                 target: PLATFORM,
@@ -36,15 +36,15 @@
         let Some(gateway) = self.gateway() else {
             return;
         };
-        let table = gateway.in_force().table;
+        let table = gateway.routes().table;
         let warm_ups = table.warm_ups().map(|(name, warm_up)| (name.clone(), warm_up)).collect();
-        gateway.replicas().set_warm_ups(warm_ups);
+        gateway.upstreams().set_warm_ups(warm_ups);
     }
 
     /// Updates the set of processes that may send to cold upstreams after a newer view has come into force.
     pub(crate) fn update_warm_up_senders(&self) {
         if let Some(gateway) = self.gateway() {
-            gateway.replicas().set_senders(self.now(), self.node.warm_up_senders());
+            gateway.upstreams().set_senders(self.now(), self.node.warm_up_senders());
         }
     }
 }
--- a/crates/badgerfield-node/src/follow.rs
+++ b/crates/badgerfield-node/src/follow.rs
@@ -41,7 +41,7 @@
     /// Returns the delay before the next call. The few processes that probe the platform use
     /// short delays; all others use `FOLLOWER_RETRY_DELAY`.
     fn next_delay(&mut self, driver: &Driver) -> Duration {
-        if !driver.node.probes_platform() {
+        if !driver.node.can_probe_store() {
             return FOLLOWER_RETRY_DELAY;
         }
         let delay = self.0;
@@ -69,7 +69,7 @@
         }
         if revision == 0 {
             let call = StoreCall::Get(StoreKey::Templates);
-            driver.metrics.calls.count(CallKind::of(&call));
+            driver.metrics.store_calls.count(CallKind::of(&call));
             // If no templates exist yet, the watch waits for the first ones.
             match driver.store.call(&call).await {
                 StoreResult::Value(value) => {
@@ -86,14 +86,14 @@
                 }
             }
         }
-        driver.metrics.calls.count(CallKind::TemplatesWatch);
+        driver.metrics.store_calls.count(CallKind::TemplatesWatch);
         match driver.store.watch_operator_changes(revision).await {
             WatchResult::Changed(changes) => {
                 backoff = Backoff::default();
                 revision = revision.max(changes.revision);
                 driver.feed(Event::OperatorChanges(changes));
             }
-            WatchResult::Quiet(current) => {
+            WatchResult::Unchanged(current) => {
                 backoff = Backoff::default();
                 revision = revision.max(current);
             }
@@ -111,13 +111,13 @@
 /// regular interval, since a watch may return no changes for a while. Upstreams write
 /// their entries all the time, so the next watch starts after a delay rather than at once.
 pub(crate) async fn watch_upstreams(driver: Arc<Driver>, gateway: Arc<Gateway>) {
-    let read_interval = driver.settings.platform.replicas_poll;
+    let read_interval = driver.settings.platform.upstream_poll_interval;
     let mut failing_since: Option<Time> = None;
     let mut backoff = Backoff::default();
     loop {
         if !is_list_watcher(&driver) {
             report_state(&driver, &gateway);
-            let is_new = gateway.replicas().is_empty();
+            let is_new = gateway.upstreams().is_empty();
             driver.clock.sleep(role_check_interval(is_new)).await;
             continue;
         }
@@ -134,14 +134,14 @@
         while driver.now() < until && is_list_watcher(&driver) {
             report_state(&driver, &gateway);
             driver.clock.sleep(WATCH_DELAY).await;
-            driver.metrics.calls.count(CallKind::UpstreamsWatch);
+            driver.metrics.store_calls.count(CallKind::UpstreamsWatch);
             let watch = gateway.adapter.discovery.watch(revision);
             match driver.clock.timeout_at(until, watch).await {
                 Ok(WatchResult::Changed(changes)) => {
                     revision = revision.max(changes.revision);
                     driver.apply_upstream_changes(changes);
                 }
-                Ok(WatchResult::Quiet(current)) => {
+                Ok(WatchResult::Unchanged(current)) => {
                     revision = revision.max(current);
                     let changes =
                         UpstreamListChanges { revision: current, ..UpstreamListChanges::default() };
@@ -165,7 +165,7 @@
     gateway: &Gateway,
     failing_since: &mut Option<Time>,
 ) -> Option<u64> {
-    driver.metrics.calls.count(CallKind::UpstreamsRead);
+    driver.metrics.store_calls.count(CallKind::UpstreamsRead);
     let list = match gateway.adapter.discovery.list().await {
         Ok(list) => list,
         Err(error) => {
@@ -191,12 +191,12 @@
     let Some(gateway) = driver.gateway() else {
         return true;
     };
-    let (_, updated) = gateway.replicas().last_update();
+    let (_, updated) = gateway.upstreams().last_update();
     let now = driver.now();
     let Some(updated) = updated else {
         return driver.node.is_bootstrap_reader(now);
     };
-    driver.node.watches_platform(now, Some(now.since(updated)))
+    driver.node.watches_store(now, Some(now.since(updated)))
 }
 
 /// Returns whether this process watches the templates itself, which it does while it watches the
@@ -211,12 +211,12 @@
     let now = driver.now();
     gateway.sweep(now);
     let (demand, delays, limits) = {
-        let mut replicas = gateway.replicas();
-        let delays = replicas.delay_reports(now, gateway.next_turn());
+        let mut replicas = gateway.upstreams();
+        let delays = replicas.delay_reports(now, gateway.next_delay_report());
         (replicas.engine_demand(now), delays, replicas.limit_reports(now))
     };
     driver.feed(Event::LimitReports(limits));
-    driver.feed(Event::EngineNeeds(demand));
+    driver.feed(Event::EngineDemand(demand));
     driver.feed(Event::DelayReports(delays));
     driver.feed(Event::Serving(directory::is_ready(gateway)));
 }
--- a/crates/badgerfield-node/src/gateway/admit.rs
+++ b/crates/badgerfield-node/src/gateway/admit.rs
@@ -39,13 +39,13 @@
     arrived_at: Time,
     open_request: OpenRequest,
 ) -> Result<Exchange, AdmitError> {
-    let in_force = gateway.in_force();
+    let in_force = gateway.routes();
     let not_run = |cause| (None, Refusal::not_run(cause));
     if in_force.version.0 == 0 {
         return Err((None, Refusal::not_run(Cause::NotReady).with_retry_after(RETRY_DELAY)));
     }
     let (mut head, body) = request.into_parts();
-    let headers = gateway.adapter.dialect.read(&head.headers);
+    let headers = gateway.adapter.protocol.parse_request_headers(&head.headers);
     let headers = headers.map_err(|error| {
         log::debug!(target: crate::logs::REQUESTS, "rejected request headers: {error}");
         not_run(Cause::BadRequest)
@@ -68,7 +68,7 @@
         .map_err(|refusal| (Some(id.clone()), refusal))?;
     request_log::admitted(&id, &route.name, account, in_force.version);
 
-    let max_wait = headers.patience.unwrap_or(route.timeout).min(route.timeout);
+    let max_wait = headers.max_wait.unwrap_or(route.timeout).min(route.timeout);
     let deadline = arrived_at.after(max_wait);
     strip_hop_by_hop(&mut head.headers);
     let body = read_body(&driver, body, table.limits().body, deadline).await.map_err(&not_run)?;
@@ -91,7 +91,7 @@
     gateway.retries().count_request(now, &service);
     let divides_engines = driver.settings.pacing.policy.divide_engines;
     if let Some(size) = prompt_size(&headers).filter(|_| divides_engines) {
-        gateway.replicas().record_arrival(now, &service, &route.name, size);
+        gateway.upstreams().record_arrival(now, &service, &route.name, size);
     }
     Ok(Exchange {
         route: Arc::clone(route),
@@ -140,7 +140,7 @@
     account: Option<&Account>,
 ) -> Result<Residency, Refusal> {
     let residency = in_force.table.residency(route, account);
-    let checked = residency.check(gateway.replicas().regions());
+    let checked = residency.check(gateway.upstreams().regions());
     checked.map_err(|fault| {
         request_log::outside(id, &route.name, &fault, in_force.version);
         match fault {
--- a/crates/badgerfield-node/src/gateway/announcements.rs
+++ b/crates/badgerfield-node/src/gateway/announcements.rs
@@ -22,16 +22,17 @@
         (upstream, process): (&UpstreamId, u32),
         (status, head): (StatusCode, &HeaderMap),
     ) {
-        let Some(announcement) = gateway.adapter.dialect.parse_announcement(upstream, status, head)
+        let Some(announcement) =
+            gateway.adapter.protocol.parse_announcement(upstream, status, head)
         else {
             return;
         };
         // The response of a process that has exited says nothing about the process that has its id
         // now.
-        if !gateway.replicas().is_current_process(upstream, process) {
+        if !gateway.upstreams().is_current_process(upstream, process) {
             return;
         }
-        if announcement.is_unreadable() {
+        if announcement.has_invalid_header() {
             self.record_invalid_header(gateway, upstream);
         }
         let UpstreamAnnouncement { limit, leaving, back_off } = announcement;
@@ -39,7 +40,7 @@
             self.record_leaving(gateway, id, upstream);
         }
         if let Some(back_off) = back_off.value() {
-            gateway.replicas().record_back_off(self.now(), upstream, back_off);
+            gateway.upstreams().record_back_off(self.now(), upstream, back_off);
             request_log::back_off(id, upstream, back_off);
         }
         self.record_limit(gateway, id, upstream, limit.value());
@@ -47,7 +48,7 @@
 
     fn record_leaving(&self, gateway: &Gateway, id: &str, upstream: &UpstreamId) {
         let (is_new, (revision, updated_at)) = {
-            let mut upstreams = gateway.replicas();
+            let mut upstreams = gateway.upstreams();
             (upstreams.record_leaving(upstream), upstreams.last_update())
         };
         if !is_new {
@@ -65,12 +66,12 @@
         upstream: &UpstreamId,
         limit: Option<RateLimit>,
     ) {
-        let change = gateway.replicas().record_limit(self.now(), upstream, limit);
+        let change = gateway.upstreams().record_limit(self.now(), upstream, limit);
         let Some(change) = change else {
             return;
         };
         request_log::limit_announced(id, &change);
-        let reports = gateway.replicas().limit_reports(self.now());
+        let reports = gateway.upstreams().limit_reports(self.now());
         self.feed(Event::LimitReports(reports));
     }
 
@@ -79,15 +80,15 @@
         let Some(gateway) = self.gateway() else {
             return;
         };
-        let changes = gateway.replicas().apply_limit_reports(self.now(), reports);
+        let changes = gateway.upstreams().apply_limit_reports(self.now(), reports);
         for change in &changes {
             request_log::limit_received(from, change);
         }
     }
 
     fn record_invalid_header(&self, gateway: &Gateway, upstream: &UpstreamId) {
-        self.gateway_counts().unreadable.inc();
-        if gateway.replicas().record_unreadable(upstream) {
+        self.gateway_counts().invalid_announcements.inc();
+        if gateway.upstreams().record_unreadable(upstream) {
             request_log::invalid_announcement(upstream);
         }
     }
--- a/crates/badgerfield-node/src/gateway/attempt.rs
+++ b/crates/badgerfield-node/src/gateway/attempt.rs
@@ -149,7 +149,7 @@
             wait: uncached_tokens
                 .map(|uncached_tokens| FirstEventWait { since: now, uncached_tokens }),
             sample: gateway
-                .rolls_out()
+                .has_rollouts()
                 .then(|| RolloutSample::new(now, &chosen.id, route, uncached_tokens.unwrap_or(0))),
         }
     }
@@ -181,14 +181,14 @@
             return;
         };
         if update(sample, &self.gateway) {
-            self.driver.tell_bad_answer();
+            self.driver.report_bad_answer();
         }
     }
 
     fn record_wait(&self, wait: FirstEventWait) {
         let now = self.driver.now();
-        if !self.gateway.clock.stood_still_since(wait.since) {
-            self.gateway.replicas().record_first_event_wait(
+        if !self.gateway.clock.has_stalled_since(wait.since) {
+            self.gateway.upstreams().record_first_event_wait(
                 now,
                 &self.id,
                 now.since(wait.since),
@@ -201,7 +201,7 @@
     /// the connection was being opened.
     fn check_usable(&self) -> Result<(), RequestError> {
         let now = self.driver.now();
-        let mut upstreams = self.gateway.replicas();
+        let mut upstreams = self.gateway.upstreams();
         if !upstreams.is_usable(now, &self.id) {
             return Err(RequestError::NotSent);
         }
@@ -225,7 +225,7 @@
         };
         // A connection to a process that has exited must not be reused for the process that has its
         // id now.
-        let is_current = self.gateway.replicas().is_current_process(&self.id, self.process);
+        let is_current = self.gateway.upstreams().is_current_process(&self.id, self.process);
         if is_current && !self.closes_connection {
             self.gateway.connections.keep(self.id.clone(), connection, self.keep_alive);
         }
@@ -241,10 +241,10 @@
         self.update_sample(RolloutSample::record_end);
         // A process that was stalled may have missed the response itself.
         let is_uncertain = self.outcome == AttemptOutcome::Failed
-            && self.gateway.clock.stood_still_since(self.sent_at);
+            && self.gateway.clock.has_stalled_since(self.sent_at);
         let outcome = if is_uncertain { AttemptOutcome::Unknown } else { self.outcome };
         let now = self.driver.now();
-        self.gateway.replicas().end_request(now, &self.id, outcome);
+        self.gateway.upstreams().end_request(now, &self.id, outcome);
     }
 }
 
@@ -287,8 +287,8 @@
         }
     };
     let head = (response.status(), response.headers());
-    let protocol = &gateway.adapter.dialect;
-    let kind = protocol.verdict(&original.id, head.0, head.1);
+    let protocol = &gateway.adapter.protocol;
+    let kind = protocol.classify_response(&original.id, head.0, head.1);
     if kind != ResponseKind::Foreign {
         let sender = (&guard.id, guard.process);
         guard.driver.apply_announcement(&gateway, &original.id, sender, head);
@@ -356,7 +356,7 @@
     *request.method_mut() = original.head.method.clone();
     *request.uri_mut() = original.head.uri.clone();
     *request.headers_mut() = original.head.headers.clone();
-    gateway.adapter.dialect.write_headers(request.headers_mut(), headers);
+    gateway.adapter.protocol.write_headers(request.headers_mut(), headers);
     request
 }
 
--- a/crates/badgerfield-node/src/gateway/directory.rs
+++ b/crates/badgerfield-node/src/gateway/directory.rs
@@ -68,7 +68,7 @@
 
 /// Returns whether this process can serve callers.
 pub(crate) fn is_ready(gateway: &Gateway) -> bool {
-    gateway.in_force().version.0 > 0 && !gateway.is_stopping() && !gateway.replicas().is_empty()
+    gateway.routes().version.0 > 0 && !gateway.is_stopping() && !gateway.upstreams().is_empty()
 }
 
 fn respond(driver: &Driver, gateway: &Gateway, request: &Request<Incoming>) -> Response<Body> {
@@ -85,7 +85,7 @@
         }
         return response;
     }
-    let Some(query) = gateway.adapter.dialect.parse_directory_request(request.uri()) else {
+    let Some(query) = gateway.adapter.protocol.parse_directory_request(request.uri()) else {
         return http::json_response(
             StatusCode::NOT_FOUND,
             &json!({ "error": "expected a question" }),
@@ -97,7 +97,7 @@
         let error = json!({ "error": "no VM is ready; come back later" });
         return http::json_response(StatusCode::SERVICE_UNAVAILABLE, &error);
     }
-    let text = gateway.adapter.dialect.directory_answer(&addresses, CACHE_TIME);
+    let text = gateway.adapter.protocol.directory_answer(&addresses, CACHE_TIME);
     let mut response = Response::new(http::full(text));
     let json = hyper::header::HeaderValue::from_static("application/json");
     response.headers_mut().insert(hyper::header::CONTENT_TYPE, json);
@@ -108,7 +108,7 @@
 /// domain, if known.
 fn caller_location(gateway: &Gateway, query: DirectoryRequest) -> Location {
     let DirectoryRequest { domain, region } = query;
-    let region_of_domain = || gateway.replicas().regions().region(domain.as_ref()?).cloned();
+    let region_of_domain = || gateway.upstreams().regions().region(domain.as_ref()?).cloned();
     let region = region.or_else(region_of_domain);
     Location { domain, region }
 }
--- a/crates/badgerfield-node/src/gateway/dispatch.rs
+++ b/crates/badgerfield-node/src/gateway/dispatch.rs
@@ -94,7 +94,7 @@
                 }
                 AttemptEnd::NotSent(reason) => {
                     unreachable += 1;
-                    self.gateway.replicas().undo_sent(&chosen.id, &self.route.name);
+                    self.gateway.upstreams().undo_sent(&chosen.id, &self.route.name);
                     reason
                 }
                 AttemptEnd::NotRun(status) => {
@@ -148,7 +148,7 @@
     /// Returns the regions in which the request may be served, by the template version of its
     /// admission and by the newest one.
     fn current_residency(&self) -> Residency {
-        let newest = self.gateway.in_force();
+        let newest = self.gateway.routes();
         self.admission.current_residency(newest.version, || {
             // The head may have lost its host, because headers of a single connection are removed.
             let path = self.original.head.uri.path();
@@ -161,7 +161,7 @@
         let residency = self.current_residency();
         // Choosing an upstream and starting the request happen under the same lock, because the
         // requests that a cold upstream may get are counted.
-        let mut upstreams = self.gateway.replicas();
+        let mut upstreams = self.gateway.upstreams();
         upstreams.record_request(now, &self.service);
         if let Err(fault) = residency.check(upstreams.regions()) {
             drop(upstreams);
@@ -224,7 +224,7 @@
         while can_time_out && self.now().after(timeout) < deadline {
             let wait_start = self.now();
             self.driver.clock.sleep(timeout).await;
-            if self.driver.clock.stood_still_since(wait_start) {
+            if self.driver.clock.has_stalled_since(wait_start) {
                 // The upstream may have responded while this process was stalled.
                 continue;
             }
@@ -246,7 +246,7 @@
         }
         let residency = self.current_residency();
         let criteria = self.criteria(&residency, None, vm_count, is_resume);
-        self.gateway.replicas().choose(now, &criteria).is_some()
+        self.gateway.upstreams().choose(now, &criteria).is_some()
     }
 
     /// Returns the rank of the request. The rank of the account overrides that of the route.
--- a/crates/badgerfield-node/src/gateway/exchange.rs
+++ b/crates/badgerfield-node/src/gateway/exchange.rs
@@ -267,7 +267,7 @@
     fn time_until_upstream(&self) -> Option<Duration> {
         let now = self.now();
         let (until_warm, until_admitted) = {
-            let upstreams = self.gateway.replicas();
+            let upstreams = self.gateway.upstreams();
             (
                 upstreams.time_until_warm(now, &self.service),
                 upstreams.time_until_admitted(now, &self.service),
@@ -349,7 +349,7 @@
             time_to_first: first.saturating_sub(sent),
             stream_time: last.saturating_sub(first),
         };
-        self.gateway.replicas().record_timing(&self.service, &self.route.name, &timing);
+        self.gateway.upstreams().record_timing(&self.service, &self.route.name, &timing);
     }
 
     /// Records the arrival of events from an upstream.
--- a/crates/badgerfield-node/src/gateway/listener.rs
+++ b/crates/badgerfield-node/src/gateway/listener.rs
@@ -36,9 +36,10 @@
     let Some((gateway, settings)) = driver.gateway().cloned().zip(driver.settings.gateway) else {
         return Ok(());
     };
-    directory::serve(driver, &gateway, settings.directory_address, settings.ready).await?;
+    directory::serve(driver, &gateway, settings.directory_address, settings.readiness_address)
+        .await?;
     let listener = listen(settings.request_address).await?;
-    let connection_slots = Arc::new(Semaphore::new(settings.connections));
+    let connection_slots = Arc::new(Semaphore::new(settings.max_connections));
     let driver = Arc::clone(driver);
     tokio::spawn(async move {
         loop {
@@ -47,7 +48,7 @@
             };
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
-                () = driver.lingered(LINGER_TIME) => return,
+                () = driver.sleep_until_stopped_for(LINGER_TIME) => return,
             };
             let Ok((stream, _)) = accepted else {
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
@@ -96,7 +97,7 @@
         open_requests: AtomicUsize::new(0),
         last_end_ms: AtomicU64::new(0),
     });
-    let limits = gateway.in_force().table.limits();
+    let limits = gateway.routes().table.limits();
     let service = {
         let (driver, gateway, activity) =
             (Arc::clone(&driver), Arc::clone(&gateway), Arc::clone(&activity));
@@ -117,12 +118,12 @@
         .serve_connection(TokioIo::new(stream), service);
     let mut served = std::pin::pin!(served);
     loop {
-        let idle = gateway.in_force().table.limits().idle;
+        let idle = gateway.routes().table.limits().idle;
         let idle_deadline = activity.idle_deadline(driver.now(), idle);
         tokio::select! {
             // The result is ignored: only the requests of the connection depend on it.
             _ = &mut served => return,
-            () = driver.lingered(LINGER_TIME) => break,
+            () = driver.sleep_until_stopped_for(LINGER_TIME) => break,
             () = driver.clock.sleep_until(idle_deadline) => {
                 let now = driver.now();
                 if activity.idle_deadline(now, idle) <= now {
--- a/crates/badgerfield-node/src/gateway/overload.rs
+++ b/crates/badgerfield-node/src/gateway/overload.rs
@@ -19,7 +19,7 @@
     /// Records the response time of an upstream.
     pub(super) fn record_response_time(&self, id: &UpstreamId, span: Duration) {
         if self.plain_objective().is_some() {
-            self.gateway.replicas().record_response_time(self.now(), id, span);
+            self.gateway.upstreams().record_response_time(self.now(), id, span);
         }
     }
 
@@ -28,7 +28,7 @@
         let full = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS];
         if let Some(objective) = self.plain_objective().filter(|_| full.contains(&status)) {
             let span = overload::rejection_wait(objective);
-            self.gateway.replicas().record_response_time(self.now(), id, span);
+            self.gateway.upstreams().record_response_time(self.now(), id, span);
         }
     }
 }
--- a/crates/badgerfield-node/src/gateway/poison.rs
+++ b/crates/badgerfield-node/src/gateway/poison.rs
@@ -138,7 +138,7 @@
         let id = &self.original.id;
         // While this process was stalled, the upstream may have been stopped as planned, which
         // looks the same as a crash.
-        if self.driver.clock.stood_still_since(self.last_contact()) {
+        if self.driver.clock.has_stalled_since(self.last_contact()) {
             request_log::broke(id, upstream, "not_asked", Duration::ZERO);
             return false;
         }
@@ -165,7 +165,7 @@
                 tokio::spawn(async move {
                     let has_exited =
                         connections.exits_within(&crash.upstream, address, connection, span).await;
-                    if has_exited && !driver.clock.stood_still_since(probed_at) {
+                    if has_exited && !driver.clock.has_stalled_since(probed_at) {
                         driver.feed(Event::UpstreamCrashed(crash));
                     }
                     drop(permit);
@@ -199,7 +199,7 @@
         let since = self.now();
         runtime.spawn(async move {
             let has_exited = connections.exits_soon(&crash.upstream, address).await;
-            if has_exited && !driver.clock.stood_still_since(since) {
+            if has_exited && !driver.clock.has_stalled_since(since) {
                 driver.feed(Event::UpstreamCrashed(crash));
             }
             drop(permit);
--- a/crates/badgerfield-node/src/gateway/relay.rs
+++ b/crates/badgerfield-node/src/gateway/relay.rs
@@ -153,7 +153,7 @@
                 Ok(None) => ReadResult::End,
                 Err(_) if exchange.now() >= deadline => ReadResult::OutOfTime,
                 // The upstream may have sent data while this process was stalled.
-                Err(_) if clock.stood_still_since(wait_start) => continue,
+                Err(_) if clock.has_stalled_since(wait_start) => continue,
                 Err(_) if exchange.has_other_upstream(exchange.attempts, true) => {
                     ReadResult::Broken(SILENT)
                 }
--- a/crates/badgerfield-node/src/gateway/rollout_sample.rs
+++ b/crates/badgerfield-node/src/gateway/rollout_sample.rs
@@ -43,7 +43,7 @@
     /// Returns whether the attempt no longer counts: it is finished, or this process was stalled
     /// during it, so that the measured delay may be its own.
     fn is_excluded(&self, gateway: &Gateway) -> bool {
-        self.is_finished || gateway.clock.stood_still_since(self.sent_at)
+        self.is_finished || gateway.clock.has_stalled_since(self.sent_at)
     }
 
     /// Records the arrival of the first part of the response. Returns whether it is a bad response
@@ -53,7 +53,7 @@
             return false;
         }
         let wait = gateway.clock.now().since(self.sent_at);
-        let mut upstreams = gateway.replicas();
+        let mut upstreams = gateway.upstreams();
         let recorded =
             upstreams.record_answer(&self.upstream, &self.route.name, wait, self.uncached_tokens);
         self.speed = recorded.map(|(speed, _)| speed);
@@ -67,7 +67,7 @@
             return false;
         }
         self.is_finished = true;
-        gateway.replicas().record_failure(&self.upstream, &self.route.name, self.speed)
+        gateway.upstreams().record_failure(&self.upstream, &self.route.name, self.speed)
     }
 
     /// Records that the request has ended, whatever its outcome. Returns whether it is a bad
@@ -78,7 +78,7 @@
         }
         self.is_finished = true;
         let wait = gateway.clock.now().since(self.sent_at);
-        gateway.replicas().record_abandoned(
+        gateway.upstreams().record_abandoned(
             &self.upstream,
             &self.route.name,
             wait,
--- a/crates/badgerfield-node/src/gateway/state.rs
+++ b/crates/badgerfield-node/src/gateway/state.rs
@@ -74,12 +74,12 @@
     }
 
     /// Returns the routes in force.
-    pub(crate) fn in_force(&self) -> RouteSnapshot {
+    pub(crate) fn routes(&self) -> RouteSnapshot {
         lock(&self.routes).clone()
     }
 
     /// Replaces the routes in force if the version is newer.
-    pub(crate) fn put_in_force(&self, version: TemplateVersion, table: RouteTable) {
+    pub(crate) fn update_routes(&self, version: TemplateVersion, table: RouteTable) {
         let mut routes = lock(&self.routes);
         if version > routes.version {
             *routes = RouteSnapshot { version, table: Arc::new(table) };
@@ -87,7 +87,7 @@
     }
 
     /// Locks the table of upstreams.
-    pub(crate) fn replicas(&self) -> MutexGuard<'_, UpstreamTable> {
+    pub(crate) fn upstreams(&self) -> MutexGuard<'_, UpstreamTable> {
         lock(&self.upstreams)
     }
 
@@ -108,12 +108,12 @@
     }
 
     /// Returns the sequence number of the next delay report.
-    pub(crate) fn next_turn(&self) -> usize {
+    pub(crate) fn next_delay_report(&self) -> usize {
         self.delay_report_turn.fetch_add(1, Ordering::Relaxed)
     }
 
     /// Notifies waiting requests that `count` more requests are blocked.
-    pub(crate) fn note_blocked(&self, count: usize) {
+    pub(crate) fn notify_blocked(&self, count: usize) {
         self.blocked.send_modify(|blocked| *blocked += count);
     }
 
@@ -123,13 +123,13 @@
     }
 
     /// Returns whether any service has a rollout. Without one, no responses are counted.
-    pub(crate) fn rolls_out(&self) -> bool {
+    pub(crate) fn has_rollouts(&self) -> bool {
         self.has_rollouts.load(Ordering::Relaxed)
     }
 
     /// Returns whether a bad response may be reported now, at least `interval` after the last
     /// report, and records the report if so.
-    pub(crate) fn may_tell(&self, now: Time, interval: Duration) -> bool {
+    pub(crate) fn try_start_report(&self, now: Time, interval: Duration) -> bool {
         let mut reported_at = lock(&self.bad_answer_reported_at);
         let is_due = reported_at.is_none_or(|at| now.since(at) >= interval);
         if is_due {
@@ -141,7 +141,7 @@
     /// Replaces the rules that divide requests between versions. Returns the rules that are new or
     /// have changed.
     pub(crate) fn set_rollouts(&self, rules: RolloutRules) -> Vec<RolloutRule> {
-        let mut upstreams = self.replicas();
+        let mut upstreams = self.upstreams();
         let changed = upstreams.apply_rule_set(rules);
         self.has_rollouts.store(!upstreams.rollout_rules().is_empty(), Ordering::Relaxed);
         changed
@@ -164,7 +164,7 @@
 
     /// Returns whether an upstream may still receive requests.
     pub(crate) fn is_usable(&self, now: Time, id: &UpstreamId) -> bool {
-        self.replicas().is_usable(now, id)
+        self.upstreams().is_usable(now, id)
     }
 }
 
--- a/crates/badgerfield-node/src/metrics.rs
+++ b/crates/badgerfield-node/src/metrics.rs
@@ -130,7 +130,7 @@
     pub(crate) admitted: Counter,
     sent: Family<SentLabel, Counter>,
     /// The number of answers that contain an invalid announcement of the upstream.
-    pub(crate) unreadable: Counter,
+    pub(crate) invalid_announcements: Counter,
     ended: Family<EndLabel, Counter>,
     seconds: Histogram,
 }
@@ -141,7 +141,7 @@
         let counts = Self {
             admitted: Counter::default(),
             sent: Family::default(),
-            unreadable: Counter::default(),
+            invalid_announcements: Counter::default(),
             ended: Family::default(),
             seconds: Histogram::new(buckets),
         };
@@ -149,7 +149,7 @@
         registry.register("route_requests_admitted", "Requests on routes let in", admitted);
         let sent = counts.sent.clone();
         registry.register("route_requests_sent", "Tries of requests on routes by distance", sent);
-        let unreadable = counts.unreadable.clone();
+        let unreadable = counts.invalid_announcements.clone();
         registry.register(
             "upstream_statements_unreadable",
             "Answers that state of their upstream what cannot be read",
@@ -182,8 +182,8 @@
     pub(crate) gateway: GatewayCounts,
     pub(crate) rollouts: RolloutCounts,
     pub(crate) requests: Counter,
-    pub(crate) messages: PeerTraffic,
-    pub(crate) calls: StoreCalls,
+    pub(crate) peer_traffic: PeerTraffic,
+    pub(crate) store_calls: StoreCalls,
     pub(crate) bad_templates: Counter,
     pub(crate) evacuations: Counter,
     restricted_upstreams: Family<RestrictedLabel, Gauge<u64, AtomicU64>>,
@@ -219,8 +219,8 @@
             gateway,
             rollouts: RolloutCounts::default(),
             requests: Counter::default(),
-            messages: PeerTraffic::default(),
-            calls: StoreCalls::default(),
+            peer_traffic: PeerTraffic::default(),
+            store_calls: StoreCalls::default(),
             bad_templates: Counter::default(),
             evacuations: Counter::default(),
             restricted_upstreams: Family::default(),
@@ -251,8 +251,8 @@
     fn register(&mut self) {
         let r = &mut self.registry;
         r.register("requests", "Requests taken in", self.requests.clone());
-        self.messages.register(r);
-        self.calls.register(r);
+        self.peer_traffic.register(r);
+        self.store_calls.register(r);
         self.rollouts.register(r);
         r.register(
             "kv_results",
@@ -314,7 +314,7 @@
         );
     }
 
-    pub(crate) fn count_kv(&self, result: &StoreResult) {
+    pub(crate) fn count_store_result(&self, result: &StoreResult) {
         let result = match result {
             StoreResult::Value(_) | StoreResult::Operators(_) => "value",
             StoreResult::Written(_) => "written",
--- a/crates/badgerfield-node/src/operator_api.rs
+++ b/crates/badgerfield-node/src/operator_api.rs
@@ -16,7 +16,7 @@
 use crate::caller_api::listen;
 use crate::driver::{Driver, StartError};
 use crate::http::{self, Body};
-use crate::rollouts::allowance_word;
+use crate::rollouts::format_allowance;
 
 /// Listens for operators and serves them until the process exits.
 ///
@@ -24,7 +24,7 @@
 ///
 /// Fails if the address is in use.
 pub async fn serve(driver: Arc<Driver>) -> Result<(), StartError> {
-    let listener = listen(driver.settings.operators).await?;
+    let listener = listen(driver.settings.operator_address).await?;
     tokio::spawn(async move {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
@@ -56,7 +56,7 @@
         "/readyz" => readiness_response(driver),
         "/metrics" => {
             if let Some(gateway) = driver.gateway() {
-                let upstream_table = gateway.replicas();
+                let upstream_table = gateway.upstreams();
                 let now = driver.now();
                 driver.metrics.set_restricted_upstreams(
                     upstream_table.restricted_counts(now),
@@ -137,7 +137,7 @@
         return Vec::new();
     };
     let (rules, tallies) = {
-        let upstream_table = gateway.replicas();
+        let upstream_table = gateway.upstreams();
         (upstream_table.rollout_rules(), upstream_table.rollout_tallies(driver.now()))
     };
     let entry = |(rule, sent): &(RolloutRule, SentCounts)| {
@@ -145,7 +145,7 @@
             "service": rule.service,
             "target": rule.target,
             "order": rule.revision,
-            "allowance": allowance_word(rule.allowance),
+            "allowance": format_allowance(rule.allowance),
             "sent_to_target": sent.target,
             "sent": sent.all,
             "tally": tallies.iter().find(|tally| tally.service == rule.service),
--- a/crates/badgerfield-node/src/rollouts.rs
+++ b/crates/badgerfield-node/src/rollouts.rs
@@ -30,7 +30,7 @@
                 "rollout rule service={} target={} allowance={} order={}",
                 rule.service,
                 rule.target,
-                allowance_word(rule.allowance),
+                format_allowance(rule.allowance),
                 rule.revision,
             );
         }
@@ -40,24 +40,27 @@
 
     /// Reports results of requests after a bad answer, unless such a report was sent within
     /// `MIN_REPORT_INTERVAL`.
-    pub(crate) fn tell_bad_answer(self: &Arc<Self>) {
-        if self.gateway().is_some_and(|gateway| gateway.may_tell(self.now(), MIN_REPORT_INTERVAL)) {
+    pub(crate) fn report_bad_answer(self: &Arc<Self>) {
+        if self
+            .gateway()
+            .is_some_and(|gateway| gateway.try_start_report(self.now(), MIN_REPORT_INTERVAL))
+        {
             self.report_rollouts();
         }
     }
 
     /// Reports the results of requests to services with a rollout.
     pub(crate) fn report_rollouts(self: &Arc<Self>) {
-        let Some(gateway) = self.gateway().filter(|gateway| gateway.rolls_out()) else {
+        let Some(gateway) = self.gateway().filter(|gateway| gateway.has_rollouts()) else {
             return;
         };
-        let tallies = gateway.replicas().rollout_tallies(self.now());
+        let tallies = gateway.upstreams().rollout_tallies(self.now());
         self.feed(Event::RolloutTallies(tallies));
     }
 }
 
 /// Formats the allowance of a version: `nothing`, `all`, or its share of the requests in percent.
-pub(crate) fn allowance_word(allowance: Allowance) -> String {
+pub(crate) fn format_allowance(allowance: Allowance) -> String {
     match allowance {
         Allowance::Nothing => "nothing".to_owned(),
         Allowance::Share(share) => format!("{share}%"),
--- a/crates/badgerfield-node/src/settings.rs
+++ b/crates/badgerfield-node/src/settings.rs
@@ -43,22 +43,22 @@
     /// The costs of sending a request to another failure domain or region.
     pub locality: DistanceCosts,
     /// The listen address for callers.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// The listen address for peers.
     pub peer_address: SocketAddr,
     /// The address that peers connect to. It differs from `peer_address` behind a relay, for
     /// instance.
     pub advertised_address: SocketAddr,
     /// The listen address for operators.
-    pub operators: SocketAddr,
+    pub operator_address: SocketAddr,
     /// The settings of the gateway; `None` if this VM serves no requests on routes.
     pub gateway: Option<GatewaySettings>,
     /// The connection to the platform.
-    pub platform: Platform,
+    pub platform: PlatformSettings,
     /// The secret that all processes of the fleet currently share.
-    pub secret: FleetSecret,
+    pub fleet_secret: FleetSecret,
     /// Previous and next secrets, which are accepted too while the secret is being replaced.
-    pub accepted: Vec<FleetSecret>,
+    pub accepted_secrets: Vec<FleetSecret>,
     /// Limits on sizes, counts and retention.
     pub limits: Limits,
     /// Intervals and horizons of periodic work.
@@ -73,7 +73,7 @@
 
 /// The connection to the platform.
 #[derive(Debug, Clone)]
-pub struct Platform {
+pub struct PlatformSettings {
     /// The address of the store.
     pub store_uri: Uri,
     /// The prefix of all keys in the store.
@@ -85,9 +85,9 @@
     /// The address of the VM list; `None` if the platform has none.
     pub vm_list: Option<Uri>,
     /// The interval between reads of the list of upstreams on routes.
-    pub replicas_poll: Duration,
+    pub upstream_poll_interval: Duration,
     /// The interval between reads of the VM list.
-    pub vm_poll: Duration,
+    pub vm_poll_interval: Duration,
 }
 
 /// The settings of the gateway, which serves requests on routes.
@@ -99,11 +99,11 @@
     /// serves no directory.
     pub directory_address: Option<SocketAddr>,
     /// The listen address for readiness checks by the platform.
-    pub ready: SocketAddr,
+    pub readiness_address: SocketAddr,
     /// The maximum time from the stop signal until the process exits.
-    pub grace: Duration,
+    pub shutdown_timeout: Duration,
     /// The maximum number of open connections from callers.
-    pub connections: usize,
+    pub max_connections: usize,
 }
 
 /// The adapter between this process and its platform.
@@ -136,21 +136,21 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     /// The maximum size of a request body, in bytes.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// The maximum number of open requests.
-    pub requests: usize,
+    pub max_requests: usize,
     /// The number of shards of the ledger, each a value in the store.
     pub shards: u32,
     /// The retention period of request keys.
-    pub remember: Duration,
+    pub key_retention: Duration,
     /// The retention period of completed answers.
-    pub replay: Duration,
+    pub replay_retention: Duration,
     /// The maximum size of all retained completed answers, in bytes.
-    pub replay_bytes: usize,
+    pub max_replay_bytes: usize,
     /// How long callers may cache a response of the directory.
-    pub directory: Duration,
+    pub directory_ttl: Duration,
     /// The maximum time without data from an upstream before its stream counts as broken.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
 }
 
 /// Log levels and format.
@@ -193,7 +193,7 @@
             None => peers,
         };
         let gateway = GatewaySettings::from_ini(&mut file);
-        let platform = Platform::from_ini(&mut file);
+        let platform = PlatformSettings::from_ini(&mut file);
         let secret = file.required_value("keys", "fleet");
         let accepted = file.list("keys", "accept");
         let limits = Limits::from_ini(&mut file);
@@ -208,14 +208,14 @@
                 domain: domain?,
                 regions,
                 locality,
-                callers: callers?,
+                caller_address: callers?,
                 peer_address: peers?,
                 advertised_address: advertised?,
-                operators: operators?,
+                operator_address: operators?,
                 gateway,
                 platform: platform?,
-                secret: secret?,
-                accepted,
+                fleet_secret: secret?,
+                accepted_secrets: accepted,
                 limits,
                 pacing,
                 retries,
@@ -230,7 +230,7 @@
     }
 }
 
-impl Platform {
+impl PlatformSettings {
     fn from_ini(file: &mut IniFile) -> Option<Self> {
         let store_uri = read_http_uri(file, "kv");
         let adapter = file.value_or("platform", "adapter", AdapterKind::Etcd);
@@ -255,8 +255,8 @@
             prefix,
             timeout,
             vm_list,
-            replicas_poll,
-            vm_poll,
+            upstream_poll_interval: replicas_poll,
+            vm_poll_interval: vm_poll,
         })
     }
 }
@@ -279,9 +279,9 @@
         Some(Self {
             request_address: requests?,
             directory_address: directory,
-            ready: ready?,
-            grace,
-            connections,
+            readiness_address: ready?,
+            shutdown_timeout: grace,
+            max_connections: connections,
         })
     }
 }
@@ -438,14 +438,24 @@
     fn from_ini(file: &mut IniFile) -> Self {
         let secs = Duration::from_secs;
         Self {
-            body: read_limit(file, "body", 1_000_000, (1_000, 64_000_000)),
-            requests: read_limit(file, "requests", 4_000, (1, 100_000)),
+            max_body_bytes: read_limit(file, "body", 1_000_000, (1_000, 64_000_000)),
+            max_requests: read_limit(file, "requests", 4_000, (1, 100_000)),
             shards: u32::try_from(read_limit(file, "shards", 4, (1, 256))).unwrap_or(4),
-            remember: file.duration_or("limits", "remember", secs(900), (secs(10), secs(86_400))),
-            replay: file.duration_or("limits", "replay", secs(120), (secs(1), secs(3_600))),
-            replay_bytes: read_limit(file, "replay_bytes", 32_000_000, (0, 4_000_000_000)),
-            directory: file.duration_or("limits", "directory", secs(10), (secs(1), secs(300))),
-            silence: file.duration_or("limits", "silence", secs(10), (secs(1), secs(300))),
+            key_retention: file.duration_or(
+                "limits",
+                "remember",
+                secs(900),
+                (secs(10), secs(86_400)),
+            ),
+            replay_retention: file.duration_or(
+                "limits",
+                "replay",
+                secs(120),
+                (secs(1), secs(3_600)),
+            ),
+            max_replay_bytes: read_limit(file, "replay_bytes", 32_000_000, (0, 4_000_000_000)),
+            directory_ttl: file.duration_or("limits", "directory", secs(10), (secs(1), secs(300))),
+            silence_timeout: file.duration_or("limits", "silence", secs(10), (secs(1), secs(300))),
         }
     }
 }
--- a/crates/badgerfield-node/src/store_calls.rs
+++ b/crates/badgerfield-node/src/store_calls.rs
@@ -14,7 +14,7 @@
 use crate::logs::PLATFORM;
 
 /// The interval between log lines with the counts.
-pub(crate) const LOG_EVERY: Duration = Duration::from_secs(10);
+pub(crate) const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The purpose of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/badgerfield-node/src/suspects.rs
+++ b/crates/badgerfield-node/src/suspects.rs
@@ -63,7 +63,7 @@
     }
 
     /// Returns the number of known crashes of an upstream while serving a request.
-    pub(crate) fn life_of(&self, outgoing: &Outgoing, upstream: &UpstreamId) -> u32 {
+    pub(crate) fn crash_count(&self, outgoing: &Outgoing, upstream: &UpstreamId) -> u32 {
         if !self.node.has_suspects() {
             return 0;
         }
@@ -71,7 +71,7 @@
     }
 
     /// Records a crash for a request if the upstream has exited after its connection failed.
-    pub(crate) async fn note_outgoing_broken(
+    pub(crate) async fn detect_outgoing_crash(
         self: &Arc<Self>,
         outgoing: &Outgoing,
         (upstream, address): (&UpstreamId, SocketAddr),
@@ -86,7 +86,7 @@
     }
 
     /// Records that a request was served completely.
-    pub(crate) fn note_outgoing_whole(self: &Arc<Self>, outgoing: &Outgoing) {
+    pub(crate) fn record_outgoing_served(self: &Arc<Self>, outgoing: &Outgoing) {
         if !self.node.has_suspects() {
             return;
         }
--- a/crates/badgerfield-node/src/templates.rs
+++ b/crates/badgerfield-node/src/templates.rs
@@ -50,7 +50,7 @@
             set.budgets.insert(id, template);
         }
     }
-    for fault in set.faults() {
+    for fault in set.errors() {
         file.record_fault("", None, fault.to_string());
     }
     file.finish(|section| section.starts_with("account ") || section.starts_with("budget "))?;
--- a/crates/badgerfield-node/src/upstream_client.rs
+++ b/crates/badgerfield-node/src/upstream_client.rs
@@ -128,7 +128,7 @@
     async fn run(&self, driver: &Arc<Driver>, cancelled: oneshot::Receiver<()>) -> UpstreamEvent {
         let upstream = &self.dispatch.upstream;
         let outgoing = self.outgoing.as_deref();
-        let prior_crashes = outgoing.map_or(0, |outgoing| driver.life_of(outgoing, upstream));
+        let prior_crashes = outgoing.map_or(0, |outgoing| driver.crash_count(outgoing, upstream));
         let (end_event, is_cancelled) = tokio::select! {
             event = self.exchange(driver) => (event, false),
             Ok(()) = cancelled => (self.cancel().await, true),
@@ -137,10 +137,10 @@
             (UpstreamEvent::Broken, Some(outgoing)) => {
                 let events_sent = self.dispatch.resume_from.unwrap_or(0);
                 let target = (upstream, self.address);
-                driver.note_outgoing_broken(outgoing, target, (prior_crashes, events_sent)).await;
+                driver.detect_outgoing_crash(outgoing, target, (prior_crashes, events_sent)).await;
             }
             (UpstreamEvent::Ended { .. }, Some(outgoing)) if !is_cancelled => {
-                driver.note_outgoing_whole(outgoing);
+                driver.record_outgoing_served(outgoing);
             }
             _ => {}
         }
--- a/crates/badgerfield-node/src/upstream_list.rs
+++ b/crates/badgerfield-node/src/upstream_list.rs
@@ -21,7 +21,7 @@
         let Some(gateway) = self.gateway() else {
             return;
         };
-        let updated = gateway.replicas().apply_changes(self.now(), changes);
+        let updated = gateway.upstreams().apply_changes(self.now(), changes);
         self.handle_list_update(gateway, &updated, UpdateSource::Platform);
     }
 
@@ -32,7 +32,7 @@
             return;
         };
         let UpstreamUpdate { changes, since, version, .. } = update;
-        let (updated, gap) = gateway.replicas().apply_update(self.now(), changes, since, version);
+        let (updated, gap) = gateway.upstreams().apply_update(self.now(), changes, since, version);
         self.handle_list_update(gateway, &updated, UpdateSource::Peer);
         match gap {
             ListGap::Nothing => {}
@@ -47,7 +47,7 @@
             return;
         };
         let (is_first, updated) = {
-            let mut replicas = gateway.replicas();
+            let mut replicas = gateway.upstreams();
             (replicas.last_update().0 == 0, replicas.apply_list(self.now(), list))
         };
         // The first list of a process that has just started contains nothing new for others.
@@ -64,7 +64,7 @@
         source: UpdateSource,
     ) {
         let (version, count, (evacuated, cold), restarted) = {
-            let mut replicas = gateway.replicas();
+            let mut replicas = gateway.upstreams();
             let restricted = replicas.restricted_counts(self.now());
             (replicas.list_version(), replicas.len(), restricted, replicas.take_restarted())
         };
@@ -99,7 +99,7 @@
         let update = {
             // Changes and version are read under one lock: a newer version would claim changes
             // that the update does not contain.
-            let replicas = gateway.replicas();
+            let replicas = gateway.upstreams();
             let version = replicas.list_version();
             let (changes, since) = match replicas.changes_since(self.now(), announced) {
                 Some(changes) => (changes, announced),
@@ -118,7 +118,7 @@
             return;
         };
         let message = {
-            let replicas = gateway.replicas();
+            let replicas = gateway.upstreams();
             if replicas.is_empty() {
                 return;
             }
--- a/crates/badgerfield-standin/src/engine.rs
+++ b/crates/badgerfield-standin/src/engine.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use anyhow::Result;
-use badgerfield_core::vm_upstreams::{PREFIX_STEP, prefix_digests};
+use badgerfield_core::vm_upstreams::{PREFIX_STEP_BYTES, prefix_digests};
 use badgerfield_node::http::Body;
 use badgerfield_node::sync::lock;
 use badgerfield_node::upstream_client::STREAM_HEADER;
@@ -118,7 +118,7 @@
 /// Returns the answer to a prompt, as the engine and its checkers know it.
 #[must_use]
 pub fn words(prompt: &str, limit: u64) -> Vec<String> {
-    let digest = prefix_digests(&vec![0; PREFIX_STEP]).len() as u64 + hash(prompt);
+    let digest = prefix_digests(&vec![0; PREFIX_STEP_BYTES]).len() as u64 + hash(prompt);
     let count = (digest % LONGEST + 1).min(limit);
     (0..count).map(|i| format!("w{:x}.{i} ", digest & 0xffff)).collect()
 }
@@ -133,7 +133,7 @@
 
 fn hash(text: &str) -> u64 {
     let mut padded = text.as_bytes().to_vec();
-    padded.resize(text.len().div_ceil(PREFIX_STEP).max(1) * PREFIX_STEP, 0);
+    padded.resize(text.len().div_ceil(PREFIX_STEP_BYTES).max(1) * PREFIX_STEP_BYTES, 0);
     prefix_digests(&padded).last().copied().unwrap_or(0) >> 1
 }
 
@@ -247,7 +247,7 @@
         }
         let excess = state.cache.len().saturating_sub(self.speed.cache);
         state.cache.drain(..excess);
-        let cached = (known * PREFIX_STEP / BYTES_PER_TOKEN) as u64;
+        let cached = (known * PREFIX_STEP_BYTES / BYTES_PER_TOKEN) as u64;
         tokens.saturating_sub(cached)
     }
 
--- a/crates/badgerfield-standin/src/fleet/balance.rs
+++ b/crates/badgerfield-standin/src/fleet/balance.rs
@@ -69,7 +69,7 @@
             ..Balance::default()
         };
         for node in self.vms.iter().filter_map(|vm| vm.node.as_ref()) {
-            let figures = node.figures(&id);
+            let figures = node.balance(&id);
             balance.free += figures.free.0;
             balance.reserved += figures.reserved.0;
             balance.sealed += figures.sealed.0 + figures.returning_sealed.0;
@@ -109,7 +109,7 @@
             return;
         };
         let had = (0..self.shape.limits.len()).map(|budget| {
-            let figures = node.figures(&Self::budget(budget));
+            let figures = node.balance(&Self::budget(budget));
             let ready = figures.free.0 + figures.reserved.0 + figures.sealed.0;
             ready
                 + figures.returning_sealed.0
--- a/crates/badgerfield-standin/src/fleet/evacuations.rs
+++ b/crates/badgerfield-standin/src/fleet/evacuations.rs
@@ -68,6 +68,6 @@
             return false;
         };
         let local = Time(self.now.since(self.vms[vm].started));
-        node.watches_platform(local, Some(HEARD))
+        node.watches_store(local, Some(HEARD))
     }
 }
--- a/crates/badgerfield-standin/src/fleet/mod.rs
+++ b/crates/badgerfield-standin/src/fleet/mod.rs
@@ -259,7 +259,7 @@
         let id = Self::budget(budget);
         let mut held = 0;
         for node in self.vms.iter().filter_map(|vm| vm.node.as_ref()) {
-            let figures = node.figures(&id);
+            let figures = node.balance(&id);
             let ready = figures.free.0 + figures.reserved.0 + figures.sealed.0;
             held += ready + figures.parked.0 + figures.in_transit.0;
         }
--- a/crates/badgerfield-standin/tests/lending.rs
+++ b/crates/badgerfield-standin/tests/lending.rs
@@ -37,7 +37,7 @@
 
 /// Returns the VMs that have tokens of the first budget available.
 fn vms_with_tokens(fleet: &Fleet) -> Vec<usize> {
-    let free = |vm: &usize| fleet.node(*vm).map_or(0, |n| n.figures(&Fleet::budget(0)).free.0);
+    let free = |vm: &usize| fleet.node(*vm).map_or(0, |n| n.balance(&Fleet::budget(0)).free.0);
     (0..VMS).filter(|vm| free(vm) > 0).collect()
 }
 
@@ -217,14 +217,14 @@
     let mut least = u64::MAX;
     for _ in 0..100 {
         load_vm(&mut fleet, vm, 1);
-        let free = fleet.node(vm).map_or(0, |node| node.figures(&Fleet::budget(0)).free.0);
+        let free = fleet.node(vm).map_or(0, |node| node.balance(&Fleet::budget(0)).free.0);
         least = least.min(free);
     }
     // Fifty requests arrive in a second. The answer of the lender may take a part of that second.
     assert!(least >= 20 * REQUEST_COST, "at some time only {least} tokens were free");
     // Prefetched tokens are returned when the demand has ended.
     fleet.advance(Duration::from_secs(60));
-    let free = fleet.node(vm).map_or(0, |node| node.figures(&Fleet::budget(0)).free.0);
+    let free = fleet.node(vm).map_or(0, |node| node.balance(&Fleet::budget(0)).free.0);
     assert_eq!(free, 0, "an idle borrower keeps tokens");
 }
 
@@ -438,7 +438,7 @@
         };
         // Tokens that a pending operation returns stay unspent until the ledger has applied it, and
         // tokens that it grants until its reply arrives.
-        let balance = node.figures(&Fleet::budget(0));
+        let balance = node.balance(&Fleet::budget(0));
         let granted = if balance.op_pending { holder.granted.0 } else { 0 };
         let sealed = balance.sealed.0 + balance.returning_sealed.0 + granted;
         let now = CLOCK_START_MS + u64::try_from(fleet.now.0.as_millis()).expect("a short run");
--- a/crates/badgerfield-standin/tests/lost_tokens.rs
+++ b/crates/badgerfield-standin/tests/lost_tokens.rs
@@ -71,7 +71,7 @@
 /// Returns the VM that holds most of a budget.
 fn richest(fleet: &Fleet, budget: usize) -> usize {
     let held = |vm: &usize| {
-        let figures = fleet.node(*vm).map(|node| node.figures(&Fleet::budget(budget)));
+        let figures = fleet.node(*vm).map(|node| node.balance(&Fleet::budget(budget)));
         figures.map_or(0, |f| f.free.0 + f.sealed.0)
     };
     (0..VMS).max_by_key(held).expect("a fleet has VMs")
@@ -115,7 +115,7 @@
 /// Returns the VMs that hold most of a budget, the richest first.
 fn holders(fleet: &Fleet, budget: usize) -> Vec<usize> {
     let held = |vm: usize| {
-        let figures = fleet.node(vm).map(|node| node.figures(&Fleet::budget(budget)));
+        let figures = fleet.node(vm).map(|node| node.balance(&Fleet::budget(budget)));
         figures.map_or(0, |f| f.free.0 + f.sealed.0)
     };
     let mut holders: Vec<_> = (0..VMS).filter(|vm| *vm != HOT && held(*vm) > DEMAND / 2).collect();
--- a/crates/badgerfield-standin/tests/upstream_list.rs
+++ b/crates/badgerfield-standin/tests/upstream_list.rs
@@ -21,7 +21,7 @@
 /// Returns how many VMs follow the platform that heard of it so long ago.
 fn followers(fleet: &Fleet, heard: Option<Duration>) -> usize {
     let now = Time::from_millis(5_000);
-    (0..fleet.size()).filter(|vm| node(fleet, *vm).watches_platform(now, heard)).count()
+    (0..fleet.size()).filter(|vm| node(fleet, *vm).watches_store(now, heard)).count()
 }
 
 fn node(fleet: &Fleet, vm: usize) -> &Node {
@@ -228,7 +228,7 @@
                 long: 500 - n * 10,
                 long_threshold: long_from,
             };
-            let orders = node(&fleet, vm).handle(fleet.now, Event::EngineNeeds(vec![own]));
+            let orders = node(&fleet, vm).handle(fleet.now, Event::EngineDemand(vec![own]));
             told.extend(orders.into_iter().filter_map(|order| match order {
                 Command::DivideEngines(needs) => {
                     needs.first().and_then(EngineDivision::from_demand)
