--- a/crates/badgerfield-core/src/claims/handover.rs
+++ b/crates/badgerfield-core/src/claims/handover.rs
@@ -37,7 +37,7 @@
         for uncertain in &view.uncertain_keys {
             self.uncertain_seen.entry(uncertain.epoch).or_insert(now);
         }
-        self.handovers.retain(|id, _| view.has(*id));
+        self.handovers.retain(|id, _| view.has_member(*id));
         for pending in self.handovers.values_mut() {
             pending.sent_at = None;
             pending.part = 0;
@@ -92,7 +92,7 @@
             // A claim is copied again if its other copy may have been on a removed member, or if
             // this process has started to leave.
             let lacks_other_copy =
-                after[0] == Some(self.me) && entry.other_copy.is_none_or(|id| !view.has(id));
+                after[0] == Some(self.me) && entry.other_copy.is_none_or(|id| !view.has_member(id));
             if before == after && !lacks_other_copy && !is_leaving_now {
                 continue;
             }
@@ -104,7 +104,7 @@
 
     /// Returns whether all hand-overs of this process are acknowledged.
     #[must_use]
-    pub fn is_handed_over(&self) -> bool {
+    pub fn is_handover_complete(&self) -> bool {
         self.handovers.is_empty()
     }
 
@@ -170,7 +170,7 @@
     }
 
     fn check_complete(&mut self) {
-        if self.view.has(self.me) && self.confirmations.is_complete() {
+        if self.view.has_member(self.me) && self.confirmations.is_complete() {
             self.complete_epoch = self.view.epoch;
             self.views_since_complete = vec![Arc::clone(&self.view)];
         }
--- a/crates/badgerfield-core/src/claims/mod.rs
+++ b/crates/badgerfield-core/src/claims/mod.rs
@@ -35,7 +35,7 @@
 
 /// The decision that takes effect when the backup has recorded a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Settlement {
+pub enum BackupOutcome {
     /// The owner may run the request.
     Granted {
         /// The owner.
@@ -43,7 +43,7 @@
         /// The arbiter's epoch.
         epoch: Epoch,
         /// The decision to send to the owner.
-        verdict: ClaimDecision,
+        decision: ClaimDecision,
     },
     /// The owner may bill the charge.
     Billed {
@@ -128,7 +128,7 @@
     ) -> Option<ClaimDecision> {
         if request.epoch != self.view.epoch || !self.can_decide(request.key, request.home.as_ref())
         {
-            return Some(ClaimDecision::Wait { last_upstream: self.hint(request.key) });
+            return Some(ClaimDecision::Wait { last_upstream: self.last_upstream(request.key) });
         }
         if let Some(decision) = self.try_claim(now, from, request) {
             return Some(decision);
@@ -148,7 +148,7 @@
 
     /// Returns the upstream to which the request with this key was last sent, if known here.
     #[must_use]
-    pub fn hint(&self, key: RequestKey) -> Option<UpstreamId> {
+    pub fn last_upstream(&self, key: RequestKey) -> Option<UpstreamId> {
         self.entries.get(&key).and_then(|entry| dispatched_upstream(&entry.record.progress))
     }
 
@@ -266,9 +266,9 @@
         key: RequestKey,
         serial: u64,
         ended: bool,
-    ) -> Option<Settlement> {
+    ) -> Option<BackupOutcome> {
         let entry = self.entries.get_mut(&key)?;
-        if !self.view.has(from) {
+        if !self.view.has_member(from) {
             return None;
         }
         let record = &entry.record;
@@ -281,9 +281,9 @@
         let (owner, epoch) = (record.owner, self.view.epoch);
         if ended {
             let (to, id) = (entry.requester, ChargeId { owner, serial });
-            return Some(Settlement::Billed { to, id, epoch });
+            return Some(BackupOutcome::Billed { to, id, epoch });
         }
-        Some(Settlement::Granted { owner, epoch, verdict: grant_decision(record) })
+        Some(BackupOutcome::Granted { owner, epoch, decision: grant_decision(record) })
     }
 
     /// Records that the owner is about to send the request to an upstream.
@@ -334,7 +334,7 @@
     ///
     /// Returns `None` if this process cannot decide, or if the decision has to wait until the
     /// backup has recorded it.
-    pub fn settle(
+    pub fn settle_charge(
         &mut self,
         now: Time,
         from: Incarnation,
--- a/crates/badgerfield-core/src/event.rs
+++ b/crates/badgerfield-core/src/event.rs
@@ -483,7 +483,7 @@
         /// The tokens reserved for running requests.
         reserved: Tokens,
         /// The tokens in transit to other processes and not acknowledged.
-        moving: Tokens,
+        in_transit: Tokens,
         /// The number of requests that wait for tokens.
         waiting: usize,
         /// The demand measured by the process.
--- a/crates/badgerfield-core/src/handlers/admission.rs
+++ b/crates/badgerfield-core/src/handlers/admission.rs
@@ -7,7 +7,7 @@
 use crate::ids::{Account, BudgetId, Period, RequestId, RequestKey};
 use crate::node::Node;
 use crate::refusal::{Cause, Outcome, Refusal};
-use crate::runs::{Claimed, Listener, Run, RunKey, Stage};
+use crate::runs::{ClaimState, Listener, Run, RunKey, Stage};
 use crate::template::{AccountTemplate, KeyDigest, MAX_OUTPUT_TOKENS, TemplateSet, account_name};
 
 /// Prefix of a request key that names the region of its arbiter, as in `@region:key`.
@@ -78,7 +78,7 @@
             .max_wait
             .unwrap_or(matched.template.queue_wait)
             .min(matched.template.queue_wait);
-        let claimed = if keyed.is_some() { Claimed::Open } else { Claimed::Unneeded };
+        let claimed = if keyed.is_some() { ClaimState::Pending } else { ClaimState::Unneeded };
         Ok(Run {
             arrival,
             account: matched.account,
@@ -88,20 +88,20 @@
             key: keyed,
             residency: matched.template.regions,
             at_most_once: once,
-            claimed,
+            claim: claimed,
             replaces: None,
-            earlier: None,
-            until: now.after(wait),
-            bound,
-            output,
+            previous_upstream: None,
+            deadline: now.after(wait),
+            max_cost: bound,
+            output_limit: output,
             reserved: Tokens::ZERO,
             stage: Stage::Reserving,
-            tries: 0,
+            rejections: 0,
             resumes: 0,
             usage: None,
             parts: Vec::new(),
-            bytes: 0,
-            listeners: vec![Listener { request, next: 0 }],
+            answer_bytes: 0,
+            listeners: vec![Listener { request, next_part: 0 }],
             followers: std::collections::BTreeMap::new(),
         })
     }
@@ -136,10 +136,10 @@
     fn join_or_start(&self, now: Time, request: RequestId, run: Run, out: &mut Outbox) {
         let (id, is_new) = {
             let mut runs = self.state.runs();
-            let same = run.key.as_ref().and_then(|k| runs.with_key(k.key));
+            let same = run.key.as_ref().and_then(|k| runs.find_by_key(k.key));
             match same {
                 Some(id) => {
-                    runs.listen(id, request);
+                    runs.add_listener(id, request);
                     (id, false)
                 }
                 None => (runs.add(run, request), true),
--- a/crates/badgerfield-core/src/handlers/answer.rs
+++ b/crates/badgerfield-core/src/handlers/answer.rs
@@ -6,7 +6,7 @@
 use crate::message::{AnswerPart, Head, Message, PartContent};
 use crate::node::Node;
 use crate::refusal::{Cause, Outcome, Refusal};
-use crate::runs::{Claimed, Run, Stage};
+use crate::runs::{ClaimState, Run, Stage};
 
 impl Node {
     /// Handles an event of an upstream for an attempt.
@@ -58,7 +58,7 @@
     pub(crate) fn handle_caller_disconnect(&self, now: Time, request: RequestId, out: &mut Outbox) {
         let (id, attempt) = {
             let mut runs = self.state.runs();
-            let Some((id, listening)) = runs.hang_up(request) else {
+            let Some((id, listening)) = runs.remove_listener(request) else {
                 return;
             };
             let Some(run) = runs.get_mut(id) else {
@@ -86,10 +86,10 @@
             return;
         };
         for listener in &mut run.listeners {
-            for (index, part) in run.parts.iter().enumerate().skip(listener.next) {
+            for (index, part) in run.parts.iter().enumerate().skip(listener.next_part) {
                 out.answer(listener.request, index, to_answer(part));
             }
-            listener.next = run.parts.len();
+            listener.next_part = run.parts.len();
         }
         let Some(keyed) = &run.key else {
             return;
@@ -111,9 +111,9 @@
         };
         let refusal = adjust_outcome(&run, refusal);
         for listener in &run.listeners {
-            let has_begun = listener.next > 0;
+            let has_begun = listener.next_part > 0;
             let answer = if has_begun { Answer::Broken(refusal) } else { Answer::Refused(refusal) };
-            out.answer(listener.request, listener.next, answer);
+            out.answer(listener.request, listener.next_part, answer);
         }
         if let Some(keyed) = &run.key {
             let (key, serial) = (keyed.key, id.0);
@@ -126,7 +126,7 @@
                 let content = PartContent::Broken;
                 out.send(*to, Message::AnswerPart(AnswerPart { key, serial, offset, content }));
             }
-            if !matches!(run.claimed, Claimed::Open) {
+            if !matches!(run.claim, ClaimState::Pending) {
                 self.release(keyed, id, out);
             }
         }
@@ -164,7 +164,7 @@
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
-            run.earlier = None;
+            run.previous_upstream = None;
             !run.at_most_once && run.parts.is_empty()
         };
         if can_requeue {
@@ -189,7 +189,7 @@
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
-            (!run.parts.is_empty(), run.earlier.is_some() || run.resumes > 0)
+            (!run.parts.is_empty(), run.previous_upstream.is_some() || run.resumes > 0)
         };
         if !has_begun && !is_resumed {
             self.requeue(now, id, out);
@@ -205,7 +205,7 @@
     fn handle_head(&self, now: Time, attempt: AttemptId, head: Head, out: &mut Outbox) {
         let id = {
             let mut runs = self.state.runs();
-            let Some((id, run)) = runs.of_attempt(attempt) else {
+            let Some((id, run)) = runs.find_by_attempt(attempt) else {
                 return;
             };
             if run.has_head() {
@@ -221,7 +221,7 @@
     fn handle_chunk(&self, now: Time, attempt: AttemptId, chunk: Chunk, out: &mut Outbox) {
         let (id, first_token, served) = {
             let mut runs = self.state.runs();
-            let Some((id, run)) = runs.of_attempt(attempt) else {
+            let Some((id, run)) = runs.find_by_attempt(attempt) else {
                 return;
             };
             let next = run.next_chunk();
@@ -238,7 +238,7 @@
             run.usage = chunk.usage.or(run.usage);
             let served = run.usage.unwrap_or_default().output.saturating_sub(before);
             run.push(PartContent::Data(chunk.data));
-            let Stage::Running { upstream, at, started, .. } = &mut run.stage else {
+            let Stage::Running { upstream, sent_at: at, started, .. } = &mut run.stage else {
                 return;
             };
             let is_first = !std::mem::replace(started, true);
@@ -257,7 +257,7 @@
     /// Returns whether all parts of a finished answer have arrived.
     fn has_all_parts(&self, attempt: AttemptId, parts: u64) -> bool {
         let mut runs = self.state.runs();
-        runs.of_attempt(attempt).is_none_or(|(_, run)| run.next_chunk() >= parts)
+        runs.find_by_attempt(attempt).is_none_or(|(_, run)| run.next_chunk() >= parts)
     }
 
     /// Resumes the stream to fetch parts that were lost in transit. The upstream keeps the stream
@@ -280,8 +280,8 @@
             let usage = usage.or(run.usage);
             // If an upstream does not report usage, the maximum cost is charged.
             let cost = match run.arrival.work {
-                Work::Chat(_) => usage.map_or(run.bound, Usage::cost),
-                Work::Call(_) => run.bound,
+                Work::Chat(_) => usage.map_or(run.max_cost, Usage::cost),
+                Work::Call(_) => run.max_cost,
             };
             run.push(PartContent::End(cost));
             runs.end(now, id);
@@ -295,7 +295,7 @@
     fn end_attempt(&self, now: Time, attempt: AttemptId) -> Option<(RunId, UpstreamId)> {
         let (id, upstream, account, work, started) = {
             let mut runs = self.state.runs();
-            let (id, run) = runs.of_attempt(attempt)?;
+            let (id, run) = runs.find_by_attempt(attempt)?;
             let Stage::Running { upstream, started, .. } = &run.stage else {
                 return None;
             };
@@ -320,10 +320,10 @@
 /// A repeatable request may have run without its arbiter's decision on a process that is cut off.
 /// A fresh claim therefore proves that only for an at-most-once request.
 fn adjust_outcome(run: &Run, refusal: Refusal) -> Refusal {
-    let is_certain = match run.claimed {
-        Claimed::Unneeded => true,
-        Claimed::Fresh => run.at_most_once,
-        Claimed::Open | Claimed::Inherited | Claimed::Assumed => false,
+    let is_certain = match run.claim {
+        ClaimState::Unneeded => true,
+        ClaimState::Fresh => run.at_most_once,
+        ClaimState::Pending | ClaimState::Inherited | ClaimState::Unconfirmed => false,
     };
     if is_certain {
         return refusal;
--- a/crates/badgerfield-core/src/handlers/charging.rs
+++ b/crates/badgerfield-core/src/handlers/charging.rs
@@ -79,7 +79,7 @@
         }
         let (billed, epoch) = {
             let mut claims = self.state.claims();
-            (claims.settle(now, arbiter, &request, out), claims.epoch())
+            (claims.settle_charge(now, arbiter, &request, out), claims.epoch())
         };
         if let Some(billed) = billed {
             self.handle_settle_reply(now, request.id, epoch, billed, out);
@@ -96,7 +96,7 @@
     ) {
         let (billed, epoch) = {
             let mut claims = self.state.claims();
-            (claims.settle(now, from, request, out), claims.epoch())
+            (claims.settle_charge(now, from, request, out), claims.epoch())
         };
         let id = request.id;
         if let Some(billed) = billed {
--- a/crates/badgerfield-core/src/handlers/claims.rs
+++ b/crates/badgerfield-core/src/handlers/claims.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::amount::Time;
-use crate::claims::Settlement;
+use crate::claims::BackupOutcome;
 use crate::event::Outbox;
 use crate::ids::{Epoch, Incarnation, RequestKey, RunId, UpstreamId};
 use crate::message::{
@@ -12,7 +12,7 @@
 };
 use crate::node::Node;
 use crate::refusal::{Cause, Refusal};
-use crate::runs::{Claimed, Run, RunKey, Stage};
+use crate::runs::{ClaimState, Run, RunKey, Stage};
 
 /// Interval at which an unanswered claim request is resent.
 const RESEND_INTERVAL: Duration = Duration::from_millis(150);
@@ -87,7 +87,7 @@
     fn record_hint(&self, id: RunId, hint: Option<UpstreamId>) {
         let mut runs = self.state.runs();
         if let Some(run) = runs.get_mut(id) {
-            run.earlier = hint.or(run.earlier.take());
+            run.previous_upstream = hint.or(run.previous_upstream.take());
         }
     }
 
@@ -165,16 +165,18 @@
         let serial = id.0;
         match settlement {
             None => {}
-            Some(Settlement::Granted { owner, epoch, verdict: decision }) if owner == self.id() => {
+            Some(BackupOutcome::Granted { owner, epoch, decision: decision })
+                if owner == self.id() =>
+            {
                 self.handle_claim_reply(now, owner, (key, serial, epoch), decision, out);
             }
-            Some(Settlement::Granted { owner, epoch, verdict: decision }) => {
+            Some(BackupOutcome::Granted { owner, epoch, decision: decision }) => {
                 out.send(owner, Message::ClaimReply { key, serial, epoch, decision });
             }
-            Some(Settlement::Billed { to, id, epoch }) if to == self.id() => {
+            Some(BackupOutcome::Billed { to, id, epoch }) if to == self.id() => {
                 self.handle_settle_reply(now, id, epoch, true, out);
             }
-            Some(Settlement::Billed { to, id, epoch }) => {
+            Some(BackupOutcome::Billed { to, id, epoch }) => {
                 out.send(to, Message::SettleReply { id, epoch, billed: true });
             }
         }
@@ -226,7 +228,9 @@
             (vec![], vec![], vec![], vec![], vec![]);
         for (id, run) in self.state.runs().iter_mut() {
             match run.stage {
-                Stage::Claiming { .. } if now >= run.until && run.at_most_once => expired.push(id),
+                Stage::Claiming { .. } if now >= run.deadline && run.at_most_once => {
+                    expired.push(id)
+                }
                 Stage::Claiming { since, .. }
                     if !run.at_most_once && now.since(since) >= ARBITER_TIMEOUT =>
                 {
@@ -235,7 +239,9 @@
                 Stage::Claiming { sent, .. } if now.since(sent) >= RESEND_INTERVAL => {
                     resend.push(id);
                 }
-                Stage::Following { heard, .. } if now.since(heard) >= OWNER_TIMEOUT => {
+                Stage::Following { last_contact: heard, .. }
+                    if now.since(heard) >= OWNER_TIMEOUT =>
+                {
                     lost.push(id);
                 }
                 Stage::Following { sent, .. } if now.since(sent) >= FOLLOW_INTERVAL => {
@@ -330,7 +336,7 @@
     ) {
         let id = {
             let mut runs = self.state.runs();
-            let Some(id) = runs.with_key(part.key) else {
+            let Some(id) = runs.find_by_key(part.key) else {
                 return;
             };
             let Some(run) = runs.get_mut(id) else {
@@ -362,7 +368,7 @@
         serial: u64,
     ) {
         let mut runs = self.state.runs();
-        let Some(id) = runs.with_key(key) else {
+        let Some(id) = runs.find_by_key(key) else {
             return;
         };
         if let Some(run) = runs.get_mut(id) {
@@ -381,7 +387,7 @@
     ) {
         let (id, ended, begun) = {
             let mut runs = self.state.runs();
-            let Some(id) = runs.with_key(key) else {
+            let Some(id) = runs.find_by_key(key) else {
                 return;
             };
             let Some(run) = runs.get_mut(id) else {
@@ -407,7 +413,7 @@
             };
             let (owner, serial, ended) = owner;
             run.replaces = None;
-            run.stage = Stage::Following { owner, serial, ended, sent: now, heard: now };
+            run.stage = Stage::Following { owner, serial, ended, sent: now, last_contact: now };
         }
         self.request_answer_parts(now, id, out);
     }
@@ -440,7 +446,7 @@
                 return;
             };
             run.replaces = Some((owner, serial));
-            run.until = run.until.max(now.after(OWNER_TIMEOUT));
+            run.deadline = run.deadline.max(now.after(OWNER_TIMEOUT));
             run.stage = Stage::Claiming { since: now, sent: now };
             ended
         };
@@ -462,11 +468,11 @@
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
-            run.claimed = Claimed::Assumed;
+            run.claim = ClaimState::Unconfirmed;
             run.key.as_ref().map(|keyed| keyed.key)
         };
         // This process may be the backup and know where the key has run.
-        let hint = key.and_then(|key| self.state.claims().hint(key));
+        let hint = key.and_then(|key| self.state.claims().last_upstream(key));
         self.record_hint(id, hint);
         self.reserve(now, id, out);
     }
@@ -531,15 +537,15 @@
         let Some(run) = runs.get_mut(id) else {
             return false;
         };
-        run.claimed = if run.replaces.is_some() { Claimed::Inherited } else { Claimed::Fresh };
-        run.earlier = earlier;
+        run.claim = if run.replaces.is_some() { ClaimState::Inherited } else { ClaimState::Fresh };
+        run.previous_upstream = earlier;
         true
     }
 }
 
 /// Records a message from the owner. Returns whether the run follows that owner.
 fn record_owner_contact(now: Time, run: &mut Run, from: Incarnation, owner_serial: u64) -> bool {
-    let Stage::Following { owner, serial, heard, .. } = &mut run.stage else {
+    let Stage::Following { owner, serial, last_contact: heard, .. } = &mut run.stage else {
         return false;
     };
     if *owner != from || *serial != owner_serial {
--- a/crates/badgerfield-core/src/handlers/dispatch.rs
+++ b/crates/badgerfield-core/src/handlers/dispatch.rs
@@ -32,11 +32,11 @@
                 return;
             };
             run.stage = Stage::Queued;
-            (run.account.clone(), run.until)
+            (run.account.clone(), run.deadline)
         };
         self.state.queue().push(&account, QueuedRequest { run: id, deadline });
         self.dispatch_queued(now, out);
-        let wait = self.state.queue().wait(now, &account, id);
+        let wait = self.state.queue().estimate_wait(now, &account, id);
         let max_wait = deadline.since(now);
         if let Some(wait) = wait.filter(|wait| *wait > max_wait) {
             let after = wait
@@ -48,7 +48,7 @@
 
     /// Refuses requests whose deadline has passed in the queue.
     pub(crate) fn tick_queue(&self, now: Time, out: &mut Outbox) {
-        let expired = self.state.queue().expired(now);
+        let expired = self.state.queue().take_expired(now);
         for id in expired {
             self.refuse(
                 now,
@@ -136,7 +136,7 @@
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
-            (run.earlier.clone(), run.next_chunk())
+            (run.previous_upstream.clone(), run.next_chunk())
         };
         let resumable = earlier.filter(|earlier| self.can_resume_at(id, earlier));
         let Some(upstream) = resumable else {
@@ -179,9 +179,9 @@
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
-            run.tries += 1;
+            run.rejections += 1;
             run.stage = Stage::Queued;
-            (run.account.clone(), run.tries, run.until)
+            (run.account.clone(), run.rejections, run.deadline)
         };
         if tries > MAX_TRIES || now >= deadline {
             self.refuse(
@@ -243,12 +243,13 @@
     ) {
         let (attempt, dispatch, work, account, priority) = {
             let mut runs = self.state.runs();
-            let attempt = runs.attempt(id);
+            let attempt = runs.new_attempt(id);
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
             let at = now;
-            run.stage = Stage::Running { attempt, upstream: upstream.clone(), at, started: false };
+            run.stage =
+                Stage::Running { attempt, upstream: upstream.clone(), sent_at: at, started: false };
             let dispatch = self.new_dispatch(id, run, upstream, resume);
             (attempt, dispatch, run.arrival.work.clone(), run.account.clone(), run.priority)
         };
@@ -271,7 +272,7 @@
         resume: Option<u64>,
     ) -> Dispatch {
         let (request, output, priority) =
-            (run.listeners.first().map(|l| l.request), run.output, run.priority);
+            (run.listeners.first().map(|l| l.request), run.output_limit, run.priority);
         let stream = self.stream_name(id, run);
         Dispatch {
             run: id,
--- a/crates/badgerfield-core/src/handlers/members.rs
+++ b/crates/badgerfield-core/src/handlers/members.rs
@@ -66,7 +66,7 @@
                 rollouts_digest: rollouts,
                 blocked_digest: blocked,
                 wall_ms: members.wall_ms(now),
-                engine_demand: members.needs.average(now),
+                engine_demand: members.engine_demand.average(now),
                 delay_reports: members.delay_reports.clone(),
             };
             (members.neighbours(), heartbeat)
@@ -80,7 +80,7 @@
     /// time since it last received an update of the list of upstreams.
     #[must_use]
     pub fn watches_store(&self, now: Time, last_update: Option<Duration>) -> bool {
-        self.state.membership().watches_platform(now, last_update)
+        self.state.membership().watches_store(now, last_update)
     }
 
     /// Returns whether it is this process's turn to read whole values from the store at its start.
@@ -94,7 +94,7 @@
     /// not answer. They notify the others once it answers again.
     #[must_use]
     pub fn can_probe_store(&self) -> bool {
-        self.state.membership().probes_platform()
+        self.state.membership().can_probe_store()
     }
 
     /// Handles a heartbeat and fetches what the sender has newer.
@@ -121,7 +121,8 @@
             // A removed member is informed by the members to which it still sends heartbeats. A
             // member with an older view that is no neighbour may receive heartbeats only from
             // members that it does not know yet, and cannot fetch the view from those.
-            let cannot_ask = !members.view.has(from) || !members.neighbours().contains(&from);
+            let cannot_ask =
+                !members.view.has_member(from) || !members.neighbours().contains(&from);
             if is_behind
                 && cannot_ask
                 && is_due(now, members.views_pushed.get(&from).copied(), MIN_FETCH_INTERVAL)
@@ -147,7 +148,7 @@
         let whole = version == TemplateVersion(0);
         // Whole templates are requested only from members of the same region.
         let version = if whole && !is_near { heartbeat.version } else { version };
-        out.send(from, Message::Fetch { epoch, version, whole });
+        out.send(from, Message::Fetch { epoch, version, full: whole });
     }
 
     /// Sends a member the views and templates that it lacks.
@@ -219,7 +220,7 @@
         }
         let version = self.state.templates().version;
         let whole = version == TemplateVersion(0);
-        out.send(from, Message::Fetch { epoch: Epoch(0), version, whole });
+        out.send(from, Message::Fetch { epoch: Epoch(0), version, full: whole });
     }
 
     /// Applies a newer view to every table that depends on it.
@@ -289,7 +290,7 @@
         };
         if !has_templates {
             let epoch = members.view.epoch;
-            out.send(to, Message::Fetch { epoch, version: TemplateVersion(0), whole: true });
+            out.send(to, Message::Fetch { epoch, version: TemplateVersion(0), full: true });
         }
         if !has_list {
             out.send(to, Message::FetchUpstreams { since: 0 });
@@ -315,7 +316,7 @@
         let complete = self.state.claims().complete_epoch();
         let mut members = self.state.membership();
         if !members.stored_known
-            || members.store_calls.is_open(&StoreKey::View)
+            || members.store_calls.is_pending(&StoreKey::View)
             || !is_due(now, members.view_written_at, MIN_WRITE_INTERVAL)
         {
             return;
@@ -391,7 +392,7 @@
             }
             (Purpose::PoisonRead, result) => self.handle_poison_result(now, false, result, out),
             (Purpose::PoisonWrite, result) => self.handle_poison_result(now, true, result, out),
-            (Purpose::Draw(shard), result) => self.handle_ledger_result(now, shard, result, out),
+            (Purpose::Ledger(shard), result) => self.handle_ledger_result(now, shard, result, out),
             (Purpose::Read(StoreKey::Templates), StoreResult::Value(found)) => {
                 self.apply_stored_templates(now, &found, out);
             }
@@ -452,13 +453,13 @@
         // This is set only after the view is applied. Otherwise a judge could take the older view
         // for the one just read, and would not wait for a member that has just joined.
         let mut members = self.state.membership();
-        members.view_known_at = members.view_known_at.max(requested_at);
+        members.stored_view_requested_at = members.stored_view_requested_at.max(requested_at);
     }
 }
 
 /// Starts reading a value from the store unless a read is in progress.
 pub(super) fn start_read(members: &mut Membership, now: Time, key: StoreKey, out: &mut Outbox) {
-    if members.store_calls.is_open(&key) {
+    if members.store_calls.is_pending(&key) {
         return;
     }
     if key == StoreKey::View {
--- a/crates/badgerfield-core/src/handlers/rollouts.rs
+++ b/crates/badgerfield-core/src/handlers/rollouts.rs
@@ -94,7 +94,7 @@
             let mut members = self.state.membership();
             let mut table = self.state.rollouts();
             if table.digest() == peer_digest {
-                table.record_agreement(members.is_active() && members.view.has(from));
+                table.record_agreement(members.is_active() && members.view.has_member(from));
                 return;
             }
             if !is_due(now, members.rollouts_compared.get(&from).copied(), MIN_COMPARE_INTERVAL) {
@@ -120,7 +120,7 @@
             let changed = table.apply(now, peer_known.to_vec());
             let known = table.all();
             if known == peer_known {
-                table.record_agreement(members.is_active() && members.view.has(from));
+                table.record_agreement(members.is_active() && members.view.has_member(from));
             }
             (changed, known)
         };
@@ -399,7 +399,12 @@
     fn judge_context(&self, now: Time) -> JudgeContext {
         let members = self.state.membership();
         let (view, clock) = (Arc::clone(&members.view), members.fleet_clock(now));
-        JudgeContext { view, me: members.id(), clock, view_requested: members.view_known_at }
+        JudgeContext {
+            view,
+            me: members.id(),
+            clock,
+            view_requested: members.stored_view_requested_at,
+        }
     }
 }
 
--- a/crates/badgerfield-core/src/handlers/spending.rs
+++ b/crates/badgerfield-core/src/handlers/spending.rs
@@ -27,7 +27,7 @@
                 return;
             };
             run.stage = Stage::Reserving;
-            (run.budget.clone(), run.bound, run.until)
+            (run.budget.clone(), run.max_cost, run.deadline)
         };
         self.update_terms(now, &budget);
         let outcome = self.state.holdings().reserve(now, &budget, (id, bound, deadline), out);
@@ -48,9 +48,9 @@
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
-            run.reserved = run.bound;
+            run.reserved = run.max_cost;
             run.period = period;
-            run.earlier.is_some() || !run.parts.is_empty()
+            run.previous_upstream.is_some() || !run.parts.is_empty()
         };
         if must_resume {
             self.resume_earlier(now, id, out);
@@ -229,7 +229,7 @@
         }
         let mut members = self.state.membership();
         for (shard, call) in calls {
-            let ticket = members.store_calls.begin(Purpose::Draw(shard));
+            let ticket = members.store_calls.begin(Purpose::Ledger(shard));
             out.push(Command::CallStore(ticket, call));
         }
     }
--- a/crates/badgerfield-core/src/handlers/stopping.rs
+++ b/crates/badgerfield-core/src/handlers/stopping.rs
@@ -45,7 +45,8 @@
         }
         let idle_since = *self.state.membership().idle_since.get_or_insert(now);
         let idle = now.since(idle_since);
-        let is_settled = self.state.charges().is_empty() && self.state.claims().is_handed_over();
+        let is_settled =
+            self.state.charges().is_empty() && self.state.claims().is_handover_complete();
         if !is_settled && idle >= CHARGES_HANDOVER_DELAY {
             self.hand_over_charges(now, out);
         }
--- a/crates/badgerfield-core/src/handlers/templates.rs
+++ b/crates/badgerfield-core/src/handlers/templates.rs
@@ -59,7 +59,7 @@
         }
         if newer {
             let epoch = self.state.membership().view.epoch;
-            out.send(from, Message::Fetch { epoch, version, whole });
+            out.send(from, Message::Fetch { epoch, version, full: whole });
         }
     }
 
--- a/crates/badgerfield-core/src/holdings/holding.rs
+++ b/crates/badgerfield-core/src/holdings/holding.rs
@@ -14,7 +14,7 @@
 use crate::message::TokenRequest;
 use crate::rate_meter::RateMeter;
 use crate::refusal::Refusal;
-use crate::seal::{FleetClock, Orphan, Seal, SealClaim, falls_ms};
+use crate::seal::{FleetClock, OrphanedSeal, Seal, SealClaim, falls_ms};
 
 /// How much demand, in time, a holding keeps available; the rest is parked.
 const WORKING_SPAN: Duration = Duration::from_secs(1);
@@ -173,7 +173,7 @@
     /// The promises to keep sealed tokens unspent that the ledger may have on record.
     pub(super) promises: Promises,
     /// Sealed tokens of earlier processes of this VM that are not claimed yet.
-    pub(crate) orphaned_seals: Vec<Orphan>,
+    pub(crate) orphaned_seals: Vec<OrphanedSeal>,
     /// Unspent tokens of removed holders whose witness was this process.
     pub(crate) witness_reports: Vec<WitnessReport>,
     pub(crate) state: HoldingState,
@@ -396,8 +396,9 @@
             Some(_) => self.promises.record_pending(now, amount),
             None => self.promises.clear_pending(),
         }
-        let claims = sealing.clock.started.map_or_else(Vec::new, |started| {
-            let claim = |e: Orphan| SealClaim { holder: e.holder, unspent: e.untouched(started) };
+        let claims = sealing.clock.started_at.map_or_else(Vec::new, |started| {
+            let claim =
+                |e: OrphanedSeal| SealClaim { holder: e.holder, unspent: e.unspent_at(started) };
             std::mem::take(&mut self.orphaned_seals).into_iter().map(claim).collect()
         });
         let (vm, unsealed) = (sealing.vm.clone(), self.unsealing);
--- a/crates/badgerfield-core/src/holdings/lending.rs
+++ b/crates/badgerfield-core/src/holdings/lending.rs
@@ -41,13 +41,13 @@
         if self.local.sealing.is_none() {
             return;
         }
-        self.lenders = Lenders::of(&self.view, &self.region);
+        self.lenders = Lenders::from_view(&self.view, &self.region);
         let mut has_changed = false;
         for (budget, holding) in &mut self.table {
-            let part = self.lenders.part(budget, self.me);
+            let part = self.lenders.role(budget, self.me);
             has_changed |= part.lenders.is_empty() != holding.lenders.is_empty();
             holding.lenders = part.lenders;
-            holding.is_backup = part.stands_in;
+            holding.is_backup = part.is_backup;
         }
         if has_changed {
             let held = self.table.values().filter(|holding| !holding.is_borrower()).count();
@@ -97,7 +97,7 @@
                 budget: budget.clone(),
                 free: holding.free,
                 reserved: holding.reserved,
-                moving,
+                in_transit: moving,
                 waiting: holding.waiters.len(),
                 rate: holding.meter.rate(now),
             }));
--- a/crates/badgerfield-core/src/holdings/mod.rs
+++ b/crates/badgerfield-core/src/holdings/mod.rs
@@ -230,9 +230,9 @@
         let Some(holding) = self.table.get_mut(budget) else {
             let hold_terms = (spread, self.pacing.hold_ahead);
             let mut holding = Holding::new(now, terms, hold_terms, self.region.clone());
-            let part = self.lenders.part(budget, self.me);
+            let part = self.lenders.role(budget, self.me);
             holding.lenders = part.lenders;
-            holding.is_backup = part.stands_in;
+            holding.is_backup = part.is_backup;
             self.table.insert(budget.clone(), holding);
             return;
         };
--- a/crates/badgerfield-core/src/holdings/parking.rs
+++ b/crates/badgerfield-core/src/holdings/parking.rs
@@ -293,7 +293,7 @@
             let Some(witness) = holding.parked.witness else {
                 continue;
             };
-            if self.view.has(witness) {
+            if self.view.has_member(witness) {
                 continue;
             }
             holding.parked.total = Tokens::ZERO;
--- a/crates/badgerfield-core/src/holdings/peers.rs
+++ b/crates/badgerfield-core/src/holdings/peers.rs
@@ -29,7 +29,7 @@
             reason,
         };
         // Tokens sent to a removed process are lost when it ends.
-        let is_member = self.view.has(from);
+        let is_member = self.view.has_member(from);
         let current = self.table.get_mut(&budget).filter(|h| is_member && h.terms.period == period);
         let Some(holding) = current else {
             out.send(from, no_tokens(need, NoTokensReason::NotHolder));
@@ -38,7 +38,7 @@
         // If two holders of the same budget both search, they answer each other at once. Otherwise
         // each would wait for the other, and neither could find out that nothing is left.
         let is_leaving = self.leaving != Leaving::Active;
-        let from_holder = self.lenders.holds(&budget, from);
+        let from_holder = self.lenders.is_lender(&budget, from);
         if !self.lenders.is_empty() && holding.can_draw() && !is_leaving && !from_holder {
             self.handle_loan_request(now, from, request, out);
             return;
@@ -117,7 +117,7 @@
     ) -> bool {
         // A transfer of a removed sender may have been counted already: the sequence numbers received
         // from it are forgotten when it leaves the view.
-        if !self.view.has(from) {
+        if !self.view.has_member(from) {
             return false;
         }
         let Some(holding) = self.table.get_mut(&transfer.budget) else {
--- a/crates/badgerfield-core/src/holdings/promises.rs
+++ b/crates/badgerfield-core/src/holdings/promises.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::amount::{Time, Tokens};
-use crate::seal::{falls_after, promised};
+use crate::seal::{decay_time, promised_after};
 
 /// A promise that the ledger may have on record.
 #[derive(Debug, Clone, Copy)]
@@ -16,12 +16,12 @@
 
 impl Promise {
     fn remaining(self, now: Time) -> Tokens {
-        promised(self.amount, now.since(self.made_at))
+        promised_after(self.amount, now.since(self.made_at))
     }
 
     /// Returns after how long at most `limit` tokens of the promise remain.
     fn time_until_at_most(self, now: Time, limit: Tokens) -> Duration {
-        falls_after(self.amount, limit).saturating_sub(now.since(self.made_at))
+        decay_time(self.amount, limit).saturating_sub(now.since(self.made_at))
     }
 }
 
--- a/crates/badgerfield-core/src/holdings/search.rs
+++ b/crates/badgerfield-core/src/holdings/search.rs
@@ -261,7 +261,7 @@
         let Some(Search::Lender { tried, .. }) = &holding.search else {
             return;
         };
-        let is_gone = tried.last().is_some_and(|id| !self.view.has(*id));
+        let is_gone = tried.last().is_some_and(|id| !self.view.has_member(*id));
         if is_gone && !holding.waiters.is_empty() {
             holding.search = None;
             self.search_elsewhere(now, budget, out);
@@ -311,7 +311,7 @@
         let mut unanswered: BTreeSet<_> = holding.other_holders.iter().copied().collect();
         let ranked = self.view.ranked(budget.as_str().as_bytes(), None);
         unanswered.extend(ranked.iter().take(MAX_EXTRA_PEERS).map(|m| m.incarnation));
-        unanswered.retain(|id| *id != self.me && self.view.has(*id));
+        unanswered.retain(|id| *id != self.me && self.view.has_member(*id));
         let shortage = holding.total_need().saturating_sub(holding.available());
         // A peer that cannot cover the total need may still serve one of the waiting requests.
         // Where a few processes hold the budget for all, each holds enough for many requests, and
@@ -353,7 +353,7 @@
             return;
         };
         if let Some(Search::Peers { unanswered, .. }) = &mut holding.search {
-            unanswered.retain(|id| self.view.has(*id));
+            unanswered.retain(|id| self.view.has_member(*id));
         }
     }
 
@@ -376,7 +376,7 @@
         }
         let (all_answered, max_available) = (unanswered.is_empty(), *max_available);
         // The successor of a removed holder may return the tokens that the holder had sealed.
-        let has_removed_holder = holding.other_holders.iter().any(|id| !self.view.has(*id));
+        let has_removed_holder = holding.other_holders.iter().any(|id| !self.view.has_member(*id));
         if all_answered && !has_removed_holder && holding.op.is_none() {
             // Returned tokens may serve small requests even if they cannot serve large ones.
             let max_available = holding.max_available(now).max(max_available);
@@ -467,12 +467,13 @@
     let is_silent = |id: &Incarnation| {
         silent_lenders.get(id).is_some_and(|at| now.since(*at) < SILENT_LENDER_SKIP)
     };
-    let is_usable = |id: &Incarnation| view.has(*id) && !tried.contains(id) && !is_silent(id);
+    let is_usable =
+        |id: &Incarnation| view.has_member(*id) && !tried.contains(id) && !is_silent(id);
     if holding.is_borrower() {
         return holding.lenders.iter().copied().find(is_usable);
     }
     match holding.plan {
-        HoldingPlan::Defer(id) if view.has(id) => Some(id),
+        HoldingPlan::Defer(id) if view.has_member(id) => Some(id),
         HoldingPlan::Defer(_) | HoldingPlan::Share(_) | HoldingPlan::Collect(_) => None,
     }
 }
--- a/crates/badgerfield-core/src/holdings/transfer.rs
+++ b/crates/badgerfield-core/src/holdings/transfer.rs
@@ -125,9 +125,9 @@
     ///
     /// Their tokens are lost, because the receiver may have counted them.
     pub(crate) fn apply_view(&mut self, view: &View) {
-        self.sent.retain(|(to, _), _| view.has(*to));
-        self.received.retain(|from, _| view.has(*from));
-        self.ack_times.retain(|to, _| view.has(*to));
+        self.sent.retain(|(to, _), _| view.has_member(*to));
+        self.received.retain(|from, _| view.has_member(*from));
+        self.ack_times.retain(|to, _| view.has_member(*to));
     }
 
     /// Returns how many tokens of a budget are in transit.
--- a/crates/badgerfield-core/src/holdings/views.rs
+++ b/crates/badgerfield-core/src/holdings/views.rs
@@ -15,9 +15,9 @@
         if view.epoch <= self.view.epoch {
             return;
         }
-        self.removed |= self.view.has(self.me) && !view.has(self.me);
+        self.removed |= self.view.has_member(self.me) && !view.has_member(self.me);
         self.view = Arc::clone(view);
-        self.joined |= view.has(self.me);
+        self.joined |= view.has_member(self.me);
         self.transfers.apply_view(view);
         if self.removed {
             self.write_off_parked();
@@ -50,7 +50,7 @@
             self.serve_waiters(now, &id);
             self.drop_removed_peers(&id);
             if let Some(holding) = self.table.get_mut(&id) {
-                holding.pending_loans.retain_lenders(|lender| view.has(lender));
+                holding.pending_loans.retain_lenders(|lender| view.has_member(lender));
             }
             self.replace_removed_lender(now, &id, out);
             self.resume_search(now, &id, out);
--- a/crates/badgerfield-core/src/holdings/witness.rs
+++ b/crates/badgerfield-core/src/holdings/witness.rs
@@ -38,7 +38,7 @@
     /// Records a parked amount. Returns whether to acknowledge it.
     pub(crate) fn record(&mut self, view: &View, owner: Incarnation, item: &ParkItem) -> bool {
         // A removed owner may neither add tokens nor reclaim them.
-        if !view.has(owner) {
+        if !view.has_member(owner) {
             return false;
         }
         let amounts = self.owners.entry(owner).or_default();
@@ -57,12 +57,12 @@
     /// Applies a view. Returns the amounts parked by removed owners.
     pub(crate) fn apply_view(&mut self, view: &View, me: Incarnation) -> Vec<Inherited> {
         let mut inherited = Vec::new();
-        if !view.has(me) {
+        if !view.has_member(me) {
             self.owners.clear();
             return inherited;
         }
         self.owners.retain(|owner, amounts| {
-            if view.has(*owner) {
+            if view.has_member(*owner) {
                 return true;
             }
             for (budget, parked) in std::mem::take(amounts) {
--- a/crates/badgerfield-core/src/joining.rs
+++ b/crates/badgerfield-core/src/joining.rs
@@ -96,7 +96,7 @@
 
     /// Returns the processes that asked recently and are not in the view.
     pub(crate) fn joiners(&mut self, now: Time, view: &View) -> Vec<Member> {
-        self.requests.retain(|id, (_, at)| now.since(*at) < REQUEST_TTL && !view.has(*id));
+        self.requests.retain(|id, (_, at)| now.since(*at) < REQUEST_TTL && !view.has_member(*id));
         self.requests.values().map(|(joiner, _)| joiner.clone()).collect()
     }
 }
--- a/crates/badgerfield-core/src/ledger.rs
+++ b/crates/badgerfield-core/src/ledger.rs
@@ -14,7 +14,7 @@
 
 use crate::amount::{Percent, TokenRate, Tokens};
 use crate::ids::{BudgetId, Incarnation, Period, Region, TemplateVersion, VmId, rendezvous_weight};
-use crate::seal::{Orphan, Seal, SealRecord, sealed_part};
+use crate::seal::{OrphanedSeal, Seal, SealRecord, sealed_part};
 
 /// The base of the horizon, which is the span of demand that a holder may hold ahead.
 ///
@@ -192,7 +192,7 @@
         /// The plan for the holder from now on.
         plan: HoldingPlan,
         /// The sealed tokens of earlier processes on the holder's VM.
-        orphaned_seals: Vec<Orphan>,
+        orphaned_seals: Vec<OrphanedSeal>,
     },
     /// The period has ended; the change had no effect.
     Ended {
@@ -395,14 +395,14 @@
     }
 
     /// Returns the sealed tokens of earlier processes on a VM.
-    fn orphaned_seals(&self, vm: &VmId, holder: Incarnation) -> Vec<Orphan> {
+    fn orphaned_seals(&self, vm: &VmId, holder: Incarnation) -> Vec<OrphanedSeal> {
         let others = self.holders.iter().filter(|(id, _)| **id != holder);
         let sealed = others.filter_map(|(id, h)| Some((*id, h.seal.as_ref()?)));
-        let orphan = |(holder, seal): (Incarnation, &SealRecord)| Orphan {
+        let orphan = |(holder, seal): (Incarnation, &SealRecord)| OrphanedSeal {
             holder,
             amount: seal.amount,
             at: seal.sealed_at,
-            falls_ms: seal.decay_ms,
+            decay_ms: seal.decay_ms,
         };
         sealed.filter(|(_, seal)| seal.vm == *vm).map(orphan).collect()
     }
--- a/crates/badgerfield-core/src/lenders.rs
+++ b/crates/badgerfield-core/src/lenders.rs
@@ -40,7 +40,7 @@
 
 impl Lenders {
     /// Chooses the lenders of a region.
-    pub(crate) fn of(view: &View, region: &Region) -> Self {
+    pub(crate) fn from_view(view: &View, region: &Region) -> Self {
         let is_candidate = |m: &&Member| m.standing == MemberState::Active && m.region == *region;
         let mut members: Vec<_> =
             view.members.iter().filter(is_candidate).map(Lender::of).collect();
@@ -59,7 +59,7 @@
     }
 
     /// Returns the role of a process for a budget.
-    pub(crate) fn part(&self, budget: &BudgetId, me: Incarnation) -> BudgetRole {
+    pub(crate) fn role(&self, budget: &BudgetId, me: Incarnation) -> BudgetRole {
         let budget_key = budget.as_str().as_bytes();
         let mut ranked = self.0.clone();
         ranked
@@ -81,13 +81,16 @@
         backup_lenders
             .sort_by_key(|lender| std::cmp::Reverse(rendezvous_weight(&own_id, lender.vm_hash)));
         ranked.append(&mut backup_lenders);
-        BudgetRole { lenders: ranked.into_iter().map(|lender| lender.id).collect(), stands_in }
+        BudgetRole {
+            lenders: ranked.into_iter().map(|lender| lender.id).collect(),
+            is_backup: stands_in,
+        }
     }
 
     /// Returns whether a process is a lender of a budget.
-    pub(crate) fn holds(&self, budget: &BudgetId, id: Incarnation) -> bool {
+    pub(crate) fn is_lender(&self, budget: &BudgetId, id: Incarnation) -> bool {
         let is_lender = self.0.iter().any(|lender| lender.id == id);
-        is_lender && self.part(budget, id) == BudgetRole::default()
+        is_lender && self.role(budget, id) == BudgetRole::default()
     }
 
     /// Returns whether there are no lenders.
@@ -103,7 +106,7 @@
     pub(crate) lenders: Vec<Incarnation>,
     /// Whether the process is a backup lender: if no lender answers, it draws from the ledger and
     /// lends to others.
-    pub(crate) stands_in: bool,
+    pub(crate) is_backup: bool,
 }
 
 impl Lender {
--- a/crates/badgerfield-core/src/locality.rs
+++ b/crates/badgerfield-core/src/locality.rs
@@ -61,9 +61,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DistanceCosts {
     /// The round-trip time to another domain of the region.
-    pub domain_trip: Duration,
+    pub domain_round_trip: Duration,
     /// The round-trip time to another region.
-    pub region_trip: Duration,
+    pub region_round_trip: Duration,
     /// The price of bytes to or from another domain of the region, in milliseconds per 1,000 bytes.
     pub domain_price: f64,
     /// The price of bytes to or from another region, in milliseconds per 1,000 bytes.
@@ -74,8 +74,8 @@
     fn default() -> Self {
         Self {
             // Round-trip times from the data sheets of the users' platform.
-            domain_trip: Duration::from_millis(1),
-            region_trip: Duration::from_millis(24),
+            domain_round_trip: Duration::from_millis(1),
+            region_round_trip: Duration::from_millis(24),
             // Bytes between domains delay no other traffic: these links have the bandwidth of a
             // VM's own link.
             domain_price: 0.0,
@@ -95,8 +95,8 @@
     pub fn cost(&self, distance: Distance, bytes: u64) -> f64 {
         let (trip, price) = match distance {
             Distance::SameDomain => return 0.0,
-            Distance::SameRegion => (self.domain_trip, self.domain_price),
-            Distance::OtherRegion => (self.region_trip, self.region_price),
+            Distance::SameRegion => (self.domain_round_trip, self.domain_price),
+            Distance::OtherRegion => (self.region_round_trip, self.region_price),
         };
         let bytes = f64::from(u32::try_from(bytes).unwrap_or(u32::MAX));
         trip.as_secs_f64() * 1e3 + bytes / 1e3 * price
--- a/crates/badgerfield-core/src/membership.rs
+++ b/crates/badgerfield-core/src/membership.rs
@@ -102,7 +102,7 @@
     /// The version of the upstream list that this process has.
     pub(crate) upstream_list: ListVersion,
     /// The demand of requests on engines, at this process and at the others.
-    pub(crate) needs: DemandAverage,
+    pub(crate) engine_demand: DemandAverage,
     /// The upstreams with a queueing delay.
     pub(crate) delay_reports: Vec<DelayReport>,
     /// The revision of the upstream list up to which all changes were announced to all members.
@@ -136,7 +136,7 @@
     /// When the store was last asked for the view.
     pub(crate) view_requested_at: Option<Time>,
     /// When the read that returned the latest stored view was requested.
-    pub(crate) view_known_at: Option<Time>,
+    pub(crate) stored_view_requested_at: Option<Time>,
     /// When the templates were last read from the store.
     pub(crate) templates_read_at: Option<Time>,
     /// When a member was last asked for the values that this process lacks after its start.
@@ -173,7 +173,7 @@
             wall_offset: None,
             serving: true,
             upstream_list: ListVersion::default(),
-            needs: DemandAverage::default(),
+            engine_demand: DemandAverage::default(),
             delay_reports: Vec::new(),
             announced_revision: 0,
             newer_list: None,
@@ -195,7 +195,7 @@
             heartbeat_at: None,
             view_read_at: None,
             view_requested_at: None,
-            view_known_at: None,
+            stored_view_requested_at: None,
             templates_read_at: None,
             bootstrap_at: None,
             next_peer_index: 0,
@@ -214,7 +214,7 @@
 
     /// Returns whether this process is in the view, active or leaving.
     pub(crate) fn is_member(&self) -> bool {
-        self.view.has(self.id())
+        self.view.has_member(self.id())
     }
 
     /// Returns whether this process is an active member.
@@ -224,8 +224,8 @@
 
     /// Records the address of a process that is not in the view: it may have joined in a view
     /// that this process does not have yet.
-    pub(crate) fn meet(&mut self, id: Incarnation, address: SocketAddr) {
-        if self.view.has(id) {
+    pub(crate) fn record_address(&mut self, id: Incarnation, address: SocketAddr) {
+        if self.view.has_member(id) {
             return;
         }
         self.non_members.insert(id, address);
@@ -244,7 +244,7 @@
     ///
     /// Threads report versions independently. An older version that arrives after a newer one is
     /// ignored.
-    pub(crate) fn note_list(&mut self, version: ListVersion) {
+    pub(crate) fn record_list_version(&mut self, version: ListVersion) {
         if version.revision >= self.upstream_list.revision {
             self.upstream_list = version;
         }
@@ -278,8 +278,8 @@
             contact.last_message = contact.last_message.max(now);
         }
         let ids = old.members.iter().map(|m| m.incarnation);
-        let gone: Vec<_> = ids.filter(|id| !self.view.has(*id)).collect();
-        for member in old.members.iter().filter(|m| !self.view.has(m.incarnation)) {
+        let gone: Vec<_> = ids.filter(|id| !self.view.has_member(*id)).collect();
+        for member in old.members.iter().filter(|m| !self.view.has_member(m.incarnation)) {
             self.non_members.insert(member.incarnation, member.peer);
         }
         while self.non_members.len() > MAX_NON_MEMBERS {
@@ -306,7 +306,7 @@
         if let Some(heartbeat) = heartbeat {
             contact.last_heartbeat = now;
             contact.not_serving = !heartbeat.serving;
-            self.needs.record_peer(now, from, &heartbeat.engine_demand);
+            self.engine_demand.record_peer(now, from, &heartbeat.engine_demand);
             contact.wall_offset =
                 heartbeat.wall_ms.map(|wall_ms| wall_ms.saturating_sub(to_millis(now)));
         }
@@ -327,7 +327,7 @@
     }
 
     /// Applies the VM list unless it is older than the last one.
-    pub(crate) fn learn(&mut self, list: &crate::vm_upstreams::VmList) {
+    pub(crate) fn apply_vm_list(&mut self, list: &crate::vm_upstreams::VmList) {
         if list.version < self.vm_list_version {
             return;
         }
@@ -434,7 +434,7 @@
     /// list, which are frequent. In a small view all members watch the store. In a large view a few
     /// watch it and forward changes, more do so if these seem to be cut off, and all members do so
     /// if no updates arrive at all.
-    pub(crate) fn watches_platform(&self, now: Time, list_age: Option<Duration>) -> bool {
+    pub(crate) fn watches_store(&self, now: Time, list_age: Option<Duration>) -> bool {
         let is_member = self.is_member();
         let is_small = self.view.members.len() <= MAX_SMALL_VIEW_MEMBERS;
         if is_member && (is_small || self.is_isolated(now)) {
@@ -445,7 +445,7 @@
     }
 
     /// Returns whether this process is a watcher or a backup watcher of the store, or has no rank.
-    pub(crate) fn probes_platform(&self) -> bool {
+    pub(crate) fn can_probe_store(&self) -> bool {
         let is_small = self.view.members.len() <= MAX_SMALL_VIEW_MEMBERS;
         is_small || self.ranks.can_probe()
     }
@@ -556,7 +556,7 @@
     }
 
     /// Sets this VM's wall clock, in milliseconds.
-    pub(crate) fn set_wall(&mut self, now: Time, wall_ms: u64) {
+    pub(crate) fn set_wall_ms(&mut self, now: Time, wall_ms: u64) {
         self.wall_offset = Some(wall_ms.saturating_sub(to_millis(now)));
     }
 
--- a/crates/badgerfield-core/src/message.rs
+++ b/crates/badgerfield-core/src/message.rs
@@ -53,7 +53,7 @@
         /// The version of the templates that the sender has.
         version: TemplateVersion,
         /// Whether the sender requests the complete set of templates.
-        whole: bool,
+        full: bool,
     },
     /// A newer view, as a difference if the sender has a base for one.
     View(ViewUpdate),
--- a/crates/badgerfield-core/src/node.rs
+++ b/crates/badgerfield-core/src/node.rs
@@ -353,7 +353,7 @@
             Event::Peer(envelope) => self.handle_message(now, envelope, out),
             Event::StoreReply(call, result) => self.handle_store_result(now, call, result, out),
             Event::VmList(list) => {
-                self.state.membership().learn(&list);
+                self.state.membership().apply_vm_list(&list);
                 self.state.upstreams().apply_list(&list);
             }
             Event::Templates(value) => self.apply_stored_templates(now, &value, out),
@@ -362,18 +362,20 @@
             Event::Reserve(request) => self.reserve_for_route(now, &request, out),
             Event::CancelReserve(request) => self.cancel_reserve(now, &request, out),
             Event::ReservationEnded(end) => self.settle_reservation(now, &end, out),
-            Event::WallClock(wall_ms) => self.state.membership().set_wall(now, wall_ms),
+            Event::WallClock(wall_ms) => self.state.membership().set_wall_ms(now, wall_ms),
             Event::Serving(serving) => self.state.membership().serving = serving,
             Event::UpstreamChanges(update) => self.announce_upstream_changes(now, &update, out),
             Event::UpstreamListGap(from, revision) => {
                 self.fetch_missing_upstreams(now, from, revision, out);
             }
             Event::UpstreamListsDiffer(from) => self.fetch_all_upstreams(now, from, out),
-            Event::UpstreamListVersion(version) => self.state.membership().note_list(version),
+            Event::UpstreamListVersion(version) => {
+                self.state.membership().record_list_version(version)
+            }
             Event::EngineDemand(demand) => {
                 let mut members = self.state.membership();
-                members.needs.set_own(demand);
-                out.push(Command::DivideEngines(members.needs.average(now)));
+                members.engine_demand.set_own(demand);
+                out.push(Command::DivideEngines(members.engine_demand.average(now)));
             }
             Event::DelayReports(reports) => self.state.membership().delay_reports = reports,
             Event::LimitReports(reports) => self.send_limits(&reports, out),
@@ -418,11 +420,11 @@
         {
             let mut members = self.state.membership();
             members.record_contact(now, from, None);
-            members.meet(from, envelope.sender_address);
+            members.record_address(from, envelope.sender_address);
         }
         match envelope.message {
             Message::Heartbeat(heartbeat) => self.handle_heartbeat(now, from, &heartbeat, out),
-            Message::Fetch { epoch, version, whole } => {
+            Message::Fetch { epoch, version, full: whole } => {
                 self.handle_fetch(from, epoch, version, whole, out);
             }
             Message::Join(joiner) => self.handle_join_request(now, from, joiner, out),
--- a/crates/badgerfield-core/src/pending_calls.rs
+++ b/crates/badgerfield-core/src/pending_calls.rs
@@ -15,7 +15,7 @@
     /// Writes the view.
     Write(View),
     /// Reads or writes a shard of the ledger.
-    Draw(u32),
+    Ledger(u32),
     /// Reads the record of a service's rollout, or writes the given one.
     Rollout(Service, Option<RolloutRecord>),
     /// Reads the record of poison requests.
@@ -47,11 +47,11 @@
     }
 
     /// Returns whether a read of this key, or a write of the view if that is the key, is pending.
-    pub(crate) fn is_open(&self, key: &StoreKey) -> bool {
+    pub(crate) fn is_pending(&self, key: &StoreKey) -> bool {
         self.calls.values().any(|purpose| match purpose {
             Purpose::Read(k) => k == key,
             Purpose::Write(_) => *key == StoreKey::View,
-            Purpose::Draw(_)
+            Purpose::Ledger(_)
             | Purpose::Rollout(..)
             | Purpose::PoisonRead
             | Purpose::PoisonWrite => false,
--- a/crates/badgerfield-core/src/queue.rs
+++ b/crates/badgerfield-core/src/queue.rs
@@ -98,7 +98,7 @@
     /// The estimate assumes that all accounts with queued requests are served equally often, and
     /// that requests end at the recent rate.
     #[must_use]
-    pub fn wait(&self, now: Time, account: &Account, run: RunId) -> Option<Duration> {
+    pub fn estimate_wait(&self, now: Time, account: &Account, run: RunId) -> Option<Duration> {
         let queue = self.queues.get(account)?;
         let position = queue.waiting.iter().position(|w| w.run == run)?;
         let turns = u64::try_from(position * self.accounts()).ok()?;
@@ -142,7 +142,7 @@
     }
 
     /// Removes and returns the requests whose deadline has passed.
-    pub fn expired(&mut self, now: Time) -> Vec<RunId> {
+    pub fn take_expired(&mut self, now: Time) -> Vec<RunId> {
         let mut expired = Vec::new();
         for queue in self.queues.values_mut() {
             queue.waiting.retain(|w| {
--- a/crates/badgerfield-core/src/residency.rs
+++ b/crates/badgerfield-core/src/residency.rs
@@ -34,7 +34,7 @@
 impl Residency {
     /// Restricts to a set of regions; an empty set allows none.
     #[must_use]
-    pub fn within(regions: BTreeSet<Region>) -> Self {
+    pub fn restricted_to(regions: BTreeSet<Region>) -> Self {
         Self(Some(regions))
     }
 
--- a/crates/badgerfield-core/src/rollout/evidence.rs
+++ b/crates/badgerfield-core/src/rollout/evidence.rs
@@ -17,7 +17,7 @@
 impl AnswerCounts {
     /// Returns the sum of both counts.
     #[must_use]
-    pub fn plus(self, other: Self) -> Self {
+    pub fn saturating_add(self, other: Self) -> Self {
         Self {
             answers: self.answers.saturating_add(other.answers),
             failed: self.failed.saturating_add(other.failed),
@@ -27,7 +27,7 @@
 
     /// Returns the answers counted since an older count.
     #[must_use]
-    pub fn minus(self, older: Self) -> Self {
+    pub fn saturating_sub(self, older: Self) -> Self {
         Self {
             answers: self.answers.saturating_sub(older.answers),
             failed: self.failed.saturating_sub(older.failed),
@@ -50,12 +50,12 @@
                 self.routes.insert(route.route.clone(), Default::default());
             }
         }
-        self.combine(tally, AnswerCounts::plus);
+        self.combine(tally, AnswerCounts::saturating_add);
     }
 
     /// Subtracts an older tally of one process.
     pub fn subtract(&mut self, tally: &RolloutTally) {
-        self.combine(tally, AnswerCounts::minus);
+        self.combine(tally, AnswerCounts::saturating_sub);
     }
 
     fn combine(
@@ -80,12 +80,12 @@
         let mut since = self.clone();
         for (route, counts) in &mut since.routes {
             if let Some(old) = older.routes.get(route) {
-                *counts = (counts.0.minus(old.0), counts.1.minus(old.1));
+                *counts = (counts.0.saturating_sub(old.0), counts.1.saturating_sub(old.1));
             }
         }
         for (upstream, counts) in &mut since.upstreams {
             if let Some(old) = older.upstreams.get(upstream) {
-                *counts = counts.minus(*old);
+                *counts = counts.saturating_sub(*old);
             }
         }
         since
@@ -94,12 +94,16 @@
     /// Returns the counts of the target over all routes.
     #[must_use]
     pub fn target(&self) -> AnswerCounts {
-        self.routes.values().fold(AnswerCounts::default(), |sum, (target, _)| sum.plus(*target))
+        self.routes
+            .values()
+            .fold(AnswerCounts::default(), |sum, (target, _)| sum.saturating_add(*target))
     }
 
     /// Returns the counts of the other versions over all routes.
     #[must_use]
     pub fn others(&self) -> AnswerCounts {
-        self.routes.values().fold(AnswerCounts::default(), |sum, (_, others)| sum.plus(*others))
+        self.routes
+            .values()
+            .fold(AnswerCounts::default(), |sum, (_, others)| sum.saturating_add(*others))
     }
 }
--- a/crates/badgerfield-core/src/rollout/mod.rs
+++ b/crates/badgerfield-core/src/rollout/mod.rs
@@ -179,12 +179,12 @@
     /// The number of requests that it may get in addition.
     pub extra_requests: u32,
     /// How long after the verdict requests may still be sent to a bad version.
-    pub rollback: Duration,
+    pub rollback_time: Duration,
 }
 
 impl Default for RolloutBound {
     /// Returns limits that are common for canaries, for platforms that set none.
     fn default() -> Self {
-        Self { share: Percent::FIVE, extra_requests: 20, rollback: Duration::from_secs(5) }
+        Self { share: Percent::FIVE, extra_requests: 20, rollback_time: Duration::from_secs(5) }
     }
 }
--- a/crates/badgerfield-core/src/rollout/tally.rs
+++ b/crates/badgerfield-core/src/rollout/tally.rs
@@ -128,9 +128,9 @@
     #[must_use]
     pub fn totals(&self) -> (AnswerCounts, AnswerCounts) {
         let zero = (AnswerCounts::default(), AnswerCounts::default());
-        self.routes
-            .iter()
-            .fold(zero, |sum, route| (sum.0.plus(route.target), sum.1.plus(route.others)))
+        self.routes.iter().fold(zero, |sum, route| {
+            (sum.0.saturating_add(route.target), sum.1.saturating_add(route.others))
+        })
     }
 }
 
@@ -223,14 +223,14 @@
     fn count(&mut self, source: &AnswerSource<'_>, more: AnswerCounts) {
         let route = self.route_mut(source.route);
         if !source.is_target {
-            route.others = route.others.plus(more);
+            route.others = route.others.saturating_add(more);
             return;
         }
-        route.target = route.target.plus(more);
+        route.target = route.target.saturating_add(more);
         let has_room = self.upstreams.len() < MAX_UPSTREAMS;
         if has_room || self.upstreams.contains_key(&source.upstream) {
             let counts = self.upstreams.entry(source.upstream).or_default();
-            *counts = counts.plus(more);
+            *counts = counts.saturating_add(more);
         }
     }
 
--- a/crates/badgerfield-core/src/runs.rs
+++ b/crates/badgerfield-core/src/runs.rs
@@ -25,17 +25,17 @@
 
 /// The state of the claim on a run's key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Claimed {
+pub(crate) enum ClaimState {
     /// The run has no key.
     Unneeded,
     /// The arbiter has not replied.
-    Open,
+    Pending,
     /// The arbiter has granted the key to this run, and no run had it before.
     Fresh,
     /// The arbiter has granted the key to this run after another owner.
     Inherited,
     /// The run continues without a reply from the arbiter.
-    Assumed,
+    Unconfirmed,
 }
 
 /// The progress of a run.
@@ -48,9 +48,9 @@
     /// Waits for an upstream.
     Queued,
     /// Was sent to an upstream.
-    Running { attempt: AttemptId, upstream: UpstreamId, at: Time, started: bool },
+    Running { attempt: AttemptId, upstream: UpstreamId, sent_at: Time, started: bool },
     /// Runs at another process; this one forwards the answer.
-    Following { owner: Incarnation, serial: u64, ended: bool, sent: Time, heard: Time },
+    Following { owner: Incarnation, serial: u64, ended: bool, sent: Time, last_contact: Time },
     /// Has a complete answer, or one that broke off.
     Ended { at: Time },
 }
@@ -60,7 +60,7 @@
 pub(crate) struct Listener {
     pub(crate) request: RequestId,
     /// The index of the next part to send.
-    pub(crate) next: usize,
+    pub(crate) next_part: usize,
 }
 
 /// The run of one request.
@@ -75,27 +75,27 @@
     /// The regions in which the request may be served, as of its admission.
     pub(crate) residency: Residency,
     pub(crate) at_most_once: bool,
-    pub(crate) claimed: Claimed,
+    pub(crate) claim: ClaimState,
     /// The owner and serial number of the claim that the next claim request replaces.
     pub(crate) replaces: Option<(Incarnation, u64)>,
     /// The upstream on which an earlier owner may have run the request.
-    pub(crate) earlier: Option<UpstreamId>,
+    pub(crate) previous_upstream: Option<UpstreamId>,
     /// The deadline for waiting for a claim, for tokens and for an upstream.
-    pub(crate) until: Time,
+    pub(crate) deadline: Time,
     /// The maximum cost of the request.
-    pub(crate) bound: Tokens,
+    pub(crate) max_cost: Tokens,
     /// The output limit.
-    pub(crate) output: Tokens,
+    pub(crate) output_limit: Tokens,
     pub(crate) reserved: Tokens,
     pub(crate) stage: Stage,
     /// The number of attempts that no upstream accepted.
-    pub(crate) tries: u32,
+    pub(crate) rejections: u32,
     pub(crate) resumes: u32,
     pub(crate) usage: Option<Usage>,
     /// The parts of the answer received so far: the head, then data, then the end.
     pub(crate) parts: Vec<PartContent>,
     /// The size of the data parts.
-    pub(crate) bytes: usize,
+    pub(crate) answer_bytes: usize,
     pub(crate) listeners: Vec<Listener>,
     /// The processes that follow the run, each with the index of the next part to send.
     pub(crate) followers: BTreeMap<Incarnation, usize>,
@@ -121,7 +121,7 @@
     /// Appends a part of the answer.
     pub(crate) fn push(&mut self, part: PartContent) {
         if let PartContent::Data(data) = &part {
-            self.bytes += data.len();
+            self.answer_bytes += data.len();
         }
         self.parts.push(part);
     }
@@ -176,21 +176,21 @@
     }
 
     /// Adds a listener to a run.
-    pub(crate) fn listen(&mut self, id: RunId, request: RequestId) {
+    pub(crate) fn add_listener(&mut self, id: RunId, request: RequestId) {
         let Some(run) = self.by_id.get_mut(&id) else {
             return;
         };
-        run.listeners.push(Listener { request, next: 0 });
+        run.listeners.push(Listener { request, next_part: 0 });
         self.by_request.insert(request, id);
     }
 
     /// Returns the run with a key.
-    pub(crate) fn with_key(&self, key: RequestKey) -> Option<RunId> {
+    pub(crate) fn find_by_key(&self, key: RequestKey) -> Option<RunId> {
         self.by_key.get(&key).copied()
     }
 
     /// Returns the run of an attempt, if it is that run's current attempt.
-    pub(crate) fn of_attempt(&mut self, attempt: AttemptId) -> Option<(RunId, &mut Run)> {
+    pub(crate) fn find_by_attempt(&mut self, attempt: AttemptId) -> Option<(RunId, &mut Run)> {
         let id = *self.by_attempt.get(&attempt)?;
         let run = self.by_id.get_mut(&id)?;
         let is_current = matches!(&run.stage, Stage::Running { attempt: a, .. } if *a == attempt);
@@ -206,7 +206,7 @@
     }
 
     /// Registers a new attempt of a run.
-    pub(crate) fn attempt(&mut self, id: RunId) -> AttemptId {
+    pub(crate) fn new_attempt(&mut self, id: RunId) -> AttemptId {
         let attempt = AttemptId(self.next_attempt);
         self.next_attempt += 1;
         self.by_attempt.insert(attempt, id);
@@ -219,7 +219,7 @@
     }
 
     /// Removes a listener; returns its run and how many listeners and followers remain.
-    pub(crate) fn hang_up(&mut self, request: RequestId) -> Option<(RunId, usize)> {
+    pub(crate) fn remove_listener(&mut self, request: RequestId) -> Option<(RunId, usize)> {
         let id = self.by_request.remove(&request)?;
         let run = self.by_id.get_mut(&id)?;
         run.listeners.retain(|l| l.request != request);
@@ -230,7 +230,7 @@
     pub(crate) fn remove(&mut self, id: RunId) -> Option<Run> {
         let run = self.by_id.remove(&id)?;
         if run.has_ended() {
-            self.kept_bytes = self.kept_bytes.saturating_sub(run.bytes);
+            self.kept_bytes = self.kept_bytes.saturating_sub(run.answer_bytes);
         }
         for listener in &run.listeners {
             self.by_request.remove(&listener.request);
@@ -252,7 +252,7 @@
             return;
         }
         run.stage = Stage::Ended { at: now };
-        self.kept_bytes += run.bytes;
+        self.kept_bytes += run.answer_bytes;
     }
 
     /// Removes ended runs whose listeners have received the whole answer, if they have no key, are
@@ -264,7 +264,7 @@
             let Stage::Ended { at } = run.stage else {
                 continue;
             };
-            let is_delivered = run.listeners.iter().all(|l| l.next >= run.parts.len());
+            let is_delivered = run.listeners.iter().all(|l| l.next_part >= run.parts.len());
             let is_needed = run.key.is_some()
                 && now.since(at) < self.answer_retention
                 && kept_bytes <= self.max_answer_bytes;
@@ -272,7 +272,7 @@
             if is_needed || !is_delivered {
                 continue;
             }
-            kept_bytes = kept_bytes.saturating_sub(run.bytes);
+            kept_bytes = kept_bytes.saturating_sub(run.answer_bytes);
             expired.push(*id);
         }
         for id in expired {
--- a/crates/badgerfield-core/src/seal.rs
+++ b/crates/badgerfield-core/src/seal.rs
@@ -109,13 +109,13 @@
 
 /// Returns how much of an amount sealed by this process is still promised at an age.
 #[must_use]
-pub(crate) fn promised(amount: Tokens, age: Duration) -> Tokens {
+pub(crate) fn promised_after(amount: Tokens, age: Duration) -> Tokens {
     decayed(amount, millis(age), falls_ms())
 }
 
 /// Returns the age at which at most `remaining` of a sealed amount is still promised.
 #[must_use]
-pub(crate) fn falls_after(amount: Tokens, remaining: Tokens) -> Duration {
+pub(crate) fn decay_time(amount: Tokens, remaining: Tokens) -> Duration {
     // Rounded up: the promise must not end earlier than declared.
     let decayed_amount = amount.saturating_sub(remaining);
     let millis = falls_ms().saturating_mul(decayed_amount.0).div_ceil(amount.0.max(1));
@@ -130,7 +130,7 @@
 
 /// The sealed tokens of an earlier process on the same VM.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Orphan {
+pub struct OrphanedSeal {
     /// The earlier process.
     pub holder: Incarnation,
     /// The amount that was sealed.
@@ -138,16 +138,16 @@
     /// The time of the seal.
     pub at: FleetTime,
     /// The span over which the promise decays, in milliseconds; 0 if the holder did not send it.
-    pub falls_ms: u64,
+    pub decay_ms: u64,
 }
 
-impl Orphan {
+impl OrphanedSeal {
     /// Returns the amount that is unspent if the successor started at this time.
     #[must_use]
-    pub fn untouched(&self, started: FleetTime) -> Tokens {
+    pub fn unspent_at(&self, started: FleetTime) -> Tokens {
         let age_ms =
             started.0.saturating_sub(self.at.0).saturating_add(millis(MAX_CLOCK_DIFFERENCE));
-        decayed(self.amount, age_ms, self.falls_ms)
+        decayed(self.amount, age_ms, self.decay_ms)
     }
 }
 
@@ -155,7 +155,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct FleetClock {
     /// The fleet's time at the start of this process.
-    pub started: Option<FleetTime>,
+    pub started_at: Option<FleetTime>,
 }
 
 impl FleetClock {
@@ -172,13 +172,13 @@
         let agreeing =
             offsets.iter().filter(|o| o.abs_diff(median) <= millis(MAX_CLOCK_DIFFERENCE)).count();
         let started = (agreeing >= quorum).then_some(FleetTime(median));
-        Self { started }
+        Self { started_at: started }
     }
 
     /// Converts a time of this process to the fleet's time.
     #[must_use]
     pub fn time_at(self, now: Time) -> Option<FleetTime> {
-        self.started.map(|started| FleetTime(started.0.saturating_add(millis(now.0))))
+        self.started_at.map(|started| FleetTime(started.0.saturating_add(millis(now.0))))
     }
 }
 
--- a/crates/badgerfield-core/src/upstream_list.rs
+++ b/crates/badgerfield-core/src/upstream_list.rs
@@ -73,7 +73,7 @@
 }
 
 /// Returns a digest of the description of an upstream.
-pub(crate) fn digest_of(info: &ListedUpstream) -> u64 {
+pub(crate) fn description_digest(info: &ListedUpstream) -> u64 {
     // Serialization to JSON cannot fail for these types.
     let text = serde_json::to_vec(info).unwrap_or_default();
     xxh3_64_with_seed(&text, 0)
--- a/crates/badgerfield-core/src/upstream_table/upstream.rs
+++ b/crates/badgerfield-core/src/upstream_table/upstream.rs
@@ -13,7 +13,7 @@
 use crate::rate_limit;
 use crate::request_mix::{DEFAULT_MS_PER_TOKEN, EngineDivision, PromptGroup, RequestMix, to_f64};
 use crate::residency::RegionMap;
-use crate::upstream_list::{ListedUpstream, UpstreamEntry, digest_of};
+use crate::upstream_list::{ListedUpstream, UpstreamEntry, description_digest};
 use crate::upstream_table::announcements::Announcements;
 use crate::upstream_table::slow_start::SlowStart;
 use crate::warm_up::{SENDER_DELAY, SenderShare, TokenBucket};
@@ -145,7 +145,7 @@
 impl Upstream {
     pub(super) fn new(info: ListedUpstream, revision: u64) -> Self {
         let seed = xxh3_64_with_seed(info.id.as_str().as_bytes(), 0);
-        let (digest, process) = (digest_of(&info), process_id(&info));
+        let (digest, process) = (description_digest(&info), process_id(&info));
         Self {
             info,
             revision,
@@ -219,7 +219,7 @@
 
     /// Replaces its list entry.
     pub(super) fn set_info(&mut self, info: ListedUpstream) {
-        self.digest = digest_of(&info);
+        self.digest = description_digest(&info);
         self.process = process_id(&info);
         self.info = info;
     }
--- a/crates/badgerfield-core/src/view.rs
+++ b/crates/badgerfield-core/src/view.rs
@@ -133,7 +133,7 @@
 
     /// Returns whether a process is a member.
     #[must_use]
-    pub fn has(&self, id: Incarnation) -> bool {
+    pub fn has_member(&self, id: Incarnation) -> bool {
         self.member(id).is_some()
     }
 
@@ -188,7 +188,7 @@
         next.members.retain(|m| !gone.contains(&m.incarnation));
         let mut gone_count = 0;
         for arbiter in &mut next.recent_arbiters {
-            if self.has(arbiter.id) && !gone.contains(&arbiter.id) {
+            if self.has_member(arbiter.id) && !gone.contains(&arbiter.id) {
                 continue;
             }
             arbiter.state = ArbiterState::Gone;
--- a/crates/badgerfield-core/src/view_update.rs
+++ b/crates/badgerfield-core/src/view_update.rs
@@ -90,7 +90,7 @@
             return;
         }
         let added = new.members.iter().filter(|m| old.member(m.incarnation) != Some(m));
-        let removed = old.members.iter().filter(|m| !new.has(m.incarnation));
+        let removed = old.members.iter().filter(|m| !new.has_member(m.incarnation));
         self.changes.extend(added.chain(removed).map(|m| (new.epoch, m.incarnation)));
         while self.changes.len() > MAX_CHANGES {
             if let Some((epoch, _)) = self.changes.pop_front() {
--- a/crates/badgerfield-core/tests/residency.rs
+++ b/crates/badgerfield-core/tests/residency.rs
@@ -27,7 +27,7 @@
 }
 
 fn within(names: &[&str]) -> Residency {
-    Residency::within(names.iter().map(|name| region(name)).collect())
+    Residency::restricted_to(names.iter().map(|name| region(name)).collect())
 }
 
 fn region_map() -> RegionMap {
--- a/crates/badgerfield-core/tests/rollout_verdict.rs
+++ b/crates/badgerfield-core/tests/rollout_verdict.rs
@@ -133,11 +133,11 @@
                 };
                 let totals = evidence.routes.entry(format!("route-{route}")).or_default();
                 if is_target {
-                    totals.0 = totals.0.plus(count);
+                    totals.0 = totals.0.saturating_add(count);
                     let sum = evidence.upstreams.entry(upstream).or_default();
-                    *sum = sum.plus(count);
+                    *sum = sum.saturating_add(count);
                 } else {
-                    totals.1 = totals.1.plus(count);
+                    totals.1 = totals.1.saturating_add(count);
                 }
             }
         }
@@ -220,7 +220,7 @@
     for (number, (answers, failed)) in (0..).zip(upstreams) {
         let counts = AnswerCounts { answers: *answers, failed: *failed, slow: 0 };
         evidence.upstreams.insert(number, counts);
-        target = target.plus(counts);
+        target = target.saturating_add(counts);
     }
     let others = AnswerCounts { answers: others, failed: 0, slow: 0 };
     evidence.routes.insert("route".into(), (target, others));
--- a/crates/badgerfield-node/src/adapter.rs
+++ b/crates/badgerfield-node/src/adapter.rs
@@ -223,5 +223,5 @@
     fn parse_directory_request(&self, uri: &Uri) -> Option<DirectoryRequest>;
 
     /// Formats the response of the directory as JSON.
-    fn directory_answer(&self, addresses: &[SocketAddr], keep: Duration) -> Bytes;
+    fn format_directory_response(&self, addresses: &[SocketAddr], keep: Duration) -> Bytes;
 }
--- a/crates/badgerfield-node/src/caller_api.rs
+++ b/crates/badgerfield-node/src/caller_api.rs
@@ -205,7 +205,7 @@
         next_index: 0,
         out_of_order: BTreeMap::new(),
     };
-    driver.feed(Event::RequestArrived(id, Box::new(request)));
+    driver.handle_event(Event::RequestArrived(id, Box::new(request)));
     respond(answers, format).await
 }
 
--- a/crates/badgerfield-node/src/chat.rs
+++ b/crates/badgerfield-node/src/chat.rs
@@ -95,7 +95,7 @@
 
     /// Returns the body as JSON with its fields sorted by name, so that equal requests have equal
     /// digests whatever the order of their fields.
-    pub(crate) fn digested(&self) -> Vec<u8> {
+    pub(crate) fn canonical_json(&self) -> Vec<u8> {
         let fields: BTreeMap<_, _> = self.body.iter().collect();
         // Encoding cannot fail: the fields were parsed from JSON.
         serde_json::to_vec(&fields).unwrap_or_default()
--- a/crates/badgerfield-node/src/driver.rs
+++ b/crates/badgerfield-node/src/driver.rs
@@ -188,7 +188,7 @@
     }
 
     /// Passes an event to the core and executes the commands that it returns.
-    pub fn feed(self: &Arc<Self>, event: Event) {
+    pub fn handle_event(self: &Arc<Self>, event: Event) {
         let commands = self.node.handle(self.now(), event);
         for command in commands {
             self.execute(command);
@@ -199,7 +199,7 @@
     /// list and the watches of the platform.
     pub fn start(self: &Arc<Self>) {
         log::info!(target: NODE, "starts as {} on {}", self.node.id(), self.settings.vm);
-        self.feed(Event::Start);
+        self.handle_event(Event::Start);
         let driver = Arc::clone(self);
         tokio::spawn(async move { driver.run_ticks().await });
         let driver = Arc::clone(self);
@@ -222,8 +222,8 @@
             gateway.stop();
         }
         self.stopping_since.send_replace(Some(self.now()));
-        self.feed(Event::Serving(false));
-        self.feed(Event::Stop);
+        self.handle_event(Event::Serving(false));
+        self.handle_event(Event::Stop);
     }
 
     /// Waits until a span has passed since the planned stop started.
@@ -239,7 +239,7 @@
 
     /// Returns whether so much of the grace period of a stop has passed that a new request
     /// might not finish before its end.
-    pub(crate) fn refuses_new(&self) -> bool {
+    pub(crate) fn is_refusing_requests(&self) -> bool {
         let grace =
             self.settings.gateway.map_or(Duration::ZERO, |gateway| gateway.shutdown_timeout);
         let stopping_since = *self.stopping_since.borrow();
@@ -258,7 +258,7 @@
     }
 
     /// Assigns an id to a new reservation and returns the receiver of its result.
-    pub(crate) fn await_reservation(
+    pub(crate) fn register_reservation(
         &self,
     ) -> (ReservationId, oneshot::Receiver<Result<Period, Refusal>>) {
         let id = ReservationId(self.next_reservation.fetch_add(1, Ordering::Relaxed));
@@ -303,7 +303,7 @@
     /// Removes a request whose caller has received its answer or has disconnected.
     pub(crate) fn close_request(self: &Arc<Self>, id: RequestId) {
         lock(&self.requests).remove(&id);
-        self.feed(Event::CallerDisconnected(id));
+        self.handle_event(Event::CallerDisconnected(id));
     }
 
     pub(crate) fn execute(self: &Arc<Self>, command: Command) {
@@ -328,7 +328,7 @@
                 tokio::spawn(async move {
                     let result = driver.store.call(&call).await;
                     driver.metrics.count_store_result(&result);
-                    driver.feed(Event::StoreReply(id, result));
+                    driver.handle_event(Event::StoreReply(id, result));
                 });
             }
             Command::Dispatch(attempt, dispatch) => self.dispatch(attempt, dispatch),
@@ -361,7 +361,7 @@
                     gateway.upstreams().apply_delay_reports(self.now(), &reports);
                 }
             }
-            Command::ApplyLimitReports(from, reports) => self.learn_limits(from, &reports),
+            Command::ApplyLimitReports(from, reports) => self.apply_limit_reports(from, &reports),
             Command::ApplyEvacuations(from, changes) => self.apply_evacuations(from, &changes),
             Command::ApplyRolloutRules(rules) => self.apply_rollout_rules(rules),
             Command::SendUpstreamList(to, since) => self.send_upstream_list(to, since),
@@ -418,7 +418,7 @@
             LogEntry::View(epoch) => {
                 log::info!(target: NODE, "view {epoch} in force");
                 let view = self.node.view();
-                self.peers.retain_peers(|id| view.has(id));
+                self.peers.retain_peers(|id| view.has_member(id));
                 self.update_warm_up_senders();
             }
             LogEntry::Templates(version) => {
@@ -462,11 +462,13 @@
                  took_ms={} plan={plan} rate={rate}",
                 took.as_millis()
             ),
-            LogEntry::Prefetched { budget, free, reserved, moving, waiting, rate } => log::info!(
-                target: NODE,
-                "at hand budget={budget} free={free} reserved={reserved} moving={moving} \
-                 waiting={waiting} rate={rate}"
-            ),
+            LogEntry::Prefetched { budget, free, reserved, in_transit: moving, waiting, rate } => {
+                log::info!(
+                    target: NODE,
+                    "at hand budget={budget} free={free} reserved={reserved} moving={moving} \
+                     waiting={waiting} rate={rate}"
+                )
+            }
             LogEntry::Lending { epoch, held, borrowed } => {
                 log::info!(target: NODE, "lending view={epoch} held={held} borrowed={borrowed}");
             }
@@ -516,7 +518,7 @@
                 count = 0;
             }
             if count.is_multiple_of(WALL_CLOCK_TICKS) {
-                self.feed(Event::WallClock(wall_clock()));
+                self.handle_event(Event::WallClock(wall_clock()));
             }
             count = count.wrapping_add(1);
             let now = self.now();
@@ -529,13 +531,13 @@
                 reported_at = now;
                 self.report_rollouts();
             }
-            self.feed(Event::Tick);
+            self.handle_event(Event::Tick);
         }
     }
 
     async fn receive_messages(self: Arc<Self>) {
         let driver = Arc::clone(&self);
-        self.peers.receive(move |envelope| driver.feed(Event::Peer(envelope))).await;
+        self.peers.receive(move |envelope| driver.handle_event(Event::Peer(envelope))).await;
     }
 
     async fn poll_vms(self: Arc<Self>) {
@@ -547,7 +549,7 @@
         loop {
             match fetch_vm_list(&client, uri, self.settings.platform.timeout).await {
                 Some(list) => {
-                    self.feed(Event::VmList(list));
+                    self.handle_event(Event::VmList(list));
                     self.upstream_client.poll_loads(&self).await;
                 }
                 None => log::warn!(target: PLATFORM, "cannot read the VM list from {uri}"),
--- a/crates/badgerfield-node/src/follow.rs
+++ b/crates/badgerfield-node/src/follow.rs
@@ -74,11 +74,11 @@
             match driver.store.call(&call).await {
                 StoreResult::Value(value) => {
                     revision = value.revision;
-                    driver.feed(Event::Templates(value));
+                    driver.handle_event(Event::Templates(value));
                 }
                 StoreResult::Operators(values) => {
                     revision = values.revision;
-                    driver.feed(Event::Operators(values));
+                    driver.handle_event(Event::Operators(values));
                 }
                 _ => {
                     driver.clock.sleep(backoff.next_delay(&driver)).await;
@@ -91,7 +91,7 @@
             WatchResult::Changed(changes) => {
                 backoff = Backoff::default();
                 revision = revision.max(changes.revision);
-                driver.feed(Event::OperatorChanges(changes));
+                driver.handle_event(Event::OperatorChanges(changes));
             }
             WatchResult::Unchanged(current) => {
                 backoff = Backoff::default();
@@ -215,8 +215,8 @@
         let delays = replicas.delay_reports(now, gateway.next_delay_report());
         (replicas.engine_demand(now), delays, replicas.limit_reports(now))
     };
-    driver.feed(Event::LimitReports(limits));
-    driver.feed(Event::EngineDemand(demand));
-    driver.feed(Event::DelayReports(delays));
-    driver.feed(Event::Serving(directory::is_ready(gateway)));
+    driver.handle_event(Event::LimitReports(limits));
+    driver.handle_event(Event::EngineDemand(demand));
+    driver.handle_event(Event::DelayReports(delays));
+    driver.handle_event(Event::Serving(directory::is_ready(gateway)));
 }
--- a/crates/badgerfield-node/src/gateway/admit.rs
+++ b/crates/badgerfield-node/src/gateway/admit.rs
@@ -52,7 +52,7 @@
     })?;
     let id = headers.id.clone();
     let not_run = |cause| (Some(id.clone()), Refusal::not_run(cause));
-    if driver.refuses_new() {
+    if driver.is_refusing_requests() {
         return Err((
             Some(id),
             Refusal::not_run(Cause::Stopping).with_retry_after(STOPPING_RETRY_DELAY),
--- a/crates/badgerfield-node/src/gateway/announcements.rs
+++ b/crates/badgerfield-node/src/gateway/announcements.rs
@@ -72,11 +72,11 @@
         };
         request_log::limit_announced(id, &change);
         let reports = gateway.upstreams().limit_reports(self.now());
-        self.feed(Event::LimitReports(reports));
+        self.handle_event(Event::LimitReports(reports));
     }
 
     /// Applies the rate limits that another process reported.
-    pub(crate) fn learn_limits(&self, from: Incarnation, reports: &[LimitReport]) {
+    pub(crate) fn apply_limit_reports(&self, from: Incarnation, reports: &[LimitReport]) {
         let Some(gateway) = self.gateway() else {
             return;
         };
--- a/crates/badgerfield-node/src/gateway/directory.rs
+++ b/crates/badgerfield-node/src/gateway/directory.rs
@@ -97,7 +97,7 @@
         let error = json!({ "error": "no VM is ready; come back later" });
         return http::json_response(StatusCode::SERVICE_UNAVAILABLE, &error);
     }
-    let text = gateway.adapter.protocol.directory_answer(&addresses, CACHE_TIME);
+    let text = gateway.adapter.protocol.format_directory_response(&addresses, CACHE_TIME);
     let mut response = Response::new(http::full(text));
     let json = hyper::header::HeaderValue::from_static("application/json");
     response.headers_mut().insert(hyper::header::CONTENT_TYPE, json);
--- a/crates/badgerfield-node/src/gateway/poison.rs
+++ b/crates/badgerfield-node/src/gateway/poison.rs
@@ -153,7 +153,7 @@
         request_log::broke(id, upstream, probe_result.as_str(), self.now().since(probed_at));
         match probe_result {
             ProbeResult::Refused => {
-                self.driver.feed(Event::UpstreamCrashed(crash()));
+                self.driver.handle_event(Event::UpstreamCrashed(crash()));
                 true
             }
             ProbeResult::Open(connection) => {
@@ -166,7 +166,7 @@
                     let has_exited =
                         connections.exits_within(&crash.upstream, address, connection, span).await;
                     if has_exited && !driver.clock.has_stalled_since(probed_at) {
-                        driver.feed(Event::UpstreamCrashed(crash));
+                        driver.handle_event(Event::UpstreamCrashed(crash));
                     }
                     drop(permit);
                 });
@@ -175,7 +175,7 @@
             // A failure of the whole host refuses no connection, so the crash is recorded as
             // unconfirmed.
             ProbeResult::Unknown => {
-                self.driver.feed(Event::UpstreamCrashed(crash().unconfirmed()));
+                self.driver.handle_event(Event::UpstreamCrashed(crash().unconfirmed()));
                 false
             }
         }
@@ -200,7 +200,7 @@
         runtime.spawn(async move {
             let has_exited = connections.exits_soon(&crash.upstream, address).await;
             if has_exited && !driver.clock.has_stalled_since(since) {
-                driver.feed(Event::UpstreamCrashed(crash));
+                driver.handle_event(Event::UpstreamCrashed(crash));
             }
             drop(permit);
         });
@@ -209,7 +209,7 @@
     /// Records that the request was served completely, and so caused none of the crashes under it.
     pub(super) fn record_served(&self) {
         if self.poison_status() != PoisonStatus::Clear {
-            self.driver.feed(Event::SuspectServed(self.fingerprint()));
+            self.driver.handle_event(Event::SuspectServed(self.fingerprint()));
         }
     }
 }
--- a/crates/badgerfield-node/src/gateway/reservation.rs
+++ b/crates/badgerfield-node/src/gateway/reservation.rs
@@ -33,10 +33,10 @@
         amount: Tokens,
         deadline: Time,
     ) -> Result<Self, Refusal> {
-        let (id, answer) = driver.await_reservation();
+        let (id, answer) = driver.register_reservation();
         let request = ReserveRequest { id, budget: budget.clone(), amount, deadline };
         let mut pending = PendingReservation { driver, request: Some(request.clone()), answer };
-        driver.feed(Event::Reserve(request));
+        driver.handle_event(Event::Reserve(request));
         let result = (&mut pending.answer).await;
         pending.request = None;
         let period = result.unwrap_or(Err(Refusal::not_run(Cause::Stopping)))?;
@@ -62,7 +62,7 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        self.driver.feed(Event::ReservationEnded(ReservationEnd {
+        self.driver.handle_event(Event::ReservationEnded(ReservationEnd {
             budget: self.budget.clone(),
             period: self.period,
             reserved: self.reserved,
@@ -83,10 +83,10 @@
         let Some(request) = self.request.take() else {
             return;
         };
-        self.driver.feed(Event::CancelReserve(request.clone()));
+        self.driver.handle_event(Event::CancelReserve(request.clone()));
         // The result is available now: the reservation was either cancelled or already made.
         if let Ok(Ok(period)) = self.answer.try_recv() {
-            self.driver.feed(Event::ReservationEnded(ReservationEnd {
+            self.driver.handle_event(Event::ReservationEnded(ReservationEnd {
                 budget: request.budget,
                 period,
                 reserved: request.amount,
--- a/crates/badgerfield-node/src/rollouts.rs
+++ b/crates/badgerfield-node/src/rollouts.rs
@@ -55,7 +55,7 @@
             return;
         };
         let tallies = gateway.upstreams().rollout_tallies(self.now());
-        self.feed(Event::RolloutTallies(tallies));
+        self.handle_event(Event::RolloutTallies(tallies));
     }
 }
 
--- a/crates/badgerfield-node/src/settings.rs
+++ b/crates/badgerfield-node/src/settings.rs
@@ -316,8 +316,18 @@
     let default = DistanceCosts::default();
     let (min, max) = (Duration::ZERO, Duration::from_secs(10));
     DistanceCosts {
-        domain_trip: file.duration_or("locality", "domain_trip", default.domain_trip, (min, max)),
-        region_trip: file.duration_or("locality", "region_trip", default.region_trip, (min, max)),
+        domain_round_trip: file.duration_or(
+            "locality",
+            "domain_trip",
+            default.domain_round_trip,
+            (min, max),
+        ),
+        region_round_trip: file.duration_or(
+            "locality",
+            "region_trip",
+            default.region_round_trip,
+            (min, max),
+        ),
         domain_price: read_price(file, "domain_price", default.domain_price),
         region_price: read_price(file, "region_price", default.region_price),
     }
@@ -423,14 +433,14 @@
     };
     let (min, max) = (Duration::from_millis(100), Duration::from_secs(3600));
     let rollback = if is_blank(file, "rollback") {
-        default.rollback
+        default.rollback_time
     } else {
-        file.duration_or("rollout", "rollback", default.rollback, (min, max))
+        file.duration_or("rollout", "rollback", default.rollback_time, (min, max))
     };
     RolloutBound {
         share: share.map_or(default.share, Percent::from_fraction),
         extra_requests: allowance,
-        rollback,
+        rollback_time: rollback,
     }
 }
 
--- a/crates/badgerfield-node/src/suspects.rs
+++ b/crates/badgerfield-node/src/suspects.rs
@@ -27,7 +27,7 @@
         match &self.target {
             Target::Chat(body) => {
                 let address = (secret.as_str(), "/v1/chat/completions");
-                Fingerprint::of(None, "POST", address, &[], &body.digested())
+                Fingerprint::of(None, "POST", address, &[], &body.canonical_json())
             }
             Target::Call(call) => {
                 let address = (secret.as_str(), call.path.as_str());
@@ -82,7 +82,7 @@
         }
         let account = self.node.find_account(&outgoing.secret);
         let crash = Crash::new(outgoing.fingerprint(), account.as_ref(), upstream, events_sent);
-        self.feed(Event::UpstreamCrashed(crash.with_prior_crashes(prior_crashes)));
+        self.handle_event(Event::UpstreamCrashed(crash.with_prior_crashes(prior_crashes)));
     }
 
     /// Records that a request was served completely.
@@ -92,7 +92,7 @@
         }
         let request = outgoing.fingerprint();
         if self.node.request_status(self.now(), request) != PoisonStatus::Clear {
-            self.feed(Event::SuspectServed(request));
+            self.handle_event(Event::SuspectServed(request));
         }
     }
 }
--- a/crates/badgerfield-node/src/templates.rs
+++ b/crates/badgerfield-node/src/templates.rs
@@ -109,7 +109,7 @@
         let message = "expected at least one region; omit the key to allow all".to_owned();
         file.record_fault(section, Some("regions"), message);
     }
-    Residency::within(file.list(section, "regions").into_iter().collect())
+    Residency::restricted_to(file.list(section, "regions").into_iter().collect())
 }
 
 fn read_budget(file: &mut IniFile, section: &str) -> Option<BudgetTemplate> {
--- a/crates/badgerfield-node/src/upstream_client.rs
+++ b/crates/badgerfield-node/src/upstream_client.rs
@@ -87,7 +87,7 @@
                 Some(_) | None => UpstreamEvent::NotSent,
             };
             driver.remove_attempt(id);
-            driver.feed(Event::Upstream(id, end_event));
+            driver.handle_event(Event::Upstream(id, end_event));
         });
     }
 
@@ -109,7 +109,7 @@
             Some((id, report))
         });
         for (id, report) in join_all(calls).await.into_iter().flatten() {
-            driver.feed(Event::Load(id, report));
+            driver.handle_event(Event::Load(id, report));
         }
     }
 
@@ -225,7 +225,7 @@
         let report = response.headers().get("x-load").and_then(|v| v.to_str().ok());
         let report = report.and_then(|text| serde_json::from_str::<LoadReport>(text).ok());
         if let Some(report) = report {
-            driver.feed(Event::Load(self.dispatch.upstream.clone(), report));
+            driver.handle_event(Event::Load(self.dispatch.upstream.clone(), report));
         }
     }
 
@@ -318,7 +318,7 @@
     }
 
     fn send_event(&self, driver: &Arc<Driver>, event: UpstreamEvent) {
-        driver.feed(Event::Upstream(self.id, event));
+        driver.handle_event(Event::Upstream(self.id, event));
     }
 }
 
--- a/crates/badgerfield-node/src/upstream_list.rs
+++ b/crates/badgerfield-node/src/upstream_list.rs
@@ -36,8 +36,8 @@
         self.handle_list_update(gateway, &updated, UpdateSource::Peer);
         match gap {
             ListGap::Nothing => {}
-            ListGap::Changes => self.feed(Event::UpstreamListGap(from, version.revision)),
-            ListGap::FullList => self.feed(Event::UpstreamListsDiffer(from)),
+            ListGap::Changes => self.handle_event(Event::UpstreamListGap(from, version.revision)),
+            ListGap::FullList => self.handle_event(Event::UpstreamListsDiffer(from)),
         }
     }
 
@@ -72,7 +72,7 @@
         for id in &restarted {
             log::info!(target: PLATFORM, "upstream started again id={id} list={}", version.revision);
         }
-        self.feed(Event::UpstreamListVersion(version));
+        self.handle_event(Event::UpstreamListVersion(version));
         if !updated.is_empty() {
             let logged: Vec<_> =
                 updated.iter().take(MAX_LOGGED_UPSTREAMS).map(UpstreamId::as_str).collect();
@@ -108,7 +108,7 @@
             };
             UpstreamUpdate { changes, since, version, reach: 0 }
         };
-        self.feed(Event::UpstreamChanges(update));
+        self.handle_event(Event::UpstreamChanges(update));
     }
 
     /// Sends a process the changes of the list of upstreams since a revision, or the complete list
--- a/crates/badgerfield-node/tests/settings.rs
+++ b/crates/badgerfield-node/tests/settings.rs
@@ -146,7 +146,7 @@
     let given = bound("[rollout]\nshare = 0.07\nallowance = 50\nrollback = 4000ms\n");
     let given = given.expect("the file is valid");
     assert_eq!((u64::from(given.share), given.extra_requests), (7, 50));
-    assert_eq!(given.rollback, Duration::from_secs(4));
+    assert_eq!(given.rollback_time, Duration::from_secs(4));
     // A settings file made from a template contains a unit without a number where the platform sets
     // no duration.
     let blank =
@@ -222,7 +222,7 @@
     let read = |text: &str| read(&format!("{VALID}{text}")).map(|settings| settings.locality);
     let text = "[locality]\ndomain_trip = 3ms\nregion_price = 2.5\n";
     let locality = read(text).expect("the file is valid");
-    assert_eq!(locality.domain_trip, std::time::Duration::from_millis(3));
+    assert_eq!(locality.domain_round_trip, std::time::Duration::from_millis(3));
     assert!((locality.region_price - 2.5).abs() < 1e-9);
     for invalid in
         ["region_trip = 24", "region_trip = 60s", "domain_price = -1", "region_price = NaN"]
--- a/crates/badgerfield-standin/src/fleet/rollouts.rs
+++ b/crates/badgerfield-standin/src/fleet/rollouts.rs
@@ -265,7 +265,7 @@
     }
 
     fn is_in_view(&self, vm: usize) -> bool {
-        self.runs(vm) && self.platform.view().has(self.vms[vm].member.incarnation)
+        self.runs(vm) && self.platform.view().has_member(self.vms[vm].member.incarnation)
     }
 
     /// Checks what the record has become, and ends the upstreams that it ends.
@@ -383,10 +383,10 @@
         }
         if *version == target {
             let sum = self.upstreams.entry(upstream).or_default();
-            *sum = sum.plus(counts);
-            self.routes[route].target = self.routes[route].target.plus(counts);
+            *sum = sum.saturating_add(counts);
+            self.routes[route].target = self.routes[route].target.saturating_add(counts);
         } else {
-            self.routes[route].others = self.routes[route].others.plus(counts);
+            self.routes[route].others = self.routes[route].others.saturating_add(counts);
         }
     }
 
--- a/crates/badgerfield-standin/tests/lending.rs
+++ b/crates/badgerfield-standin/tests/lending.rs
@@ -551,7 +551,7 @@
 fn named_members(fleet: &Fleet) -> usize {
     let (ledger, view) = (fleet.platform.ledger(0), fleet.platform.view());
     let entry = ledger.budgets.get(&Fleet::budget(0));
-    entry.map_or(0, |entry| entry.holders.keys().filter(|id| view.has(**id)).count())
+    entry.map_or(0, |entry| entry.holders.keys().filter(|id| view.has_member(**id)).count())
 }
 
 /// When no lender answers, only backup lenders may draw from the ledger. If all borrowers did, the
--- a/crates/badgerfield-standin/tests/residency.rs
+++ b/crates/badgerfield-standin/tests/residency.rs
@@ -14,7 +14,7 @@
     let regions: BTreeSet<_> = regions.iter().map(|region| region_name(*region)).collect();
     let done = fleet.apply(|set| {
         for account in set.accounts.values_mut() {
-            account.regions = Residency::within(regions.clone());
+            account.regions = Residency::restricted_to(regions.clone());
         }
     });
     assert!(done);
