--- a/crates/badgerfield-core/src/holdings/holding.rs
+++ b/crates/badgerfield-core/src/holdings/holding.rs
@@ -14,7 +14,7 @@
 use crate::message::TokenRequest;
 use crate::rate_meter::RateMeter;
 use crate::refusal::Refusal;
-use crate::seal::{FleetClock, OrphanedSeal, Seal, SealClaim, falls_ms};
+use crate::seal::{FleetClock, OrphanedSeal, Seal, SealClaim, decay_span_ms};
 
 /// How much demand, in time, a holding keeps available; the rest is parked.
 const WORKING_SPAN: Duration = Duration::from_secs(1);
@@ -402,7 +402,7 @@
             std::mem::take(&mut self.orphaned_seals).into_iter().map(claim).collect()
         });
         let (vm, unsealed) = (sealing.vm.clone(), self.unsealing);
-        Seal { vm, amount, unsealed, sealed_at: at, decay_ms: falls_ms(), claims }
+        Seal { vm, amount, unsealed, sealed_at: at, decay_ms: decay_span_ms(), claims }
     }
 
     /// Renews the seal of the pending operation before the operation is sent again.
--- a/crates/badgerfield-core/src/ledger.rs
+++ b/crates/badgerfield-core/src/ledger.rs
@@ -401,7 +401,7 @@
         let orphan = |(holder, seal): (Incarnation, &SealRecord)| OrphanedSeal {
             holder,
             amount: seal.amount,
-            at: seal.sealed_at,
+            sealed_at: seal.sealed_at,
             decay_ms: seal.decay_ms,
         };
         sealed.filter(|(_, seal)| seal.vm == *vm).map(orphan).collect()
--- a/crates/badgerfield-core/src/poison/fingerprint.rs
+++ b/crates/badgerfield-core/src/poison/fingerprint.rs
@@ -21,7 +21,7 @@
     /// Returns the fingerprint of a request from its account, method and address, the parts of its
     /// prompt and its body.
     #[must_use]
-    pub fn of(
+    pub fn new(
         account: Option<&Account>,
         method: &str,
         address: (&str, &str),
--- a/crates/badgerfield-core/src/residency.rs
+++ b/crates/badgerfield-core/src/residency.rs
@@ -81,7 +81,7 @@
         if self.allows_none() {
             return Err(ResidencyError::NoRegion);
         }
-        if allowed.iter().any(|region| regions.has(region)) {
+        if allowed.iter().any(|region| regions.has_region(region)) {
             return Ok(());
         }
         Err(ResidencyError::Unknown(self.clone()))
@@ -155,7 +155,7 @@
 
     /// Returns whether a known domain lies in a region.
     #[must_use]
-    pub fn has(&self, region: &Region) -> bool {
+    pub fn has_region(&self, region: &Region) -> bool {
         self.0.values().any(|known| known == region)
     }
 }
--- a/crates/badgerfield-core/src/seal.rs
+++ b/crates/badgerfield-core/src/seal.rs
@@ -110,7 +110,7 @@
 /// Returns how much of an amount sealed by this process is still promised at an age.
 #[must_use]
 pub(crate) fn promised_after(amount: Tokens, age: Duration) -> Tokens {
-    decayed(amount, millis(age), falls_ms())
+    decayed(amount, millis(age), decay_span_ms())
 }
 
 /// Returns the age at which at most `remaining` of a sealed amount is still promised.
@@ -118,13 +118,13 @@
 pub(crate) fn decay_time(amount: Tokens, remaining: Tokens) -> Duration {
     // Rounded up: the promise must not end earlier than declared.
     let decayed_amount = amount.saturating_sub(remaining);
-    let millis = falls_ms().saturating_mul(decayed_amount.0).div_ceil(amount.0.max(1));
+    let millis = decay_span_ms().saturating_mul(decayed_amount.0).div_ceil(amount.0.max(1));
     Duration::from_millis(millis)
 }
 
 /// Returns the span over which promises of this process decay, in milliseconds.
 #[must_use]
-pub(crate) fn falls_ms() -> u64 {
+pub(crate) fn decay_span_ms() -> u64 {
     millis(DECAY_SPAN)
 }
 
@@ -136,7 +136,7 @@
     /// The amount that was sealed.
     pub amount: Tokens,
     /// The time of the seal.
-    pub at: FleetTime,
+    pub sealed_at: FleetTime,
     /// The span over which the promise decays, in milliseconds; 0 if the holder did not send it.
     pub decay_ms: u64,
 }
@@ -146,7 +146,7 @@
     #[must_use]
     pub fn unspent_at(&self, started: FleetTime) -> Tokens {
         let age_ms =
-            started.0.saturating_sub(self.at.0).saturating_add(millis(MAX_CLOCK_DIFFERENCE));
+            started.0.saturating_sub(self.sealed_at.0).saturating_add(millis(MAX_CLOCK_DIFFERENCE));
         decayed(self.amount, age_ms, self.decay_ms)
     }
 }
--- a/crates/badgerfield-core/tests/poison.rs
+++ b/crates/badgerfield-core/tests/poison.rs
@@ -20,7 +20,7 @@
 
 fn request(body: &str) -> Fingerprint {
     let parts = [PromptPart { id: 1, tokens: 80 }];
-    Fingerprint::of(Some(&account("a")), "POST", ("host", "/x"), &parts, body.as_bytes())
+    Fingerprint::new(Some(&account("a")), "POST", ("host", "/x"), &parts, body.as_bytes())
 }
 
 fn crash(body: &str, n: u32, events_sent: u64) -> Crash {
@@ -37,7 +37,7 @@
 fn fingerprints_distinguish_requests_and_accounts() {
     let parts = [PromptPart { id: 1, tokens: 80 }];
     let of = |name: &str, path: &str, body: &str| {
-        Fingerprint::of(Some(&account(name)), "POST", ("host", path), &parts, body.as_bytes())
+        Fingerprint::new(Some(&account(name)), "POST", ("host", path), &parts, body.as_bytes())
     };
     assert_eq!(of("a", "/x", "body"), of("a", "/x", "body"));
     for other in [of("b", "/x", "body"), of("a", "/y", "body"), of("a", "/x", "other")] {
@@ -261,7 +261,7 @@
     let mut record = |name: &str, n: u32, upstreams: &[u32]| {
         let owner = account(name);
         let body = n.to_be_bytes();
-        let request = Fingerprint::of(Some(&owner), "POST", ("host", "/x"), &[], &body);
+        let request = Fingerprint::new(Some(&owner), "POST", ("host", "/x"), &[], &body);
         let crash = |u: &u32| Crash::new(request, Some(&owner), &upstream(*u), 0);
         // Each request crashes a little later than the one before.
         let now = NOW.after(Duration::from_millis(u64::from(n)));
--- a/crates/badgerfield-node/src/gateway/poison.rs
+++ b/crates/badgerfield-node/src/gateway/poison.rs
@@ -30,7 +30,7 @@
     let head = &original.head;
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
     let address = (route.host.as_str(), path);
-    Fingerprint::of(account, head.method.as_str(), address, &headers.parts, &original.body)
+    Fingerprint::new(account, head.method.as_str(), address, &headers.parts, &original.body)
 }
 
 /// Refuses a blocked request before any tokens are reserved for it. Returns its fingerprint if it
--- a/crates/badgerfield-node/src/suspects.rs
+++ b/crates/badgerfield-node/src/suspects.rs
@@ -27,11 +27,11 @@
         match &self.target {
             Target::Chat(body) => {
                 let address = (secret.as_str(), "/v1/chat/completions");
-                Fingerprint::of(None, "POST", address, &[], &body.canonical_json())
+                Fingerprint::new(None, "POST", address, &[], &body.canonical_json())
             }
             Target::Call(call) => {
                 let address = (secret.as_str(), call.path.as_str());
-                Fingerprint::of(None, call.method.as_str(), address, &[], &call.body)
+                Fingerprint::new(None, call.method.as_str(), address, &[], &call.body)
             }
         }
     }
--- a/crates/badgerfield-node/tests/settings.rs
+++ b/crates/badgerfield-node/tests/settings.rs
@@ -183,7 +183,7 @@
     assert_eq!(region_of("d3"), None);
     // The domain of the VM itself is always included.
     let with_own_domain = read("").expect("the file is valid");
-    assert!(with_own_domain.has(&"north".parse().expect("a name")));
+    assert!(with_own_domain.has_region(&"north".parse().expect("a name")));
     for (invalid, position) in [
         ("d1 = south\n", "vm.ini:15: [regions] d1: expected one region"),
         ("d2 = \n", "vm.ini:15: [regions] d2: expected an identifier"),
--- a/crates/badgerfield-standin/tests/poison.rs
+++ b/crates/badgerfield-standin/tests/poison.rs
@@ -24,7 +24,7 @@
 }
 
 fn request(n: u32) -> Fingerprint {
-    Fingerprint::of(Some(&account()), "POST", ("host", "/x"), &[], &n.to_be_bytes())
+    Fingerprint::new(Some(&account()), "POST", ("host", "/x"), &[], &n.to_be_bytes())
 }
 
 fn crash(request: Fingerprint, n: u32) -> Crash {
--- a/crates/badgerfield/tests/soak.rs
+++ b/crates/badgerfield/tests/soak.rs
@@ -4,34 +4,34 @@
 use std::path::Path;
 use std::time::Duration;
 
-use badgerfield_platform_standin::soak::schedule::{self, Fault, Size, Timed, Version};
+use badgerfield_platform_standin::soak::schedule::{self, Fault, SiteSize, TimedFault, Version};
 use badgerfield_platform_standin::soak::{self, Plan};
 
 /// Runs the soak test with the faults of one seed. Every rule must hold.
 async fn run_seed(seed: u64) {
     let length = Duration::from_secs(30);
-    let size = Size { vms: 3, upstreams: 5, zones: 3 };
-    run_faults(seed, schedule::make(seed, length, size), size, length).await;
+    let size = SiteSize { vms: 3, upstreams: 5, domains: 3 };
+    run_faults(seed, schedule::generate(seed, length, size), size, length).await;
 }
 
 /// Runs a rollout as the only fault. Every rule must hold, including those on the outcome and the
 /// duration of the rollout.
 async fn run_rollout(seed: u64, version: Version, engines: bool) {
     let span = Duration::from_secs(24);
-    let at = schedule::CALM;
-    let faults = vec![Timed { at, fault: Fault::Rollout(version, engines, span) }];
-    let size = Size { vms: 3, upstreams: 5, zones: 3 };
+    let at = schedule::FAULT_FREE_START;
+    let faults = vec![TimedFault { at, fault: Fault::Rollout(version, engines, span) }];
+    let size = SiteSize { vms: 3, upstreams: 5, domains: 3 };
     run_faults(seed, faults, size, span).await;
 }
 
 /// Runs the soak test with a schedule of faults. Every rule must hold.
-async fn run_faults(seed: u64, faults: Vec<Timed>, size: Size, length: Duration) {
+async fn run_faults(seed: u64, faults: Vec<TimedFault>, size: SiteSize, length: Duration) {
     let program = Path::new(env!("CARGO_BIN_EXE_badgerfield"));
     let folder = program.with_file_name(format!("soak-test-{seed}"));
     let plan = Plan { program: program.to_owned(), folder: folder.clone(), seed, length, size };
-    let report = soak::play(&plan, faults).await.expect("the soak test runs");
+    let report = soak::run_schedule(&plan, faults).await.expect("the soak test runs");
     println!("{report:?}");
-    let broken: Vec<_> = report.broken.iter().map(ToString::to_string).collect();
+    let broken: Vec<_> = report.violations.iter().map(ToString::to_string).collect();
     assert!(broken.is_empty(), "files are in {}: {broken:#?}", folder.display());
     assert!(report.requests > 500, "{report:?}");
 }
