--- a/crates/badgerfield-core/src/charges.rs
+++ b/crates/badgerfield-core/src/charges.rs
@@ -7,7 +7,7 @@
 use crate::event::is_due;
 use crate::message::{ChargeId, ClaimProgress, ClaimRecord, PendingCharge, SettleRequest};
 
-/// The interval at which settle requests and hand-overs are sent again.
+/// The interval at which settle requests and handovers are sent again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
@@ -95,7 +95,7 @@
         self.pending.remove(&id).map(|entry| entry.charge)
     }
 
-    /// Returns all charges if a hand-over is due.
+    /// Returns all charges if a handover is due.
     pub(crate) fn due_handover(&mut self, now: Time) -> Vec<PendingCharge> {
         if !is_due(now, self.last_handover, RESEND_INTERVAL) {
             return Vec::new();
--- a/crates/badgerfield-core/src/claims/handover.rs
+++ b/crates/badgerfield-core/src/claims/handover.rs
@@ -1,4 +1,4 @@
-//! Hand-overs: members send claims to the arbiters and backups of a newer view.
+//! Handovers: members send claims to the arbiters and backups of a newer view.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,9 +12,9 @@
 use crate::message::{HandoverPart, Message};
 use crate::view::{MemberState, View};
 
-/// The interval at which unacknowledged hand-overs are sent again.
+/// The interval at which unacknowledged handovers are sent again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(500);
-/// The maximum number of claims in one hand-over message.
+/// The maximum number of claims in one handover message.
 const MAX_PART_CLAIMS: usize = 500;
 
 /// Claims that a member has not acknowledged.
@@ -26,7 +26,7 @@
 }
 
 impl Claims {
-    /// Applies a newer view and starts the hand-overs that it requires.
+    /// Applies a newer view and starts the handovers that it requires.
     pub fn apply_view(&mut self, now: Time, view: &Arc<View>, out: &mut Outbox) {
         if view.epoch <= self.view.epoch {
             return;
@@ -47,13 +47,13 @@
         self.resend_handovers(now, out);
     }
 
-    /// Returns the state of the current view's hand-overs for a heartbeat.
+    /// Returns the state of the current view's handovers for a heartbeat.
     #[must_use]
     pub fn confirmation_status(&self) -> ConfirmationReport {
         ConfirmationReport { complete: self.complete_epoch, bits: self.confirmations.bits() }
     }
 
-    /// Applies a report of another process about the hand-overs of an epoch.
+    /// Applies a report of another process about the handovers of an epoch.
     ///
     /// Returns whether it adds confirmations that should be forwarded soon.
     pub fn merge_confirmations(&mut self, epoch: Epoch, report: &ConfirmationReport) -> bool {
@@ -70,7 +70,7 @@
         is_new
     }
 
-    /// Confirms the view for this process once no hand-over is pending.
+    /// Confirms the view for this process once no handover is pending.
     fn confirm_own(&mut self) {
         if self.handovers.is_empty() {
             self.confirmations.confirm(&self.view, self.me);
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Returns whether all hand-overs of this process are acknowledged.
+    /// Returns whether all handovers of this process are acknowledged.
     #[must_use]
     pub fn is_handover_complete(&self) -> bool {
         self.handovers.is_empty()
@@ -117,7 +117,7 @@
         part.epoch == self.view.epoch
     }
 
-    /// Records that a member has a part of a hand-over, and sends the next part.
+    /// Records that a member has a part of a handover, and sends the next part.
     pub fn handle_handover_ack(
         &mut self,
         now: Time,
--- a/crates/badgerfield-core/src/claims/mod.rs
+++ b/crates/badgerfield-core/src/claims/mod.rs
@@ -63,7 +63,7 @@
     retention: Duration,
     entries: HashMap<RequestKey, ClaimEntry>,
     view: Arc<View>,
-    /// The newest epoch for which all hand-overs have arrived.
+    /// The newest epoch for which all handovers have arrived.
     complete_epoch: Epoch,
     /// The view of `complete_epoch` and the views applied after it.
     views_since_complete: Vec<Arc<View>>,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Returns the newest epoch for which all hand-overs have arrived.
+    /// Returns the newest epoch for which all handovers have arrived.
     #[must_use]
     pub fn complete_epoch(&self) -> Epoch {
         self.complete_epoch
@@ -394,7 +394,7 @@
         None
     }
 
-    /// Resends unacknowledged hand-overs and removes claims older than the retention period.
+    /// Resends unacknowledged handovers and removes claims older than the retention period.
     pub fn tick(&mut self, now: Time, out: &mut Outbox) {
         self.resend_handovers(now, out);
         if now.since(self.last_sweep) < Duration::from_secs(1) {
--- a/crates/badgerfield-core/src/upstream_table/upstream.rs
+++ b/crates/badgerfield-core/src/upstream_table/upstream.rs
@@ -280,7 +280,7 @@
         self.cold = Some(ColdState { until, since_revision: revision, bucket });
     }
 
-    /// Applies the senders of a new view. A process that becomes a sender waits for [`HOLD_OFF`]
+    /// Applies the senders of a new view. A process that becomes a sender waits for [`SENDER_DELAY`]
     /// until the others have received the view.
     pub(super) fn apply_senders(&mut self, now: Time, slow_start: &SlowStart) {
         let from = now.after(SENDER_DELAY);
--- a/crates/badgerfield-core/src/vm_upstreams.rs
+++ b/crates/badgerfield-core/src/vm_upstreams.rs
@@ -449,7 +449,7 @@
     to_f64(tokens.min(chat.prompt_tokens.0))
 }
 
-/// Returns the digests of a prompt's prefixes, one every [`PREFIX_STEP`] bytes, shortest first.
+/// Returns the digests of a prompt's prefixes, one every [`PREFIX_STEP_BYTES`] bytes, shortest first.
 #[must_use]
 pub fn prefix_digests(prompt: &[u8]) -> Vec<u64> {
     let mut digests = Vec::new();
--- a/crates/badgerfield-core/src/warm_up.rs
+++ b/crates/badgerfield-core/src/warm_up.rs
@@ -9,7 +9,7 @@
 //!
 //! During a view change, some processes have the old view and some the new one, and the senders
 //! of both may send. So the shares of the senders of one view add up to half of the bound. A
-//! process that becomes a sender first waits for [`HOLD_OFF`], by which time all processes that
+//! process that becomes a sender first waits for [`SENDER_DELAY`], by which time all processes that
 //! follow the view have received it. If a third view comes within that time, the senders of the
 //! first view have stopped before those of the third start.
 
