--- a/crates/badgerfield-core/src/handlers/claims.rs
+++ b/crates/badgerfield-core/src/handlers/claims.rs
@@ -165,12 +165,10 @@
         let serial = id.0;
         match settlement {
             None => {}
-            Some(BackupOutcome::Granted { owner, epoch, decision: decision })
-                if owner == self.id() =>
-            {
+            Some(BackupOutcome::Granted { owner, epoch, decision }) if owner == self.id() => {
                 self.handle_claim_reply(now, owner, (key, serial, epoch), decision, out);
             }
-            Some(BackupOutcome::Granted { owner, epoch, decision: decision }) => {
+            Some(BackupOutcome::Granted { owner, epoch, decision }) => {
                 out.send(owner, Message::ClaimReply { key, serial, epoch, decision });
             }
             Some(BackupOutcome::Billed { to, id, epoch }) if to == self.id() => {
@@ -229,7 +227,7 @@
         for (id, run) in self.state.runs().iter_mut() {
             match run.stage {
                 Stage::Claiming { .. } if now >= run.deadline && run.at_most_once => {
-                    expired.push(id)
+                    expired.push(id);
                 }
                 Stage::Claiming { since, .. }
                     if !run.at_most_once && now.since(since) >= ARBITER_TIMEOUT =>
--- a/crates/badgerfield-core/src/node.rs
+++ b/crates/badgerfield-core/src/node.rs
@@ -370,7 +370,7 @@
             }
             Event::UpstreamListsDiffer(from) => self.fetch_all_upstreams(now, from, out),
             Event::UpstreamListVersion(version) => {
-                self.state.membership().record_list_version(version)
+                self.state.membership().record_list_version(version);
             }
             Event::EngineDemand(demand) => {
                 let mut members = self.state.membership();
@@ -477,7 +477,7 @@
             Message::Handover(part) => {
                 let (epoch, index) = (part.epoch, part.index);
                 if self.state.claims().receive_handover(now, from, &part) {
-                    out.send(from, Message::HandoverAck { epoch, index: index });
+                    out.send(from, Message::HandoverAck { epoch, index });
                 }
             }
             Message::HandoverAck { epoch, index: part } => {
--- a/crates/badgerfield-core/src/queueing_delay.rs
+++ b/crates/badgerfield-core/src/queueing_delay.rs
@@ -111,7 +111,7 @@
     }
 
     /// Returns a report for other processes if the delay is large enough to be reported.
-    pub(crate) fn to_report(
+    pub(crate) fn delay_report(
         &self,
         now: Time,
         upstream: u32,
--- a/crates/badgerfield-core/src/upstream_table/mod.rs
+++ b/crates/badgerfield-core/src/upstream_table/mod.rs
@@ -359,7 +359,7 @@
     #[must_use]
     pub fn delay_reports(&self, now: Time, round: usize) -> Vec<DelayReport> {
         let report = |u: &Upstream| {
-            u.queueing_delay.to_report(
+            u.queueing_delay.delay_report(
                 now,
                 u.short_id(),
                 self.plain_services.contains(&u.info.service),
--- a/crates/badgerfield-node/src/driver.rs
+++ b/crates/badgerfield-node/src/driver.rs
@@ -467,7 +467,7 @@
                     target: NODE,
                     "at hand budget={budget} free={free} reserved={reserved} moving={moving} \
                      waiting={waiting} rate={rate}"
-                )
+                );
             }
             LogEntry::Lending { epoch, held, borrowed } => {
                 log::info!(target: NODE, "lending view={epoch} held={held} borrowed={borrowed}");
