--- a/crates/badgerfield-node/src/suspects.rs
+++ b/crates/badgerfield-node/src/suspects.rs
@@ -27,11 +27,11 @@
         match &self.target {
             Target::Chat(body) => {
                 let address = (secret.as_str(), "/v1/chat/completions");
-                Fingerprint::of(None, "POST", address, &[], &body.digested())
+                Fingerprint::new(None, "POST", address, &[], &body.canonical_json())
             }
             Target::Call(call) => {
                 let address = (secret.as_str(), call.path.as_str());
-                Fingerprint::of(None, call.method.as_str(), address, &[], &call.body)
+                Fingerprint::new(None, call.method.as_str(), address, &[], &call.body)
             }
         }
     }
@@ -63,7 +63,7 @@
     }
 
     /// Returns the number of known crashes of an upstream while serving a request.
-    pub(crate) fn life_of(&self, outgoing: &Outgoing, upstream: &UpstreamId) -> u32 {
+    pub(crate) fn crash_count(&self, outgoing: &Outgoing, upstream: &UpstreamId) -> u32 {
         if !self.node.has_suspects() {
             return 0;
         }
@@ -71,7 +71,7 @@
     }
 
     /// Records a crash for a request if the upstream has exited after its connection failed.
-    pub(crate) async fn note_outgoing_broken(
+    pub(crate) async fn detect_outgoing_crash(
         self: &Arc<Self>,
         outgoing: &Outgoing,
         (upstream, address): (&UpstreamId, SocketAddr),
@@ -82,17 +82,17 @@
         }
         let account = self.node.find_account(&outgoing.secret);
         let crash = Crash::new(outgoing.fingerprint(), account.as_ref(), upstream, events_sent);
-        self.feed(Event::UpstreamCrashed(crash.with_prior_crashes(prior_crashes)));
+        self.handle_event(Event::UpstreamCrashed(crash.with_prior_crashes(prior_crashes)));
     }
 
     /// Records that a request was served completely.
-    pub(crate) fn note_outgoing_whole(self: &Arc<Self>, outgoing: &Outgoing) {
+    pub(crate) fn record_outgoing_served(self: &Arc<Self>, outgoing: &Outgoing) {
         if !self.node.has_suspects() {
             return;
         }
         let request = outgoing.fingerprint();
         if self.node.request_status(self.now(), request) != PoisonStatus::Clear {
-            self.feed(Event::SuspectServed(request));
+            self.handle_event(Event::SuspectServed(request));
         }
     }
 }
--- a/crates/badgerfield-node/src/upstream_client.rs
+++ b/crates/badgerfield-node/src/upstream_client.rs
@@ -87,7 +87,7 @@
                 Some(_) | None => UpstreamEvent::NotSent,
             };
             driver.remove_attempt(id);
-            driver.feed(Event::Upstream(id, end_event));
+            driver.handle_event(Event::Upstream(id, end_event));
         });
     }
 
@@ -109,7 +109,7 @@
             Some((id, report))
         });
         for (id, report) in join_all(calls).await.into_iter().flatten() {
-            driver.feed(Event::Load(id, report));
+            driver.handle_event(Event::Load(id, report));
         }
     }
 
@@ -128,7 +128,7 @@
     async fn run(&self, driver: &Arc<Driver>, cancelled: oneshot::Receiver<()>) -> UpstreamEvent {
         let upstream = &self.dispatch.upstream;
         let outgoing = self.outgoing.as_deref();
-        let prior_crashes = outgoing.map_or(0, |outgoing| driver.life_of(outgoing, upstream));
+        let prior_crashes = outgoing.map_or(0, |outgoing| driver.crash_count(outgoing, upstream));
         let (end_event, is_cancelled) = tokio::select! {
             event = self.exchange(driver) => (event, false),
             Ok(()) = cancelled => (self.cancel().await, true),
@@ -137,10 +137,10 @@
             (UpstreamEvent::Broken, Some(outgoing)) => {
                 let events_sent = self.dispatch.resume_from.unwrap_or(0);
                 let target = (upstream, self.address);
-                driver.note_outgoing_broken(outgoing, target, (prior_crashes, events_sent)).await;
+                driver.detect_outgoing_crash(outgoing, target, (prior_crashes, events_sent)).await;
             }
             (UpstreamEvent::Ended { .. }, Some(outgoing)) if !is_cancelled => {
-                driver.note_outgoing_whole(outgoing);
+                driver.record_outgoing_served(outgoing);
             }
             _ => {}
         }
@@ -225,7 +225,7 @@
         let report = response.headers().get("x-load").and_then(|v| v.to_str().ok());
         let report = report.and_then(|text| serde_json::from_str::<LoadReport>(text).ok());
         if let Some(report) = report {
-            driver.feed(Event::Load(self.dispatch.upstream.clone(), report));
+            driver.handle_event(Event::Load(self.dispatch.upstream.clone(), report));
         }
     }
 
@@ -318,7 +318,7 @@
     }
 
     fn send_event(&self, driver: &Arc<Driver>, event: UpstreamEvent) {
-        driver.feed(Event::Upstream(self.id, event));
+        driver.handle_event(Event::Upstream(self.id, event));
     }
 }
 
--- a/crates/badgerfield-standin/src/fleet/evacuations.rs
+++ b/crates/badgerfield-standin/src/fleet/evacuations.rs
@@ -70,6 +70,6 @@
             return false;
         };
         let local = Time(self.now.since(self.vms[vm].started));
-        node.watches_platform(local, Some(LIST_AGE))
+        node.watches_store(local, Some(LIST_AGE))
     }
 }
--- a/crates/badgerfield-standin/tests/lost_tokens.rs
+++ b/crates/badgerfield-standin/tests/lost_tokens.rs
@@ -71,7 +71,7 @@
 /// Returns the VM that holds the most tokens of a budget.
 fn largest_holder(fleet: &Fleet, budget: usize) -> usize {
     let held = |vm: &usize| {
-        let figures = fleet.node(*vm).map(|node| node.figures(&Fleet::budget(budget)));
+        let figures = fleet.node(*vm).map(|node| node.balance(&Fleet::budget(budget)));
         figures.map_or(0, |f| f.free.0 + f.sealed.0)
     };
     (0..VMS).max_by_key(held).expect("a fleet has VMs")
@@ -117,7 +117,7 @@
 /// their tokens, without [`BUSY_VM`].
 fn holders(fleet: &Fleet, budget: usize) -> Vec<usize> {
     let held = |vm: usize| {
-        let figures = fleet.node(vm).map(|node| node.figures(&Fleet::budget(budget)));
+        let figures = fleet.node(vm).map(|node| node.balance(&Fleet::budget(budget)));
         figures.map_or(0, |f| f.free.0 + f.sealed.0)
     };
     let mut holders: Vec<_> =
--- a/crates/badgerfield-standin/tests/upstream_list.rs
+++ b/crates/badgerfield-standin/tests/upstream_list.rs
@@ -22,7 +22,7 @@
 /// Returns how many VMs watch the platform if each received the list last at this time before now.
 fn watcher_count(fleet: &Fleet, list_age: Option<Duration>) -> usize {
     let now = Time::from_millis(5_000);
-    (0..fleet.size()).filter(|vm| node(fleet, *vm).watches_platform(now, list_age)).count()
+    (0..fleet.size()).filter(|vm| node(fleet, *vm).watches_store(now, list_age)).count()
 }
 
 fn node(fleet: &Fleet, vm: usize) -> &Node {
@@ -251,7 +251,7 @@
                 long: 500 - n * 10,
                 long_threshold: long_from,
             };
-            let commands = node(&fleet, vm).handle(fleet.now, Event::EngineNeeds(vec![own]));
+            let commands = node(&fleet, vm).handle(fleet.now, Event::EngineDemand(vec![own]));
             divisions.extend(commands.into_iter().filter_map(|command| match command {
                 Command::DivideEngines(needs) => {
                     needs.first().and_then(EngineDivision::from_demand)
