--- a/crates/badgerfield-core/src/handlers/reservations.rs
+++ b/crates/badgerfield-core/src/handlers/reservations.rs
@@ -1,4 +1,4 @@
-//! Reservations: tokens set aside for requests on routes, which keep no run here.
+//! Reservations: tokens reserved for requests on routes, which have no run in this node.
 
 use crate::amount::Time;
 use crate::event::{Command, Outbox, ReservationEnd, ReserveRequest};
@@ -8,31 +8,31 @@
 use crate::refusal::{Cause, Refusal};
 
 impl Node {
-    /// Sets tokens aside for a request on a route.
-    pub(crate) fn reserve_for_route(&self, now: Time, ask: &ReserveRequest, out: &mut Outbox) {
-        self.learn_terms(now, &ask.budget);
-        let waiter = (ask.id.to_run_id(), ask.amount, ask.deadline);
-        let reserved = self.state.holdings().reserve(now, &ask.budget, waiter, out);
-        match reserved {
+    /// Reserves tokens for a request on a route.
+    pub(crate) fn reserve_for_route(&self, now: Time, request: &ReserveRequest, out: &mut Outbox) {
+        self.update_terms(now, &request.budget);
+        let waiter = (request.id.to_run_id(), request.amount, request.deadline);
+        let outcome = self.state.holdings().reserve(now, &request.budget, waiter, out);
+        match outcome {
             ReserveOutcome::Reserved(period) => {
-                out.push(Command::AnswerReserve(ask.id, Ok(period)));
+                out.push(Command::AnswerReserve(request.id, Ok(period)));
             }
             ReserveOutcome::Waiting => {}
             ReserveOutcome::Refused(refusal) => {
-                out.push(Command::AnswerReserve(ask.id, Err(refusal)));
+                out.push(Command::AnswerReserve(request.id, Err(refusal)));
             }
         }
     }
 
-    /// Drops a request that waits for tokens.
-    pub(crate) fn cancel_reserve(&self, _now: Time, ask: &ReserveRequest, out: &mut Outbox) {
-        if self.state.holdings().cancel_request(&ask.budget, ask.id.to_run_id()) {
+    /// Cancels a reservation request that waits for tokens.
+    pub(crate) fn cancel_reserve(&self, _now: Time, request: &ReserveRequest, out: &mut Outbox) {
+        if self.state.holdings().cancel_request(&request.budget, request.id.to_run_id()) {
             let refusal = Refusal::not_run(Cause::Stopping);
-            out.push(Command::AnswerReserve(ask.id, Err(refusal)));
+            out.push(Command::AnswerReserve(request.id, Err(refusal)));
         }
     }
 
-    /// Ends a reservation: bills what was used and frees the rest.
+    /// Ends a reservation: bills the tokens used and frees the rest.
     pub(crate) fn settle_reservation(&self, now: Time, end: &ReservationEnd, _out: &mut Outbox) {
         let mut holdings = self.state.holdings();
         holdings.settle(now, &end.budget, end.period, end.reserved, end.used);
@@ -40,8 +40,8 @@
     }
 }
 
-/// Tells a request that waited what became of its wish.
-pub(crate) fn tell(id: ReservationId, decision: &ReserveDecision, out: &mut Outbox) {
+/// Sends the decision on a reservation to the request that waits for it.
+pub(crate) fn answer_reserve(id: ReservationId, decision: &ReserveDecision, out: &mut Outbox) {
     let result = decision.refusal.map_or(Ok(decision.period), Err);
     out.push(Command::AnswerReserve(id, result));
 }
--- a/crates/badgerfield-core/src/handlers/rollouts.rs
+++ b/crates/badgerfield-core/src/handlers/rollouts.rs
@@ -1,8 +1,8 @@
-//! Roll-outs: takes orders in, tells members what is known, judges, and writes the record.
+//! Rollouts: applies orders, broadcasts them to members, judges targets, and writes the record.
 //!
-//! News travel as those of evacuated failure domains do: by a broadcast, made up for by digests
-//! in signs of life. The three members that rank first for a service judge it; every process
-//! tells them how its requests went.
+//! Updates are distributed like those of evacuated failure domains: by a broadcast, with digests
+//! in heartbeats to repair losses. The three members that rank first for a service judge its
+//! rollouts; every process reports the results of its requests to them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,8 +14,8 @@
 use crate::event::{
     Command, LogEntry, Outbox, StoreCall, StoreKey, StoreResult, Versioned, is_due,
 };
-use crate::handlers::evacuations::COMPARE;
-use crate::handlers::members::read;
+use crate::handlers::evacuations::MIN_COMPARE_INTERVAL;
+use crate::handlers::members::start_read;
 use crate::ids::{Incarnation, Service};
 use crate::message::{Message, RolloutUpdate};
 use crate::node::Node;
@@ -27,66 +27,77 @@
 use crate::seal::FleetClock;
 use crate::view::View;
 
-/// How many members judge a service: two may be lost at once.
-const JUDGES: usize = 3;
+/// Number of members that judge a service: two may be lost at once.
+const JUDGES_PER_SERVICE: usize = 3;
 
-/// Who judges what, at one moment.
-struct Bench {
+/// The view and clock by which a member judges rollouts.
+struct JudgeContext {
     view: Arc<View>,
     me: Incarnation,
     clock: FleetClock,
-    /// When the platform was asked for the view that was read last.
-    view_asked: Option<Time>,
+    /// When the view that was read last was requested from the store.
+    view_requested: Option<Time>,
 }
 
 impl Node {
-    /// Takes in all orders that the platform has.
-    pub(crate) fn read_orders(
+    /// Applies a snapshot of all orders from the store.
+    pub(crate) fn apply_order_snapshot(
         &self,
         now: Time,
         revision: u64,
         orders: Vec<OrderChange>,
         out: &mut Outbox,
     ) {
-        let turned = self.state.rollouts().apply_snapshot(now, revision, orders);
-        self.tell_rollouts(now, &turned, out);
-        self.put_rules(now, turned, out);
+        let changed = self.state.rollouts().apply_snapshot(now, revision, orders);
+        self.broadcast_rollouts(now, &changed, out);
+        self.apply_rollout_rules(now, changed, out);
     }
 
-    /// Takes in orders that were given or withdrawn.
-    pub(crate) fn orders_changed(&self, now: Time, orders: Vec<OrderChange>, out: &mut Outbox) {
-        let news = orders.into_iter().map(|change| KnownRollout { change, stage: None }).collect();
-        self.learn_rollouts(now, news, out);
+    /// Applies orders that were added or withdrawn.
+    pub(crate) fn apply_order_changes(
+        &self,
+        now: Time,
+        orders: Vec<OrderChange>,
+        out: &mut Outbox,
+    ) {
+        let updates =
+            orders.into_iter().map(|change| KnownRollout { change, stage: None }).collect();
+        self.update_rollouts(now, updates, out);
     }
 
-    /// Takes in what another process tells, and passes it on to its part of the ring.
-    pub(crate) fn receive_rollout_update(&self, now: Time, news: RolloutUpdate, out: &mut Outbox) {
-        if news.reach > 0 {
-            for (to, reach) in self.state.membership().broadcast_targets(now, news.reach) {
-                out.send(to, Message::Rollouts(RolloutUpdate { reach, ..news.clone() }));
+    /// Applies a rollout update and forwards it to this process's part of the ring.
+    pub(crate) fn receive_rollout_update(
+        &self,
+        now: Time,
+        update: RolloutUpdate,
+        out: &mut Outbox,
+    ) {
+        if update.reach > 0 {
+            for (to, reach) in self.state.membership().broadcast_targets(now, update.reach) {
+                out.send(to, Message::Rollouts(RolloutUpdate { reach, ..update.clone() }));
             }
         }
-        let turned = self.state.rollouts().apply(now, news.known);
-        self.put_rules(now, turned, out);
+        let changed = self.state.rollouts().apply(now, update.known);
+        self.apply_rollout_rules(now, changed, out);
     }
 
-    /// Tells a neighbour whose digest differs all that is known here, and so asks it for what
-    /// it knows beyond that.
-    pub(crate) fn compare_rollouts(
+    /// Sends all known rollouts to a neighbour whose digest differs. The neighbour replies if it
+    /// knows more.
+    pub(crate) fn compare_rollout_digest(
         &self,
         now: Time,
         from: Incarnation,
-        theirs: u64,
+        peer_digest: u64,
         out: &mut Outbox,
     ) {
         let known = {
             let mut members = self.state.membership();
             let mut table = self.state.rollouts();
-            if table.digest() == theirs {
+            if table.digest() == peer_digest {
                 table.record_agreement(members.is_active() && members.view.has(from));
                 return;
             }
-            if !is_due(now, members.rollouts_compared.get(&from).copied(), COMPARE) {
+            if !is_due(now, members.rollouts_compared.get(&from).copied(), MIN_COMPARE_INTERVAL) {
                 return;
             }
             members.rollouts_compared.insert(from, now);
@@ -95,31 +106,31 @@
         out.send(from, Message::CompareRollouts(known));
     }
 
-    /// Takes in what a neighbour knows, and answers if more is known here.
+    /// Applies the rollouts of a neighbour and replies if this process knows more.
     pub(crate) fn reconcile_rollouts(
         &self,
         now: Time,
         from: Incarnation,
-        theirs: &[KnownRollout],
+        peer_known: &[KnownRollout],
         out: &mut Outbox,
     ) {
-        let (turned, known) = {
+        let (changed, known) = {
             let members = self.state.membership();
             let mut table = self.state.rollouts();
-            let turned = table.apply(now, theirs.to_vec());
+            let changed = table.apply(now, peer_known.to_vec());
             let known = table.all();
-            if known == theirs {
+            if known == peer_known {
                 table.record_agreement(members.is_active() && members.view.has(from));
             }
-            (turned, known)
+            (changed, known)
         };
-        self.put_rules(now, turned, out);
-        if known != theirs {
+        self.apply_rollout_rules(now, changed, out);
+        if known != peer_known {
             out.send(from, Message::Rollouts(RolloutUpdate { known, reach: 0 }));
         }
     }
 
-    /// Takes in how requests of this process went, and tells the judges what is due.
+    /// Records the results of this process's requests and sends due reports to the judges.
     pub(crate) fn record_rollout_tallies(
         &self,
         now: Time,
@@ -130,10 +141,10 @@
             return;
         }
         self.state.rollouts().record_tallies(tallies);
-        self.report_rollouts(now, &self.bench(now), out);
+        self.report_rollouts(now, &self.judge_context(now), out);
     }
 
-    /// Does what is due about roll-outs.
+    /// Runs the periodic work of rollouts.
     pub(crate) fn tick_rollouts(&self, now: Time, out: &mut Outbox) {
         let is_active = self.state.membership().is_active();
         {
@@ -143,19 +154,19 @@
                 return;
             }
         }
-        let open = self.state.rollouts().unfinished();
-        if !open.is_empty() {
-            let bench = self.bench(now);
-            self.report_rollouts(now, &bench, out);
-            for (known, heard) in open {
-                self.judge_rollout(now, &bench, &known, heard, out);
+        let unfinished = self.state.rollouts().unfinished();
+        if !unfinished.is_empty() {
+            let context = self.judge_context(now);
+            self.report_rollouts(now, &context, out);
+            for (known, received) in unfinished {
+                self.judge_rollout(now, &context, &known, received, out);
             }
         }
-        self.put_rules(now, Vec::new(), out);
+        self.apply_rollout_rules(now, Vec::new(), out);
     }
 
-    /// Takes in an answer of the key-value service about a record.
-    pub(crate) fn record_answered(
+    /// Handles the store's result for a call about a rollout record.
+    pub(crate) fn handle_record_result(
         &self,
         now: Time,
         service: &Service,
@@ -163,22 +174,22 @@
         result: StoreResult,
         out: &mut Outbox,
     ) {
-        let missed = |outcome| {
-            let note = RolloutLogEntry::CallFailed { service: service.clone(), outcome };
-            Command::Log(LogEntry::Rollout(Box::new(note)))
+        let call_failed = |outcome| {
+            let entry = RolloutLogEntry::CallFailed { service: service.clone(), outcome };
+            Command::Log(LogEntry::Rollout(Box::new(entry)))
         };
         match (result, written) {
             (StoreResult::Written(revision), Some(record)) => {
-                self.record_found(now, service, revision, Some(record), out);
+                self.apply_record(now, service, revision, Some(record), out);
             }
             (StoreResult::Conflict(found), _) => {
-                out.push(missed("another value stands there"));
-                self.record_read(now, service, &found, out);
+                out.push(call_failed("conflicting record found"));
+                self.apply_stored_record(now, service, &found, out);
             }
-            (StoreResult::Value(found), _) => self.record_read(now, service, &found, out),
+            (StoreResult::Value(found), _) => self.apply_stored_record(now, service, &found, out),
             (result, _) => {
                 let refused = matches!(result, StoreResult::Refused);
-                out.push(missed(if refused { "refused" } else { "no answer" }));
+                out.push(call_failed(if refused { "refused" } else { "no answer" }));
                 if let Some(recorder) = self.state.rollouts().recorder_mut(service) {
                     recorder.invalidate();
                 }
@@ -186,20 +197,26 @@
         }
     }
 
-    fn record_read(&self, now: Time, service: &Service, found: &Versioned, out: &mut Outbox) {
+    fn apply_stored_record(
+        &self,
+        now: Time,
+        service: &Service,
+        found: &Versioned,
+        out: &mut Outbox,
+    ) {
         let record = match RolloutRecord::decode(found.value.as_deref()) {
             Ok(record) => record,
-            // What nobody can read holds nothing up: the next record replaces it.
+            // An unreadable record blocks nothing: the next record replaces it.
             Err(error) => {
-                let name = StoreKey::Rollout(service.clone());
-                out.push(Command::Log(LogEntry::BadValue(name, error.to_string())));
+                let key = StoreKey::Rollout(service.clone());
+                out.push(Command::Log(LogEntry::BadValue(key, error.to_string())));
                 None
             }
         };
-        self.record_found(now, service, found.revision, record, out);
+        self.apply_record(now, service, found.revision, record, out);
     }
 
-    fn record_found(
+    fn apply_record(
         &self,
         now: Time,
         service: &Service,
@@ -207,7 +224,7 @@
         record: Option<RolloutRecord>,
         out: &mut Outbox,
     ) {
-        let news = {
+        let update = {
             let mut table = self.state.rollouts();
             let Some(known) = table.known(service).cloned() else {
                 return;
@@ -218,79 +235,80 @@
             let stage = recorder.apply_record(revision, record, &known);
             stage.map(|stage| KnownRollout { stage: Some(stage), ..known })
         };
-        self.learn_rollouts(now, news.into_iter().collect(), out);
+        self.update_rollouts(now, update.into_iter().collect(), out);
     }
 
-    /// Judges an order, and takes the step that is due.
+    /// Judges an order and takes the step that is due.
     fn judge_rollout(
         &self,
         now: Time,
-        bench: &Bench,
+        context: &JudgeContext,
         known: &KnownRollout,
-        heard: Time,
+        received: Time,
         out: &mut Outbox,
     ) {
         let service = &known.change.service;
-        let judges = bench.judges(service);
-        let place = judges.iter().position(|id| *id == bench.me);
-        let longest = self.longest(service);
-        let members: Vec<_> = bench.view.members.iter().map(|m| m.incarnation).collect();
+        let judges = context.judges(service);
+        let rank_index = judges.iter().position(|id| *id == context.me);
+        let max_duration = self.max_route_timeout(service);
+        let members: Vec<_> = context.view.members.iter().map(|m| m.incarnation).collect();
         let mut table = self.state.rollouts();
         let Some(recorder) = table.recorder_mut(service) else {
             return;
         };
-        let Some(rank) = place.and_then(|place| u32::try_from(place).ok()) else {
+        let Some(rank) = rank_index.and_then(|index| u32::try_from(index).ok()) else {
             recorder.stop_judging();
             return;
         };
         recorder.judge.tick(now);
-        let is_tried = matches!(known.phase(), Some(RolloutPhase::Canary | RolloutPhase::Moving));
-        let verdict = if is_tried { recorder.judge.verdict() } else { None };
+        let is_in_progress =
+            matches!(known.phase(), Some(RolloutPhase::Canary | RolloutPhase::Moving));
+        let verdict = if is_in_progress { recorder.judge.verdict() } else { None };
         if let Some(reason) = verdict {
             let evidence = recorder.judge.evidence().clone();
-            let turned = table.reject(now, known, reason);
+            let changed = table.reject(now, known, reason);
             drop(table);
-            self.target_rejected(now, known, reason, evidence, turned, out);
+            self.handle_rejection(now, known, reason, evidence, changed, out);
             return;
         }
-        let clock = bench.clock;
-        let at = StepContext {
+        let clock = context.clock;
+        let step = StepContext {
             now,
             known,
-            received: heard,
+            received,
             clock,
-            max_duration: longest,
+            max_duration,
             members: &members,
-            view_requested: bench.view_asked,
+            view_requested: context.view_requested,
             rank,
         };
-        let call = recorder.next_call(&at);
+        let call = recorder.next_call(&step);
         let evidence = recorder.judge.evidence().clone();
         drop(table);
         if let Some(call) = call {
-            self.call_record(now, service, call, evidence, out);
+            self.start_record_call(now, service, call, evidence, out);
         }
     }
 
-    /// Logs that the target of an order was found to be bad, tells all members, and acts on it.
-    fn target_rejected(
+    /// Logs that the target of an order was rejected, broadcasts that, and applies the rules.
+    fn handle_rejection(
         &self,
         now: Time,
         known: &KnownRollout,
         reason: RolloutReason,
         evidence: Evidence,
-        turned: Vec<KnownRollout>,
+        changed: Vec<KnownRollout>,
         out: &mut Outbox,
     ) {
         let (service, revision) = (known.change.service.clone(), known.change.revision);
-        let note = RolloutLogEntry::Rejected { service, revision, reason, evidence };
-        out.push(Command::Log(LogEntry::Rollout(Box::new(note))));
-        self.tell_rollouts(now, &turned, out);
-        self.put_rules(now, turned, out);
+        let entry = RolloutLogEntry::Rejected { service, revision, reason, evidence };
+        out.push(Command::Log(LogEntry::Rollout(Box::new(entry))));
+        self.broadcast_rollouts(now, &changed, out);
+        self.apply_rollout_rules(now, changed, out);
     }
 
-    /// Makes a call that a judge asks for.
-    fn call_record(
+    /// Starts a store call that a judge needs.
+    fn start_record_call(
         &self,
         now: Time,
         service: &Service,
@@ -298,25 +316,22 @@
         evidence: Evidence,
         out: &mut Outbox,
     ) {
-        let name = StoreKey::Rollout(service.clone());
+        let key = StoreKey::Rollout(service.clone());
         let (written, call) = match call {
-            RecorderCall::Read => (None, StoreCall::Get(name)),
+            RecorderCall::Read => (None, StoreCall::Get(key)),
             RecorderCall::ReadView => {
-                read(&mut self.state.membership(), now, StoreKey::View, out);
+                start_read(&mut self.state.membership(), now, StoreKey::View, out);
                 return;
             }
             RecorderCall::Write(expect, record) => {
                 let value = Bytes::from(record.encode());
-                let note = RolloutLogEntry::WritingRecord {
+                let entry = RolloutLogEntry::WritingRecord {
                     service: service.clone(),
                     record: record.clone(),
                     evidence,
                 };
-                out.push(Command::Log(LogEntry::Rollout(Box::new(note))));
-                (
-                    Some(record),
-                    StoreCall::CompareAndSwap { key: name, expected_revision: expect, value },
-                )
+                out.push(Command::Log(LogEntry::Rollout(Box::new(entry))));
+                (Some(record), StoreCall::CompareAndSwap { key, expected_revision: expect, value })
             }
         };
         let purpose = Purpose::Rollout(service.clone(), written);
@@ -324,13 +339,13 @@
         out.push(Command::CallStore(ticket, call));
     }
 
-    /// Tells the judges how requests of this process went, where that is due.
-    fn report_rollouts(&self, now: Time, bench: &Bench, out: &mut Outbox) {
-        let members = u32::try_from(bench.view.members.len()).unwrap_or(u32::MAX);
+    /// Sends due reports on this process's requests to the judges.
+    fn report_rollouts(&self, now: Time, context: &JudgeContext, out: &mut Outbox) {
+        let members = u32::try_from(context.view.members.len()).unwrap_or(u32::MAX);
         let mut table = self.state.rollouts();
-        for (judges, report) in table.due_reports(now, members, |service| bench.judges(service)) {
+        for (judges, report) in table.due_reports(now, members, |service| context.judges(service)) {
             for judge in judges {
-                if judge == bench.me {
+                if judge == context.me {
                     table.apply_report(judge, report.clone());
                 } else {
                     out.send(judge, Message::RolloutReport(report.clone()));
@@ -339,59 +354,60 @@
         }
     }
 
-    /// Takes in news, tells all members what was news here, and puts the rules in force.
-    fn learn_rollouts(&self, now: Time, news: Vec<KnownRollout>, out: &mut Outbox) {
-        if news.is_empty() {
+    /// Applies updates, broadcasts those that are new here, and applies the rules.
+    fn update_rollouts(&self, now: Time, updates: Vec<KnownRollout>, out: &mut Outbox) {
+        if updates.is_empty() {
             return;
         }
-        let turned = self.state.rollouts().apply(now, news);
-        self.tell_rollouts(now, &turned, out);
-        self.put_rules(now, turned, out);
+        let changed = self.state.rollouts().apply(now, updates);
+        self.broadcast_rollouts(now, &changed, out);
+        self.apply_rollout_rules(now, changed, out);
     }
 
-    /// Tells all members what was news here.
-    fn tell_rollouts(&self, now: Time, turned: &[KnownRollout], out: &mut Outbox) {
-        if turned.is_empty() {
+    /// Broadcasts rollouts that have changed here.
+    fn broadcast_rollouts(&self, now: Time, changed: &[KnownRollout], out: &mut Outbox) {
+        if changed.is_empty() {
             return;
         }
         let members = self.state.membership();
         for (to, reach) in members.broadcast_targets(now, broadcast::full_reach(&members.view)) {
-            let news = RolloutUpdate { known: turned.to_vec(), reach };
-            out.send(to, Message::Rollouts(news));
+            let update = RolloutUpdate { known: changed.to_vec(), reach };
+            out.send(to, Message::Rollouts(update));
         }
     }
 
-    /// Logs what was news, and puts the rules in force that follow from it.
-    fn put_rules(&self, now: Time, turned: Vec<KnownRollout>, out: &mut Outbox) {
-        for known in turned {
+    /// Logs changed rollouts and applies the rules that follow from them.
+    fn apply_rollout_rules(&self, now: Time, changed: Vec<KnownRollout>, out: &mut Outbox) {
+        for known in changed {
             out.push(Command::Log(LogEntry::Rollout(Box::new(RolloutLogEntry::Updated(known)))));
         }
-        let bound = &self.config.pacing.rollout;
-        if let Some(rules) = self.state.rollouts().changed_rules(now, bound) {
+        let limits = &self.config.pacing.rollout;
+        if let Some(rules) = self.state.rollouts().changed_rules(now, limits) {
             out.push(Command::ApplyRolloutRules(rules));
         }
     }
 
     /// Returns how long a request of a service may run: the longest timeout of its routes.
-    fn longest(&self, service: &Service) -> Duration {
-        let set = self.state.templates();
-        let routes = set.routing.routes.iter();
-        let of = routes.filter(|route| route.split.iter().any(|split| split.service == *service));
-        of.map(|route| route.timeout).max().unwrap_or_default()
+    fn max_route_timeout(&self, service: &Service) -> Duration {
+        let templates = self.state.templates();
+        let routes = templates.routing.routes.iter();
+        let matching =
+            routes.filter(|route| route.split.iter().any(|split| split.service == *service));
+        matching.map(|route| route.timeout).max().unwrap_or_default()
     }
 
-    fn bench(&self, now: Time) -> Bench {
+    fn judge_context(&self, now: Time) -> JudgeContext {
         let members = self.state.membership();
         let (view, clock) = (Arc::clone(&members.view), members.fleet_clock(now));
-        Bench { view, me: members.id(), clock, view_asked: members.view_known_at }
+        JudgeContext { view, me: members.id(), clock, view_requested: members.view_known_at }
     }
 }
 
-impl Bench {
-    /// Returns the members that judge a service, the first of them first.
+impl JudgeContext {
+    /// Returns the members that judge a service, in order of rank.
     fn judges(&self, service: &Service) -> Vec<Incarnation> {
         let subject = [b"rollout/", service.as_str().as_bytes()].concat();
         let ranked = self.view.ranked(&subject, None);
-        ranked.iter().take(JUDGES).map(|member| member.incarnation).collect()
+        ranked.iter().take(JUDGES_PER_SERVICE).map(|member| member.incarnation).collect()
     }
 }
--- a/crates/badgerfield-core/src/handlers/settings.rs
+++ b/crates/badgerfield-core/src/handlers/templates.rs
@@ -1,4 +1,4 @@
-//! Templates: reads them from the platform and from peers, and never steps back.
+//! Templates: applies them from the store and from peers, and never goes back to an older version.
 
 use crate::amount::Time;
 use crate::event::{Command, LogEntry, Outbox, Versioned};
@@ -9,22 +9,22 @@
 use crate::template::{TemplateDelta, TemplateSet};
 
 impl Node {
-    /// Takes in the platform's value of the templates.
+    /// Applies the templates that were read from the store.
     pub(crate) fn apply_stored_templates(&self, now: Time, found: &Versioned, out: &mut Outbox) {
         if let Some(bytes) = &found.value {
-            self.decode_templates(now, bytes, out);
+            self.apply_encoded_templates(now, bytes, out);
         }
     }
 
-    /// Takes in templates as operators wrote them.
-    pub(crate) fn decode_templates(&self, now: Time, bytes: &[u8], out: &mut Outbox) {
+    /// Decodes and applies templates that operators have written.
+    pub(crate) fn apply_encoded_templates(&self, now: Time, bytes: &[u8], out: &mut Outbox) {
         match TemplateSet::decode(bytes) {
             Ok(set) => self.apply_templates(now, set, out),
             Err(error) => out.push(Command::Log(LogEntry::BadTemplates(error.to_string()))),
         }
     }
 
-    /// Puts a newer set in force.
+    /// Applies a set of templates if it is newer and valid.
     pub(crate) fn apply_templates(&self, now: Time, set: TemplateSet, out: &mut Outbox) {
         {
             let mut table = self.state.templates();
@@ -33,10 +33,10 @@
             }
             *table = set;
         }
-        self.templates_changed(now, out);
+        self.process_template_change(now, out);
     }
 
-    /// Puts a difference in force, or asks for the whole set if it does not fit.
+    /// Applies a delta, or fetches templates if it does not apply.
     pub(crate) fn apply_template_delta(
         &self,
         now: Time,
@@ -47,13 +47,14 @@
         let (newer, whole, fits, version) = {
             let mut table = self.state.templates();
             let newer = delta.version > table.version;
-            // One that starts elsewhere has been overtaken; the next one may fit.
+            // A delta with another base has been superseded, and the next one may apply. Otherwise
+            // the whole set is needed.
             let whole = delta.base == table.version;
             let fits = table.apply_delta(delta);
             (newer, whole, fits, table.version)
         };
         if fits {
-            self.templates_changed(now, out);
+            self.process_template_change(now, out);
             return;
         }
         if newer {
@@ -62,8 +63,9 @@
         }
     }
 
-    /// Returns the terms of a budget with its owner's wish to spread it.
-    pub(crate) fn learn_terms(&self, now: Time, budget: &BudgetId) {
+    /// Updates the terms of a budget, and the share of it that VMs hold ahead of demand, in the
+    /// holdings.
+    pub(crate) fn update_terms(&self, now: Time, budget: &BudgetId) {
         let terms = {
             let table = self.state.templates();
             let Some((template, account)) = table.budgets.get(budget).zip(table.account_of(budget))
@@ -77,21 +79,21 @@
         self.state.holdings().update_terms(now, budget, terms.0, terms.1);
     }
 
-    fn templates_changed(&self, now: Time, out: &mut Outbox) {
+    fn process_template_change(&self, now: Time, out: &mut Outbox) {
         let version = {
             let table = self.state.templates();
             self.state.template_history().record(&table);
             table.version
         };
         out.push(Command::Log(LogEntry::Templates(version)));
-        let held: Vec<_> = self.state.holdings().budgets().cloned().collect();
-        for budget in held {
+        let budgets: Vec<_> = self.state.holdings().budgets().cloned().collect();
+        for budget in budgets {
             let before = self.state.holdings().period(&budget);
-            self.learn_terms(now, &budget);
+            self.update_terms(now, &budget);
             if self.state.holdings().period(&budget) != before {
                 out.push(Command::Log(LogEntry::BudgetRenewed(budget)));
             }
         }
-        self.spread(now, out);
+        self.send_heartbeats(now, out);
     }
 }
--- a/crates/badgerfield-core/src/holdings/peers.rs
+++ b/crates/badgerfield-core/src/holdings/peers.rs
@@ -1,109 +1,113 @@
-//! What other holders ask for, give, and park here.
+//! Messages from other holders: requests for tokens, transfers and parked amounts.
 
-use super::holding::Life;
-use super::{COME_BACK, Holdings, Leaving};
+use super::holding::HoldingState;
+use super::{Holdings, Leaving, RETRY_AFTER};
 use crate::amount::{Time, Tokens};
 use crate::event::Outbox;
 use crate::ids::{BudgetId, Incarnation};
 use crate::ledger::HoldingPlan;
 use crate::message::{Message, NoTokensReason, ParkItem, TokenRequest, Transfer};
 
-/// How many times its need a holder may get at once, to ask less often.
-const LUMP: u64 = 8;
+/// How many times its request a holder may get at once, so that it asks less often.
+const BATCH_FACTOR: u64 = 8;
 
 impl Holdings {
-    /// Answers a holder that asks for tokens.
+    /// Answers a token request of another holder.
     pub fn handle_token_request(
         &mut self,
         now: Time,
         from: Incarnation,
-        ask: &TokenRequest,
+        request: &TokenRequest,
         out: &mut Outbox,
     ) {
-        let (budget, period) = (ask.budget.clone(), ask.period);
-        let need = ask.need;
-        let nothing = |need, lack| Message::NoTokens {
-            budget: ask.budget.clone(),
+        let (budget, period) = (request.budget.clone(), request.period);
+        let need = request.need;
+        let no_tokens = |need, reason| Message::NoTokens {
+            budget: request.budget.clone(),
             period,
             need,
-            reason: lack,
+            reason,
         };
-        // Whatever a removed process gets is lost when it ends.
-        let member = self.view.has(from);
-        let known = self.table.get_mut(&budget).filter(|h| member && h.terms.period == period);
-        let Some(holding) = known else {
-            out.send(from, nothing(need, NoTokensReason::NotHolder));
+        // Tokens sent to a removed process are lost when it ends.
+        let is_member = self.view.has(from);
+        let current = self.table.get_mut(&budget).filter(|h| is_member && h.terms.period == period);
+        let Some(holding) = current else {
+            out.send(from, no_tokens(need, NoTokensReason::NotHolder));
             return;
         };
-        // Two that hold the same budget and both search answer each other at once: each would
-        // wait for the other otherwise, and neither could tell that nothing is left.
-        let leaves = self.leaving != Leaving::Stays;
+        // If two holders of the same budget both search, they answer each other at once. Otherwise
+        // each would wait for the other, and neither could find out that nothing is left.
+        let is_leaving = self.leaving != Leaving::Active;
         let from_holder = self.lenders.holds(&budget, from);
-        if !self.lenders.is_empty() && holding.may_draw() && !leaves && !from_holder {
-            self.lend(now, from, ask, out);
+        if !self.lenders.is_empty() && holding.can_draw() && !is_leaving && !from_holder {
+            self.handle_loan_request(now, from, request, out);
             return;
         }
-        // Of two that both lack tokens, the one with the lower number collects.
+        // If both lack tokens, the one with the lower incarnation keeps those it needs.
         let collects = matches!(holding.plan, HoldingPlan::Collect(_));
-        if self.maker.sealing.is_some() {
+        if self.local.sealing.is_some() {
             holding.unseal_due(now);
         }
-        let keep = if collects || self.me < from { holding.wanted() } else { Tokens::ZERO };
-        let spare = holding.ready().saturating_sub(keep);
-        // Who asks again and again gets more at once than what is ready for the next moment.
-        let times = if collects || self.lenders.is_empty() { 1 } else { LUMP };
-        let wish = need.saturating_add(ask.extra);
-        let lump = wish.part(times, 1);
-        if spare < lump && holding.ready() < holding.free {
-            holding.owed.retain(|(to, _)| *to != from);
-            holding.owed.push((from, ask.clone()));
-            self.touched.insert(budget);
+        let keep = if collects || self.me < from { holding.total_need() } else { Tokens::ZERO };
+        let spare = holding.available().saturating_sub(keep);
+        // A holder that asks repeatedly gets more at once than the tokens kept available here.
+        let factor = if collects || self.lenders.is_empty() { 1 } else { BATCH_FACTOR };
+        let wanted = need.saturating_add(request.extra);
+        let batch = wanted.part(factor, 1);
+        if spare < batch && holding.available() < holding.free {
+            holding.deferred.retain(|(to, _)| *to != from);
+            holding.deferred.push((from, request.clone()));
+            self.changed.insert(budget);
             self.process_changed(now, out);
             return;
         }
-        if spare.is_zero() || (collects && spare < ask.need) {
-            let answer = if holding.borrows() || leaves {
-                nothing(need, NoTokensReason::NotHolder)
-            } else if holding.may_give(now, need) {
-                nothing(holding.within_reach(now), NoTokensReason::Reserved(COME_BACK))
+        if spare.is_zero() || (collects && spare < request.need) {
+            let answer = if holding.is_borrower() || is_leaving {
+                no_tokens(need, NoTokensReason::NotHolder)
+            } else if holding.can_give(now, need) {
+                no_tokens(holding.max_available(now), NoTokensReason::Reserved(RETRY_AFTER))
             } else {
-                nothing(need, NoTokensReason::Spent)
+                no_tokens(need, NoTokensReason::Spent)
             };
             out.send(from, answer);
             return;
         }
-        let more = if collects { Tokens::ZERO } else { spare.part(1, 4).min(wish.part(LUMP, 1)) };
-        let amount = holding.take(wish.max(more).min(spare));
-        // Whoever gave the last it had must not be waited for.
+        let surplus = if collects {
+            Tokens::ZERO
+        } else {
+            spare.part(1, 4).min(wanted.part(BATCH_FACTOR, 1))
+        };
+        let amount = holding.take(wanted.max(surplus).min(spare));
+        // A holder that has given its last tokens must not be waited for.
         let rest = need.saturating_sub(amount);
-        let has_more = spare > amount || holding.may_give(now, rest);
-        self.transfers.give(now, from, &budget, period, (amount, has_more), out);
+        let has_more = spare > amount || holding.can_give(now, rest);
+        self.transfers.send_new(now, from, &budget, period, (amount, has_more), out);
     }
 
-    /// Takes in the answer of a holder that has nothing to give.
+    /// Handles the answer of a holder that has no tokens to give.
     pub fn handle_no_tokens(
         &mut self,
         now: Time,
         from: Incarnation,
         budget: &BudgetId,
-        (need, lack): (Tokens, NoTokensReason),
+        (need, reason): (Tokens, NoTokensReason),
         out: &mut Outbox,
     ) {
-        let may_have =
-            if matches!(lack, NoTokensReason::Reserved(_)) { need } else { Tokens::ZERO };
-        self.answered(from, budget, may_have);
+        let max_available =
+            if matches!(reason, NoTokensReason::Reserved(_)) { need } else { Tokens::ZERO };
+        self.record_peer_answer(from, budget, max_available);
         if let Some(holding) = self.table.get_mut(budget) {
-            holding.coming.answered(now, from);
+            holding.pending_loans.record_answer(now, from);
         }
-        if self.is_refused_by_lender(from, budget, lack) {
-            self.refuse_borrowing(now, budget, need, lack);
+        if self.is_refused_by_lender(from, budget, reason) {
+            self.apply_lender_refusal(now, budget, need, reason);
             return;
         }
-        self.skip_lender(now, budget, out);
-        self.next_search(now, budget, out);
+        self.try_next_lender(now, budget, out);
+        self.advance_search(now, budget, out);
     }
 
-    /// Takes in tokens of another holder; tells whether to acknowledge them.
+    /// Applies a transfer from another holder. Returns whether to acknowledge it.
     pub fn receive_transfer(
         &mut self,
         now: Time,
@@ -111,57 +115,59 @@
         transfer: &Transfer,
         out: &mut Outbox,
     ) -> bool {
-        // A removed giver may have been counted before its record was dropped.
+        // A transfer of a removed sender may have been counted already: the sequence numbers received
+        // from it are forgotten when it leaves the view.
         if !self.view.has(from) {
             return false;
         }
         let Some(holding) = self.table.get_mut(&transfer.budget) else {
             return false;
         };
-        if transfer.period > holding.terms.period || holding.life == Life::Closed {
+        if transfer.period > holding.terms.period || holding.state == HoldingState::Closed {
             return false;
         }
-        let new = self.transfers.is_new(from, transfer);
-        if new && transfer.period == holding.terms.period {
+        let is_new = self.transfers.record_received(from, transfer);
+        if is_new && transfer.period == holding.terms.period {
             holding.free = holding.free.saturating_add(transfer.amount);
-            if holding.lent.is_some() && holding.search.is_none() {
-                // What a borrower gives back was lent before, and was no demand: counted as such
-                // it made lenders draw half of a budget for an account that used a tenth.
-                holding.giving.come_back(transfer.amount);
+            if holding.lent_at.is_some() && holding.search.is_none() {
+                // Tokens returned by a borrower were counted as demand when they were lent, but
+                // were not used. Left in the demand, they made lenders draw half of a budget for an
+                // account that used a tenth.
+                holding.returns.record_returned(transfer.amount);
                 holding.meter.uncount(now, transfer.amount);
             }
-            holding.forget_refusals();
+            holding.clear_refusals();
             holding.used_at = now;
-            holding.coming.answered(now, from);
-            self.touched.insert(transfer.budget.clone());
-            self.mute.remove(&from);
-            // How much more a giver has it does not say.
-            let may_have = if transfer.has_more { Tokens::MAX } else { Tokens::ZERO };
-            self.answered(from, &transfer.budget, may_have);
+            holding.pending_loans.record_answer(now, from);
+            self.changed.insert(transfer.budget.clone());
+            self.silent_lenders.remove(&from);
+            // A transfer does not say how many more tokens its sender has.
+            let max_available = if transfer.has_more { Tokens::MAX } else { Tokens::ZERO };
+            self.record_peer_answer(from, &transfer.budget, max_available);
             self.serve_waiters(now, &transfer.budget);
-            self.ask_rest(now, from, &transfer.budget, out);
-            self.next_search(now, &transfer.budget, out);
+            self.request_remaining(now, from, &transfer.budget, out);
+            self.advance_search(now, &transfer.budget, out);
         }
         true
     }
 
-    /// Notes that a transfer arrived.
+    /// Records that a transfer has arrived.
     pub fn confirm_transfer(&mut self, now: Time, from: Incarnation, seq: u64) {
-        self.transfers.acknowledged(now, from, seq);
+        self.transfers.record_ack(now, from, seq);
     }
 
-    /// Keeps amounts that another holder parks here; returns what to acknowledge.
+    /// Records amounts that another holder parks here. Returns those to acknowledge.
     pub fn accept_parked(&mut self, from: Incarnation, items: &[ParkItem]) -> Vec<ParkItem> {
-        let mut kept = Vec::new();
+        let mut accepted = Vec::new();
         for item in items {
-            if self.bank.set(&self.view, from, item) {
-                kept.push(item.clone());
+            if self.witness.record(&self.view, from, item) {
+                accepted.push(item.clone());
             }
         }
-        kept
+        accepted
     }
 
-    /// Takes in the bank's acknowledgement of parked amounts.
+    /// Applies the witness's acknowledgement of parked amounts.
     pub fn confirm_parked(
         &mut self,
         now: Time,
@@ -174,18 +180,18 @@
                 continue;
             };
             let parked = &mut holding.parked;
-            let expected = parked.bank == Some(from)
+            let is_expected = parked.witness == Some(from)
                 && parked.seq == item.seq
                 && parked.sent.is_some_and(|(total, _)| total == item.total);
-            if !expected || holding.terms.period != item.period {
+            if !is_expected || holding.terms.period != item.period {
                 continue;
             }
             parked.total = item.total;
             parked.sent = None;
-            self.touched.insert(item.budget.clone());
+            self.changed.insert(item.budget.clone());
             self.serve_waiters(now, &item.budget);
-            self.pay_owed(now, &item.budget, out);
-            self.next_search(now, &item.budget, out);
+            self.answer_deferred(now, &item.budget, out);
+            self.advance_search(now, &item.budget, out);
         }
     }
 }
--- a/crates/badgerfield-core/src/holdings/promises.rs
+++ b/crates/badgerfield-core/src/holdings/promises.rs
@@ -1,96 +1,103 @@
-//! What a holder has promised the ledger not to touch, and how much of that still holds.
+//! Promises of a holder to the ledger that sealed tokens stay unspent, and how much of them still
+//! holds.
 
 use std::time::Duration;
 
 use crate::amount::{Time, Tokens};
 use crate::seal::{falls_after, promised};
 
-/// One promise, as the ledger may have it on record.
+/// A promise that the ledger may have on record.
 #[derive(Debug, Clone, Copy)]
 struct Promise {
     amount: Tokens,
-    /// When it was said.
-    said: Time,
+    /// When the promise was made.
+    made_at: Time,
 }
 
 impl Promise {
-    fn left(self, now: Time) -> Tokens {
-        promised(self.amount, now.since(self.said))
+    fn remaining(self, now: Time) -> Tokens {
+        promised(self.amount, now.since(self.made_at))
     }
 
-    /// Returns after how long no more than so much of it is left.
-    fn falls_to(self, now: Time, least: Tokens) -> Duration {
-        falls_after(self.amount, least).saturating_sub(now.since(self.said))
+    /// Returns after how long at most `limit` tokens of the promise remain.
+    fn time_until_at_most(self, now: Time, limit: Tokens) -> Duration {
+        falls_after(self.amount, limit).saturating_sub(now.since(self.made_at))
     }
 }
 
 /// The promises that the ledger may have on record.
 ///
-/// While a change is under way nobody here knows which of its sendings the ledger has taken in, or
-/// whether it has the change before still: all of them are kept.
+/// While an operation is pending, this process does not know which of its sendings the ledger has
+/// applied, or whether the ledger still has the previous operation. Hence the promises of all of
+/// them are kept.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Promises {
-    /// Those of the last change that was answered.
+    /// The promises of the last operation that was answered.
     confirmed: Vec<Promise>,
-    /// Those of the change under way: of its first sending and of its last.
-    under_way: Vec<Promise>,
+    /// The promises of the pending operation: of its first and of its last sending.
+    pending: Vec<Promise>,
 }
 
 impl Promises {
-    /// Notes the promise of a new change.
-    pub(super) fn say(&mut self, now: Time, amount: Tokens) {
-        self.under_way = vec![Promise { amount, said: now }];
+    /// Records the promise of a new operation.
+    pub(super) fn record_pending(&mut self, now: Time, amount: Tokens) {
+        self.pending = vec![Promise { amount, made_at: now }];
     }
 
-    /// Notes that the change under way is sent again and promises only what it hands out.
-    pub(super) fn say_again(&mut self, now: Time) {
-        self.under_way.truncate(1);
-        self.under_way.push(Promise { amount: Tokens::ZERO, said: now });
+    /// Records that the pending operation is sent again, promising only the tokens that it grants.
+    pub(super) fn record_resend(&mut self, now: Time) {
+        self.pending.truncate(1);
+        self.pending.push(Promise { amount: Tokens::ZERO, made_at: now });
     }
 
-    /// Notes that a new change promises nothing.
-    pub(super) fn say_nothing(&mut self) {
-        self.under_way.clear();
+    /// Records that a new operation promises nothing.
+    pub(super) fn clear_pending(&mut self) {
+        self.pending.clear();
     }
 
-    /// Tells whether the change under way promises what it hands out.
-    pub(super) fn is_said(&self) -> bool {
-        !self.under_way.is_empty()
+    /// Returns whether the pending operation promises the tokens that it grants.
+    pub(super) fn has_pending(&self) -> bool {
+        !self.pending.is_empty()
     }
 
-    /// Notes that the change under way was answered, and how much of what it handed out is sealed.
+    /// Records that the pending operation was answered and granted `sealed` sealed tokens.
     pub(super) fn confirm(&mut self, sealed: Tokens) {
-        self.confirmed = std::mem::take(&mut self.under_way);
+        self.confirmed = std::mem::take(&mut self.pending);
         for promise in &mut self.confirmed {
             promise.amount = promise.amount.saturating_add(sealed);
         }
     }
 
-    /// Returns how much must stay untouched of what is sealed and what the change under way gives
-    /// back of it, should the ledger have the change before.
+    /// Returns how many tokens must stay unspent if the ledger has the previous operation on
+    /// record. They include those that the pending operation returns.
     pub(super) fn confirmed(&self, now: Time) -> Tokens {
-        most(&self.confirmed, now)
+        max_remaining(&self.confirmed, now)
     }
 
-    /// Returns how much must stay untouched of what is sealed, should the ledger have the change
-    /// under way.
-    pub(super) fn under_way(&self, now: Time) -> Tokens {
-        most(&self.under_way, now)
+    /// Returns how many sealed tokens must stay unspent if the ledger has the pending operation on
+    /// record.
+    pub(super) fn pending(&self, now: Time) -> Tokens {
+        max_remaining(&self.pending, now)
     }
 
-    /// Returns after how long no more than `sealed` must stay untouched, where the change under way
-    /// gives back `returning` of what was promised before.
-    pub(super) fn fall_to(&self, now: Time, sealed: Tokens, returning: Tokens) -> Duration {
-        let confirmed = falls_to(&self.confirmed, now, sealed.saturating_add(returning));
-        confirmed.max(falls_to(&self.under_way, now, sealed))
+    /// Returns after how long at most `sealed` tokens must stay unspent if the pending operation
+    /// returns `returning` tokens that were promised before.
+    pub(super) fn time_until_at_most(
+        &self,
+        now: Time,
+        sealed: Tokens,
+        returning: Tokens,
+    ) -> Duration {
+        let confirmed = time_until_at_most(&self.confirmed, now, sealed.saturating_add(returning));
+        confirmed.max(time_until_at_most(&self.pending, now, sealed))
     }
 }
 
-/// Returns after how long none of the promises holds for more than so much.
-fn falls_to(promises: &[Promise], now: Time, least: Tokens) -> Duration {
-    promises.iter().map(|promise| promise.falls_to(now, least)).max().unwrap_or_default()
+/// Returns after how long none of the promises covers more than `limit` tokens.
+fn time_until_at_most(promises: &[Promise], now: Time, limit: Tokens) -> Duration {
+    promises.iter().map(|promise| promise.time_until_at_most(now, limit)).max().unwrap_or_default()
 }
 
-fn most(promises: &[Promise], now: Time) -> Tokens {
-    promises.iter().map(|promise| promise.left(now)).max().unwrap_or_default()
+fn max_remaining(promises: &[Promise], now: Time) -> Tokens {
+    promises.iter().map(|promise| promise.remaining(now)).max().unwrap_or_default()
 }
--- a/crates/badgerfield-core/src/holdings/requests.rs
+++ b/crates/badgerfield-core/src/holdings/requests.rs
@@ -1,6 +1,6 @@
-//! What requests do to holdings: set tokens aside, wait for them, and settle.
+//! Reservations of requests: reserving tokens, waiting for them, and settling.
 
-use super::waiting::{Queued, Waiter, Wanter};
+use super::waiting::{QueueOutcome, Requester, Waiter};
 use super::{Holdings, ReserveDecision, ReserveOutcome};
 use crate::amount::{Time, Tokens};
 use crate::event::Outbox;
@@ -8,7 +8,7 @@
 use crate::refusal::{Cause, Refusal};
 
 impl Holdings {
-    /// Sets tokens aside for a request, now or later.
+    /// Reserves tokens for a request, at once or later.
     pub fn reserve(
         &mut self,
         now: Time,
@@ -16,49 +16,50 @@
         waiter: (RunId, Tokens, Time),
         out: &mut Outbox,
     ) -> ReserveOutcome {
-        let (run, need, until) = waiter;
+        let (run, need, deadline) = waiter;
         let Some(holding) = self.table.get_mut(budget) else {
             return ReserveOutcome::Refused(Refusal::not_run(Cause::BudgetSpent));
         };
-        holding.largest = holding.largest.max(need);
+        holding.largest_request = holding.largest_request.max(need);
         if self.lenders.is_empty() {
-            // Where a few hold for all, what each holds is many requests' worth by its rate alone.
-            holding.requests.count(now, need);
+            // Where a few processes hold the budget for all, their rate alone gives each of them
+            // enough for many requests.
+            holding.request_sizes.record(now, need);
         }
-        if holding.ready() < need && self.maker.sealing.is_some() {
+        if holding.available() < need && self.local.sealing.is_some() {
             holding.unseal_due(now);
         }
         if need > holding.terms.limit {
             return ReserveOutcome::Refused(Refusal::not_run(Cause::BudgetSpent));
         }
-        if holding.set_aside(now, need) {
+        if holding.reserve(now, need) {
             let period = holding.terms.period;
-            self.touched.insert(budget.clone());
-            self.borrow_ahead(now, budget, out);
+            self.changed.insert(budget.clone());
+            self.prefetch_tokens(now, budget, out);
             return ReserveOutcome::Reserved(period);
         }
-        let waiter = Waiter { wanter: Wanter::Run(run), need, until };
-        match holding.queue(now, waiter) {
-            Queued::Refused(refusal) => return ReserveOutcome::Refused(refusal),
-            Queued::WaitsOn => {
+        let waiter = Waiter { requester: Requester::Run(run), need, deadline };
+        match holding.enqueue(now, waiter) {
+            QueueOutcome::Refused(refusal) => return ReserveOutcome::Refused(refusal),
+            QueueOutcome::Waiting => {
                 self.busy.insert(budget.clone());
             }
-            Queued::Searches => self.pursue(now, budget, out),
+            QueueOutcome::Searching => self.start_search(now, budget, out),
         }
         ReserveOutcome::Waiting
     }
 
-    /// Drops a request that waits for tokens; tells whether it waited.
+    /// Removes a request that waits for tokens. Returns whether it was waiting.
     pub fn cancel_request(&mut self, budget: &BudgetId, run: RunId) -> bool {
         let Some(holding) = self.table.get_mut(budget) else {
             return false;
         };
         let before = holding.waiters.len();
-        holding.waiters.retain(|w| w.wanter != Wanter::Run(run));
+        holding.waiters.retain(|w| w.requester != Requester::Run(run));
         before != holding.waiters.len()
     }
 
-    /// Ends a reservation: what was not used is free again.
+    /// Ends a reservation. Unused tokens become free again.
     pub fn settle(
         &mut self,
         now: Time,
@@ -78,16 +79,16 @@
         holding.reserved = holding.reserved.saturating_sub(reserved);
         let rest = reserved.saturating_sub(used);
         holding.free = holding.free.saturating_add(rest);
-        // An upstream that ignores its limit eats into what is held.
+        // An upstream that ignores its token limit uses up other tokens of the holding.
         holding.write_off(excess);
-        holding.giving.come_back(rest);
+        holding.returns.record_returned(rest);
         holding.meter.count(now, used);
         holding.used_at = now;
-        self.touched.insert(budget.clone());
+        self.changed.insert(budget.clone());
         self.serve_waiters(now, budget);
     }
 
-    /// Counts a charge as billed, or as used up for a key that another process bills.
+    /// Counts a charge as billed, or as wasted if another process bills the key.
     pub fn record_charge(&mut self, budget: &BudgetId, period: Period, cost: Tokens, billed: bool) {
         let Some(holding) = self.table.get_mut(budget) else {
             return;
@@ -99,7 +100,7 @@
         *sum = sum.saturating_add(cost);
     }
 
-    /// Takes the answers to requests that waited.
+    /// Takes the decisions on requests that waited.
     pub fn take_decisions(&mut self) -> Vec<ReserveDecision> {
         std::mem::take(&mut self.decisions)
     }
--- a/crates/badgerfield-node/src/gateway/dispatch.rs
+++ b/crates/badgerfield-node/src/gateway/dispatch.rs
@@ -1,4 +1,5 @@
-//! Step 5 of a request: it is sent to an upstream, and to another where that is allowed.
+//! Step 5 of a request: it is sent to an upstream, and to another one where the route allows
+//! retries.
 
 use std::time::Duration;
 
@@ -9,252 +10,276 @@
 use hyper::StatusCode;
 
 use crate::adapter::UpstreamHeaders;
-use crate::gateway::attempt::{Answered, AttemptEnd, BROKEN, UpstreamHold, attempt};
-use crate::gateway::flow::{Exchange, Sending};
-use crate::gateway::record;
+use crate::gateway::attempt::{AttemptEnd, BROKEN, UpstreamGuard, UpstreamResponse, attempt};
+use crate::gateway::exchange::{Exchange, LastDispatch};
+use crate::gateway::request_log;
 
-/// The least time in which an upstream can be asked for anything.
-const LEAST_TIME: Duration = Duration::from_millis(15);
-/// How many upstreams may be unreachable before a request is given up.
+/// The minimum time for an attempt: with less time left, no upstream is tried.
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(15);
+/// The maximum number of unreachable upstreams before a request is refused.
 const MAX_UNREACHABLE: u32 = 4;
-/// How many times the objective an idempotent request waits for one upstream's answer.
-const PATIENCE: u32 = 2;
-/// The bytes that an answer's token takes with its part of an event's frame: some four letters,
-/// and as much around them where an event holds a few tokens.
-const TOKEN_BYTES: u64 = 8;
-/// The bytes that a plain answer is expected to have, its head included.
-const PLAIN_BYTES: u64 = 1000;
-/// The part of an upstream's connections, in hundredths, that all VMs together use.
-const CONNECTION_PERCENT: u64 = 80;
+/// The timeout for the response of one upstream to an idempotent request, in multiples of the
+/// objective.
+const OBJECTIVE_TIMEOUT_FACTOR: u32 = 2;
+/// The bytes of a token in a response, with its share of the event framing: about four letters, and
+/// as much framing where an event holds a few tokens.
+const BYTES_PER_TOKEN: u64 = 8;
+/// The expected size of a plain response with its head, in bytes.
+const PLAIN_RESPONSE_BYTES: u64 = 1000;
+/// The share of an upstream's connections that all VMs together may use, in percent.
+const MAX_CONNECTION_PERCENT: u64 = 80;
 
 impl Exchange {
-    /// Sends the request to upstreams until one answers.
+    /// Sends the request to upstreams until one responds.
     ///
     /// # Errors
     ///
-    /// Returns the refusal that is the request's final answer.
-    pub(crate) async fn dispatch(&mut self, last: Option<u64>) -> Result<Box<Answered>, Refusal> {
+    /// Returns the refusal that ends the request.
+    pub(crate) async fn dispatch(
+        &mut self,
+        last_event: Option<u64>,
+    ) -> Result<Box<UpstreamResponse>, Refusal> {
         let mut unreachable = 0;
         loop {
             let now = self.now();
-            let vms = self.driver.node.member_count();
-            if let Err(cause) = self.check_tries(now, vms, unreachable) {
-                return Err(self.give_up(cause));
+            let vm_count = self.driver.node.member_count();
+            if let Err(cause) = self.check_attempts(now, vm_count, unreachable) {
+                return Err(self.final_refusal(cause));
             }
-            let left = self.ends.since(now);
-            let chosen = match self.choose(now, vms, last.is_some()) {
+            let remaining = self.deadline.since(now);
+            let chosen = match self.choose(now, vm_count, last_event.is_some()) {
                 Ok(chosen) => chosen,
-                Err(cause) => return Err(self.give_up(cause)),
+                Err(cause) => return Err(self.final_refusal(cause)),
             };
             if self.attempts > 0 {
-                self.gateway.retries().try_take(now, &self.service, vms);
+                self.gateway.retries().try_take(now, &self.service, vm_count);
             }
             self.tried.push(chosen.id.clone());
-            let terms = UpstreamHeaders {
+            let headers = UpstreamHeaders {
                 upstream: &chosen.id,
-                remaining: left,
+                remaining,
                 account: self.caller.as_ref().map(|caller| &caller.account),
                 rank: self.rank(),
-                last_event: last,
+                last_event,
                 fetch_from: None,
             };
-            self.sent = Sending { at: now, life: self.life_of(&chosen.id) };
-            self.unread = chosen.uncached_tokens.saturating_add(self.own_tokens());
-            self.timing.note_sent(self.took());
-            // Only engines read prompts; what waits elsewhere is counted as under way.
-            let reading = self.spec.engine.as_ref().map(|_| self.unread);
+            self.last_dispatch =
+                LastDispatch { at: now, prior_crashes: self.crash_count(&chosen.id) };
+            self.uncached_tokens = chosen.uncached_tokens.saturating_add(self.unshared_tokens());
+            self.timing.record_sent(self.elapsed());
+            // Only engines read prompts. At plain services, waiting requests count as in flight.
+            let engine_tokens = self.spec.engine.as_ref().map(|_| self.uncached_tokens);
             let (driver, gateway) = (&self.driver, &self.gateway);
-            let hold = UpstreamHold::new(driver, gateway, &chosen, reading, &self.route);
-            self.trying = Some((chosen.id.clone(), chosen.address));
-            let given_up = self.until_given_up(left, last.is_some());
-            let end = attempt(hold, &self.original, &terms, given_up, self.until_blocked()).await;
-            self.trying = None;
+            let guard = UpstreamGuard::new(driver, gateway, &chosen, engine_tokens, &self.route);
+            self.current_upstream = Some((chosen.id.clone(), chosen.address));
+            let timed_out = self.wait_until_timeout(remaining, last_event.is_some());
+            let end =
+                attempt(guard, &self.original, &headers, timed_out, self.until_blocked()).await;
+            self.current_upstream = None;
             let outcome = match end {
-                AttemptEnd::Answered(answered) => {
+                AttemptEnd::Answered(response) => {
                     self.attempts += 1;
                     self.may_have_run = true;
-                    self.timing.head = Some(self.took());
+                    self.timing.head = Some(self.elapsed());
                     self.version.clone_from(&chosen.version);
-                    self.note_answered(&chosen.id, self.now().since(now));
-                    if answered.head.status.is_server_error() && self.may_try_again(vms) {
-                        let mut answered = answered;
-                        answered.hold.note_failed();
+                    self.record_response_time(&chosen.id, self.now().since(now));
+                    if response.head.status.is_server_error() && self.can_retry(vm_count) {
+                        let mut response = response;
+                        response.guard.record_failure();
                         "failed"
                     } else {
-                        self.note_prompt(answered.head.status);
-                        return Ok(answered);
+                        self.record_prompt(response.head.status);
+                        return Ok(response);
                     }
                 }
-                AttemptEnd::NotSent(why) => {
+                AttemptEnd::NotSent(reason) => {
                     unreachable += 1;
                     self.gateway.replicas().undo_sent(&chosen.id, &self.route.name);
-                    why
+                    reason
                 }
                 AttemptEnd::NotRun(status) => {
                     self.attempts += 1;
-                    self.note_not_run(&chosen.id, status);
-                    not_run_word(status)
+                    self.record_rejection(&chosen.id, status);
+                    not_run_outcome(status)
                 }
-                AttemptEnd::Broken(why) => {
+                AttemptEnd::Broken(reason) => {
                     self.attempts += 1;
                     self.may_have_run = true;
-                    let has_ended =
-                        why == BROKEN && self.note_broken(&chosen.id, chosen.address, last).await;
-                    self.unseen |= !has_ended;
-                    why
+                    let has_crashed = reason == BROKEN
+                        && self.detect_crash(&chosen.id, chosen.address, last_event).await;
+                    self.has_unseen_output |= !has_crashed;
+                    reason
                 }
             };
             let id = &self.original.id;
-            record::attempt_failed(id, self.attempts, &chosen.id, outcome, self.now().since(now));
+            request_log::attempt_failed(
+                id,
+                self.attempts,
+                &chosen.id,
+                outcome,
+                self.now().since(now),
+            );
             if self.may_have_run && !self.route.repeat.is_idempotent() {
-                let late = self.ends <= self.now();
-                return Err(self.give_up(if late { Cause::OutOfTime } else { Cause::BrokenOff }));
+                let late = self.deadline <= self.now();
+                return Err(self.final_refusal(if late {
+                    Cause::OutOfTime
+                } else {
+                    Cause::BrokenOff
+                }));
             }
         }
     }
 
-    /// Tells whether another upstream may be tried, after so many that could not be reached.
-    fn check_tries(&self, now: Time, vms: usize, unreachable: u32) -> Result<(), Cause> {
-        if self.ends.since(now) < LEAST_TIME {
+    /// Returns whether another upstream may be tried, given the number of unreachable ones so far.
+    fn check_attempts(&self, now: Time, vm_count: usize, unreachable: u32) -> Result<(), Cause> {
+        if self.deadline.since(now) < MIN_ATTEMPT_TIME {
             return Err(Cause::OutOfTime);
         }
-        if !self.has_tries() || unreachable >= MAX_UNREACHABLE {
+        if !self.has_attempts_left() || unreachable >= MAX_UNREACHABLE {
             return Err(Cause::TriesSpent);
         }
-        let is_repeat = self.attempts > 0;
-        if is_repeat && self.gateway.retries().remaining(now, &self.service, vms) < 1.0 {
+        let is_retry = self.attempts > 0;
+        if is_retry && self.gateway.retries().remaining(now, &self.service, vm_count) < 1.0 {
             return Err(Cause::TriesSpent);
         }
         Ok(())
     }
 
-    /// Returns the regions in which it may be served, by the version that it was let in with
-    /// and by the newest.
-    fn residency(&self) -> Residency {
+    /// Returns the regions in which the request may be served, by the template version of its
+    /// admission and by the newest one.
+    fn current_residency(&self) -> Residency {
         let newest = self.gateway.in_force();
         self.admission.current_residency(newest.version, || {
-            // The caller's head may have lost its host: what concerns one connection is dropped.
+            // The head may have lost its host, because headers of a single connection are removed.
             let path = self.original.head.uri.path();
             let account = self.caller.as_ref().map(|caller| &caller.account);
             newest.table.residency_at(&self.route.host, path, account)
         })
     }
 
-    fn choose(&self, now: Time, vms: usize, resumes: bool) -> Result<ChosenUpstream, Cause> {
-        let residency = self.residency();
-        // What is chosen is begun under the same lock: what a cold upstream may get is counted.
-        let mut replicas = self.gateway.replicas();
-        replicas.record_request(now, &self.service);
-        if let Err(fault) = residency.check(replicas.regions()) {
-            drop(replicas);
-            record::outside(&self.original.id, &self.route.name, &fault, self.admission.version);
+    fn choose(&self, now: Time, vm_count: usize, is_resume: bool) -> Result<ChosenUpstream, Cause> {
+        let residency = self.current_residency();
+        // Choosing an upstream and starting the request happen under the same lock, because the
+        // requests that a cold upstream may get are counted.
+        let mut upstreams = self.gateway.replicas();
+        upstreams.record_request(now, &self.service);
+        if let Err(fault) = residency.check(upstreams.regions()) {
+            drop(upstreams);
+            request_log::outside(
+                &self.original.id,
+                &self.route.name,
+                &fault,
+                self.admission.version,
+            );
             return Err(Cause::RegionUnknown);
         }
-        let alike = self.check_standing()?;
-        let wanted = self.wanted(&residency, alike, vms, resumes);
-        let chosen = replicas.choose(now, &wanted).ok_or(Cause::NoUpstream)?;
-        let list = replicas.last_update();
-        replicas.start_request(now, &chosen.id, &self.terms.parts);
-        replicas.record_sent(now, &wanted, &chosen.id);
-        drop(replicas);
+        let rendezvous_key = self.check_poison()?;
+        let criteria = self.criteria(&residency, rendezvous_key, vm_count, is_resume);
+        let chosen = upstreams.choose(now, &criteria).ok_or(Cause::NoUpstream)?;
+        let list = upstreams.last_update();
+        upstreams.start_request(now, &chosen.id, &self.headers.parts);
+        upstreams.record_sent(now, &criteria, &chosen.id);
+        drop(upstreams);
         self.driver.gateway_counts().count_sent(chosen.distance, chosen.crossing);
-        record::chosen(&self.original.id, self.attempts + 1, &chosen, list, now);
+        request_log::chosen(&self.original.id, self.attempts + 1, &chosen, list, now);
         Ok(chosen)
     }
 
-    /// Returns what is wanted of an upstream.
-    fn wanted<'a>(
+    /// Returns the criteria for choosing an upstream.
+    fn criteria<'a>(
         &'a self,
         residency: &'a Residency,
-        alike: Option<u64>,
-        vms: usize,
-        resumes: bool,
+        rendezvous_key: Option<u64>,
+        vm_count: usize,
+        is_resume: bool,
     ) -> UpstreamCriteria<'a> {
-        let vms = u64::try_from(vms).unwrap_or(u64::MAX).saturating_add(1);
-        let connections = u64::from(self.spec.connections) * CONNECTION_PERCENT / 100 / vms;
+        let vm_count = u64::try_from(vm_count).unwrap_or(u64::MAX).saturating_add(1);
+        let connections =
+            u64::from(self.spec.connections) * MAX_CONNECTION_PERCENT / 100 / vm_count;
         UpstreamCriteria {
-            rendezvous_key: alike,
+            rendezvous_key,
             service: &self.service,
             route: &self.route.name,
-            parts: &self.terms.parts,
-            bytes: self.bytes_across(),
+            parts: &self.headers.parts,
+            bytes: self.transfer_bytes(),
             residency,
             tried: &self.tried,
-            resumed_version: self.version.as_ref().filter(|_| resumes),
+            resumed_version: self.version.as_ref().filter(|_| is_resume),
             max_connections: u32::try_from(connections).unwrap_or(u32::MAX).max(2),
             random: rand::random(),
         }
     }
 
-    /// Waits until the upstream of the present try is given up because it says nothing.
+    /// Waits until the current attempt times out because its upstream is silent.
     ///
-    /// That is of use only if another can be tried then; otherwise the request may stand in the
-    /// upstream's queue, and is served late. Giving up without that cost 276 of 326 streams their
-    /// answer where few upstreams were left, and their budgets 4.4 million tokens.
-    async fn until_given_up(&self, left: Duration, resumes: bool) {
-        let (started, tries) = (self.now(), self.attempts + 1);
-        let ends = started.after(left);
-        let patience = self.route.objective.saturating_mul(PATIENCE);
-        let looks = self.route.repeat.is_idempotent() && !patience.is_zero();
-        while looks && self.now().after(patience) < ends {
-            let since = self.now();
-            self.driver.clock.sleep(patience).await;
-            if self.driver.clock.stood_still_since(since) {
-                // The upstream may have answered, and was not heard.
+    /// A timeout only helps if another upstream can be tried at that time. Otherwise the request
+    /// may be queued at the upstream and is served late. Timing out without an alternative cost 276
+    /// of 326 streams their response when few upstreams were left, and their budgets 4.4 million
+    /// tokens.
+    async fn wait_until_timeout(&self, remaining: Duration, is_resume: bool) {
+        let (started, attempts) = (self.now(), self.attempts + 1);
+        let deadline = started.after(remaining);
+        let timeout = self.route.objective.saturating_mul(OBJECTIVE_TIMEOUT_FACTOR);
+        let can_time_out = self.route.repeat.is_idempotent() && !timeout.is_zero();
+        while can_time_out && self.now().after(timeout) < deadline {
+            let wait_start = self.now();
+            self.driver.clock.sleep(timeout).await;
+            if self.driver.clock.stood_still_since(wait_start) {
+                // The upstream may have responded while this process was stalled.
                 continue;
             }
-            if self.has_another(tries, resumes) {
+            if self.has_other_upstream(attempts, is_resume) {
                 return;
             }
             let silent = self.now().since(started);
-            record::waits_on(&self.original.id, tries, self.tried.last(), silent);
+            request_log::waits_on(&self.original.id, attempts, self.tried.last(), silent);
         }
-        self.driver.clock.sleep_until(ends).await;
+        self.driver.clock.sleep_until(deadline).await;
     }
 
-    /// Tells whether another upstream can be tried now, after so many tries.
-    pub(crate) fn has_another(&self, tries: u32, resumes: bool) -> bool {
-        let (now, vms) = (self.now(), self.driver.node.member_count());
-        let is_left = self.gateway.retries().remaining(now, &self.service, vms) >= 1.0;
-        if !is_left || tries >= self.route.attempts {
+    /// Returns whether another upstream can be tried now, after `attempts` attempts.
+    pub(crate) fn has_other_upstream(&self, attempts: u32, is_resume: bool) -> bool {
+        let (now, vm_count) = (self.now(), self.driver.node.member_count());
+        let has_retries = self.gateway.retries().remaining(now, &self.service, vm_count) >= 1.0;
+        if !has_retries || attempts >= self.route.attempts {
             return false;
         }
-        let residency = self.residency();
-        let wanted = self.wanted(&residency, None, vms, resumes);
-        self.gateway.replicas().choose(now, &wanted).is_some()
+        let residency = self.current_residency();
+        let criteria = self.criteria(&residency, None, vm_count, is_resume);
+        self.gateway.replicas().choose(now, &criteria).is_some()
     }
 
-    /// Returns the rank of the request: that of its account goes before the route's.
+    /// Returns the rank of the request. The rank of the account overrides that of the route.
     fn rank(&self) -> u8 {
-        let own = self.caller.as_ref().and_then(|caller| caller.rank);
-        own.unwrap_or(self.route.rank)
+        let account_rank = self.caller.as_ref().and_then(|caller| caller.rank);
+        account_rank.unwrap_or(self.route.rank)
     }
 
-    fn may_try_again(&self, vms: usize) -> bool {
+    fn can_retry(&self, vm_count: usize) -> bool {
         let now = self.now();
         self.route.repeat.is_idempotent()
-            && self.has_tries()
-            && self.gateway.retries().remaining(now, &self.service, vms) >= 1.0
+            && self.has_attempts_left()
+            && self.gateway.retries().remaining(now, &self.service, vm_count) >= 1.0
     }
 
-    /// Returns how many bytes are expected to cross between this VM and an upstream: the
-    /// request's body and the answer.
-    fn bytes_across(&self) -> u64 {
+    /// Returns the expected number of bytes between this VM and an upstream: the body of the
+    /// request and the response.
+    fn transfer_bytes(&self) -> u64 {
         let body = u64::try_from(self.original.body.len()).unwrap_or(u64::MAX);
-        let answer = match self.terms.tokens {
-            Some((_, output)) => output.saturating_mul(TOKEN_BYTES),
-            None => PLAIN_BYTES,
+        let response = match self.headers.tokens {
+            Some((_, output)) => output.saturating_mul(BYTES_PER_TOKEN),
+            None => PLAIN_RESPONSE_BYTES,
         };
-        body.saturating_add(answer)
+        body.saturating_add(response)
     }
 
-    fn own_tokens(&self) -> u64 {
-        self.terms.parts.last().map_or(0, |part| part.tokens)
+    fn unshared_tokens(&self) -> u64 {
+        self.headers.parts.last().map_or(0, |part| part.tokens)
     }
 }
 
-/// Names why an upstream did not run a request.
-fn not_run_word(status: StatusCode) -> &'static str {
+/// Returns the log value for the reason why an upstream did not run a request.
+fn not_run_outcome(status: StatusCode) -> &'static str {
     match status {
         StatusCode::MISDIRECTED_REQUEST => "not_run_other_upstream",
         StatusCode::TOO_MANY_REQUESTS => "not_run_too_many",
--- a/crates/badgerfield-node/src/gateway/reservation.rs
+++ b/crates/badgerfield-node/src/gateway/reservation.rs
@@ -1,4 +1,4 @@
-//! Tokens set aside for one request: settled once, whatever becomes of the request.
+//! Tokens that are reserved for one request and settled exactly once, however the request ends.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 
 use crate::driver::Driver;
 
-/// Tokens that are set aside; what was not used is given back when this is dropped.
+/// Reserved tokens. Unused ones are returned on drop.
 #[derive(Debug)]
 pub(crate) struct Reservation {
     driver: Arc<Driver>,
@@ -22,39 +22,39 @@
 }
 
 impl Reservation {
-    /// Sets tokens aside, waiting for them until a given time.
+    /// Reserves tokens, waiting for them until a deadline.
     ///
     /// # Errors
     ///
-    /// Returns the refusal if there are none.
-    pub(crate) async fn make(
+    /// Returns the refusal if there are no tokens.
+    pub(crate) async fn acquire(
         driver: &Arc<Driver>,
         budget: &BudgetId,
         amount: Tokens,
-        until: Time,
+        deadline: Time,
     ) -> Result<Self, Refusal> {
         let (id, answer) = driver.await_reservation();
-        let ask = ReserveRequest { id, budget: budget.clone(), amount, deadline: until };
-        let mut wait = Wait { driver, ask: Some(ask.clone()), answer };
-        driver.feed(Event::Reserve(ask));
-        let result = (&mut wait.answer).await;
-        wait.ask = None;
+        let request = ReserveRequest { id, budget: budget.clone(), amount, deadline };
+        let mut pending = PendingReservation { driver, request: Some(request.clone()), answer };
+        driver.feed(Event::Reserve(request));
+        let result = (&mut pending.answer).await;
+        pending.request = None;
         let period = result.unwrap_or(Err(Refusal::not_run(Cause::Stopping)))?;
         let (driver, budget) = (Arc::clone(driver), budget.clone());
         Ok(Self { driver, budget, period, reserved: amount, used: Tokens::ZERO })
     }
 
-    /// Notes how much was used so far; less than before changes nothing.
-    pub(crate) fn used(&mut self, tokens: Tokens) {
+    /// Records the number of tokens used so far. A smaller number than before has no effect.
+    pub(crate) fn record_used(&mut self, tokens: Tokens) {
         self.used = self.used.max(tokens).min(self.reserved);
     }
 
-    /// Returns how much was noted as used.
-    pub(crate) fn spent(&self) -> Tokens {
+    /// Returns the recorded number of used tokens.
+    pub(crate) fn used(&self) -> Tokens {
         self.used
     }
 
-    /// Returns how much is set aside.
+    /// Returns the number of reserved tokens.
     pub(crate) fn reserved(&self) -> Tokens {
         self.reserved
     }
@@ -71,25 +71,25 @@
     }
 }
 
-/// The wait for an answer; gives the tokens back if the request goes meanwhile.
-struct Wait<'a> {
+/// A pending reservation. Dropping it cancels the reservation and returns its tokens.
+struct PendingReservation<'a> {
     driver: &'a Arc<Driver>,
-    ask: Option<ReserveRequest>,
+    request: Option<ReserveRequest>,
     answer: oneshot::Receiver<Result<Period, Refusal>>,
 }
 
-impl Drop for Wait<'_> {
+impl Drop for PendingReservation<'_> {
     fn drop(&mut self) {
-        let Some(ask) = self.ask.take() else {
+        let Some(request) = self.request.take() else {
             return;
         };
-        self.driver.feed(Event::CancelReserve(ask.clone()));
-        // The answer is there now: either the wish was withdrawn, or tokens had come.
+        self.driver.feed(Event::CancelReserve(request.clone()));
+        // The result is available now: the reservation was either cancelled or already made.
         if let Ok(Ok(period)) = self.answer.try_recv() {
             self.driver.feed(Event::ReservationEnded(ReservationEnd {
-                budget: ask.budget,
+                budget: request.budget,
                 period,
-                reserved: ask.amount,
+                reserved: request.amount,
                 used: Tokens::ZERO,
             }));
         }
--- a/crates/badgerfield-node/src/gateway/state.rs
+++ b/crates/badgerfield-node/src/gateway/state.rs
@@ -1,4 +1,4 @@
-//! What the gateway keeps between requests.
+//! The state that all requests of the gateway share.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -17,77 +17,78 @@
 use crate::gateway::connections::Connections;
 use crate::sync::lock;
 
-/// How many upstreams are watched at once that may end yet. Each takes a connection, of which an
-/// upstream has few when it is overloaded and breaks many off.
-const MAX_WATCHES: usize = 4;
+/// The maximum number of upstreams that are watched for a crash at once. Each watch takes a
+/// connection, and an overloaded upstream has few of them and closes many early.
+const MAX_CRASH_WATCHES: usize = 4;
 
-/// The routes in force, with the version that they came with.
+/// The routes in force, with the template version that they belong to.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct InForce {
+pub(crate) struct RouteSnapshot {
     pub(crate) version: TemplateVersion,
     pub(crate) table: Arc<RouteTable>,
 }
 
-/// The gateway's tables.
+/// The tables of the gateway.
 ///
-/// No two of the locks are held at once, and none across an `.await`.
+/// No two of the locks are held at the same time, and none across an `.await`.
 #[derive(Debug)]
 pub(crate) struct Gateway {
     pub(crate) adapter: RouteAdapter,
     pub(crate) connections: Arc<Connections>,
     pub(crate) clock: Arc<Clock>,
-    routes: Mutex<InForce>,
-    replicas: Mutex<UpstreamTable>,
+    routes: Mutex<RouteSnapshot>,
+    upstreams: Mutex<UpstreamTable>,
     retries: Mutex<RetryBudget>,
-    open: AtomicUsize,
+    open_requests: AtomicUsize,
     stopping: AtomicBool,
-    /// Whether any service is rolled out.
-    rolls_out: AtomicBool,
-    /// When a bad answer of a version that is rolled out was told of last.
-    told_at: Mutex<Option<Time>>,
-    /// How often lags of upstreams were noted for others.
-    turn: AtomicUsize,
-    /// Places for watches of upstreams that may end yet.
-    pub(crate) watches: Arc<Semaphore>,
-    /// How many requests were blocked so far: whoever sends one looks again when it changes.
+    /// Whether any service has a rollout.
+    has_rollouts: AtomicBool,
+    /// When a bad response of a rollout's target was last reported.
+    bad_answer_reported_at: Mutex<Option<Time>>,
+    /// How many delay reports have been prepared for peers.
+    delay_report_turn: AtomicUsize,
+    /// Permits for watching upstreams for a crash.
+    pub(crate) crash_watches: Arc<Semaphore>,
+    /// The number of requests blocked so far. Waiting requests check their own status when it
+    /// changes.
     blocked: watch::Sender<usize>,
 }
 
 impl Gateway {
-    pub(crate) fn new(adapter: RouteAdapter, bound: RetryLimits, clock: Arc<Clock>) -> Self {
+    pub(crate) fn new(adapter: RouteAdapter, limits: RetryLimits, clock: Arc<Clock>) -> Self {
         Self {
             adapter,
             connections: Arc::new(Connections::new(Arc::clone(&clock))),
             clock,
             routes: Mutex::default(),
-            replicas: Mutex::default(),
-            retries: Mutex::new(RetryBudget::new(bound)),
-            open: AtomicUsize::new(0),
+            upstreams: Mutex::default(),
+            retries: Mutex::new(RetryBudget::new(limits)),
+            open_requests: AtomicUsize::new(0),
             stopping: AtomicBool::new(false),
-            rolls_out: AtomicBool::new(false),
-            told_at: Mutex::default(),
-            turn: AtomicUsize::new(0),
-            watches: Arc::new(Semaphore::new(MAX_WATCHES)),
+            has_rollouts: AtomicBool::new(false),
+            bad_answer_reported_at: Mutex::default(),
+            delay_report_turn: AtomicUsize::new(0),
+            crash_watches: Arc::new(Semaphore::new(MAX_CRASH_WATCHES)),
             blocked: watch::Sender::new(0),
         }
     }
 
     /// Returns the routes in force.
-    pub(crate) fn in_force(&self) -> InForce {
+    pub(crate) fn in_force(&self) -> RouteSnapshot {
         lock(&self.routes).clone()
     }
 
-    /// Puts newer routes in force; never steps back.
+    /// Replaces the routes in force if the version is newer.
     pub(crate) fn put_in_force(&self, version: TemplateVersion, table: RouteTable) {
         let mut routes = lock(&self.routes);
         if version > routes.version {
-            *routes = InForce { version, table: Arc::new(table) };
+            *routes = RouteSnapshot { version, table: Arc::new(table) };
         }
     }
 
     /// Locks the table of upstreams.
     pub(crate) fn replicas(&self) -> MutexGuard<'_, UpstreamTable> {
-        lock(&self.replicas)
+        lock(&self.upstreams)
     }
 
     /// Locks the retry budget.
@@ -96,78 +97,78 @@
     }
 
     /// Counts a request as open until the guard is dropped.
-    pub(crate) fn open(self: &Arc<Self>) -> OpenRequest {
-        self.open.fetch_add(1, Ordering::Relaxed);
+    pub(crate) fn track_request(self: &Arc<Self>) -> OpenRequest {
+        self.open_requests.fetch_add(1, Ordering::Relaxed);
         OpenRequest { gateway: Arc::clone(self) }
     }
 
-    /// Returns how many requests are open.
+    /// Returns the number of open requests.
     pub(crate) fn open_count(&self) -> usize {
-        self.open.load(Ordering::Relaxed)
+        self.open_requests.load(Ordering::Relaxed)
     }
 
-    /// Returns the number of the next turn of noting lags.
+    /// Returns the sequence number of the next delay report.
     pub(crate) fn next_turn(&self) -> usize {
-        self.turn.fetch_add(1, Ordering::Relaxed)
+        self.delay_report_turn.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Notes that more requests are blocked.
+    /// Notifies waiting requests that `count` more requests are blocked.
     pub(crate) fn note_blocked(&self, count: usize) {
         self.blocked.send_modify(|blocked| *blocked += count);
     }
 
-    /// Returns a line that tells when more requests are blocked.
-    pub(crate) fn blocked(&self) -> watch::Receiver<usize> {
+    /// Returns a receiver that is notified when more requests are blocked.
+    pub(crate) fn subscribe_blocked(&self) -> watch::Receiver<usize> {
         self.blocked.subscribe()
     }
 
-    /// Tells whether any service is rolled out; else nothing is counted for that.
+    /// Returns whether any service has a rollout. Without one, no responses are counted.
     pub(crate) fn rolls_out(&self) -> bool {
-        self.rolls_out.load(Ordering::Relaxed)
+        self.has_rollouts.load(Ordering::Relaxed)
     }
 
-    /// Tells whether a bad answer may be told of at once, so long after the last one, and takes
-    /// it that it is.
-    pub(crate) fn may_tell(&self, now: Time, pause: Duration) -> bool {
-        let mut told_at = lock(&self.told_at);
-        let is_due = told_at.is_none_or(|at| now.since(at) >= pause);
+    /// Returns whether a bad response may be reported now, at least `interval` after the last
+    /// report, and records the report if so.
+    pub(crate) fn may_tell(&self, now: Time, interval: Duration) -> bool {
+        let mut reported_at = lock(&self.bad_answer_reported_at);
+        let is_due = reported_at.is_none_or(|at| now.since(at) >= interval);
         if is_due {
-            *told_at = Some(now);
+            *reported_at = Some(now);
         }
         is_due
     }
 
-    /// Divides requests between versions by these rules, and by no others; returns those that
-    /// are new or differ.
+    /// Replaces the rules that divide requests between versions. Returns the rules that are new or
+    /// have changed.
     pub(crate) fn set_rollouts(&self, rules: RolloutRules) -> Vec<RolloutRule> {
-        let mut replicas = self.replicas();
-        let news = replicas.apply_rule_set(rules);
-        self.rolls_out.store(!replicas.rollout_rules().is_empty(), Ordering::Relaxed);
-        news
+        let mut upstreams = self.replicas();
+        let changed = upstreams.apply_rule_set(rules);
+        self.has_rollouts.store(!upstreams.rollout_rules().is_empty(), Ordering::Relaxed);
+        changed
     }
 
-    /// Tells whether the process is stopping.
+    /// Returns whether the process is stopping.
     pub(crate) fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Notes that the process is stopping.
+    /// Marks the process as stopping.
     pub(crate) fn stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
 
-    /// Closes idle connections that are of no more use.
+    /// Closes idle connections that will not be reused.
     pub(crate) fn sweep(&self, now: Time) {
         self.connections.sweep(|id| self.is_usable(now, id));
     }
 
-    /// Tells whether an upstream may still get requests.
+    /// Returns whether an upstream may still receive requests.
     pub(crate) fn is_usable(&self, now: Time, id: &UpstreamId) -> bool {
         self.replicas().is_usable(now, id)
     }
 }
 
-/// An open request, counted while this lives.
+/// An open request, which is counted until this guard is dropped.
 #[derive(Debug)]
 pub(crate) struct OpenRequest {
     gateway: Arc<Gateway>,
@@ -175,6 +176,6 @@
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.gateway.open.fetch_sub(1, Ordering::Relaxed);
+        self.gateway.open_requests.fetch_sub(1, Ordering::Relaxed);
     }
 }
