--- a/crates/badgerfield-core/src/ledger.rs
+++ b/crates/badgerfield-core/src/ledger.rs
@@ -2,8 +2,8 @@
 //!
 //! A shard of the ledger is one value of the store with many budgets. A holder spends only tokens
 //! that were granted to it, so the sum of all spending stays within the limit, whatever happens to
-//! messages, replies, leases or clocks. Every change carries the holder's own sequence number: a
-//! change that is applied twice, or sent again after its reply was lost, takes effect once.
+//! messages, replies, leases or clocks. Every operation carries the holder's own sequence number: an
+//! operation that is applied twice, or sent again after its reply was lost, takes effect once.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -18,8 +18,8 @@
 
 /// The base of the horizon, which is the span of demand that a holder may hold ahead.
 ///
-/// The horizon is twice this span at a holder's first change and doubles with each further one, so
-/// that the demand of all holders is known before much is granted.
+/// The horizon is twice this span at a holder's first operation and doubles with each further one,
+/// so that the demand of all holders is known before much is granted.
 const BASE_HORIZON: Duration = Duration::from_secs(10);
 /// The base horizon is at most the maximum horizon divided by this: the measured rate of a new
 /// holder is not reliable yet.
@@ -57,16 +57,16 @@
 /// The record of one holder of a budget.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderEntry {
-    /// The sequence number of the last change.
+    /// The sequence number of the last operation.
     #[serde(rename = "s")]
     pub seq: u64,
-    /// The amount that the last change granted.
+    /// The amount that the last operation granted.
     #[serde(rename = "g")]
     pub granted: Tokens,
-    /// The holding after the last change.
+    /// The holding after the last operation.
     #[serde(rename = "h")]
     pub held: Tokens,
-    /// The holder's demand at its last change.
+    /// The holder's demand at its last operation.
     #[serde(rename = "r")]
     pub rate: TokenRate,
     /// The amount that the holder has billed in this period.
@@ -81,7 +81,8 @@
     /// The holder's region.
     #[serde(rename = "z")]
     pub region: Option<Region>,
-    /// Whether the holder has closed. Its record stays, so that old changes have no second effect.
+    /// Whether the holder has closed. Its record stays, so that old operations have no second
+    /// effect.
     #[serde(rename = "c", default, skip_serializing_if = "std::ops::Not::not")]
     pub closed: bool,
     /// The sealed tokens that the holder reported.
@@ -121,12 +122,12 @@
 pub struct LedgerShard {
     /// The budgets whose ids hash to this shard.
     pub budgets: BTreeMap<BudgetId, BudgetEntry>,
-    /// Recently removed holders; their delayed changes must not add them again.
+    /// Recently removed holders; their delayed operations must not add them again.
     #[serde(default)]
     pub gone: VecDeque<Incarnation>,
 }
 
-/// A change to the ledger that a holder requests.
+/// An operation on the ledger that a holder requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerOp {
     /// The budget.
@@ -176,12 +177,12 @@
     pub amount: Tokens,
 }
 
-/// The result of a change.
+/// The result of an operation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LedgerReply {
-    /// The change was applied to the ledger.
+    /// The operation was applied to the ledger.
     Applied {
-        /// The change's sequence number.
+        /// The operation's sequence number.
         seq: u64,
         /// The amount that was granted.
         granted: Tokens,
@@ -194,17 +195,17 @@
         /// The sealed tokens of earlier processes on the holder's VM.
         orphaned_seals: Vec<OrphanedSeal>,
     },
-    /// The period has ended; the change had no effect.
+    /// The period has ended; the operation had no effect.
     Ended {
         /// The newest terms.
         terms: BudgetTerms,
     },
-    /// The ledger has no record of the holder; the change had no effect.
+    /// The ledger has no record of the holder; the operation had no effect.
     UnknownHolder {
-        /// The change's sequence number.
+        /// The operation's sequence number.
         seq: u64,
     },
-    /// The store does not answer; the change may have been applied.
+    /// The store does not answer; the operation may have been applied.
     StoreUnavailable,
 }
 
@@ -254,7 +255,7 @@
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Applies a change and returns its result.
+    /// Applies an operation and returns its result.
     pub fn apply(&mut self, op: &LedgerOp) -> LedgerReply {
         if self.gone.contains(&op.holder) {
             return LedgerReply::UnknownHolder { seq: op.seq };
@@ -420,7 +421,7 @@
         }
     }
 
-    /// Returns the plan for a holder, by its share of the demand.
+    /// Returns the plan for a holder, according to its share of the demand.
     fn plan(&self, op: &LedgerOp) -> HoldingPlan {
         let held: Tokens = self.holders.values().map(|h| h.held).sum();
         let remaining = op.spread.of(self.remaining().saturating_add(held));
@@ -505,7 +506,7 @@
         }
     }
 
-    /// Closes a holder. Its record stays, so that old changes have no second effect.
+    /// Closes a holder. Its record stays, so that old operations have no second effect.
     fn close(&mut self, id: Incarnation) {
         let Some(holder) = self.holders.get_mut(&id) else {
             return;
--- a/crates/badgerfield-core/src/ledger_writer.rs
+++ b/crates/badgerfield-core/src/ledger_writer.rs
@@ -1,8 +1,8 @@
-//! Combines the ledger changes of many holders into few writes.
+//! Combines the ledger operations of many holders into few writes.
 //!
 //! Any process can be the writer of any shard; the processes of a region choose the same one by
 //! rank. Correctness does not depend on a unique writer: the store's compare-and-swap orders the
-//! writes, and each change takes effect once.
+//! writes, and each operation takes effect once.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -28,7 +28,7 @@
 /// The maximum number of removed holders to keep.
 const MAX_REMOVED_HOLDERS: usize = 256;
 
-/// The result of a change, with the holder that requested it.
+/// The result of an operation, with the holder that requested it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OpResult {
     /// The holder.
@@ -64,7 +64,7 @@
     is_exhausted: bool,
 }
 
-/// The changes that wait to be written, by shard.
+/// The operations that wait to be written, by shard.
 #[derive(Debug, Default)]
 pub struct LedgerWriter {
     shards: BTreeMap<u32, Shard>,
@@ -77,8 +77,8 @@
 }
 
 impl LedgerWriter {
-    /// Creates a writer without changes for a ledger with `shards` shards and holders that report
-    /// every `report_interval`.
+    /// Creates a writer without operations for a ledger with `shards` shards and holders that
+    /// report every `report_interval`.
     #[must_use]
     pub fn new(shards: u32, report_interval: Duration) -> Self {
         let interval_factor = shards.div_ceil(MAX_FULL_RATE_SHARDS).max(1);
@@ -108,7 +108,7 @@
         self.removed.drain(..excess);
     }
 
-    /// Queues a change.
+    /// Queues an operation.
     ///
     /// Returns a result at once if the holder is removed, or during the delay after a failed call.
     pub fn add(&mut self, now: Time, shard: u32, op: LedgerOp) -> Option<OpResult> {
@@ -123,7 +123,7 @@
         }
         let queued = shard_state.queue.entry((op.holder, op.budget.clone()));
         let queued = queued.or_insert_with(|| op.clone());
-        // A change that arrives late does not replace a newer one.
+        // An operation that arrives late does not replace a newer one.
         if queued.seq < op.seq || queued.terms.period < op.terms.period {
             *queued = op;
         }
@@ -144,7 +144,7 @@
         calls
     }
 
-    /// Handles a result from the store; returns the results of changes.
+    /// Handles a result from the store; returns the results of operations.
     pub fn handle_result(&mut self, now: Time, id: u32, result: StoreResult) -> Vec<OpResult> {
         let Some(shard) = self.shards.get_mut(&id) else {
             return Vec::new();
@@ -260,7 +260,8 @@
     results
 }
 
-/// Returns whether a request waits for a change, or other holders could use the tokens it returns.
+/// Returns whether a request waits for an operation, or other holders could use the tokens that it
+/// returns.
 ///
 /// The regular returns of an active holder that seals, and the tokens it unseals, are written at
 /// the usual interval, since such a holder keeps enough tokens unsealed. Tokens returned by a
@@ -275,7 +276,7 @@
     matches!(reply, LedgerReply::Applied { granted, .. } if !granted.is_zero())
 }
 
-/// Returns whether a reply answers this change, rather than an earlier one.
+/// Returns whether a reply answers this operation, rather than an earlier one.
 fn is_answered_by(op: &LedgerOp, reply: &LedgerReply) -> bool {
     match reply {
         LedgerReply::Applied { seq, .. } | LedgerReply::UnknownHolder { seq } => op.seq <= *seq,
--- a/crates/badgerfield-core/src/seal.rs
+++ b/crates/badgerfield-core/src/seal.rs
@@ -33,13 +33,14 @@
 
 /// The percentage of the tokens granted beyond the need that is sealed from the start.
 ///
-/// The rest stays unsealed for the next requests. A holder never leaves a larger part unsealed.
+/// The rest stays unsealed for the next requests. It is the largest part that a holder leaves
+/// unsealed for its demand.
 const GRANT_SEALED_PERCENT: u64 = 60;
 
 /// Returns how much of a grant is sealed from the start, for the ledger as for the holder.
 ///
-/// The change that requests the tokens carries the promise, so that the grant is not lost if all
-/// processes end before the holder sends another change.
+/// The operation that requests the tokens carries the promise, so that the grant is not lost if all
+/// processes end before the holder sends another operation.
 #[must_use]
 pub(crate) fn sealed_part(granted: Tokens, need: Tokens) -> Tokens {
     granted.saturating_sub(need).part(GRANT_SEALED_PERCENT, 100)
@@ -49,14 +50,14 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct FleetTime(pub u64);
 
-/// The holder's statement on its sealed tokens, sent with each change.
+/// The holder's statement on its sealed tokens, sent with each operation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seal {
     /// The VM of the holder.
     pub vm: VmId,
     /// The amount that is sealed from now on.
     pub amount: Tokens,
-    /// The amount that this change unseals.
+    /// The amount that this operation unseals.
     pub unsealed: Tokens,
     /// The time of the seal; `None` if the holder promises nothing.
     pub sealed_at: Option<FleetTime>,
--- a/crates/badgerfield-core/tests/ledger.rs
+++ b/crates/badgerfield-core/tests/ledger.rs
@@ -1,5 +1,5 @@
-//! Tests of the ledger: a change takes effect once, even if it is delivered twice, late or out of
-//! order, and the ledger never grants more than the limit.
+//! Tests of the ledger: an operation takes effect once, even if it is delivered twice, late or out
+//! of order, and the ledger never grants more than the limit.
 
 use std::collections::BTreeMap;
 
@@ -25,8 +25,8 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// A holder sends a change, which is delivered `deliveries` times. If `first_replies_lost` is
-    /// set, the holder receives only the last reply.
+    /// A holder sends an operation, which is delivered `deliveries` times. If `first_replies_lost`
+    /// is set, the holder receives only the last reply.
     Draw {
         holder: u64,
         need: u64,
@@ -38,7 +38,7 @@
         holder: u64,
         amount: u64,
     },
-    /// An earlier change is delivered again.
+    /// An earlier operation is delivered again.
     Replay {
         index: usize,
     },
@@ -89,7 +89,7 @@
     }
 }
 
-/// Delivers a change and applies the first received reply to the model.
+/// Delivers an operation and applies the first received reply to the model.
 fn send(
     shard: &mut LedgerShard,
     holder: &mut Holder,
@@ -115,7 +115,8 @@
 proptest! {
     #![proptest_config(Config { cases: 1000, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..Config::default() })]
 
-    /// Guards against grants beyond the limit when changes are repeated or their replies are lost.
+    /// Guards against grants beyond the limit when operations are repeated or their replies are
+    /// lost.
     #[test]
     fn grants_stay_within_the_limit(steps in proptest::collection::vec(step(), 1..80)) {
         let mut shard = LedgerShard::default();
@@ -127,7 +128,7 @@
                 Step::Draw { holder: vm, need, returned, deliveries, first_replies_lost } => {
                     let id = incarnations[&vm];
                     let holder = holders.entry(id).or_default();
-                    // A holder repeats a change without a reply before it makes the next one.
+                    // A holder repeats an operation without a reply before it makes the next one.
                     if let Some(pending) = holder.pending.clone() {
                         send(&mut shard, holder, &pending, deliveries, first_replies_lost);
                         continue;
@@ -209,20 +210,20 @@
     Seal { vm, amount, unsealed, sealed_at, decay_ms: 10_000, claims: claims.to_vec() }
 }
 
-/// Creates the first change of a process that reports the holder's unspent tokens as witness.
-fn witness_change(id: u64, amount: u64) -> LedgerOp {
-    let mut change = op(id, &mut Holder::default(), 0, 0, true);
-    change.witness_reports =
+/// Creates the first operation of a process that reports the holder's unspent tokens as witness.
+fn witness_op(id: u64, amount: u64) -> LedgerOp {
+    let mut op = op(id, &mut Holder::default(), 0, 0, true);
+    op.witness_reports =
         vec![WitnessReport { holder: Incarnation(HOLDER), amount: Tokens(amount) }];
-    change
+    op
 }
 
-/// Creates the first change of a successor that claims all of the holder's sealed tokens.
-fn successor_change() -> LedgerOp {
-    let mut change = op(SUCCESSOR, &mut Holder::default(), 0, 0, true);
+/// Creates the first operation of a successor that claims all of the holder's sealed tokens.
+fn successor_op() -> LedgerOp {
+    let mut op = op(SUCCESSOR, &mut Holder::default(), 0, 0, true);
     let claim = SealClaim { holder: Incarnation(HOLDER), unspent: Tokens(u64::MAX) };
-    change.seal = Some(seal("vm-1", 0, &[claim]));
-    change
+    op.seal = Some(seal("vm-1", 0, &[claim]));
+    op
 }
 
 fn remaining(shard: &LedgerShard) -> u64 {
@@ -236,13 +237,13 @@
     let mut shard = drawn_ledger();
     assert_eq!(remaining(&shard), LIMIT - DRAWN);
     shard.remove_holders(&[Incarnation(HOLDER)]);
-    shard.apply(&witness_change(WITNESS, 700));
+    shard.apply(&witness_op(WITNESS, 700));
     assert_eq!(remaining(&shard), LIMIT - DRAWN + 700);
-    // A second change with the report, and one from another process, have no effect.
-    let mut repeated = witness_change(WITNESS, 700);
+    // A second operation with the report, and one from another process, have no effect.
+    let mut repeated = witness_op(WITNESS, 700);
     repeated.seq = 2;
     shard.apply(&repeated);
-    shard.apply(&witness_change(9, 700));
+    shard.apply(&witness_op(9, 700));
     assert_eq!(remaining(&shard), LIMIT - DRAWN + 700);
 }
 
@@ -251,7 +252,7 @@
 #[test]
 fn only_the_recorded_witness_can_report() {
     let mut shard = drawn_ledger();
-    shard.apply(&witness_change(9, 700));
+    shard.apply(&witness_op(9, 700));
     assert_eq!(remaining(&shard), LIMIT - DRAWN);
 }
 
@@ -262,12 +263,12 @@
     for seal_first in [true, false] {
         let mut shard = drawn_ledger();
         shard.remove_holders(&[Incarnation(HOLDER)]);
-        let mut changes = [successor_change(), witness_change(WITNESS, 700)];
+        let mut ops = [successor_op(), witness_op(WITNESS, 700)];
         if !seal_first {
-            changes.reverse();
+            ops.reverse();
         }
-        for change in &changes {
-            shard.apply(change);
+        for op in &ops {
+            shard.apply(op);
         }
         // The claim and the report cover the same tokens; the larger amount is unspent.
         assert_eq!(remaining(&shard), LIMIT - DRAWN + 700, "seal first: {seal_first}");
@@ -277,9 +278,9 @@
 /// Guards against a holder that is still running and draws or returns tokens after its witness has
 /// reported them as unspent.
 #[test]
-fn changes_after_the_witness_report_have_no_effect() {
+fn operations_after_the_witness_report_have_no_effect() {
     let mut shard = drawn_ledger();
-    shard.apply(&witness_change(WITNESS, 700));
+    shard.apply(&witness_op(WITNESS, 700));
     let mut holder = Holder { seq: 1, ..Holder::default() };
     let reply = shard.apply(&op(HOLDER, &mut holder, 500, 300, false));
     assert!(matches!(reply, LedgerReply::UnknownHolder { .. }), "{reply:?}");
@@ -292,11 +293,11 @@
 #[test]
 fn closed_holder_is_removed_with_its_witness() {
     let mut shard = drawn_ledger();
-    shard.apply(&successor_change());
+    shard.apply(&successor_op());
     shard.remove_holders(&[Incarnation(HOLDER)]);
     assert!(shard.budgets[&budget()].holders.contains_key(&Incarnation(HOLDER)));
     shard.remove_holders(&[Incarnation(WITNESS)]);
-    shard.apply(&witness_change(WITNESS, 700));
+    shard.apply(&witness_op(WITNESS, 700));
     let returned = LIMIT - DRAWN + SEALED;
     assert_eq!(remaining(&shard), returned, "the report of a removed witness must have no effect");
 }
