--- a/crates/badgerfield-core/src/holdings/holding.rs
+++ b/crates/badgerfield-core/src/holdings/holding.rs
@@ -28,7 +28,8 @@
 /// A holding is rebalanced when its unsealed amount differs from the target by more than one
 /// `MARGIN_DIVISOR`-th of the target.
 const MARGIN_DIVISOR: u64 = 8;
-/// The largest part of a holding that is left unsealed.
+/// The largest part of a holding that is left unsealed for its demand. `min_unsealed` may ask for
+/// more.
 const MAX_UNSEALED_PERCENT: u64 = 40;
 /// Held tokens are promised to the ledger only if the ledger has answered within this time.
 const MAX_REPLY_AGE: Duration = Duration::from_millis(1100);
@@ -170,7 +171,7 @@
     pub(crate) returning_sealed: Tokens,
     /// Tokens that the pending operation unseals.
     pub(crate) unsealing: Tokens,
-    /// The promises to keep sealed tokens unspent that the ledger may have on record.
+    /// The promises about sealed tokens that the ledger may have on record.
     pub(super) promises: Promises,
     /// Sealed tokens of earlier processes of this VM that are not claimed yet.
     pub(crate) orphaned_seals: Vec<OrphanedSeal>,
--- a/crates/badgerfield-core/src/holdings/lending.rs
+++ b/crates/badgerfield-core/src/holdings/lending.rs
@@ -44,10 +44,10 @@
         self.lenders = Lenders::from_view(&self.view, &self.region);
         let mut has_changed = false;
         for (budget, holding) in &mut self.table {
-            let part = self.lenders.role(budget, self.me);
-            has_changed |= part.lenders.is_empty() != holding.lenders.is_empty();
-            holding.lenders = part.lenders;
-            holding.is_backup = part.is_backup;
+            let role = self.lenders.role(budget, self.me);
+            has_changed |= role.lenders.is_empty() != holding.lenders.is_empty();
+            holding.lenders = role.lenders;
+            holding.is_backup = role.is_backup;
         }
         if has_changed {
             let held = self.table.values().filter(|holding| !holding.is_borrower()).count();
@@ -84,7 +84,7 @@
         out.send(to, Message::TokenRequest(TokenRequest { budget, period, need, extra: prefetch }));
     }
 
-    /// Logs the tokens held of budgets that this process borrows and that are busy here.
+    /// Logs the tokens of borrowed budgets that are busy here or have tokens in transit.
     pub(super) fn log_prefetched(&self, now: Time, out: &mut Outbox) {
         let in_transit = self.transfers.all_in_transit();
         for (budget, holding) in self.table.iter().filter(|(_, holding)| holding.is_borrower()) {
@@ -200,7 +200,8 @@
 
     /// Refuses requests as the lender did, because the lender has already searched everywhere.
     ///
-    /// Requests that need less than the refused amount have requests of their own pending.
+    /// Waiting requests that need less than the refused amount stay: the lender answers for them
+    /// separately.
     pub(super) fn apply_lender_refusal(
         &mut self,
         now: Time,
@@ -236,8 +237,8 @@
         keep
     }
 
-    /// Asks a lender for each waiting request that is not covered by pending loans, and for the
-    /// first `least` requests in any case.
+    /// Asks a lender for each waiting request that is not covered by available tokens and pending
+    /// loans, and for the first `least` requests in any case.
     pub(super) fn request_uncovered(
         &mut self,
         now: Time,
--- a/crates/badgerfield-core/src/holdings/mod.rs
+++ b/crates/badgerfield-core/src/holdings/mod.rs
@@ -1,8 +1,9 @@
 //! Holdings: the tokens that this process may spend, and how it gets and gives them.
 //!
 //! Before a request may run, the most tokens it can cost are reserved. If too few are available,
-//! the process searches for more: at the witness of its parked tokens, then at the ledger, then at
-//! other holders. It refuses the request only when none of them has enough.
+//! the process searches for more: at the witness of its parked tokens, then at a lender, the
+//! collector of the budget or the ledger, then at other holders. It refuses the request only when
+//! none of them has enough.
 
 mod demand;
 mod holding;
@@ -230,9 +231,9 @@
         let Some(holding) = self.table.get_mut(budget) else {
             let hold_terms = (spread, self.pacing.hold_ahead);
             let mut holding = Holding::new(now, terms, hold_terms, self.region.clone());
-            let part = self.lenders.role(budget, self.me);
-            holding.lenders = part.lenders;
-            holding.is_backup = part.is_backup;
+            let role = self.lenders.role(budget, self.me);
+            holding.lenders = role.lenders;
+            holding.is_backup = role.is_backup;
             self.table.insert(budget.clone(), holding);
             return;
         };
--- a/crates/badgerfield-core/src/holdings/parking.rs
+++ b/crates/badgerfield-core/src/holdings/parking.rs
@@ -154,9 +154,9 @@
         }
         // In a large fleet each of the few holders of a budget holds much of it, so parking is
         // worthwhile. In a small fleet that seals its tokens, each process holds little.
-        let has_witness = self.local.sealing.is_none() || !self.lenders.is_empty();
+        let uses_witness = self.local.sealing.is_none() || !self.lenders.is_empty();
         let witness = holding.parked.witness;
-        let stays = witness
+        let witness_stays = witness
             .and_then(|id| self.view.member(id))
             .is_some_and(|m| m.standing == MemberState::Active);
         let working = holding.working_target(now);
@@ -168,14 +168,15 @@
             || is_idle
             || is_low
             || holding.return_all
-            || !stays
+            || !witness_stays
             || !holding.deferred.is_empty();
-        let parks_nothing = parks_nothing || !has_witness || holding.is_borrower();
+        let parks_nothing = parks_nothing || !uses_witness || holding.is_borrower();
         // A process that stops returns its tokens to the ledger. While the store is unavailable it
         // parks them, and the witness reports them to the ledger once this process has been
         // removed.
         let is_leaving = self.leaving != Leaving::Active && self.local.sealing.is_some();
-        let parks_all = is_leaving && has_witness && stays && !self.local.is_store_reachable(now);
+        let parks_all =
+            is_leaving && uses_witness && witness_stays && !self.local.is_store_reachable(now);
         // Tokens to be returned are unparked only when they can be sent at once: if this process
         // crashed in between, they would be lost.
         let can_return = holding.op.is_none() && is_due(now, holding.last_op_at, report);
@@ -202,7 +203,7 @@
         // second time.
         let target = target.min(holding.unspent());
         if target == total {
-            if total.is_zero() && !stays && has_witness {
+            if total.is_zero() && !witness_stays && uses_witness {
                 let me = self.view.witness_of(self.me);
                 holding.parked.witness = me.map(|m| m.incarnation);
             }
@@ -238,7 +239,8 @@
         }
     }
 
-    /// Answers holders that asked while all tokens were parked, as soon as none is.
+    /// Answers requests of other holders that were deferred while tokens were parked, as soon as no
+    /// token is parked any more.
     pub(super) fn answer_deferred(&mut self, now: Time, budget: &BudgetId, out: &mut Outbox) {
         let Some(holding) = self.table.get_mut(budget) else {
             return;
--- a/crates/badgerfield-core/src/holdings/peers.rs
+++ b/crates/badgerfield-core/src/holdings/peers.rs
@@ -8,7 +8,7 @@
 use crate::ledger::HoldingPlan;
 use crate::message::{Message, NoTokensReason, ParkItem, TokenRequest, Transfer};
 
-/// How many times its request a holder may get at once, so that it asks less often.
+/// A holder may get up to this multiple of its request at once, so that it asks less often.
 const BATCH_FACTOR: u64 = 8;
 
 impl Holdings {
@@ -115,8 +115,8 @@
         transfer: &Transfer,
         out: &mut Outbox,
     ) -> bool {
-        // A transfer of a removed sender may have been counted already: the sequence numbers received
-        // from it are forgotten when it leaves the view.
+        // A transfer of a removed sender may have been counted already: the sequence numbers
+        // received from it are dropped when it leaves the view.
         if !self.view.has_member(from) {
             return false;
         }
--- a/crates/badgerfield-core/src/holdings/requests.rs
+++ b/crates/badgerfield-core/src/holdings/requests.rs
@@ -22,8 +22,8 @@
         };
         holding.largest_request = holding.largest_request.max(need);
         if self.lenders.is_empty() {
-            // Where a few processes hold the budget for all, their rate alone gives each of them
-            // enough for many requests.
+            // Request sizes matter only in fleets without lenders. Where a few lenders hold the
+            // budget for all, the share by its rate alone is enough for many requests of each.
             holding.request_sizes.record(now, need);
         }
         if holding.available() < need && self.local.sealing.is_some() {
--- a/crates/badgerfield-core/src/holdings/search.rs
+++ b/crates/badgerfield-core/src/holdings/search.rs
@@ -97,7 +97,8 @@
     }
 
     /// Refuses waiting requests that need at least `need`, except those that may keep waiting.
-    /// Further requests of that size are refused at once for a short time.
+    /// For a short time, further requests that need at least as much as the smallest refused one
+    /// are refused at once.
     pub(super) fn refuse_waiters(
         &mut self,
         now: Time,
@@ -111,8 +112,8 @@
         let refused = holding.take_refused(now, need, &refusal);
         let least = refused.iter().map(|w| w.need).min();
         holding.last_refusal = least.map(|least| (refusal, now, least)).or(holding.last_refusal);
-        // If requests of every size were refused, those that remain wait for tokens returned here,
-        // so the search is over.
+        // If requests of every size were refused, those that remain wait for tokens that are
+        // unsealed or returned here, so the search is over.
         if holding.waiters.is_empty() || need.is_zero() {
             holding.search = None;
         }
@@ -456,7 +457,8 @@
     }
 }
 
-/// Returns the next process to ask: a lender that answers, or the collector of a low budget.
+/// Returns the next process to ask: a lender that was not silent recently, or the collector of a
+/// low budget.
 pub(super) fn next_lender(
     holding: &Holding,
     view: &View,
--- a/crates/badgerfield-core/src/holdings/witness.rs
+++ b/crates/badgerfield-core/src/holdings/witness.rs
@@ -3,7 +3,8 @@
 //! A holder spends parked tokens only after its witness has acknowledged a smaller amount. When the
 //! holder is removed from the view, the parked tokens belong to the witness. When the witness is
 //! removed first, they belong to the holder again. Views are totally ordered, so both processes see
-//! the same one removed first. Neither needs a clock or proof that the other has ended.
+//! the same one removed first. Neither needs a clock or proof that the other has ended. In a fleet
+//! that seals tokens, the witness does not spend them but reports them to the ledger.
 
 use std::collections::BTreeMap;
 
