--- a/crates/badgerfield-core/src/handlers/answer.rs
+++ b/crates/badgerfield-core/src/handlers/answer.rs
@@ -157,7 +157,7 @@
     }
 
     /// Handles an upstream that does not have the stream: queues the run again if it may be
-    /// repeated, and ends it otherwise.
+    /// repeated and no part of its answer has arrived, and ends it otherwise.
     pub(crate) fn handle_no_stream(&self, now: Time, id: RunId, out: &mut Outbox) {
         let can_requeue = {
             let mut runs = self.state.runs();
--- a/crates/badgerfield-core/src/handlers/claims.rs
+++ b/crates/badgerfield-core/src/handlers/claims.rs
@@ -105,14 +105,14 @@
         let is_retry = now > *since;
         *sent = now;
         let keyed = run.key.clone()?;
-        let (once, over) = (run.at_most_once, run.replaces);
+        let (is_once, replaced) = (run.at_most_once, run.replaces);
         let request = ClaimRequest {
             key: keyed.key,
             home: keyed.home,
             serial: id.0,
             epoch,
-            at_most_once: once,
-            replaces: over,
+            at_most_once: is_once,
+            replaces: replaced,
         };
         Some((request, is_retry))
     }
@@ -161,9 +161,9 @@
         out: &mut Outbox,
     ) {
         let (key, id, ended) = claim;
-        let settlement = self.state.claims().handle_backup_ack(from, key, id.0, ended);
+        let outcome = self.state.claims().handle_backup_ack(from, key, id.0, ended);
         let serial = id.0;
-        match settlement {
+        match outcome {
             None => {}
             Some(BackupOutcome::Granted { owner, epoch, decision }) if owner == self.id() => {
                 self.handle_claim_reply(now, owner, (key, serial, epoch), decision, out);
@@ -237,8 +237,8 @@
                 Stage::Claiming { sent, .. } if now.since(sent) >= RESEND_INTERVAL => {
                     resend.push(id);
                 }
-                Stage::Following { last_contact: heard, .. }
-                    if now.since(heard) >= OWNER_TIMEOUT =>
+                Stage::Following { last_contact: contacted_at, .. }
+                    if now.since(contacted_at) >= OWNER_TIMEOUT =>
                 {
                     lost.push(id);
                 }
@@ -270,7 +270,8 @@
         }
     }
 
-    /// Notifies the arbiter and the backup that a key has not run and will not run here.
+    /// Releases this process's claim on a key, here and at the arbiter and the backup. Each of them
+    /// keeps a claim that has ended, or whose at-most-once request may have run.
     pub(crate) fn release(&self, keyed: &RunKey, id: RunId, out: &mut Outbox) {
         self.state.claims().release(self.id(), keyed.key, id.0);
         for holder in self.arbiter_and_backup(keyed).into_iter().flatten() {
@@ -301,13 +302,13 @@
         {
             let mut runs = self.state.runs();
             let charge = ChargeId { owner: self.id(), serial };
-            let settling = self.state.charges().contains(charge);
+            let is_settling = self.state.charges().contains(charge);
             let own_run = runs.get_mut(id).filter(|r| r.key.as_ref().is_some_and(|k| k.key == key));
             if let Some(run) = own_run {
                 let next = usize::try_from(offset).unwrap_or(usize::MAX).min(run.parts.len());
                 run.followers.insert(from, next);
-                let idle = next == run.parts.len();
-                if idle {
+                let has_all_parts = next == run.parts.len();
+                if has_all_parts {
                     out.send(from, Message::AnswerPending { key, serial });
                 }
                 drop(runs);
@@ -315,7 +316,7 @@
                 return;
             }
             out.send(from, Message::UnknownRequest { key, serial });
-            if settling {
+            if is_settling {
                 return;
             }
         }
@@ -347,9 +348,9 @@
             if part.offset != next_offset {
                 return;
             }
-            let last = matches!(part.content, PartContent::End(_) | PartContent::Broken);
+            let is_last = matches!(part.content, PartContent::End(_) | PartContent::Broken);
             run.push(part.content);
-            if last {
+            if is_last {
                 runs.end(now, id);
             }
             id
@@ -543,12 +544,12 @@
 
 /// Records a message from the owner. Returns whether the run follows that owner.
 fn record_owner_contact(now: Time, run: &mut Run, from: Incarnation, owner_serial: u64) -> bool {
-    let Stage::Following { owner, serial, last_contact: heard, .. } = &mut run.stage else {
+    let Stage::Following { owner, serial, last_contact: contacted_at, .. } = &mut run.stage else {
         return false;
     };
     if *owner != from || *serial != owner_serial {
         return false;
     }
-    *heard = now;
+    *contacted_at = now;
     true
 }
--- a/crates/badgerfield-core/src/handlers/dispatch.rs
+++ b/crates/badgerfield-core/src/handlers/dispatch.rs
@@ -14,12 +14,13 @@
 use crate::vm_upstreams::{VmUpstreamChoice, VmUpstreamCriteria};
 
 /// Maximum number of times a request is queued again after an upstream did not accept it.
-const MAX_TRIES: u32 = 3;
+const MAX_REQUEUES: u32 = 3;
 /// Maximum number of times a stream is resumed at its upstream.
 const MAX_RESUMES: u32 = 3;
 /// Retry delay sent to the caller if no upstream serves a request.
 const NO_UPSTREAM_RETRY_AFTER: Duration = Duration::from_secs(2);
-/// Shortest and longest retry delay sent to callers while the queue is full.
+/// Shortest and longest retry delay sent to callers whose requests would wait in the queue past
+/// their deadlines.
 const QUEUE_RETRY_AFTER_RANGE: (Duration, Duration) =
     (Duration::from_secs(1), Duration::from_secs(30));
 
@@ -174,7 +175,7 @@
 
     /// Queues a run again after an upstream did not accept it.
     pub(crate) fn requeue(&self, now: Time, id: RunId, out: &mut Outbox) {
-        let (account, tries, deadline) = {
+        let (account, rejections, deadline) = {
             let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
@@ -183,7 +184,7 @@
             run.stage = Stage::Queued;
             (run.account.clone(), run.rejections, run.deadline)
         };
-        if tries > MAX_TRIES || now >= deadline {
+        if rejections > MAX_REQUEUES || now >= deadline {
             self.refuse(
                 now,
                 id,
--- a/crates/badgerfield-core/src/handlers/members.rs
+++ b/crates/badgerfield-core/src/handlers/members.rs
@@ -145,10 +145,10 @@
             let is_near = members.view.member(from).is_some_and(|m| m.region == members.me.region);
             (members.view.epoch, is_near)
         };
-        let whole = version == TemplateVersion(0);
+        let needs_full = version == TemplateVersion(0);
         // Whole templates are requested only from members of the same region.
-        let version = if whole && !is_near { heartbeat.version } else { version };
-        out.send(from, Message::Fetch { epoch, version, full: whole });
+        let version = if needs_full && !is_near { heartbeat.version } else { version };
+        out.send(from, Message::Fetch { epoch, version, full: needs_full });
     }
 
     /// Sends a member the views and templates that it lacks.
@@ -157,7 +157,7 @@
         from: Incarnation,
         epoch: Epoch,
         version: TemplateVersion,
-        whole: bool,
+        needs_full: bool,
         out: &mut Outbox,
     ) {
         {
@@ -170,7 +170,7 @@
         if table.version <= version {
             return;
         }
-        let delta = self.state.template_history().delta(&table, version).filter(|_| !whole);
+        let delta = self.state.template_history().delta(&table, version).filter(|_| !needs_full);
         let message = match delta {
             Some(delta) => Message::TemplateDelta(Box::new(delta)),
             None => Message::Templates(Box::new(table.clone())),
@@ -219,8 +219,8 @@
             return;
         }
         let version = self.state.templates().version;
-        let whole = version == TemplateVersion(0);
-        out.send(from, Message::Fetch { epoch: Epoch(0), version, full: whole });
+        let needs_full = version == TemplateVersion(0);
+        out.send(from, Message::Fetch { epoch: Epoch(0), version, full: needs_full });
     }
 
     /// Applies a newer view to every table that depends on it.
--- a/crates/badgerfield-core/src/handlers/rollouts.rs
+++ b/crates/badgerfield-core/src/handlers/rollouts.rs
@@ -238,7 +238,7 @@
         self.update_rollouts(now, update.into_iter().collect(), out);
     }
 
-    /// Judges an order and takes the step that is due.
+    /// Judges the target of an order and takes the step that is due.
     fn judge_rollout(
         &self,
         now: Time,
--- a/crates/badgerfield-core/src/handlers/spending.rs
+++ b/crates/badgerfield-core/src/handlers/spending.rs
@@ -15,13 +15,13 @@
 use crate::runs::Stage;
 use crate::view::MAX_SMALL_VIEW_MEMBERS;
 
-/// Maximum number of budgets that are opened before a request needs them.
+/// If there are more budgets than this, none is opened before a request needs it.
 const MAX_OPENED_BUDGETS: usize = 256;
 
 impl Node {
     /// Reserves the maximum cost of a run.
     pub(crate) fn reserve(&self, now: Time, id: RunId, out: &mut Outbox) {
-        let (budget, bound, deadline) = {
+        let (budget, max_cost, deadline) = {
             let mut runs = self.state.runs();
             let Some(run) = runs.get_mut(id) else {
                 return;
@@ -30,7 +30,7 @@
             (run.budget.clone(), run.max_cost, run.deadline)
         };
         self.update_terms(now, &budget);
-        let outcome = self.state.holdings().reserve(now, &budget, (id, bound, deadline), out);
+        let outcome = self.state.holdings().reserve(now, &budget, (id, max_cost, deadline), out);
         match outcome {
             ReserveOutcome::Reserved(period) => self.apply_reservation(now, id, period, out),
             ReserveOutcome::Waiting => {}
@@ -180,15 +180,15 @@
 
     /// Queues ledger operations that this process writes.
     pub(crate) fn handle_ledger_request(&self, now: Time, ops: Vec<LedgerOp>, out: &mut Outbox) {
-        let mut refused = Vec::new();
+        let mut results = Vec::new();
         {
             let mut ledger_writer = self.state.ledger_writer();
             for op in ops {
                 let shard = shard_of(&op.budget, self.config.ledger_shards);
-                refused.extend(ledger_writer.add(now, shard, op));
+                results.extend(ledger_writer.add(now, shard, op));
             }
         }
-        self.send_ledger_replies(now, refused, out);
+        self.send_ledger_replies(now, results, out);
         self.start_ledger_calls(now, out);
     }
 
--- a/crates/badgerfield-core/src/handlers/templates.rs
+++ b/crates/badgerfield-core/src/handlers/templates.rs
@@ -36,7 +36,7 @@
         self.process_template_change(now, out);
     }
 
-    /// Applies a delta, or fetches templates if it does not apply.
+    /// Applies a delta. If a newer one does not apply, fetches another delta or the complete set.
     pub(crate) fn apply_template_delta(
         &self,
         now: Time,
@@ -44,22 +44,22 @@
         delta: TemplateDelta,
         out: &mut Outbox,
     ) {
-        let (newer, whole, fits, version) = {
+        let (is_newer, needs_full, is_applied, version) = {
             let mut table = self.state.templates();
-            let newer = delta.version > table.version;
-            // A delta with another base has been superseded, and the next one may apply. Otherwise
-            // the whole set is needed.
-            let whole = delta.base == table.version;
-            let fits = table.apply_delta(delta);
-            (newer, whole, fits, table.version)
+            let is_newer = delta.version > table.version;
+            // A delta with another base does not fit the set here, but the one sent in reply to the
+            // fetch may. If one with the right base does not apply, the complete set is needed.
+            let needs_full = delta.base == table.version;
+            let is_applied = table.apply_delta(delta);
+            (is_newer, needs_full, is_applied, table.version)
         };
-        if fits {
+        if is_applied {
             self.process_template_change(now, out);
             return;
         }
-        if newer {
+        if is_newer {
             let epoch = self.state.membership().view.epoch;
-            out.send(from, Message::Fetch { epoch, version, full: whole });
+            out.send(from, Message::Fetch { epoch, version, full: needs_full });
         }
     }
 
