--- a/crates/badgerfield-core/src/adaptive_timeout.rs
+++ b/crates/badgerfield-core/src/adaptive_timeout.rs
@@ -1,6 +1,6 @@
 //! An adaptive timeout for calls to the store.
 //!
-//! Over a slow or congested link every response takes longer than the configured timeout. If all
+//! Over a slow or congested link every response may take longer than the configured timeout. If all
 //! processes then repeat their calls while the responses are still in transit, the link stays
 //! congested. Therefore the timeout follows the recent response times. It does not grow if
 //! responses were fast and then stop: the store is unavailable in that case, and callers should
--- a/crates/badgerfield-core/src/claims/mod.rs
+++ b/crates/badgerfield-core/src/claims/mod.rs
@@ -146,7 +146,8 @@
         None
     }
 
-    /// Returns the upstream to which the request with this key was last sent, if known here.
+    /// Returns the upstream to which the request with this key was last sent, if that is known here
+    /// and the claim has not ended.
     #[must_use]
     pub fn last_upstream(&self, key: RequestKey) -> Option<UpstreamId> {
         self.entries.get(&key).and_then(|entry| dispatched_upstream(&entry.record.progress))
--- a/crates/badgerfield-core/src/lenders.rs
+++ b/crates/badgerfield-core/src/lenders.rs
@@ -71,8 +71,8 @@
         if self.0.is_empty() || ranked.iter().any(is_me) {
             return BudgetRole::default();
         }
-        let stands_in = backup_lenders.iter().any(is_me);
-        if stands_in {
+        let is_backup_lender = backup_lenders.iter().any(is_me);
+        if is_backup_lender {
             backup_lenders.clear();
         }
         // Each borrower has its own order of lenders, which spreads the load.
@@ -83,7 +83,7 @@
         ranked.append(&mut backup_lenders);
         BudgetRole {
             lenders: ranked.into_iter().map(|lender| lender.id).collect(),
-            is_backup: stands_in,
+            is_backup: is_backup_lender,
         }
     }
 
--- a/crates/badgerfield-core/src/refusal.rs
+++ b/crates/badgerfield-core/src/refusal.rs
@@ -44,8 +44,8 @@
     /// The budget has too few tokens left.
     #[error("the prepaid budget has too little left for this request")]
     BudgetSpent,
-    /// The remaining tokens are reserved for running requests or held by members that do not
-    /// answer.
+    /// The remaining tokens are reserved for running requests, or could not be obtained because the
+    /// store or another holder does not answer.
     #[error("what is left of the prepaid budget is held elsewhere for now; come back later")]
     BudgetHeld,
     /// No upstream becomes available within the maximum wait.
@@ -93,7 +93,7 @@
     /// The process is stopping.
     #[error("this VM is stopping; ask the directory for another")]
     Stopping,
-    /// The process has not read the templates yet.
+    /// The process has not joined the view or has no templates yet.
     #[error("this VM is not ready yet; ask the directory for another")]
     NotReady,
 }
--- a/crates/badgerfield-core/src/runs.rs
+++ b/crates/badgerfield-core/src/runs.rs
@@ -255,8 +255,9 @@
         self.kept_bytes += run.answer_bytes;
     }
 
-    /// Removes ended runs whose listeners have received the whole answer, if they have no key, are
-    /// past the retention period, exceed the byte limit or may not be stored here.
+    /// Removes ended runs that need not be kept: the listeners have received the complete answer,
+    /// and the run has no key, is past the retention period, exceeds the byte limit or may not be
+    /// stored here.
     pub(crate) fn sweep(&mut self, now: Time, may_store: impl Fn(&Run) -> bool) {
         let mut expired = Vec::new();
         let mut kept_bytes = self.kept_bytes;
--- a/crates/badgerfield-core/tests/queue.rs
+++ b/crates/badgerfield-core/tests/queue.rs
@@ -26,7 +26,7 @@
 /// Guards against an account whose many requests delay those of other accounts. In a queue ordered
 /// by arrival, the small account would be served after 1000 other requests.
 #[test]
-fn flood_does_not_hold_up_another_account() {
+fn many_requests_of_one_account_do_not_delay_another() {
     let mut queue = Queue::default();
     for id in 0..1000 {
         push(&mut queue, "flood", id);
