--- a/crates/badgerfield-core/src/bootstrap.rs
+++ b/crates/badgerfield-core/src/bootstrap.rs
@@ -1,4 +1,4 @@
-//! Bootstrap: decides which starting processes read whole values from the store.
+//! Bootstrap: decides which starting processes read complete values from the store.
 //!
 //! All VMs of a region may start at once while the link to the store is slow. The templates and the
 //! list of upstreams are tens of kilobytes each. If every VM read them itself, the reads would
@@ -28,7 +28,7 @@
 /// sheets.
 const CHILDREN_PER_PARENT: usize = 4;
 
-/// Returns whether it is a process's turn to read whole values from the store.
+/// Returns whether it is a process's turn to read complete values from the store.
 ///
 /// `age` is the time since its start. `stored` is the view in the store, or `None` until it was
 /// read; it lists the VMs, including those that have just started and have not joined.
--- a/crates/badgerfield-core/src/claims/mod.rs
+++ b/crates/badgerfield-core/src/claims/mod.rs
@@ -220,9 +220,9 @@
         key: RequestKey,
         home: Option<&Region>,
     ) -> Option<Incarnation> {
-        let is_near =
+        let is_in_home =
             self.view.member(from).is_some_and(|m| home.is_none_or(|home| &m.region == home));
-        if is_near && from != self.me {
+        if is_in_home && from != self.me {
             return None;
         }
         let (first, second) = self.view.arbiters(key, home)?;
--- a/crates/badgerfield-core/src/handlers/claims.rs
+++ b/crates/badgerfield-core/src/handlers/claims.rs
@@ -274,17 +274,17 @@
     /// keeps a claim that has ended, or whose at-most-once request may have run.
     pub(crate) fn release(&self, keyed: &RunKey, id: RunId, out: &mut Outbox) {
         self.state.claims().release(self.id(), keyed.key, id.0);
-        for holder in self.arbiter_and_backup(keyed).into_iter().flatten() {
-            self.release_at(holder, keyed.key, id.0, out);
+        for member in self.arbiter_and_backup(keyed).into_iter().flatten() {
+            self.release_at(member, keyed.key, id.0, out);
         }
     }
 
-    fn release_at(&self, holder: Incarnation, key: RequestKey, serial: u64, out: &mut Outbox) {
-        if holder == self.id() {
+    fn release_at(&self, member: Incarnation, key: RequestKey, serial: u64, out: &mut Outbox) {
+        if member == self.id() {
             self.state.claims().release(self.id(), key, serial);
             return;
         }
-        out.send(holder, Message::Release { key, serial });
+        out.send(member, Message::Release { key, serial });
     }
 
     /// Sends a follower the parts of an answer from `offset` on.
--- a/crates/badgerfield-core/src/handlers/members.rs
+++ b/crates/badgerfield-core/src/handlers/members.rs
@@ -83,8 +83,8 @@
         self.state.membership().watches_store(now, last_update)
     }
 
-    /// Returns whether it is this process's turn to read whole values from the store at its start.
-    /// Otherwise it requests them from members of its region.
+    /// Returns whether it is this process's turn to read complete values from the store after its
+    /// start. Otherwise it requests them from members of its region.
     #[must_use]
     pub fn is_bootstrap_reader(&self, now: Time) -> bool {
         self.state.membership().is_bootstrap_reader(now)
@@ -146,7 +146,7 @@
             (members.view.epoch, is_near)
         };
         let needs_full = version == TemplateVersion(0);
-        // Whole templates are requested only from members of the same region.
+        // Complete templates are requested only from members of the same region.
         let version = if needs_full && !is_near { heartbeat.version } else { version };
         out.send(from, Message::Fetch { epoch, version, full: needs_full });
     }
@@ -195,8 +195,8 @@
         }
     }
 
-    /// Applies a newer view from a peer, or fetches the whole view if the update does not apply to
-    /// the current one.
+    /// Applies a newer view from a peer, or fetches the complete view if the update does not apply
+    /// to the current one.
     pub(crate) fn receive_view_update(
         &self,
         now: Time,
--- a/crates/badgerfield-core/src/handlers/upstream_updates.rs
+++ b/crates/badgerfield-core/src/handlers/upstream_updates.rs
@@ -20,7 +20,7 @@
 /// Minimum time between two fetches of missing changes: about as long as a reply takes on a busy
 /// VM.
 const MIN_FETCH_INTERVAL: Duration = Duration::from_millis(200);
-/// Minimum time between two fetches of the whole list by a process that has one. The list takes
+/// Minimum time between two fetches of the complete list by a process that has one. The list takes
 /// some 110 B for each upstream, too much to send for each update after which lists differ.
 const MIN_FULL_FETCH_INTERVAL: Duration = Duration::from_secs(2);
 /// How long an update that others have may still be in transit to this process: it reaches a fleet
@@ -136,8 +136,8 @@
     /// Fetches missing changes from a process that knows a later revision, unless they may still
     /// be in transit.
     ///
-    /// In a list of 3,000 upstreams, one change takes some hundred bytes and the whole list 330
-    /// KB. At 300 VMs, whole lists were most of the traffic between members.
+    /// In a list of 3,000 upstreams, one change takes some hundred bytes and the complete list 330
+    /// KB. At 300 VMs, complete lists were most of the traffic between members.
     pub(crate) fn fetch_missing_upstreams(
         &self,
         now: Time,
@@ -166,7 +166,8 @@
         self.request_upstream_list(now, from, since, out);
     }
 
-    /// Fetches the whole list from a process that knows no later revision, but whose list differs.
+    /// Fetches the complete list from a process that knows no later revision, but whose list
+    /// differs.
     pub(crate) fn fetch_all_upstreams(&self, now: Time, from: Incarnation, out: &mut Outbox) {
         self.request_upstream_list(now, from, 0, out);
     }
--- a/crates/badgerfield-core/src/holdings/holding.rs
+++ b/crates/badgerfield-core/src/holdings/holding.rs
@@ -361,8 +361,8 @@
         };
         let has_more = self.remaining.is_some_and(|remaining| !remaining.is_zero());
         let shortage = share.saturating_sub(self.unspent());
-        let least = self.largest_request.max(share.part(1, TOP_UP_DIVISOR));
-        has_more && !self.largest_request.is_zero() && shortage >= least
+        let min_shortage = self.largest_request.max(share.part(1, TOP_UP_DIVISOR));
+        has_more && !self.largest_request.is_zero() && shortage >= min_shortage
     }
 
     /// Returns whether many more tokens are unsealed than needed.
@@ -552,10 +552,10 @@
         // A holding that is not in use gets no share.
         let is_used = !self.waiters.is_empty() || self.expects_returns(now);
         let is_unused = self.is_idle(now) || !is_used;
-        let least = if is_unused { TokenRate(0) } else { TokenRate(1) };
+        let min_rate = if is_unused { TokenRate(0) } else { TokenRate(1) };
         let no_share = self.state == HoldingState::Retiring || self.is_borrower();
         let demand = if local.sealing.is_some() { self.demand(now) } else { self.meter.rate(now) };
-        let rate = if no_share { TokenRate(0) } else { demand.max(least) };
+        let rate = if no_share { TokenRate(0) } else { demand.max(min_rate) };
         let op = LedgerOp {
             budget: budget.clone(),
             terms: self.terms,
--- a/crates/badgerfield-core/src/holdings/lending.rs
+++ b/crates/badgerfield-core/src/holdings/lending.rs
@@ -61,8 +61,8 @@
         let Some(holding) = self.table.get_mut(budget) else {
             return;
         };
-        let keep = holding.prefetch_target(now, self.pacing.policy.prefetch_span);
-        let has_enough = holding.free >= keep.part(1, 2).max(Tokens(1));
+        let target = holding.prefetch_target(now, self.pacing.policy.prefetch_span);
+        let has_enough = holding.free >= target.part(1, 2).max(Tokens(1));
         if has_enough
             || self.leaving.is_closing()
             || holding.search.is_some()
@@ -88,16 +88,16 @@
     pub(super) fn log_prefetched(&self, now: Time, out: &mut Outbox) {
         let in_transit = self.transfers.all_in_transit();
         for (budget, holding) in self.table.iter().filter(|(_, holding)| holding.is_borrower()) {
-            let moving = in_transit.get(budget).copied().unwrap_or_default();
-            let keep = holding.prefetch_target(now, self.pacing.policy.prefetch_span);
-            if keep.is_zero() && moving.is_zero() {
+            let amount_in_transit = in_transit.get(budget).copied().unwrap_or_default();
+            let target = holding.prefetch_target(now, self.pacing.policy.prefetch_span);
+            if target.is_zero() && amount_in_transit.is_zero() {
                 continue;
             }
             out.push(Command::Log(LogEntry::Prefetched {
                 budget: budget.clone(),
                 free: holding.free,
                 reserved: holding.reserved,
-                in_transit: moving,
+                in_transit: amount_in_transit,
                 waiting: holding.waiters.len(),
                 rate: holding.meter.rate(now),
             }));
@@ -226,15 +226,15 @@
     /// Returns how many tokens to prefetch with a request to a lender. It is zero while a prefetch
     /// is pending: otherwise prefetched tokens would pile up here while answers are slow.
     pub(super) fn start_prefetch(&mut self, now: Time, span: Duration) -> Tokens {
-        let keep = self.prefetch_target(now, span);
-        if keep.is_zero()
+        let target = self.prefetch_target(now, span);
+        if target.is_zero()
             || self.pending_loans.has_prefetch(now)
             || !is_due(now, self.prefetched_at, PREFETCH_INTERVAL)
         {
             return Tokens::ZERO;
         }
         self.prefetched_at = Some(now);
-        keep
+        target
     }
 
     /// Asks a lender for each waiting request that is not covered by available tokens and pending
--- a/crates/badgerfield-core/src/holdings/parking.rs
+++ b/crates/badgerfield-core/src/holdings/parking.rs
@@ -25,7 +25,7 @@
 impl Holdings {
     /// Makes a ledger operation if one is due.
     pub(super) fn plan_op(&mut self, now: Time, budget: &BudgetId) {
-        let report = self.pacing.report_interval;
+        let report_interval = self.pacing.report_interval;
         let Some(holding) = self.table.get_mut(budget) else {
             return;
         };
@@ -93,7 +93,7 @@
             }
             return;
         }
-        if !is_due(now, holding.last_op_at, report) || is_idle {
+        if !is_due(now, holding.last_op_at, report_interval) || is_idle {
             return;
         }
         let surplus = holding.surplus(now).min(holding.returnable());
@@ -117,7 +117,7 @@
 
     /// Returns to the ledger what this process held before it became a borrower.
     fn plan_return(&mut self, now: Time, budget: &BudgetId) {
-        let report = self.pacing.report_interval;
+        let report_interval = self.pacing.report_interval;
         let Some(holding) = self.table.get_mut(budget) else {
             return;
         };
@@ -131,7 +131,7 @@
             holding.make_op(now, budget, &self.local, all, true);
             return;
         }
-        if !is_due(now, holding.last_op_at, report) {
+        if !is_due(now, holding.last_op_at, report_interval) {
             return;
         }
         // Tokens forwarded to lenders are held there. The ledger grants less as long as it has them
@@ -145,7 +145,7 @@
 
     /// Decides how many tokens to park, and at which witness.
     pub(super) fn plan_park(&mut self, now: Time, budget: &BudgetId) {
-        let report = self.pacing.report_interval;
+        let report_interval = self.pacing.report_interval;
         let Some(holding) = self.table.get_mut(budget) else {
             return;
         };
@@ -179,7 +179,7 @@
             is_leaving && uses_witness && witness_stays && !self.local.is_store_reachable(now);
         // Tokens to be returned are unparked only when they can be sent at once: if this process
         // crashed in between, they would be lost.
-        let can_return = holding.op.is_none() && is_due(now, holding.last_op_at, report);
+        let can_return = holding.op.is_none() && is_due(now, holding.last_op_at, report_interval);
         let surplus = if can_return { holding.surplus(now) } else { Tokens::ZERO };
         let keep = wanted.saturating_add(working);
         let half = working.part(1, 2);
--- a/crates/badgerfield-core/src/holdings/search.rs
+++ b/crates/badgerfield-core/src/holdings/search.rs
@@ -381,11 +381,12 @@
         if all_answered && !has_removed_holder && holding.op.is_none() {
             // Returned tokens may serve small requests even if they cannot serve large ones.
             let max_available = holding.max_available(now).max(max_available);
-            let least = max_available.saturating_add(Tokens(1));
-            let needs = holding.waiters.iter().map(|w| w.need).filter(|need| *need >= least);
+            let min_uncovered = max_available.saturating_add(Tokens(1));
+            let needs =
+                holding.waiters.iter().map(|w| w.need).filter(|need| *need >= min_uncovered);
             holding.exhausted = needs.min().map(|need| (now, need)).or(holding.exhausted);
             let refusal = Refusal::not_run(Cause::BudgetSpent);
-            self.refuse_waiters(now, budget, least, refusal);
+            self.refuse_waiters(now, budget, min_uncovered, refusal);
         }
         self.refuse_remaining(now, budget);
     }
--- a/crates/badgerfield-core/src/ledger.rs
+++ b/crates/badgerfield-core/src/ledger.rs
@@ -2,8 +2,8 @@
 //!
 //! A shard of the ledger is one value of the store with many budgets. A holder spends only tokens
 //! that were granted to it, so the sum of all spending stays within the limit, whatever happens to
-//! messages, replies, leases or clocks. Every operation carries the holder's own sequence number: an
-//! operation that is applied twice, or sent again after its reply was lost, takes effect once.
+//! messages, replies, leases or clocks. Every operation carries the holder's own sequence number:
+//! an operation that is applied twice, or sent again after its reply was lost, takes effect once.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
