--- a/crates/badgerfield-core/src/holdings/waiting.rs
+++ b/crates/badgerfield-core/src/holdings/waiting.rs
@@ -33,9 +33,11 @@
 }
 
 impl Waiter {
-    /// Returns whether the request may wait for tokens returned by running requests. It may if its
-    /// caller has set a maximum wait. A request on a route is refused at once, since it may try
-    /// another VM.
+    /// Returns whether the request may wait for tokens returned by running requests.
+    ///
+    /// One that has a run here may, since its deadline limits the wait. A request on a route is
+    /// refused at once, since it may try another VM, and so is one of a borrower, since it may ask
+    /// another lender.
     fn can_wait_for_returns(&self) -> bool {
         matches!(self.requester, Requester::Run(run) if ReservationId::from_run_id(run).is_none())
     }
