--- a/crates/badgerfield-core/src/claims/mod.rs
+++ b/crates/badgerfield-core/src/claims/mod.rs
@@ -146,7 +146,8 @@
         None
     }
 
-    /// Returns the upstream to which the request with this key was last sent, if known here.
+    /// Returns the upstream to which the request with this key was last sent, if that is known here
+    /// and the claim has not ended.
     #[must_use]
     pub fn last_upstream(&self, key: RequestKey) -> Option<UpstreamId> {
         self.entries.get(&key).and_then(|entry| dispatched_upstream(&entry.record.progress))
@@ -219,9 +220,9 @@
         key: RequestKey,
         home: Option<&Region>,
     ) -> Option<Incarnation> {
-        let is_near =
+        let is_in_home =
             self.view.member(from).is_some_and(|m| home.is_none_or(|home| &m.region == home));
-        if is_near && from != self.me {
+        if is_in_home && from != self.me {
             return None;
         }
         let (first, second) = self.view.arbiters(key, home)?;
--- a/crates/badgerfield-core/src/holdings/holding.rs
+++ b/crates/badgerfield-core/src/holdings/holding.rs
@@ -28,7 +28,8 @@
 /// A holding is rebalanced when its unsealed amount differs from the target by more than one
 /// `MARGIN_DIVISOR`-th of the target.
 const MARGIN_DIVISOR: u64 = 8;
-/// The largest part of a holding that is left unsealed.
+/// The largest part of a holding that is left unsealed for its demand. `min_unsealed` may ask for
+/// more.
 const MAX_UNSEALED_PERCENT: u64 = 40;
 /// Held tokens are promised to the ledger only if the ledger has answered within this time.
 const MAX_REPLY_AGE: Duration = Duration::from_millis(1100);
@@ -170,7 +171,7 @@
     pub(crate) returning_sealed: Tokens,
     /// Tokens that the pending operation unseals.
     pub(crate) unsealing: Tokens,
-    /// The promises to keep sealed tokens unspent that the ledger may have on record.
+    /// The promises about sealed tokens that the ledger may have on record.
     pub(super) promises: Promises,
     /// Sealed tokens of earlier processes of this VM that are not claimed yet.
     pub(crate) orphaned_seals: Vec<OrphanedSeal>,
@@ -360,8 +361,8 @@
         };
         let has_more = self.remaining.is_some_and(|remaining| !remaining.is_zero());
         let shortage = share.saturating_sub(self.unspent());
-        let least = self.largest_request.max(share.part(1, TOP_UP_DIVISOR));
-        has_more && !self.largest_request.is_zero() && shortage >= least
+        let min_shortage = self.largest_request.max(share.part(1, TOP_UP_DIVISOR));
+        has_more && !self.largest_request.is_zero() && shortage >= min_shortage
     }
 
     /// Returns whether many more tokens are unsealed than needed.
@@ -551,10 +552,10 @@
         // A holding that is not in use gets no share.
         let is_used = !self.waiters.is_empty() || self.expects_returns(now);
         let is_unused = self.is_idle(now) || !is_used;
-        let least = if is_unused { TokenRate(0) } else { TokenRate(1) };
+        let min_rate = if is_unused { TokenRate(0) } else { TokenRate(1) };
         let no_share = self.state == HoldingState::Retiring || self.is_borrower();
         let demand = if local.sealing.is_some() { self.demand(now) } else { self.meter.rate(now) };
-        let rate = if no_share { TokenRate(0) } else { demand.max(least) };
+        let rate = if no_share { TokenRate(0) } else { demand.max(min_rate) };
         let op = LedgerOp {
             budget: budget.clone(),
             terms: self.terms,
--- a/crates/badgerfield-core/src/holdings/search.rs
+++ b/crates/badgerfield-core/src/holdings/search.rs
@@ -97,7 +97,8 @@
     }
 
     /// Refuses waiting requests that need at least `need`, except those that may keep waiting.
-    /// Further requests of that size are refused at once for a short time.
+    /// For a short time, further requests that need at least as much as the smallest refused one
+    /// are refused at once.
     pub(super) fn refuse_waiters(
         &mut self,
         now: Time,
@@ -111,8 +112,8 @@
         let refused = holding.take_refused(now, need, &refusal);
         let least = refused.iter().map(|w| w.need).min();
         holding.last_refusal = least.map(|least| (refusal, now, least)).or(holding.last_refusal);
-        // If requests of every size were refused, those that remain wait for tokens returned here,
-        // so the search is over.
+        // If requests of every size were refused, those that remain wait for tokens that are
+        // unsealed or returned here, so the search is over.
         if holding.waiters.is_empty() || need.is_zero() {
             holding.search = None;
         }
@@ -380,11 +381,12 @@
         if all_answered && !has_removed_holder && holding.op.is_none() {
             // Returned tokens may serve small requests even if they cannot serve large ones.
             let max_available = holding.max_available(now).max(max_available);
-            let least = max_available.saturating_add(Tokens(1));
-            let needs = holding.waiters.iter().map(|w| w.need).filter(|need| *need >= least);
+            let min_uncovered = max_available.saturating_add(Tokens(1));
+            let needs =
+                holding.waiters.iter().map(|w| w.need).filter(|need| *need >= min_uncovered);
             holding.exhausted = needs.min().map(|need| (now, need)).or(holding.exhausted);
             let refusal = Refusal::not_run(Cause::BudgetSpent);
-            self.refuse_waiters(now, budget, least, refusal);
+            self.refuse_waiters(now, budget, min_uncovered, refusal);
         }
         self.refuse_remaining(now, budget);
     }
@@ -456,7 +458,8 @@
     }
 }
 
-/// Returns the next process to ask: a lender that answers, or the collector of a low budget.
+/// Returns the next process to ask: a lender that was not silent recently, or the collector of a
+/// low budget.
 pub(super) fn next_lender(
     holding: &Holding,
     view: &View,
