--- a/crates/badgerfield-core/src/upstream_table/announcements.rs
+++ b/crates/badgerfield-core/src/upstream_table/announcements.rs
@@ -14,7 +14,7 @@
     pub(super) limit: KnownLimit,
     /// Whether it is about to leave.
     pub(super) is_leaving: bool,
-    /// Until when it asked this process for no requests.
+    /// The end of the back-off that it requested of this process.
     pub(super) back_off_until: Time,
     /// Whether it has sent an announcement that cannot be parsed.
     is_unreadable: bool,
@@ -35,8 +35,8 @@
 }
 
 impl UpstreamTable {
-    /// Records that an upstream rejected a request and asked this process for a back-off. A shorter
-    /// one does not cut an earlier one short.
+    /// Records that an upstream rejected a request and requested a back-off of this process. A
+    /// back-off in force is never shortened.
     pub fn record_back_off(&mut self, now: Time, id: &UpstreamId, span: Duration) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             let until = now.after(span);
@@ -45,7 +45,7 @@
     }
 
     /// Returns the time until the first upstream of a service admits a request of this process
-    /// again, if all of them have asked for a back-off or have a rate limit.
+    /// again, if all of them have a back-off in force or a rate limit.
     #[must_use]
     pub fn time_until_admitted(&self, now: Time, service: &Service) -> Option<Duration> {
         let usable =
--- a/crates/badgerfield-core/src/upstream_table/canary.rs
+++ b/crates/badgerfield-core/src/upstream_table/canary.rs
@@ -354,11 +354,11 @@
         let Some((target, share)) = self.target_share() else {
             return;
         };
-        let is_target_request = version == Some(target);
+        let is_limited_version = version == Some(target);
         // Requests that the target could not take add no credit: otherwise all processes would
         // catch up at the same time.
-        let more = if target_available || is_target_request { share } else { 0.0 };
-        let taken = if is_target_request { 1.0 } else { 0.0 };
+        let more = if target_available || is_limited_version { share } else { 0.0 };
+        let taken = if is_limited_version { 1.0 } else { 0.0 };
         let credit = (self.credit(criteria) + more - taken).min(MAX_CREDIT);
         match self.credits.get_mut(criteria.route) {
             Some(known) => *known = credit,
--- a/crates/badgerfield-core/src/upstream_table/choice.rs
+++ b/crates/badgerfield-core/src/upstream_table/choice.rs
@@ -1,9 +1,10 @@
 //! The choice of an upstream for one request.
 //!
 //! The candidates are the upstreams that may get the request at all. The one with the lowest cost
-//! is chosen, that is, the one where the first part of the answer is expected soonest. Requests
-//! whose prompts share a prefix go to one preferred upstream, which rendezvous hashing makes the
-//! same on all VMs, so that the prefix is read and cached once.
+//! is chosen, that is, the one where the first part of the answer is expected soonest. For each
+//! shared prefix of prompts, one upstream in each scope is preferred: it counts as having cached
+//! the prefix. Rendezvous hashing makes it the same on all VMs, so that few upstreams read the
+//! prefix.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -33,7 +34,7 @@
         let pool = self.candidates(now, criteria);
         let mix = self.request_mixes.get(criteria.service).filter(|_| !criteria.parts.is_empty());
         let params = CostParams::new(mix, criteria);
-        let ordinary = queueing_delay::tolerated_delay(
+        let tolerated = queueing_delay::tolerated_delay(
             pool.iter().map(|u| u.queueing_delay.current_ms(now)).collect(),
         );
         let in_group: Vec<_> = pool.iter().copied().filter(|u| params.is_in_group(u)).collect();
@@ -54,7 +55,7 @@
                     upstream.seed ^ criteria.random,
                 );
             } else {
-                cost += upstream.queueing_delay.excess_ms(now, ordinary, criteria.random);
+                cost += upstream.queueing_delay.excess_ms(now, tolerated, criteria.random);
             }
             cost
         };
--- a/crates/badgerfield-core/src/upstream_table/mod.rs
+++ b/crates/badgerfield-core/src/upstream_table/mod.rs
@@ -147,7 +147,8 @@
 pub struct UpstreamTable {
     revision: u64,
     updated_at: Option<Time>,
-    /// The highest revision of an upstream that was dropped from the table after its removal.
+    /// The revision from which all removals are recorded: those up to it may have been dropped, or
+    /// came before the first list.
     dropped_revision: u64,
     upstreams: BTreeMap<UpstreamId, Upstream>,
     /// Restarted upstreams that no caller of `take_restarted` has received yet.
@@ -265,7 +266,7 @@
     }
 
     /// Returns the time until the first cold upstream of a service is warm; `None` if none is cold
-    /// or the service does not need to warm up.
+    /// or requests to cold upstreams of the service are not limited.
     #[must_use]
     pub fn time_until_warm(&self, now: Time, service: &Service) -> Option<Duration> {
         self.slow_start.warm_up(service)?;
--- a/crates/badgerfield-core/src/upstream_table/rollout.rs
+++ b/crates/badgerfield-core/src/upstream_table/rollout.rs
@@ -157,7 +157,7 @@
         self.canary.record_versions(now, &listed);
     }
 
-    /// Returns how long an upstream is expected to take to read so many tokens.
+    /// Returns how long an upstream is expected to take to read `uncached` tokens.
     fn read_time(&self, id: &UpstreamId, uncached: u64) -> Duration {
         if uncached == 0 {
             return Duration::ZERO;
--- a/crates/badgerfield-core/src/upstream_table/upstream.rs
+++ b/crates/badgerfield-core/src/upstream_table/upstream.rs
@@ -26,12 +26,13 @@
 const PART_RETENTION: Duration = Duration::from_secs(120);
 /// The number of prompt parts recorded for an upstream beyond which older ones are dropped early.
 const MAX_PARTS: usize = 4096;
-/// The number of consecutive failures from which an upstream is avoided for a while.
-const FAILURES_BEFORE_BACK_OFF: u32 = 2;
+/// The number of consecutive failed or rejected requests from which an upstream is avoided for a
+/// while.
+const MIN_FAILURES_TO_AVOID: u32 = 2;
 /// How long an upstream is avoided after the first such failure; each further one adds as much.
-const FAILURE_BACK_OFF: Duration = Duration::from_secs(2);
+const AVOID_SPAN: Duration = Duration::from_secs(2);
 /// The maximum time for which an upstream is avoided after failures.
-const MAX_FAILURE_BACK_OFF: Duration = Duration::from_secs(8);
+const MAX_AVOID_SPAN: Duration = Duration::from_secs(8);
 /// The weight of one outcome in the average shares of failed and rejected requests.
 const OUTCOME_WEIGHT: f64 = 0.15;
 /// What a rejected request counts in the share of rejected ones. It counts less than a failed
@@ -264,7 +265,7 @@
         true
     }
 
-    /// Marks it as cold until a time, as of a revision of the platform's store.
+    /// Marks it as cold until a time, as of a revision of the store.
     pub(super) fn mark_cold(
         &mut self,
         now: Time,
@@ -280,8 +281,8 @@
         self.cold = Some(ColdState { until, since_revision: revision, bucket });
     }
 
-    /// Applies the senders of a new view. A process that becomes a sender waits for [`SENDER_DELAY`]
-    /// until the others have received the view.
+    /// Applies the senders of a new view. A process that becomes a sender first waits for
+    /// [`SENDER_DELAY`], so that the others receive the view before it sends.
     pub(super) fn apply_senders(&mut self, now: Time, slow_start: &SlowStart) {
         let from = now.after(SENDER_DELAY);
         let seed = self.seed;
@@ -394,11 +395,11 @@
             return;
         }
         self.consecutive_failures += 1;
-        if self.consecutive_failures >= FAILURES_BEFORE_BACK_OFF {
-            let back_off = FAILURE_BACK_OFF
-                .saturating_mul(self.consecutive_failures - FAILURES_BEFORE_BACK_OFF + 1)
-                .min(MAX_FAILURE_BACK_OFF);
-            self.avoid_until = now.after(back_off);
+        if self.consecutive_failures >= MIN_FAILURES_TO_AVOID {
+            let span = AVOID_SPAN
+                .saturating_mul(self.consecutive_failures - MIN_FAILURES_TO_AVOID + 1)
+                .min(MAX_AVOID_SPAN);
+            self.avoid_until = now.after(span);
         }
     }
 }
