--- a/crates/badgerfield-core/src/rollout/known_rollouts.rs
+++ b/crates/badgerfield-core/src/rollout/known_rollouts.rs
@@ -210,7 +210,7 @@
     if let Some(target) = target {
         refused.remove(target);
     }
-    // The version that was last judged bad is kept: its upstreams may still be listed.
+    // The target of the last record is dropped last: its upstreams may still be listed.
     while refused.len() > MAX_REFUSED {
         let oldest = refused.iter().find(|version| **version != last.target).cloned();
         let Some(oldest) = oldest else {
--- a/crates/badgerfield-core/src/rollout/recorder.rs
+++ b/crates/badgerfield-core/src/rollout/recorder.rs
@@ -1,9 +1,10 @@
 //! The steps of a rollout's record, as taken by one judge.
 //!
 //! Each step is one compare-and-swap against the value that the judge last read. Of two concurrent
-//! writes, the later one fails, and its judge reads the new value. A write that takes effect long
-//! after its call timed out fails as well, since the value has changed. A judge that was stalled or
-//! has an outdated state can therefore waste a call, but cannot overwrite a newer record.
+//! writes, the later one fails, and its judge reads the new value. A write that the store carries
+//! out long after the call timed out fails too if the value has changed meanwhile. A judge that was
+//! stalled or has an outdated state can therefore waste a call, but cannot overwrite a newer
+//! record.
 
 use std::time::Duration;
 
@@ -70,7 +71,7 @@
     /// The step that is due, and since when. Judges of a higher rank wait for those of a lower rank
     /// to take it.
     due_step: Option<(RolloutRecord, Time)>,
-    /// When all known members had confirmed that they have moved.
+    /// Since when all known members have confirmed that they have moved.
     all_moved_at: Option<Time>,
 }
 
--- a/crates/badgerfield-core/src/rollout/table.rs
+++ b/crates/badgerfield-core/src/rollout/table.rs
@@ -407,7 +407,7 @@
     }
 
     /// Returns the target of the newest order and the requests that it may get; `None` if they are
-    /// not restricted.
+    /// not restricted or the order was withdrawn.
     fn allowance<'a>(
         &self,
         now: Time,
--- a/crates/badgerfield-core/src/rollout/tally.rs
+++ b/crates/badgerfield-core/src/rollout/tally.rs
@@ -135,19 +135,19 @@
 }
 
 impl Tally {
-    /// Records that the first part of an answer arrived after a wait, of which `prompt_time` was
+    /// Records that the first part of an answer arrived after a wait, of which `read_time` was
     /// expected for reading the prompt. Returns the speed of the answer.
     pub fn record_answer(
         &mut self,
         source: &AnswerSource<'_>,
         wait: Duration,
-        prompt_time: Duration,
+        read_time: Duration,
     ) -> AnswerSpeed {
-        let speed = self.speed(source, wait, prompt_time);
+        let speed = self.speed(source, wait, read_time);
         let slow = u32::from(speed == AnswerSpeed::Slow);
         self.count(source, AnswerCounts { answers: 1, failed: 0, slow });
         if !source.is_target {
-            self.route_mut(source.route).baseline.record(wait.saturating_sub(prompt_time));
+            self.route_mut(source.route).baseline.record(wait.saturating_sub(read_time));
         }
         speed
     }
@@ -171,16 +171,16 @@
         &mut self,
         source: &AnswerSource<'_>,
         wait: Duration,
-        prompt_time: Duration,
+        read_time: Duration,
     ) -> bool {
-        let is_late = self.speed(source, wait, prompt_time) == AnswerSpeed::Slow;
+        let is_late = self.speed(source, wait, read_time) == AnswerSpeed::Slow;
         if is_late {
             self.count(source, AnswerCounts { answers: 1, failed: 0, slow: 1 });
         }
         is_late
     }
 
-    /// Returns the tally to report, with figures from the table of upstreams.
+    /// Returns the tally to report, with the values that the table of upstreams supplies.
     #[must_use]
     pub fn snapshot(
         &self,
@@ -210,13 +210,13 @@
         &mut self,
         source: &AnswerSource<'_>,
         wait: Duration,
-        prompt_time: Duration,
+        read_time: Duration,
     ) -> AnswerSpeed {
         let Some(baseline) = self.route_mut(source.route).baseline.mean_wait() else {
             return AnswerSpeed::Normal;
         };
         let limit =
-            baseline.saturating_add(prompt_time).saturating_mul(SLOW_FACTOR).max(MIN_SLOW_WAIT);
+            baseline.saturating_add(read_time).saturating_mul(SLOW_FACTOR).max(MIN_SLOW_WAIT);
         if wait > limit { AnswerSpeed::Slow } else { AnswerSpeed::Normal }
     }
 
