--- a/crates/badgerfield-core/src/locality.rs
+++ b/crates/badgerfield-core/src/locality.rs
@@ -81,7 +81,7 @@
             domain_price: 0.0,
             // A link of 60 Mbit/s that all VMs share takes 0.13 ms for 1,000 bytes; the rest
             // accounts for what the operator pays. A price of 10 saves more bytes but increases the
-            // total cost, because engines process more prompts again (docs/design/regions.md).
+            // total cost, because engines read more prompts again (docs/design/regions.md).
             region_price: 3.0,
         }
     }
--- a/crates/badgerfield-core/src/poison_record.rs
+++ b/crates/badgerfield-core/src/poison_record.rs
@@ -99,7 +99,7 @@
     /// Queues crashes to be sent to all members.
     pub(crate) fn enqueue(&mut self, crashes: impl IntoIterator<Item = Crash>) {
         self.pending.extend(crashes);
-        // The latest crashes may block a request; of the many of one crash the first are dropped.
+        // The latest crashes may block a request, so the first are dropped if there are too many.
         let excess = self.pending.len().saturating_sub(MAX_UPDATE_CRASHES);
         self.pending.drain(..excess);
     }
@@ -122,7 +122,7 @@
 }
 
 /// Decodes the record. The ages of its crashes are as of the time of writing, which is unknown, so
-/// each crash counts as new: a request stays blocked too long rather than too short.
+/// each crash counts as new: a request is blocked for too long rather than too briefly.
 ///
 /// # Errors
 ///
--- a/crates/badgerfield-core/src/rate_limit.rs
+++ b/crates/badgerfield-core/src/rate_limit.rs
@@ -149,7 +149,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Pacer {
     limit: RateLimit,
-    /// From when on this process keeps to the limit.
+    /// Since when this process keeps to the limit.
     since: Time,
     /// The rank of this VM and the number of VMs; `None` outside the view.
     rank: Option<(usize, usize)>,
--- a/crates/badgerfield-core/src/request_mix.rs
+++ b/crates/badgerfield-core/src/request_mix.rs
@@ -43,7 +43,7 @@
 /// The minimum share of the engines that a group gets, since a few engines may fail.
 const MIN_SHARE: f64 = 0.15;
 /// The assumed time to read a prompt token before enough prompts were observed, in
-/// milliseconds. The published data of the engines' hardware gives 0.018 to 0.031.
+/// milliseconds. The engines of the users are specified with 0.018 to 0.031.
 pub(crate) const DEFAULT_MS_PER_TOKEN: f64 = 0.025;
 /// The bounds of the estimated time to read a prompt token, in milliseconds: ten times faster
 /// and slower than known engines.
--- a/crates/badgerfield-core/src/vm_upstreams.rs
+++ b/crates/badgerfield-core/src/vm_upstreams.rs
@@ -409,8 +409,8 @@
         }
     }
 
-    /// Records that an upstream asks this process for no requests for a span. An earlier back-off
-    /// that lasts longer stays in force.
+    /// Records that an upstream requests a back-off of this process. An earlier back-off that lasts
+    /// longer stays in force.
     pub fn back_off(&mut self, now: Time, id: &UpstreamId, span: Duration) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.back_off_until = upstream.back_off_until.max(now.after(span));
@@ -449,7 +449,8 @@
     to_f64(tokens.min(chat.prompt_tokens.0))
 }
 
-/// Returns the digests of a prompt's prefixes, one every [`PREFIX_STEP_BYTES`] bytes, shortest first.
+/// Returns the digests of a prompt's prefixes, one every [`PREFIX_STEP_BYTES`] bytes, shortest
+/// first.
 #[must_use]
 pub fn prefix_digests(prompt: &[u8]) -> Vec<u64> {
     let mut digests = Vec::new();
