--- a/crates/badgerfield-core/tests/canary.rs
+++ b/crates/badgerfield-core/tests/canary.rs
@@ -43,7 +43,7 @@
     UpstreamEntry { revision: 1, info, warm_in: Duration::ZERO }
 }
 
-/// Returns a table with so many upstreams of each version; the old ones were listed first.
+/// Returns a table with `old` upstreams of the old version, listed first, and `new` of the new one.
 fn table(old: usize, new: usize) -> UpstreamTable {
     let mut table = UpstreamTable::default();
     let entries = (1..=old).map(|n| entry("v1", n)).collect();
@@ -122,7 +122,7 @@
     id.as_str().starts_with("v2")
 }
 
-/// Sends so many requests without a prompt; returns how many went to each version.
+/// Sends `requests` requests without a prompt; returns how many went to each version.
 fn count_by_version(table: &mut UpstreamTable, now: Time, requests: usize) -> (usize, usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let request = TestRequest::on_route("r");
@@ -155,6 +155,7 @@
     assert!(new * 100 >= all * 9 - 3000, "{new} of {all}");
 }
 
+/// With one credit for all routes, all or none of a rare route's requests could go to the target.
 #[test]
 fn each_route_gets_its_share_independently_of_the_others() {
     let mut table = table(60, 60);
@@ -190,6 +191,7 @@
     }
 }
 
+/// A refused request can be repeated; a bad answer cannot be taken back.
 #[test]
 fn a_blocked_version_gets_nothing_when_all_others_are_gone() {
     let mut table = table(3, 3);
@@ -201,6 +203,7 @@
     assert_eq!(count_by_version(&mut table, now, 10), (0, 0));
 }
 
+/// Without another version there is none to roll out from, and the rule must not stop the service.
 #[test]
 fn a_service_with_only_the_target_is_served() {
     for allowance in [Allowance::Nothing, share(5), Allowance::All] {
@@ -228,6 +231,7 @@
     assert_eq!(count_by_version(&mut table, now, 10), (0, 0));
 }
 
+/// The verdict may arrive between the choice of an upstream and the sending of the request.
 #[test]
 fn a_request_on_its_way_to_a_version_found_bad_is_not_sent() {
     let mut table = table(3, 3);
@@ -238,6 +242,8 @@
     assert!(!table.is_usable(LATER, &new));
 }
 
+/// The list and the order arrive by different watches. Without the delay, a version that is listed
+/// before its order arrives would get an unlimited share.
 #[test]
 fn a_new_version_without_an_order_is_delayed() {
     let mut table = table(3, 3);
@@ -275,6 +281,7 @@
     assert_eq!(count_by_version(&mut table, Time::from_millis(500), 300), (300, 0));
 }
 
+/// Otherwise the upstreams of the target would read nearly all prefixes anew.
 #[test]
 fn requests_with_the_same_prefixes_go_to_the_target() {
     let mut table = table(60, 60);
@@ -299,6 +306,8 @@
     assert!(first * 10 >= new * 8, "{first} of {new} in 25 of {} prefixes", prefixes.len());
 }
 
+/// A version may be bad under load only, so the upstreams that get its requests need about as much
+/// load as the others.
 #[test]
 fn all_processes_send_to_the_same_few_target_upstreams() {
     // With 9% of the requests of 60 upstreams, six target upstreams have about the same load as the
@@ -333,6 +342,7 @@
     assert_eq!(new_ids(&mut small, 4).len(), 2);
 }
 
+/// A request that failed at one version must not fail at the other too.
 #[test]
 fn a_retry_adds_credit_but_does_not_go_to_the_target() {
     let mut table = table(10, 10);
@@ -478,6 +488,7 @@
     assert!((9..=11).contains(&old), "{old} and {new}");
 }
 
+/// Upstreams of a rejected version may still be listed during the next rollout.
 #[test]
 fn rejected_versions_get_nothing_beside_the_next_target() {
     let mut table = table(5, 5);
@@ -530,8 +541,8 @@
 
 #[test]
 fn older_rules_that_are_applied_late_are_ignored() {
-    // Two threads applied rules out of order: the older rule with the share came after the rule that
-    // ended it, so that the target got requests again.
+    // Two threads applied rules out of order: the older rule with the share came after the rule
+    // that ended it, so that the target got requests again.
     let mut table = table(4, 4);
     let rules = |sequence, allowance| RolloutRules { sequence, rules: vec![rule("v2", allowance)] };
     table.apply_rule_set(rules(2, Allowance::Nothing));
--- a/crates/badgerfield-core/tests/locality.rs
+++ b/crates/badgerfield-core/tests/locality.rs
@@ -118,7 +118,7 @@
 }
 
 /// Requests must not leave their region while its upstreams are idle. Prompts that cost more to
-/// process than to transfer are covered by `a_long_prefix_has_one_upstream_in_the_fleet`.
+/// read than to transfer are covered by `a_long_prefix_has_one_upstream_in_the_fleet`.
 #[test]
 fn requests_stay_in_their_region_at_low_load() {
     for is_call in [true, false] {
@@ -168,8 +168,8 @@
     );
 }
 
-/// If fewer than two regions are known, all other domains count as parts of it, so that no request pays for
-/// the distance to another region.
+/// If fewer than two regions are known, all domains count as parts of one region, so that no
+/// request pays for the distance to another region.
 #[test]
 fn domains_count_as_one_region_if_only_one_is_known() {
     let map = RegionMap::new(BTreeMap::from([(domain("a-1"), region("a"))]));
@@ -261,7 +261,7 @@
     assert!(rejected < 70, "{rejected} of 10,750 calls were rejected by all tried upstreams");
 }
 
-/// A long prompt prefix that each region processes itself takes the engines' memory twice, so all
+/// A long prompt prefix that each region reads itself takes the engines' cache memory twice, so all
 /// regions send it to one upstream. For a short prefix the transfers would save little, so each
 /// region has its own upstream.
 #[test]
--- a/crates/badgerfield-core/tests/overload.rs
+++ b/crates/badgerfield-core/tests/overload.rs
@@ -86,13 +86,13 @@
 
 /// The outcome of the requests: counts, or fractions of all requests.
 #[derive(Debug, Default)]
-struct Seen {
+struct Outcome {
     requests: f64,
     served: f64,
     in_time: f64,
     /// Attempts that upstreams rejected.
-    turned_away: f64,
-    tries: f64,
+    rejections: f64,
+    attempts: f64,
 }
 
 /// A simulation of a fleet and a plain service.
@@ -105,7 +105,7 @@
     events: BTreeMap<(u64, u64), Event>,
     last_number: u64,
     rng: Rng,
-    counts: Seen,
+    counts: Outcome,
 }
 
 fn id(n: usize) -> UpstreamId {
@@ -147,7 +147,7 @@
             events: BTreeMap::new(),
             last_number: 0,
             rng: Rng(seed),
-            counts: Seen::default(),
+            counts: Outcome::default(),
         }
     }
 
@@ -157,7 +157,7 @@
     }
 
     /// Runs the simulation with a load given as a multiple of the upstreams' capacity.
-    fn run(mut self, load: f64) -> Seen {
+    fn run(mut self, load: f64) -> Outcome {
         let capacity: f64 = self.speeds.iter().map(|speed| 6.0 * speed / SERVICE_TIME_US).sum();
         let mean = 1.0 / (capacity * load);
         self.schedule(0, Event::Arrival);
@@ -229,7 +229,7 @@
         self.tables[vm].start_request(time, &chosen.id, &[]);
         request.tried.push(chosen.id.clone());
         request.sent_at = now;
-        self.counts.tries += 1.0;
+        self.counts.attempts += 1.0;
         let index = (0..self.speeds.len()).find(|n| id(*n) == chosen.id).expect("it is listed");
         let upstream = &mut self.upstreams[index];
         if upstream.running < SLOTS {
@@ -239,7 +239,7 @@
         if upstream.queued.len() < MAX_QUEUED {
             return upstream.queued.push_back(number);
         }
-        self.counts.turned_away += 1.0;
+        self.counts.rejections += 1.0;
         let request = &self.requests[&number];
         let may_retry = request.may_retry && request.tried.len() < 2;
         self.tables[vm].end_request(time, &chosen.id, AttemptOutcome::Full);
@@ -298,23 +298,23 @@
 }
 
 /// Runs several seeds; returns the outcome in fractions of all requests.
-fn run_seeds(speeds: &[f64], load: f64) -> Seen {
-    let mut sum = Seen::default();
+fn run_seeds(speeds: &[f64], load: f64) -> Outcome {
+    let mut sum = Outcome::default();
     for seed in 1..=6 {
-        let seen = Simulation::new(speeds, seed * 977).run(load);
-        sum.requests += seen.requests;
-        sum.served += seen.served;
-        sum.in_time += seen.in_time;
-        sum.turned_away += seen.turned_away;
-        sum.tries += seen.tries;
+        let outcome = Simulation::new(speeds, seed * 977).run(load);
+        sum.requests += outcome.requests;
+        sum.served += outcome.served;
+        sum.in_time += outcome.in_time;
+        sum.rejections += outcome.rejections;
+        sum.attempts += outcome.attempts;
     }
     let fraction = |count: f64| count / sum.requests;
-    let result = Seen {
+    let result = Outcome {
         requests: 1.0,
         served: fraction(sum.served),
         in_time: fraction(sum.in_time),
-        turned_away: fraction(sum.turned_away),
-        tries: fraction(sum.tries),
+        rejections: fraction(sum.rejections),
+        attempts: fraction(sum.attempts),
     };
     println!("load {load}, speeds {speeds:?}: {result:.3?}");
     result
@@ -325,8 +325,8 @@
 #[test]
 fn upstreams_of_an_overloaded_service_are_kept_busy() {
     for speeds in [&[1.0, 1.0, 1.0][..], &[1.0, 1.0, 0.6], &[1.0]] {
-        let seen = run_seeds(speeds, 1.3);
-        assert!(seen.served > 0.75, "{seen:?}");
+        let outcome = run_seeds(speeds, 1.3);
+        assert!(outcome.served > 0.75, "{outcome:?}");
     }
 }
 
@@ -335,9 +335,9 @@
 #[test]
 fn a_slow_upstream_gets_fewer_requests() {
     for speeds in [&[1.0, 1.0, 0.6][..], &[1.0, 0.6]] {
-        let seen = run_seeds(speeds, 0.9);
-        assert!(seen.in_time > 0.95, "{seen:?}");
-        assert!(seen.served > 0.995, "{seen:?}");
+        let outcome = run_seeds(speeds, 0.9);
+        assert!(outcome.in_time > 0.95, "{outcome:?}");
+        assert!(outcome.served > 0.995, "{outcome:?}");
     }
 }
 
--- a/crates/badgerfield-core/tests/poison.rs
+++ b/crates/badgerfield-core/tests/poison.rs
@@ -90,7 +90,7 @@
 }
 
 /// Fails if a crash is ignored because an earlier crash of the same upstream was cleared, at a
-/// process that learned of the clearing before or after the crash.
+/// process that received the clearing before or after the crash.
 #[test]
 fn a_crash_after_a_cleared_crash_counts() {
     let mut table = PoisonTable::default();
--- a/crates/badgerfield-core/tests/replicas.rs
+++ b/crates/badgerfield-core/tests/replicas.rs
@@ -89,6 +89,7 @@
     assert_eq!(chosen_ids(&table, at(10)), BTreeSet::from([id(2), id(3)]));
 }
 
+/// Lists arrive from the store and from other processes, so an older one may arrive last.
 #[test]
 fn an_older_list_restores_no_upstream() {
     let mut table = table(2);
@@ -110,6 +111,7 @@
     assert_eq!(chosen_ids(&table, at(1000)), BTreeSet::new());
 }
 
+/// If the store lets all leases lapse, all entries vanish at once while the upstreams still run.
 #[test]
 fn upstreams_that_vanish_together_stay_usable_briefly() {
     let mut table = table(3);
@@ -148,6 +150,7 @@
     assert_eq!(choose(&table, at(1), &[], 1), Some(id(1)));
 }
 
+/// If VMs preferred different upstreams, each of these would read and cache the prefix.
 #[test]
 fn all_vms_prefer_the_same_upstream_for_a_shared_prefix() {
     let (local, remote) = (table(8), table(8));
@@ -208,6 +211,7 @@
     assert_eq!(chosen_ids(&table, at(20)), BTreeSet::from([id(2)]));
 }
 
+/// An upstream that restarts writes its entry again; the removal of the old entry may arrive later.
 #[test]
 fn a_late_removal_does_not_remove_a_newer_entry() {
     let mut table = table(2);
@@ -234,6 +238,8 @@
     assert_eq!(chosen_ids(&table, at(10)), BTreeSet::from([id(3)]));
 }
 
+/// Processes compare lists by their digests: equal digests of different lists would hide a missed
+/// change, and different digests of equal lists would make processes fetch the full list.
 #[test]
 fn equal_lists_have_equal_digests_and_others_do_not() {
     let (mut local, remote) = (table(3), table(3));
@@ -263,6 +269,7 @@
     assert_eq!(chosen_ids(&local, at(20)), BTreeSet::from([id(1), id(3)]));
 }
 
+/// A division worsens the service of few engines, since a small group evens out less load.
 #[test]
 fn few_engines_are_not_divided() {
     let mut tables = [table(18), table(60)];
@@ -358,6 +365,8 @@
     assert_eq!(late.changes_since(at(10), 20), None, "removals before revision 30 are unknown");
 }
 
+/// Otherwise a process that receives newer entries from a third one would request the full list
+/// with each update.
 #[test]
 fn an_update_confirms_its_revision_despite_newer_entries_from_elsewhere() {
     let mut sender = table(5);
@@ -377,6 +386,7 @@
     assert_eq!(local.last_update(), (6, Some(at(20))));
 }
 
+/// If an update is lost and the next one counts as complete, the lost changes never arrive.
 #[test]
 fn an_update_after_a_gap_is_applied_and_the_gap_is_reported() {
     let mut sender = table(5);
@@ -399,6 +409,7 @@
     assert_eq!(local.list_version(), sender.list_version());
 }
 
+/// The entry is older than the changes that are sent, so only the digests show the difference.
 #[test]
 fn a_list_that_differs_in_an_old_entry_is_detected() {
     let mut sender = table(5);
@@ -421,6 +432,8 @@
     assert_eq!(sent, vec![id(2)]);
 }
 
+/// A process knows of no removals before its first list. If it returned changes since an earlier
+/// revision, the receiver would keep the upstreams that were removed in between.
 #[test]
 fn an_update_before_the_first_list_does_not_extend_the_known_changes() {
     let mut late = UpstreamTable::default();
--- a/crates/badgerfield-core/tests/request_limits.rs
+++ b/crates/badgerfield-core/tests/request_limits.rs
@@ -276,6 +276,7 @@
     }
 }
 
+/// In a large fleet, one request of each VM exceeds any of these limits.
 #[test]
 fn a_fleet_of_300_sends_no_more_than_the_limit() {
     for (n, rate) in [0.2, 0.4, 1.1, 5.0, 20.0].into_iter().enumerate() {
@@ -286,6 +287,7 @@
     }
 }
 
+/// Shares that are too small would leave capacity of the upstream unused.
 #[test]
 fn a_fleet_uses_most_of_a_limit() {
     for (vms, rate) in [(1, 1.1), (6, 0.4), (6, 5.0), (6, 20.0), (30, 1.5), (300, 20.0)] {
@@ -295,11 +297,13 @@
         let from = fleet.now;
         fleet.run(40_000, None);
         let used = fleet.arrivals_since(from);
-        let part = f64::from(u32::try_from(used).expect("the number fits")) / (rate * 40.0);
-        assert!((0.6..=1.2).contains(&part), "{vms} VMs, {rate} a second: {part}");
+        let usage = f64::from(u32::try_from(used).expect("the number fits")) / (rate * 40.0);
+        assert!((0.6..=1.2).contains(&usage), "{vms} VMs, {rate} a second: {usage}");
     }
 }
 
+/// A VM that sends nothing gets no answer that shows the end of the limit, only the reports of
+/// others.
 #[test]
 fn all_vms_use_an_upstream_again_soon_after_its_limit_has_ended() {
     for vms in [6, 30, 300] {
@@ -318,8 +322,10 @@
     }
 }
 
+/// The senders have no requests, so no answer shows that the limit has ended until this VM sends a
+/// probe.
 #[test]
-fn a_vm_that_alone_has_requests_learns_that_a_limit_has_ended() {
+fn a_vm_that_alone_has_requests_detects_the_end_of_a_limit() {
     for seed in 0..10 {
         let mut fleet = Fleet::new(300, seed);
         fleet.limit = Some(0.0);
@@ -334,8 +340,9 @@
     }
 }
 
+/// A request that is assigned to the upstream before the limit is known has not been counted yet.
 #[test]
-fn a_request_that_was_under_way_when_the_limit_was_named_needs_a_permit() {
+fn a_request_assigned_before_the_limit_was_announced_counts_when_sent() {
     let mut table = table(1);
     table.set_senders(Time::default(), Senders::new(&vm(0), &[vm(0)]));
     let at = Time::from_millis;
@@ -344,9 +351,10 @@
     table.record_limit(at(1200), &upstream(0), Some(limit(1.0)));
     assert!(!table.can_still_send(at(1300), &upstream(0), started), "nothing may be sent yet");
     assert!(table.can_still_send(at(2300), &upstream(0), started));
-    assert!(!table.can_still_send(at(2300), &upstream(0), started), "the permit was used already");
+    assert!(!table.can_still_send(at(2300), &upstream(0), started), "the only token is used");
 }
 
+/// A bucket that filled without bound during the suspension would let the process send a burst.
 #[test]
 fn a_process_that_was_suspended_or_is_in_no_view_sends_no_burst() {
     let at = Time::from_millis;
@@ -364,6 +372,8 @@
     assert_eq!(sent, 0);
 }
 
+/// If a report rounded the limit, processes would have different limits and see changes without
+/// end.
 #[test]
 fn a_reported_limit_equals_the_announced_one() {
     let at = Time::from_millis;
@@ -376,6 +386,7 @@
     assert_eq!(other.apply_limit_reports(at(2100), &reports), [], "nothing has changed");
 }
 
+/// Two sets of members alternate, so that each view replaces all senders.
 #[test]
 fn senders_that_all_change_with_each_view_send_no_more_than_the_limit() {
     let rate = 0.2;
--- a/crates/badgerfield-core/tests/tally.rs
+++ b/crates/badgerfield-core/tests/tally.rs
@@ -101,7 +101,8 @@
         answer(&mut tallies, "r", false, 40);
     }
     let (_, tally) = tallies.get_mut(&service()).expect("the service has a rule");
-    // 160 ms is four times the normal wait, but hardly more than that and the prompt time together.
+    // 160 ms is four times the normal wait, but hardly more than that and the time to read the
+    // prompt together.
     let speed = tally.record_answer(&source("r", true), millis(160), millis(100));
     assert_eq!(speed, AnswerSpeed::Normal);
     let speed = tally.record_answer(&source("r", true), millis(160), millis(5));
