--- a/crates/badgerfield-core/src/poison/table.rs
+++ b/crates/badgerfield-core/src/poison/table.rs
@@ -140,8 +140,8 @@
         true
     }
 
-    /// Removes the crash of another process if the limit is reached; returns whether there is room
-    /// for a crash of `process`.
+    /// Makes room for a crash of `process` if the limit is reached: removes the crash whose process
+    /// is the last in order, unless `process` comes after it. Returns whether there is room.
     fn make_room(&mut self, process: (&UpstreamId, u32)) -> bool {
         if self.crashes.len() < MAX_CRASHES_PER_REQUEST {
             return true;
--- a/crates/badgerfield-core/src/upstream_table/limits.rs
+++ b/crates/badgerfield-core/src/upstream_table/limits.rs
@@ -9,7 +9,7 @@
 use crate::ids::{Service, UpstreamId};
 use crate::rate_limit::{LimitReport, MAX_REPORTS, RateLimit, sender_rank};
 
-/// The minimum time between two reports of limits.
+/// The minimum time between two reports of limits to each neighbour.
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A changed rate limit.
--- a/crates/badgerfield-core/tests/rollout_verdict.rs
+++ b/crates/badgerfield-core/tests/rollout_verdict.rs
@@ -158,12 +158,13 @@
 /// Returns the number of simulated rollouts that were rolled back, the 99th percentile of the bad
 /// answers and the median of the answers.
 fn simulate_all(version: &Version, verdict: Verdict, seed_count: usize) -> (usize, u32, u32) {
-    let all: Vec<_> = (0..).take(seed_count).map(|seed| simulate(version, verdict, seed)).collect();
-    let mut bad: Vec<_> = all.iter().map(|t| t.bad).collect();
-    let mut answers: Vec<_> = all.iter().map(|t| t.answers).collect();
+    let outcomes: Vec<_> =
+        (0..).take(seed_count).map(|seed| simulate(version, verdict, seed)).collect();
+    let mut bad: Vec<_> = outcomes.iter().map(|outcome| outcome.bad).collect();
+    let mut answers: Vec<_> = outcomes.iter().map(|outcome| outcome.answers).collect();
     bad.sort_unstable();
     answers.sort_unstable();
-    let rolled_back = all.iter().filter(|t| t.rolled_back).count();
+    let rolled_back = outcomes.iter().filter(|outcome| outcome.rolled_back).count();
     (rolled_back, bad[bad.len() * 99 / 100], answers[answers.len() / 2])
 }
 
--- a/crates/badgerfield-core/tests/tally.rs
+++ b/crates/badgerfield-core/tests/tally.rs
@@ -242,7 +242,7 @@
     assert!(table.record_abandoned(&new, "r", millis(900), 0));
 }
 
-/// Fails if a process reports that it has moved while requests are still running at another
+/// Fails if a process confirms that it has moved while requests are still running at another
 /// version, or on a count from before the rule was in force.
 #[test]
 fn running_requests_are_reported_with_the_rule_in_force() {
