--- a/crates/badgerfield-core/tests/routing.rs
+++ b/crates/badgerfield-core/tests/routing.rs
@@ -112,10 +112,10 @@
     let new = set(2, vec![route("new", "a.example", "/", &[("viewer", 1)])], &["key"]);
     let decoded = TemplateSet::decode(&new.encode()).expect("the value was encoded from a set");
     assert_eq!(decoded, new);
-    let mut behind = old.clone();
-    assert!(behind.apply_delta(new.delta_since(TemplateVersion(1))));
-    assert_eq!(behind.routing, new.routing);
+    let mut receiver = old.clone();
+    assert!(receiver.apply_delta(new.delta_since(TemplateVersion(1))));
+    assert_eq!(receiver.routing, new.routing);
     // A delta from a peer with an older version is refused.
-    assert!(!behind.apply_delta(old.delta_since(TemplateVersion(0))));
-    assert_eq!(behind.version, TemplateVersion(2));
+    assert!(!receiver.apply_delta(old.delta_since(TemplateVersion(0))));
+    assert_eq!(receiver.version, TemplateVersion(2));
 }
--- a/crates/badgerfield-core/tests/templates.rs
+++ b/crates/badgerfield-core/tests/templates.rs
@@ -83,17 +83,17 @@
     let mut wanted = set();
     wanted.budgets.values_mut().next().expect("the set is not empty").limit = Tokens(20);
     let second = next_set(&first, wanted).expect("the set is valid");
-    let mut behind = first.clone();
-    assert!(behind.apply_delta(second.delta_since(first.version)));
-    assert_eq!(behind.version, second.version);
-    assert_eq!(behind.budgets, second.budgets);
+    let mut receiver = first.clone();
+    assert!(receiver.apply_delta(second.delta_since(first.version)));
+    assert_eq!(receiver.version, second.version);
+    assert_eq!(receiver.budgets, second.budgets);
     // A delta to an older version, or based on a version that the set does not have, is refused.
-    assert!(!behind.apply_delta(first.delta_since(TemplateVersion(0))));
+    assert!(!receiver.apply_delta(first.delta_since(TemplateVersion(0))));
     let mut empty = TemplateSet::default();
     assert!(!empty.apply_delta(second.delta_since(first.version)));
     // A removal shows in the counts, and the process then requests the whole set.
     let mut fewer = second.clone();
     fewer.budgets.clear();
     let third = next_set(&second, fewer).expect("the set is valid");
-    assert!(!behind.apply_delta(third.delta_since(second.version)));
+    assert!(!receiver.apply_delta(third.delta_since(second.version)));
 }
