--- a/crates/badgerfield-core/src/event.rs
+++ b/crates/badgerfield-core/src/event.rs
@@ -255,7 +255,7 @@
 pub enum StoreResult {
     /// The value that was read.
     Value(Versioned),
-    /// The values of operators, from a platform that has more of them than templates.
+    /// All values of operators, from a platform that keeps others besides the templates.
     Operators(OperatorValues),
     /// The value was written with this revision.
     Written(u64),
--- a/crates/badgerfield-core/src/membership.rs
+++ b/crates/badgerfield-core/src/membership.rs
@@ -39,7 +39,7 @@
 /// Step by which a starting process advances in the list of the region's members when it asks the
 /// next one for values.
 const BOOTSTRAP_PEER_STRIDE: usize = 7;
-/// Maximum number of members that receive a heartbeat in a large view.
+/// Maximum number of members to which one member sends heartbeats in a large view.
 const MAX_NEIGHBOURS: usize = 8;
 
 /// The change that a process intends to make to its own entry in the view.
@@ -252,7 +252,8 @@
 
     /// Makes a newer view the current one and returns the members that were removed.
     ///
-    /// Returns `None` if the view has no newer epoch.
+    /// Returns `None` if the view has no newer epoch. A view of the same epoch still replaces the
+    /// current one if a newer epoch is marked as complete in it.
     pub(crate) fn apply_view(&mut self, now: Time, view: &Arc<View>) -> Option<Vec<Incarnation>> {
         if view.epoch == self.view.epoch && view.complete > self.view.complete {
             self.view = Arc::clone(view);
@@ -389,8 +390,8 @@
     /// Returns the member of the region to ask next for the values that this process lacks after
     /// its start.
     ///
-    /// Every other call, from the first on, returns the parent in the bootstrap tree, which has the
-    /// values early. The other calls step through the members of the region.
+    /// Every other call, from the first on, returns the parent in the bootstrap tree, if there is
+    /// one, because it has the values early. The other calls step through the members of the region.
     pub(crate) fn next_bootstrap_peer(&mut self) -> Option<Incarnation> {
         self.bootstrap_attempts += 1;
         let parent = bootstrap::tree_parent(&self.view, &self.me)
--- a/crates/badgerfield-core/src/message.rs
+++ b/crates/badgerfield-core/src/message.rs
@@ -140,7 +140,7 @@
         key: RequestKey,
         /// The owner's serial number.
         serial: u64,
-        /// Whether the copied claim has ended.
+        /// Whether the copied claim is of a request that has ended.
         ended: bool,
     },
     /// Reports that the owner is about to send the request to an upstream.
--- a/crates/badgerfield-core/src/routing.rs
+++ b/crates/badgerfield-core/src/routing.rs
@@ -136,11 +136,11 @@
 /// Limits on the requests of callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// The maximum size of a request's header section, in bytes.
+    /// The maximum size of a request's head, in bytes.
     pub head: usize,
     /// The maximum size of a request's body, in bytes.
     pub body: usize,
-    /// The maximum time in which the header section must arrive.
+    /// The time within which the head of a request must arrive.
     pub head_time: Duration,
     /// The maximum idle time of a connection between two requests.
     pub idle: Duration,
--- a/crates/badgerfield-core/src/view_update.rs
+++ b/crates/badgerfield-core/src/view_update.rs
@@ -20,8 +20,8 @@
 
 /// A full or incremental view, as processes send it to each other.
 ///
-/// It does not contain the earlier arbiters of keys (`View::recent_arbiters`): only a process that writes
-/// the view needs these, and it reads the store's value first.
+/// It does not contain the earlier arbiters of keys (`View::recent_arbiters`): only a process that
+/// writes the view needs these, and it reads the store's value first.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewUpdate {
     /// The epoch that the receiver must have reached; 0 if the update lists all members.
