--- a/crates/badgerfield-node/src/gateway/attempt.rs
+++ b/crates/badgerfield-node/src/gateway/attempt.rs
@@ -199,14 +199,14 @@
 
     /// Checks whether the upstream was evacuated, started to leave or announced a rate limit while
     /// the connection was being opened.
-    fn check_usable(&self) -> Result<(), RequestError> {
+    fn check_usable(&self) -> Result<(), AttemptError> {
         let now = self.driver.now();
         let mut upstreams = self.gateway.upstreams();
         if !upstreams.is_usable(now, &self.id) {
-            return Err(RequestError::NotSent);
+            return Err(AttemptError::NotSent);
         }
         if !upstreams.can_still_send(now, &self.id, self.sent_at) {
-            return Err(RequestError::NotAdmitted);
+            return Err(AttemptError::NotAdmitted);
         }
         Ok(())
     }
@@ -272,15 +272,15 @@
     };
     let (mut response, connection) = match sent {
         Ok(answer) => answer,
-        Err(RequestError::NotSent) => {
+        Err(AttemptError::NotSent) => {
             guard.record_not_run(AttemptOutcome::Failed);
             return AttemptEnd::NotSent("unreachable");
         }
-        Err(RequestError::NotAdmitted) => {
+        Err(AttemptError::NotAdmitted) => {
             guard.record_not_run(AttemptOutcome::Unknown);
             return AttemptEnd::NotSent("not_admitted");
         }
-        Err(RequestError::Broken) => {
+        Err(AttemptError::Broken) => {
             guard.wait = None;
             guard.record_failure();
             return AttemptEnd::Broken(BROKEN);
@@ -314,8 +314,8 @@
     AttemptEnd::Answered(Box::new(UpstreamResponse { head, body, framed, guard }))
 }
 
-/// The reason why no head of a response arrived.
-enum RequestError {
+/// The reason why an attempt got no head of a response.
+enum AttemptError {
     NotSent,
     /// The upstream accepts no more requests at present.
     NotAdmitted,
@@ -325,25 +325,25 @@
 async fn send(
     guard: &UpstreamGuard,
     request: Request<Full<Bytes>>,
-) -> Result<(hyper::Response<Incoming>, Connection), RequestError> {
+) -> Result<(hyper::Response<Incoming>, Connection), AttemptError> {
     let connections = &guard.gateway.connections;
     let address = guard.address;
     let mut connection =
-        connections.take(&guard.id, address).await.map_err(|_| RequestError::NotSent)?;
+        connections.take(&guard.id, address).await.map_err(|_| AttemptError::NotSent)?;
     guard.check_usable()?;
     let request = match connection.send(request).await {
         Ok(response) => return Ok((response, connection)),
-        Err(SendError::Broken) => return Err(RequestError::Broken),
+        Err(SendError::Broken) => return Err(AttemptError::Broken),
         Err(SendError::NotSent(request)) if connection.reused => request,
-        Err(SendError::NotSent(_)) => return Err(RequestError::NotSent),
+        Err(SendError::NotSent(_)) => return Err(AttemptError::NotSent),
     };
     // The reused connection was closed before the request was sent on it.
-    let mut connection = connections.open(address).await.map_err(|_| RequestError::NotSent)?;
+    let mut connection = connections.open(address).await.map_err(|_| AttemptError::NotSent)?;
     guard.check_usable()?;
     match connection.send(*request).await {
         Ok(response) => Ok((response, connection)),
-        Err(SendError::Broken) => Err(RequestError::Broken),
-        Err(SendError::NotSent(_)) => Err(RequestError::NotSent),
+        Err(SendError::Broken) => Err(AttemptError::Broken),
+        Err(SendError::NotSent(_)) => Err(AttemptError::NotSent),
     }
 }
 
--- a/crates/badgerfield-node/src/gateway/dispatch.rs
+++ b/crates/badgerfield-node/src/gateway/dispatch.rs
@@ -150,7 +150,7 @@
     fn current_residency(&self) -> Residency {
         let newest = self.gateway.routes();
         self.admission.current_residency(newest.version, || {
-            // The head may have lost its host, because headers of a single connection are removed.
+            // The head may have lost its host, because hop-by-hop headers are removed.
             let path = self.original.head.uri.path();
             let account = self.caller.as_ref().map(|caller| &caller.account);
             newest.table.residency_at(&self.route.host, path, account)
--- a/crates/badgerfield-node/src/gateway/exchange.rs
+++ b/crates/badgerfield-node/src/gateway/exchange.rs
@@ -5,7 +5,7 @@
 //! 3. Read the body.
 //! 4. Reserve the most tokens that the request can cost.
 //! 5. Send it to an upstream, and to another one where the route allows retries.
-//! 6. Forward the response: whole if it is plain, event by event if it is a stream.
+//! 6. Forward the response: in one piece if it is plain, event by event if it is a stream.
 //! 7. Settle the cost.
 //!
 //! Every request ends with one [`request_log::ended`] line. A refusal with the outcome "not run" is
--- a/crates/badgerfield-node/src/gateway/relay.rs
+++ b/crates/badgerfield-node/src/gateway/relay.rs
@@ -14,8 +14,8 @@
 use crate::gateway::exchange::{Exchange, MAX_IN_FLIGHT_EVENTS, ResponseBody, ResponseTruncated};
 use crate::gateway::request_log;
 
-/// The timeout for the next event of a resumable stream, in multiples of the longest pause that the
-/// route allows between two events.
+/// The timeout for the next event of a resumable stream, in multiples of the route's target for the
+/// longest pause between two events.
 const PAUSE_TIMEOUT_FACTOR: u32 = 4;
 
 /// A stream that is forwarded to the caller.
--- a/crates/badgerfield-node/src/gateway/request_log.rs
+++ b/crates/badgerfield-node/src/gateway/request_log.rs
@@ -150,9 +150,9 @@
 }
 
 /// Logs that an upstream rejected a request and asked this VM to back off.
-pub(crate) fn back_off(id: &str, upstream: &UpstreamId, rest: Duration) {
-    let rest = rest.as_millis();
-    log::info!(target: REQUESTS, "rest id={id} upstream={upstream} rest_ms={rest}");
+pub(crate) fn back_off(id: &str, upstream: &UpstreamId, span: Duration) {
+    let millis = span.as_millis();
+    log::info!(target: REQUESTS, "rest id={id} upstream={upstream} rest_ms={millis}");
 }
 
 /// Formats a limit in requests per second.
@@ -192,10 +192,10 @@
     pub(crate) timing: Timing,
 }
 
-/// The times at which the steps of a request were completed, measured from its arrival.
+/// The times of the steps of a request, measured from its arrival.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct Timing {
-    /// When the whole body had been read.
+    /// When the complete body had been read.
     pub(crate) body: Duration,
     /// When the request was first sent to an upstream.
     pub(crate) sent: Option<Duration>,
