--- a/crates/badgerfield-node/src/driver.rs
+++ b/crates/badgerfield-node/src/driver.rs
@@ -159,9 +159,9 @@
             gateway.upstreams().set_warm_up_bound(settings.warm_up, senders);
             let (domain, region) = (settings.domain.clone(), settings.region.clone());
             let location = Location { domain: Some(domain), region: Some(region) };
-            let mut replicas = gateway.upstreams();
-            replicas.set_regions(settings.regions.clone());
-            replicas.set_location(location, settings.locality);
+            let mut upstreams = gateway.upstreams();
+            upstreams.set_regions(settings.regions.clone());
+            upstreams.set_location(location, settings.locality);
         }
         let upstream_client = UpstreamClient::new(limits.silence_timeout);
         Ok(Arc::new(Self {
--- a/crates/badgerfield-node/src/evacuations.rs
+++ b/crates/badgerfield-node/src/evacuations.rs
@@ -7,7 +7,8 @@
 use crate::logs::PLATFORM;
 
 impl Driver {
-    /// Stops or resumes sending requests to the upstreams of the given domains, and logs each change.
+    /// Stops or resumes sending requests to the upstreams of the given domains, and logs each
+    /// change.
     pub(crate) fn apply_evacuations(&self, from: Option<Incarnation>, changes: &[DomainChange]) {
         let Some(gateway) = self.gateway() else {
             return;
@@ -41,7 +42,8 @@
         gateway.upstreams().set_warm_ups(warm_ups);
     }
 
-    /// Updates the set of processes that may send to cold upstreams after a newer view has come into force.
+    /// Updates the set of processes that may send to cold upstreams after a newer view has come
+    /// into force.
     pub(crate) fn update_warm_up_senders(&self) {
         if let Some(gateway) = self.gateway() {
             gateway.upstreams().set_senders(self.now(), self.node.warm_up_senders());
--- a/crates/badgerfield-node/src/follow.rs
+++ b/crates/badgerfield-node/src/follow.rs
@@ -211,9 +211,9 @@
     let now = driver.now();
     gateway.sweep(now);
     let (demand, delays, limits) = {
-        let mut replicas = gateway.upstreams();
-        let delays = replicas.delay_reports(now, gateway.next_delay_report());
-        (replicas.engine_demand(now), delays, replicas.limit_reports(now))
+        let mut upstreams = gateway.upstreams();
+        let delays = upstreams.delay_reports(now, gateway.next_delay_report());
+        (upstreams.engine_demand(now), delays, upstreams.limit_reports(now))
     };
     driver.handle_event(Event::LimitReports(limits));
     driver.handle_event(Event::EngineDemand(demand));
--- a/crates/badgerfield-node/src/http.rs
+++ b/crates/badgerfield-node/src/http.rs
@@ -36,7 +36,7 @@
     /// The call timed out, or its connection failed.
     #[error("no answer from {0}")]
     Lost(Uri),
-    /// The response has an error status.
+    /// The response has a status other than success.
     #[error("{uri} answered {status}")]
     Status {
         /// The address.
--- a/crates/badgerfield-node/src/settings.rs
+++ b/crates/badgerfield-node/src/settings.rs
@@ -174,7 +174,7 @@
         Self::from_ini(IniFile::load(path)?)
     }
 
-    /// Validates a parsed settings file.
+    /// Reads the settings from a parsed file and validates them.
     ///
     /// # Errors
     ///
--- a/crates/badgerfield-node/src/templates.rs
+++ b/crates/badgerfield-node/src/templates.rs
@@ -26,7 +26,7 @@
     from_ini(IniFile::load(path)?)
 }
 
-/// Validates a parsed template file.
+/// Reads the templates from a parsed file and validates them.
 ///
 /// # Errors
 ///
--- a/crates/badgerfield-node/src/upstream_list.rs
+++ b/crates/badgerfield-node/src/upstream_list.rs
@@ -47,8 +47,8 @@
             return;
         };
         let (is_first, updated) = {
-            let mut replicas = gateway.upstreams();
-            (replicas.last_update().0 == 0, replicas.apply_list(self.now(), list))
+            let mut upstreams = gateway.upstreams();
+            (upstreams.last_update().0 == 0, upstreams.apply_list(self.now(), list))
         };
         // The first list of a process that has just started contains nothing new for others.
         let source = if is_first { UpdateSource::Peer } else { source };
@@ -56,7 +56,8 @@
     }
 
     /// Closes connections to restarted upstreams, logs the changed upstreams, and announces the
-    /// update to other processes if it comes from the platform.
+    /// update to other processes if it comes from the platform. In a small fleet it also announces
+    /// changes that come from a peer and are new here.
     fn handle_list_update(
         self: &Arc<Self>,
         gateway: &Gateway,
@@ -64,9 +65,9 @@
         source: UpdateSource,
     ) {
         let (version, count, (evacuated, cold), restarted) = {
-            let mut replicas = gateway.upstreams();
-            let restricted = replicas.restricted_counts(self.now());
-            (replicas.list_version(), replicas.len(), restricted, replicas.take_restarted())
+            let mut upstreams = gateway.upstreams();
+            let restricted = upstreams.restricted_counts(self.now());
+            (upstreams.list_version(), upstreams.len(), restricted, upstreams.take_restarted())
         };
         gateway.connections.close(&restarted);
         for id in &restarted {
@@ -85,7 +86,6 @@
                 logged.join(",")
             );
         }
-        // In a small fleet every process forwards each change that is new to it.
         let is_small = self.node.is_small_fleet();
         if source == UpdateSource::Platform || (is_small && !updated.is_empty()) {
             self.announce_changes(gateway, updated);
@@ -99,12 +99,12 @@
         let update = {
             // Changes and version are read under one lock: a newer version would claim changes
             // that the update does not contain.
-            let replicas = gateway.upstreams();
-            let version = replicas.list_version();
-            let (changes, since) = match replicas.changes_since(self.now(), announced) {
+            let upstreams = gateway.upstreams();
+            let version = upstreams.list_version();
+            let (changes, since) = match upstreams.changes_since(self.now(), announced) {
                 Some(changes) => (changes, announced),
                 // Receivers detect from `since` that they lack changes, and request them.
-                None => (replicas.changes_of(self.now(), updated), version.revision),
+                None => (upstreams.changes_of(self.now(), updated), version.revision),
             };
             UpstreamUpdate { changes, since, version, reach: 0 }
         };
@@ -118,17 +118,17 @@
             return;
         };
         let message = {
-            let replicas = gateway.upstreams();
-            if replicas.is_empty() {
+            let upstreams = gateway.upstreams();
+            if upstreams.is_empty() {
                 return;
             }
-            let changes = replicas.changes_since(self.now(), since).filter(|_| since > 0);
+            let changes = upstreams.changes_since(self.now(), since).filter(|_| since > 0);
             match changes {
                 Some(changes) => {
-                    let version = replicas.list_version();
+                    let version = upstreams.list_version();
                     Message::UpstreamChanges(UpstreamUpdate { changes, since, version, reach: 0 })
                 }
-                None => Message::Upstreams(replicas.list(self.now())),
+                None => Message::Upstreams(upstreams.list(self.now())),
             }
         };
         self.execute(Command::Send(to, message));
--- a/crates/badgerfield-node/tests/peers.rs
+++ b/crates/badgerfield-node/tests/peers.rs
@@ -88,8 +88,8 @@
 const PEER_OFFSETS: [usize; 6] = [1, 2, 4, 8, 16, 32];
 
 /// Guards against pairs of processes without a working connection after a simultaneous start, when
-/// both sides of a pair open a connection at the same time. Each process must receive at least 10 of
-/// the 30 heartbeats from each of its peers.
+/// both sides of a pair open a connection at the same time. Each process must receive at least 10
+/// of the 30 heartbeats from each of its peers.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn processes_that_start_at_once_receive_heartbeats() -> Result<()> {
     let first_port = 30_100;
