--- a/crates/badgerfield-core/src/lib.rs
+++ b/crates/badgerfield-core/src/lib.rs
@@ -32,14 +32,15 @@
 //! - `broadcast` sends updates of the list of upstreams, of evacuated failure domains
 //!   ([`evacuation`]), of [`rollout`]s and of crashes ([`poison`]) along the ring of members.
 //! - Heartbeats carry the [`confirmations`] of a view and the [queueing delays](queueing_delay) of
-//!   engines. They also carry digests, by which members detect that they lack an update.
+//!   engines. They also carry the sender's versions and digests, by which members detect that one
+//!   of them lacks a view, templates or an update.
 //! - The rate limits that upstreams announce are sent from neighbour to neighbour
 //!   ([`rate_limit`]).
 //! - The store, a key-value service that outlasts processes, holds five kinds of values: the
 //!   templates, the membership [`view`], the shards of the ledger, the record of each service's
 //!   last rollout, and the blocked requests.
 //!
-//! Upstreams that have just started, or whose failure domain was evacuated, get few requests at
+//! Upstreams that have just started, or whose failure domain was restored, get few requests at
 //! first ([`warm_up`]). Requests under which upstreams crash repeatedly are blocked and sent to no
 //! further upstream ([`poison`]).
 //!
--- a/crates/badgerfield-core/src/node.rs
+++ b/crates/badgerfield-core/src/node.rs
@@ -424,8 +424,8 @@
         }
         match envelope.message {
             Message::Heartbeat(heartbeat) => self.handle_heartbeat(now, from, &heartbeat, out),
-            Message::Fetch { epoch, version, full: whole } => {
-                self.handle_fetch(from, epoch, version, whole, out);
+            Message::Fetch { epoch, version, full } => {
+                self.handle_fetch(from, epoch, version, full, out);
             }
             Message::Join(joiner) => self.handle_join_request(now, from, joiner, out),
             Message::View(update) => self.receive_view_update(now, from, &update, out),
@@ -480,8 +480,8 @@
                     out.send(from, Message::HandoverAck { epoch, index });
                 }
             }
-            Message::HandoverAck { epoch, index: part } => {
-                self.state.claims().handle_handover_ack(now, from, epoch, part, out);
+            Message::HandoverAck { epoch, index } => {
+                self.state.claims().handle_handover_ack(now, from, epoch, index, out);
             }
             Message::AnswerRequest { key, home, serial, offset } => {
                 self.handle_answer_request(
--- a/crates/badgerfield-node/src/settings.rs
+++ b/crates/badgerfield-node/src/settings.rs
@@ -243,7 +243,7 @@
             file.duration_or("platform", "timeout", millis(1000), (millis(50), millis(10_000)));
         let vm_poll =
             file.duration_or("platform", "vm_poll", millis(2000), (millis(200), millis(60_000)));
-        let replicas_poll = file.duration_or(
+        let upstream_poll = file.duration_or(
             "platform",
             "replicas_poll",
             millis(800),
@@ -255,7 +255,7 @@
             prefix,
             timeout,
             vm_list,
-            upstream_poll_interval: replicas_poll,
+            upstream_poll_interval: upstream_poll,
             vm_poll_interval: vm_poll,
         })
     }
