--- a/crates/badgerfield/src/template.rs
+++ b/crates/badgerfield/src/template.rs
@@ -169,8 +169,9 @@
         let view = View::decode(found.value.as_deref())?;
         missing.clear();
         for member in &view.members {
-            let seen = badgerfield_node::caller_api::fetch_templates_version(member.caller).await;
-            if seen.is_none_or(|seen| seen < version) {
+            let in_force =
+                badgerfield_node::caller_api::fetch_templates_version(member.caller).await;
+            if in_force.is_none_or(|in_force| in_force < version) {
                 missing.insert(member.vm.to_string());
             }
         }
--- a/crates/badgerfield/tests/engine_back_off.rs
+++ b/crates/badgerfield/tests/engine_back_off.rs
@@ -30,6 +30,6 @@
         assert_eq!(refused.json()["error"]["outcome"], json!("not_run"), "{refused:?}");
     }
     sleep(Duration::from_millis(1500)).await;
-    assert!(site.chat(0, None, "after the rest", 20).await.streamed().is_some());
+    assert!(site.chat(0, None, "after the back-off", 20).await.streamed().is_some());
     Ok(())
 }
--- a/crates/badgerfield/tests/soak.rs
+++ b/crates/badgerfield/tests/soak.rs
@@ -31,8 +31,8 @@
     let plan = Plan { program: program.to_owned(), folder: folder.clone(), seed, length, size };
     let report = soak::run_schedule(&plan, faults).await.expect("the soak test runs");
     println!("{report:?}");
-    let broken: Vec<_> = report.violations.iter().map(ToString::to_string).collect();
-    assert!(broken.is_empty(), "files are in {}: {broken:#?}", folder.display());
+    let violations: Vec<_> = report.violations.iter().map(ToString::to_string).collect();
+    assert!(violations.is_empty(), "files are in {}: {violations:#?}", folder.display());
     assert!(report.requests > 500, "{report:?}");
 }
 
@@ -43,7 +43,7 @@
     run_seed(1).await;
 }
 
-/// The same with other faults.
+/// The same rules under other random faults.
 #[tokio::test(flavor = "multi_thread")]
 async fn every_rule_holds_under_the_faults_of_seed_2() {
     run_seed(2).await;
@@ -62,7 +62,8 @@
     run_rollout(102, Version::Fails, true).await;
 }
 
-/// Fails if the rollout of a slow version of plain services completes, or is rolled back too late.
+/// Fails if the rollout of a slow version of the plain upstreams completes, or is rolled back too
+/// late.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_slow_version_of_plain_upstreams_is_rolled_back_in_time() {
     run_rollout(103, Version::Slow, false).await;
