--- a/crates/badgerfield-standin/src/capacity.rs
+++ b/crates/badgerfield-standin/src/capacity.rs
@@ -17,7 +17,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::fleet::{Fleet, Shape, Wish, account, engines, member, region_name};
+use crate::fleet::{Fleet, FleetConfig, RequestSpec, account, engines, member, region_name};
 
 /// The simulated time of one measurement.
 const MEASURED_TIME: Duration = Duration::from_secs(60);
@@ -53,20 +53,19 @@
     /// Measures a fleet under load and prints the row, and one line for each kind of message.
     fn print(&self) {
         let half = self.nodes / 2;
-        let shape = Shape {
+        let shape = FleetConfig {
             regions: vec![self.nodes - half, half],
             limits: vec![1_000_000_000; self.budgets],
             shards: self.shards,
-            noise: 0,
+            noise_permille: 0,
             seed: self.seed,
-            ..Shape::default()
+            ..FleetConfig::default()
         };
         let mut fleet = Fleet::started(shape);
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
         self.send_requests(&mut fleet, &mut rng, WARM_UP_TIME);
         let before: (u64, u64) = message_totals(&fleet);
-        let (reads, writes, bytes) =
-            (fleet.platform.reads, fleet.platform.writes, fleet.platform.bytes);
+        let (reads, writes, bytes) = (fleet.store.reads, fleet.store.writes, fleet.store.bytes);
         let messages_before = fleet.messages().clone();
         let start = Instant::now();
         let requests = self.send_requests(&mut fleet, &mut rng, MEASURED_TIME);
@@ -82,9 +81,9 @@
             to_f64(after.0 - before.0) / node_seconds,
             to_f64(after.1 - before.1) / node_seconds,
             wall_time.as_secs_f64() / node_seconds * 100.0,
-            to_f64(fleet.platform.reads - reads) / seconds,
-            to_f64(fleet.platform.writes - writes) / seconds,
-            to_f64(fleet.platform.bytes - bytes) / seconds
+            to_f64(fleet.store.reads - reads) / seconds,
+            to_f64(fleet.store.writes - writes) / seconds,
+            to_f64(fleet.store.bytes - bytes) / seconds
         );
         for (kind, (count, size)) in fleet.messages() {
             let (old_count, old_size) = messages_before.get(kind).copied().unwrap_or_default();
@@ -109,13 +108,20 @@
             // Callers of a budget are directed to few VMs.
             let budget = (vm + self.nodes * rng.random_range(0..BUDGETS_PER_VM)) % self.budgets;
             let key = self.has_keys.then(|| format!("{elapsed:?}"));
-            let wish = Wish { budget, key, once: false, service: false, prompt: 200, output: 200 };
-            fleet.ask(vm, wish);
+            let wish = RequestSpec {
+                budget,
+                key,
+                at_most_once: false,
+                service: false,
+                prompt: 200,
+                output: 200,
+            };
+            fleet.send_request(vm, wish);
             fleet.advance(gap);
             elapsed += gap;
             count += 1;
         }
-        fleet.forget_ended();
+        fleet.remove_ended();
         count
     }
 }
@@ -147,17 +153,17 @@
     /// Measures a fleet without requests and prints the row.
     fn print_idle(&self) {
         let half = self.nodes / 2;
-        let shape = Shape {
+        let shape = FleetConfig {
             regions: vec![self.nodes - half, half],
             limits: vec![1_000_000; self.budgets],
-            noise: 0,
+            noise_permille: 0,
             seed: self.seed,
-            ..Shape::default()
+            ..FleetConfig::default()
         };
         let mut fleet = Fleet::started(shape);
         fleet.advance(WARM_UP_TIME);
         let before = message_totals(&fleet);
-        let (reads, writes) = (fleet.platform.reads, fleet.platform.writes);
+        let (reads, writes) = (fleet.store.reads, fleet.store.writes);
         let start = Instant::now();
         fleet.advance(MEASURED_TIME);
         let wall_time = start.elapsed();
@@ -172,8 +178,8 @@
             to_f64(after.0 - before.0) / node_seconds,
             to_f64(after.1 - before.1) / node_seconds,
             wall_time.as_secs_f64() / node_seconds * 100.0,
-            to_f64(fleet.platform.reads - reads) / seconds,
-            to_f64(fleet.platform.writes - writes) / seconds
+            to_f64(fleet.store.reads - reads) / seconds,
+            to_f64(fleet.store.writes - writes) / seconds
         );
     }
 }
--- a/crates/badgerfield-standin/src/fleet/balance.rs
+++ b/crates/badgerfield-standin/src/fleet/balance.rs
@@ -67,7 +67,7 @@
         let mut balance = Balance {
             limit: self.truth.allowed(budget),
             used: self.truth.served.get(&budget).copied().unwrap_or(0),
-            left: self.left(budget),
+            left: self.remaining(budget),
             ..Balance::default()
         };
         for node in self.vms.iter().filter_map(|vm| vm.node.as_ref()) {
--- a/crates/badgerfield-standin/src/fleet/callers.rs
+++ b/crates/badgerfield-standin/src/fleet/callers.rs
@@ -4,17 +4,18 @@
 use badgerfield_core::event::Answer;
 use badgerfield_core::ids::RequestId;
 
-use super::{Asked, End, Fleet, Wish, arrival_of};
+use super::{CallerRequest, End, Fleet, RequestSpec, arrival_of};
 
 impl Fleet {
     /// Sends a request to a VM. It ends at once if the process of the VM does not run.
-    pub fn ask(&mut self, vm: usize, wish: Wish) -> RequestId {
+    pub fn send_request(&mut self, vm: usize, wish: RequestSpec) -> RequestId {
         let id = RequestId(self.next_request);
         self.next_request += 1;
         let arrival = arrival_of(&wish);
         let (at, head_at, sent) = (self.now, None, None);
-        let asked = Asked { wish, vm, at, head_at, sent, data: Vec::new(), end: None };
-        self.asked.insert(id, asked);
+        let asked =
+            CallerRequest { spec: wish, vm, at, head_at, sent, data: Vec::new(), end: None };
+        self.requests.insert(id, asked);
         if self.vms[vm].node.is_none() {
             self.record_end(id, End::Lost);
             return id;
@@ -25,20 +26,20 @@
 
     /// Disconnects the caller of a request.
     pub fn hang_up(&mut self, id: RequestId) {
-        let Some(vm) = self.asked.get(&id).map(|a| a.vm) else {
+        let Some(vm) = self.requests.get(&id).map(|a| a.vm) else {
             return;
         };
         self.deliver(vm, Event::CallerDisconnected(id));
     }
 
     /// Removes requests that have ended, to save memory in long runs.
-    pub fn forget_ended(&mut self) {
-        self.asked.retain(|_, asked| asked.end.is_none());
+    pub fn remove_ended(&mut self) {
+        self.requests.retain(|_, asked| asked.end.is_none());
     }
 
     pub(super) fn record_answer(&mut self, id: RequestId, answer: Answer) {
         let now = self.now;
-        let Some(asked) = self.asked.get_mut(&id) else {
+        let Some(asked) = self.requests.get_mut(&id) else {
             return;
         };
         match answer {
@@ -57,14 +58,14 @@
 
     pub(super) fn record_end(&mut self, id: RequestId, end: End) {
         let now = self.now;
-        let Some(asked) = self.asked.get_mut(&id) else {
+        let Some(asked) = self.requests.get_mut(&id) else {
             return;
         };
         if asked.end.is_some() {
             self.faults.push(format!("{id:?} ended twice"));
             return;
         }
-        self.truth.check_end(&asked.wish, &end, &asked.data, &mut self.faults);
+        self.truth.check_end(&asked.spec, &end, &asked.data, &mut self.faults);
         asked.end = Some((end, now));
     }
 }
--- a/crates/badgerfield-standin/src/fleet/evacuations.rs
+++ b/crates/badgerfield-standin/src/fleet/evacuations.rs
@@ -20,11 +20,11 @@
     ///
     /// VMs that watch the platform receive the change.
     pub fn evacuate(&mut self, domain: &Domain, evacuated: bool) -> bool {
-        if self.platform.down {
+        if self.store.down {
             return false;
         }
-        let change = self.platform.evacuate(domain, evacuated);
-        let at = self.now.after(self.platform.delay());
+        let change = self.store.evacuate(domain, evacuated);
+        let at = self.now.after(self.store.delay());
         let watchers: Vec<_> = (0..self.size()).filter(|vm| self.watches(*vm)).collect();
         for vm in watchers {
             let event = Event::OperatorChanges(OperatorChanges {
@@ -65,8 +65,7 @@
 
     pub(super) fn watches(&self, vm: usize) -> bool {
         let region = self.region_of(vm);
-        let Some(node) = self.node(vm).filter(|_| !self.platform.cut_regions.contains(&region))
-        else {
+        let Some(node) = self.node(vm).filter(|_| !self.store.cut_regions.contains(&region)) else {
             return false;
         };
         let local = Time(self.now.since(self.vms[vm].started));
--- a/crates/badgerfield-standin/src/fleet/mod.rs
+++ b/crates/badgerfield-standin/src/fleet/mod.rs
@@ -34,9 +34,9 @@
 
 pub use balance::{Balance, EndedProcess};
 pub use link::Link;
-pub use platform::Platform;
+pub use platform::FakeStore;
 pub use rollouts::{RolloutTruth, Traffic, VersionFault, service, version};
-pub use shape::{Shape, Wish, account, engines, member, region_name, secret};
+pub use shape::{FleetConfig, RequestSpec, account, engines, member, region_name, secret};
 use shape::{account_template, arrival_of, budget_template};
 pub use truth::{Truth, key_of};
 use upstreams::Upstreams;
@@ -65,9 +65,9 @@
 
 /// A request, as seen by its caller.
 #[derive(Debug, Clone)]
-pub struct Asked {
+pub struct CallerRequest {
     /// The content of the request.
-    pub wish: Wish,
+    pub spec: RequestSpec,
     /// The VM that received the request.
     pub vm: usize,
     /// When the request was sent.
@@ -119,11 +119,11 @@
     /// The current time.
     pub now: Time,
     /// The store.
-    pub platform: Platform,
+    pub store: FakeStore,
     /// What upstreams ran, and what was billed.
     pub truth: Truth,
     /// All requests, by id.
-    pub asked: BTreeMap<RequestId, Asked>,
+    pub requests: BTreeMap<RequestId, CallerRequest>,
     /// The templates that the operator wrote last.
     pub templates: TemplateSet,
     /// Rollouts, and the requests that versions received.
@@ -134,7 +134,7 @@
     pub link: Option<Link>,
     /// Links of single VMs on which answers to callers leave little bandwidth.
     pub full_links: BTreeMap<usize, Link>,
-    shape: Shape,
+    shape: FleetConfig,
     vms: Vec<Vm>,
     upstreams: Upstreams,
     scheduled: BTreeMap<(Time, u64), ScheduledAction>,
@@ -158,14 +158,14 @@
 impl Fleet {
     /// Creates a fleet whose processes have not started.
     #[must_use]
-    pub fn new(shape: Shape) -> Self {
+    pub fn new(shape: FleetConfig) -> Self {
         let rng = ChaCha8Rng::seed_from_u64(shape.seed);
         let upstreams = Upstreams::new(shape.engines);
         let mut fleet = Self {
             now: Time::from_millis(1000),
-            platform: Platform::default(),
+            store: FakeStore::default(),
             truth: Truth::default(),
-            asked: BTreeMap::new(),
+            requests: BTreeMap::new(),
             rollouts: RolloutTruth::new(shape.seed),
             templates: TemplateSet::default(),
             faults: Vec::new(),
@@ -196,7 +196,7 @@
 
     /// Creates a fleet, starts all processes and advances the time by five seconds.
     #[must_use]
-    pub fn started(shape: Shape) -> Self {
+    pub fn started(shape: FleetConfig) -> Self {
         let mut fleet = Self::new(shape);
         for vm in 0..fleet.vms.len() {
             fleet.start(vm);
@@ -251,10 +251,10 @@
 
     /// Returns the tokens of a budget that remain in the ledger.
     #[must_use]
-    pub fn left(&self, budget: usize) -> u64 {
+    pub fn remaining(&self, budget: usize) -> u64 {
         let id = Self::budget(budget);
         let shard = badgerfield_core::ledger::shard_of(&id, self.shape.shards);
-        self.platform.ledger(shard).budgets.get(&id).map_or(0, |entry| entry.remaining().0)
+        self.store.ledger(shard).budgets.get(&id).map_or(0, |entry| entry.remaining().0)
     }
 
     /// Returns the tokens of a budget that running processes hold.
@@ -317,7 +317,7 @@
         let Ok(next) = self.templates.replace(wanted, author, 0, mark) else {
             return false;
         };
-        if !self.platform.write_templates(&next) {
+        if !self.store.write_templates(&next) {
             return false;
         }
         self.truth.record_limits(&next);
--- a/crates/badgerfield-standin/src/fleet/platform.rs
+++ b/crates/badgerfield-standin/src/fleet/platform.rs
@@ -21,7 +21,7 @@
 
 /// The values of the store, and the faults that it shows.
 #[derive(Debug, Default)]
-pub struct Platform {
+pub struct FakeStore {
     /// Whether the store neither executes nor answers calls.
     pub down: bool,
     /// How many of the next writes are executed without a reply.
@@ -48,7 +48,7 @@
     revision: u64,
 }
 
-impl Platform {
+impl FakeStore {
     /// Returns the current delay of a call or an answer.
     pub(super) fn delay(&self) -> Duration {
         DELAY + self.slow
@@ -166,21 +166,20 @@
     ) {
         let vm = self.vm_of.get(&from).copied().unwrap_or(0);
         let region = self.region_of(vm);
-        let is_cut =
-            self.platform.cut_regions.contains(&region) || self.platform.cut_vms.contains(&vm);
+        let is_cut = self.store.cut_regions.contains(&region) || self.store.cut_vms.contains(&vm);
         if self.defer_late_write(from, call_id, call) {
             let event = Event::StoreReply(call_id, StoreResult::Unknown);
             self.schedule(self.now.after(TIMEOUT), ScheduledAction::Deliver(from, event));
             return;
         }
-        let (result, delay) = if self.platform.down || is_cut {
+        let (result, delay) = if self.store.down || is_cut {
             (StoreResult::Unknown, TIMEOUT)
         } else {
-            let (result, is_lost) = self.platform.execute_call(call);
+            let (result, is_lost) = self.store.execute_call(call);
             self.check_record_change();
             match (self.with_orders(result), is_lost) {
                 (_, true) => (StoreResult::Unknown, TIMEOUT),
-                (result, false) => (result, self.platform.delay()),
+                (result, false) => (result, self.store.delay()),
             }
         };
         let size = link::answer_bytes(&result);
--- a/crates/badgerfield-standin/src/fleet/processes.rs
+++ b/crates/badgerfield-standin/src/fleet/processes.rs
@@ -90,7 +90,7 @@
         vm.node = None;
         vm.is_suspended = false;
         vm.backlog.clear();
-        for asked in self.asked.values_mut() {
+        for asked in self.requests.values_mut() {
             if asked.vm == index && asked.end.is_none() {
                 asked.end = Some((End::Lost, self.now));
             }
@@ -98,12 +98,12 @@
     }
 
     /// Suspends the process of a VM. Events wait until the process is resumed.
-    pub fn freeze(&mut self, index: usize) {
+    pub fn suspend(&mut self, index: usize) {
         self.vms[index].is_suspended = self.vms[index].node.is_some();
     }
 
     /// Resumes a suspended process, which then handles the events that have waited.
-    pub fn thaw(&mut self, index: usize) {
+    pub fn resume(&mut self, index: usize) {
         if !std::mem::replace(&mut self.vms[index].is_suspended, false) {
             return;
         }
@@ -120,16 +120,16 @@
     }
 
     /// Partitions a region from the others, and also from the store if `platform` is set.
-    pub fn cut(&mut self, region: usize, platform: bool) {
+    pub fn partition(&mut self, region: usize, platform: bool) {
         self.partitioned_regions.insert(region);
         if platform {
-            self.platform.cut_regions.insert(region);
+            self.store.cut_regions.insert(region);
         }
     }
 
     /// Ends all partitions of regions.
-    pub fn heal(&mut self) {
+    pub fn end_partitions(&mut self) {
         self.partitioned_regions.clear();
-        self.platform.cut_regions.clear();
+        self.store.cut_regions.clear();
     }
 }
--- a/crates/badgerfield-standin/src/fleet/rollouts.rs
+++ b/crates/badgerfield-standin/src/fleet/rollouts.rs
@@ -56,7 +56,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct VersionFault {
     /// How many of a hundred answers are bad.
-    pub worse: u32,
+    pub bad_percent: u32,
     /// Whether bad answers are slow; otherwise they fail.
     pub slow: bool,
     /// The route on which the version is bad, if it is only one.
@@ -147,10 +147,10 @@
     /// Orders a rollout, or withdraws the newest order if `order` is `None`. Returns `false` if the
     /// store is down.
     pub fn roll_out(&mut self, order: Option<RolloutOrder>) -> bool {
-        if self.platform.down {
+        if self.store.down {
             return false;
         }
-        let revision = self.platform.next_revision();
+        let revision = self.store.next_revision();
         let change = OrderChange { service: service(), revision, order };
         let truth = &mut self.rollouts;
         truth.orders.insert(service(), change.clone());
@@ -158,7 +158,7 @@
         truth.ended = None;
         truth.request_count = 0;
         truth.counts.clear();
-        let at = self.now.after(self.platform.delay());
+        let at = self.now.after(self.store.delay());
         for vm in (0..self.size()).filter(|vm| self.watches(*vm)).collect::<Vec<_>>() {
             let event = Event::OperatorChanges(OperatorChanges {
                 revision,
@@ -208,7 +208,7 @@
             self.vms[vm].gateway.request_credit += self.rollouts.traffic.requests_per_second;
             while self.vms[vm].gateway.request_credit >= 20 {
                 self.vms[vm].gateway.request_credit -= 20;
-                self.send_request(vm);
+                self.send_gateway_request(vm);
             }
         }
         let tallies = self.vms[vm].gateway.due_tallies(now);
@@ -217,7 +217,7 @@
         }
     }
 
-    fn send_request(&mut self, vm: usize) {
+    fn send_gateway_request(&mut self, vm: usize) {
         let now = self.now;
         let route = self.rollouts.rng.random_range(0..ROUTES);
         let target = self.vms[vm].gateway.choose_target(route);
@@ -245,8 +245,7 @@
     /// Checks that the version of a request may still receive requests.
     fn check_sent(&mut self, vm: usize, version: &SoftwareVersion) {
         let now = self.now;
-        let is_connected =
-            self.partitioned_regions.is_empty() && self.platform.cut_regions.is_empty();
+        let is_connected = self.partitioned_regions.is_empty() && self.store.cut_regions.is_empty();
         let due_since = self.rollouts.counts.get(version).and_then(|got| got.rollback_due_since);
         let is_bad = self.rollouts.traffic.bad_versions.contains_key(version);
         if is_connected && is_bad && due_since.is_some_and(|at| now.since(at) > ROLLBACK_TIMEOUT) {
@@ -273,13 +272,13 @@
     }
 
     fn is_in_view(&self, vm: usize) -> bool {
-        self.runs(vm) && self.platform.view().has_member(self.vms[vm].member.incarnation)
+        self.runs(vm) && self.store.view().has_member(self.vms[vm].member.incarnation)
     }
 
     /// Checks a change of the stored record. If the order has completed, the target becomes the
     /// version in use, and running requests at other versions are faults.
     pub(super) fn check_record_change(&mut self) {
-        let value = self.platform.value(&StoreKey::Rollout(service()));
+        let value = self.store.value(&StoreKey::Rollout(service()));
         let Ok(Some(next)) = RolloutRecord::decode(value.as_deref()) else {
             return;
         };
@@ -357,7 +356,7 @@
         };
         let is_bad = now.since(self.ordered_at) >= bad.after
             && bad.route.is_none_or(|only| only == route)
-            && self.rng.random_range(0..100) < bad.worse;
+            && self.rng.random_range(0..100) < bad.bad_percent;
         if is_bad && counts.failed == 0 {
             counts.slow = u32::from(bad.slow);
             counts.failed = u32::from(!bad.slow);
--- a/crates/badgerfield-standin/src/fleet/shape.rs
+++ b/crates/badgerfield-standin/src/fleet/shape.rs
@@ -15,7 +15,7 @@
 
 /// The configuration of a fleet.
 #[derive(Debug, Clone)]
-pub struct Shape {
+pub struct FleetConfig {
     /// The number of VMs of each region.
     pub regions: Vec<usize>,
     /// The number of failure domains of each region.
@@ -29,14 +29,14 @@
     /// The number of engines that serve the model.
     pub engines: usize,
     /// How many of a thousand messages are lost, and how many are duplicated.
-    pub noise: u64,
+    pub noise_permille: u64,
     /// Whether tokens held ahead of demand are sealed, instead of parked at a peer.
     pub seals: bool,
     /// The seed of all random numbers.
     pub seed: u64,
 }
 
-impl Default for Shape {
+impl Default for FleetConfig {
     fn default() -> Self {
         Self {
             regions: vec![4, 4],
@@ -45,7 +45,7 @@
             spread: 80,
             shards: 4,
             engines: 4,
-            noise: 5,
+            noise_permille: 5,
             seals: false,
             seed: 1,
         }
@@ -54,13 +54,13 @@
 
 /// The content of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Wish {
+pub struct RequestSpec {
     /// The budget.
     pub budget: usize,
     /// The caller's key, if any.
     pub key: Option<String>,
     /// Whether the request may run at most once.
-    pub once: bool,
+    pub at_most_once: bool,
     /// Whether the request is for the plain service rather than an engine.
     pub service: bool,
     /// The upper bound of the prompt, in tokens.
@@ -136,7 +136,7 @@
     BudgetTemplate { changed: TemplateVersion(0), limit: Tokens(limit), period: Period(1), keys }
 }
 
-pub(super) fn arrival_of(wish: &Wish) -> IncomingRequest {
+pub(super) fn arrival_of(wish: &RequestSpec) -> IncomingRequest {
     let name = |text: &str| text.parse().unwrap_or_else(|_| unreachable!("the name is valid"));
     let work = if wish.service {
         let service = "scoring".parse().unwrap_or_else(|_| unreachable!("the name is valid"));
@@ -150,6 +150,6 @@
             prefix_digests: Vec::new(),
         })
     };
-    let (secret, key, once) = (secret(wish.budget), wish.key.clone(), wish.once);
+    let (secret, key, once) = (secret(wish.budget), wish.key.clone(), wish.at_most_once);
     IncomingRequest { secret_digest: secret, key, at_most_once: once, work, max_wait: None }
 }
--- a/crates/badgerfield-standin/src/fleet/steps.rs
+++ b/crates/badgerfield-standin/src/fleet/steps.rs
@@ -92,7 +92,7 @@
                 let direction = (self.region_of(index), link::STORE_REGION);
                 let arrives_at =
                     self.cross(direction, link::call_bytes(&call), None).unwrap_or(sent);
-                let at = arrives_at.after(self.platform.delay());
+                let at = arrives_at.after(self.store.delay());
                 self.schedule(at, ScheduledAction::StoreCall(from, call_id, call, sent));
             }
             Command::Dispatch(attempt, dispatch) => self.dispatch(from, attempt, dispatch),
@@ -171,8 +171,8 @@
         let base = self.cross((a, b), bytes, None).unwrap_or(without_link);
         let base = self.wait_for_links((index, to), bytes, base);
         let copies = match self.rng.random_range(0..1000) {
-            n if n < self.shape.noise => 0,
-            n if n < 2 * self.shape.noise => 2,
+            n if n < self.shape.noise_permille => 0,
+            n if n < 2 * self.shape.noise_permille => 2,
             _ => 1,
         };
         for _ in 0..copies {
--- a/crates/badgerfield-standin/src/fleet/truth.rs
+++ b/crates/badgerfield-standin/src/fleet/truth.rs
@@ -10,7 +10,7 @@
 use badgerfield_core::template::TemplateSet;
 
 use super::upstreams::{expected_part, part_count};
-use super::{End, Fleet, Wish};
+use super::{End, Fleet, RequestSpec};
 
 /// What upstreams ran and what was billed.
 #[derive(Debug, Default)]
@@ -57,7 +57,7 @@
             .sum()
     }
 
-    pub(super) fn record_run(&mut self, wish: &Wish, upstream: &UpstreamId, now: Time) {
+    pub(super) fn record_run(&mut self, wish: &RequestSpec, upstream: &UpstreamId, now: Time) {
         let dispatches = self.dispatches.entry(upstream.clone()).or_default();
         *dispatches = (dispatches.0 + 1, now);
         if let Some(key) = key_of(wish) {
@@ -82,7 +82,13 @@
     }
 
     /// Checks the end of a request against this record, and adds violations to `faults`.
-    pub(super) fn check_end(&self, wish: &Wish, end: &End, data: &[u64], faults: &mut Vec<String>) {
+    pub(super) fn check_end(
+        &self,
+        wish: &RequestSpec,
+        end: &End,
+        data: &[u64],
+        faults: &mut Vec<String>,
+    ) {
         let Some(key) = key_of(wish) else {
             return;
         };
@@ -133,7 +139,7 @@
 
 /// Returns the system's key of a request, if the caller set one.
 #[must_use]
-pub fn key_of(wish: &Wish) -> Option<RequestKey> {
+pub fn key_of(wish: &RequestSpec) -> Option<RequestKey> {
     let key = wish.key.as_ref()?;
     Some(RequestKey::new(&Fleet::budget(wish.budget), key))
 }
--- a/crates/badgerfield-standin/src/fleet/upstreams.rs
+++ b/crates/badgerfield-standin/src/fleet/upstreams.rs
@@ -117,15 +117,15 @@
             return;
         }
         if let Some(next) = dispatch.resume_from {
-            self.resume(from, attempt, &(index, dispatch.stream), next);
+            self.resume_stream(from, attempt, &(index, dispatch.stream), next);
             return;
         }
-        let Some(asked) = dispatch.request.and_then(|id| self.asked.get_mut(&id)) else {
+        let Some(asked) = dispatch.request.and_then(|id| self.requests.get_mut(&id)) else {
             self.send_event(from, attempt, UpstreamEvent::NotSent);
             return;
         };
         asked.sent.get_or_insert(self.now);
-        let wish = asked.wish.clone();
+        let wish = asked.spec.clone();
         self.truth.record_run(&wish, &dispatch.upstream, self.now);
         let output = if wish.service { 0 } else { self.rng.random_range(1..=wish.output) };
         let prompt = if wish.service { CALL_COST } else { wish.prompt * 3 / 4 };
@@ -149,7 +149,13 @@
         self.schedule(self.now.after(PART_INTERVAL), ScheduledAction::ExtendStream(stream_index));
     }
 
-    fn resume(&mut self, from: Incarnation, attempt: AttemptId, name: &(usize, String), next: u64) {
+    fn resume_stream(
+        &mut self,
+        from: Incarnation,
+        attempt: AttemptId,
+        name: &(usize, String),
+        next: u64,
+    ) {
         let Some(stream_index) = self.upstreams.names.get(name).copied() else {
             self.send_event(from, attempt, UpstreamEvent::NoStream);
             return;
@@ -249,8 +255,8 @@
         let stream_index = self.upstreams.attempts.get(&(to, attempt));
         let is_engine = stream_index.is_some_and(|n| self.upstreams.streams[*n].total > 1);
         let is_part = is_engine && matches!(event, UpstreamEvent::Chunk(_));
-        let is_late = is_part && random < self.shape.noise;
-        let is_duplicate = is_part && random >= 1000 - self.shape.noise;
+        let is_late = is_part && random < self.shape.noise_permille;
+        let is_duplicate = is_part && random >= 1000 - self.shape.noise_permille;
         if is_late || is_duplicate {
             let late = ScheduledAction::Deliver(to, Event::Upstream(attempt, event.clone()));
             self.schedule(at.after(PART_INTERVAL).after(PART_INTERVAL / 4), late);
--- a/crates/badgerfield-standin/src/measure/mod.rs
+++ b/crates/badgerfield-standin/src/measure/mod.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 pub use naive::{Central, Lease, Split};
-pub use ours::Ours;
+pub use ours::Badgerfield;
 pub use workload::{Arrival, Case, Fault};
 
 /// The results of one system in one case.
@@ -23,7 +23,7 @@
     /// The tokens served beyond the prepaid budgets.
     pub overspend: u64,
     /// The false refusals: requests refused although the budget had enough left.
-    pub refused: u64,
+    pub false_refusals: u64,
     /// The requests refused because the budget had too little left.
     pub spent_out: u64,
     /// The false refusals by cause.
@@ -49,7 +49,7 @@
 
 /// Runs all systems in all cases and prints a table for each case.
 pub fn print(seed: u64) {
-    let systems: [&dyn System; 4] = [&Ours, &Central, &Split, &Lease];
+    let systems: [&dyn System; 4] = [&Badgerfield, &Central, &Split, &Lease];
     println!(
         "8 VMs in 2 regions, 10 client accounts, seed {seed}; simulated time, same arrivals for all"
     );
@@ -76,7 +76,7 @@
                 system.name(),
                 result.requests,
                 result.overspend,
-                result.refused,
+                result.false_refusals,
                 result.spent_out,
                 result.lost,
                 result.stranded,
--- a/crates/badgerfield-standin/src/measure/naive.rs
+++ b/crates/badgerfield-standin/src/measure/naive.rs
@@ -178,7 +178,7 @@
             Admission::Refuse => {
                 let used = self.served[arrival.account] + self.reserved[arrival.account];
                 if self.case.limits[arrival.account].saturating_sub(used) >= arrival.max_cost() {
-                    self.result.refused += 1;
+                    self.result.false_refusals += 1;
                 } else {
                     self.result.spent_out += 1;
                 }
--- a/crates/badgerfield-standin/src/measure/ours.rs
+++ b/crates/badgerfield-standin/src/measure/ours.rs
@@ -8,15 +8,15 @@
 
 use super::workload::{ACCOUNTS, CASE_DURATION, VMS};
 use super::{Arrival, Case, CaseResult, Fault, System, percentile};
-use crate::fleet::{End, Fleet, Shape, Wish};
+use crate::fleet::{End, Fleet, FleetConfig, RequestSpec};
 
 /// The time for which a caller caches an answer of the directory.
 const DIRECTORY_TTL: Duration = Duration::from_secs(2);
 
 /// Badgerfield, with one simulated node for each VM.
-pub struct Ours;
+pub struct Badgerfield;
 
-impl System for Ours {
+impl System for Badgerfield {
     fn name(&self) -> &'static str {
         "badgerfield"
     }
@@ -38,11 +38,11 @@
 
 impl Run {
     fn new(case: &Case) -> Self {
-        let shape = Shape {
+        let shape = FleetConfig {
             regions: vec![VMS / 2, VMS / 2],
             limits: case.limits.clone(),
             seed: case.seed,
-            ..Shape::default()
+            ..FleetConfig::default()
         };
         let fleet = Fleet::started(shape);
         Self {
@@ -56,7 +56,7 @@
 
     fn finish(mut self, case: &Case) -> CaseResult {
         let start = self.fleet.now.0;
-        let calls = self.fleet.platform.reads + self.fleet.platform.writes;
+        let calls = self.fleet.store.reads + self.fleet.store.writes;
         let mut faults = case.faults.iter().copied().peekable();
         for arrival in &case.arrivals {
             while let Some((at, fault)) = faults.next_if(|(at, _)| *at <= arrival.at) {
@@ -67,10 +67,10 @@
             self.send_request(*arrival, arrival.vm);
         }
         self.advance_to(start + CASE_DURATION);
-        let calls = self.fleet.platform.reads + self.fleet.platform.writes - calls;
+        let calls = self.fleet.store.reads + self.fleet.store.writes - calls;
         self.advance_to(start + CASE_DURATION + Duration::from_secs(10));
         let mut delays: Vec<_> =
-            self.fleet.asked.values().filter_map(|a| Some(a.sent?.since(a.at))).collect();
+            self.fleet.requests.values().filter_map(|a| Some(a.sent?.since(a.at))).collect();
         delays.sort_unstable();
         self.result.dispatch_delay = (percentile(&delays, 50), percentile(&delays, 99));
         self.result.overspend = self.fleet.truth.overspend();
@@ -91,10 +91,17 @@
 
     fn send_request(&mut self, arrival: Arrival, vm: usize) {
         let (account, prompt, output) = (arrival.account, arrival.prompt, arrival.output);
-        let wish = Wish { budget: account, key: None, once: false, service: false, prompt, output };
+        let wish = RequestSpec {
+            budget: account,
+            key: None,
+            at_most_once: false,
+            service: false,
+            prompt,
+            output,
+        };
         self.result.requests += 1;
         let vm = self.choose_vm(vm);
-        let id = self.fleet.ask(vm, wish);
+        let id = self.fleet.send_request(vm, wish);
         self.reserved[account] += arrival.max_cost();
         self.open_requests.insert(id, arrival);
         self.classify_ended();
@@ -124,7 +131,7 @@
         let ended: Vec<_> = self
             .open_requests
             .keys()
-            .filter_map(|id| Some((*id, self.fleet.asked.get(id)?.end.clone()?.0)))
+            .filter_map(|id| Some((*id, self.fleet.requests.get(id)?.end.clone()?.0)))
             .collect();
         for (id, end) in ended {
             let Some(arrival) = self.open_requests.remove(&id) else {
@@ -135,7 +142,7 @@
                 End::Whole(_) | End::Broken(_) => {}
                 End::Lost => self.result.lost += 1,
                 End::Refused(refusal) if self.ideal_ledger_admits(&arrival) => {
-                    self.result.refused += 1;
+                    self.result.false_refusals += 1;
                     *self.result.causes.entry(refusal.cause.code()).or_default() += 1;
                 }
                 End::Refused(_) => self.result.spent_out += 1,
@@ -157,9 +164,9 @@
     fn apply_fault(&mut self, fault: Fault) {
         let fleet = &mut self.fleet;
         match fault {
-            Fault::PlatformDown(down) => fleet.platform.down = down,
-            Fault::RegionCut(true) => fleet.cut(1, true),
-            Fault::RegionCut(false) => fleet.heal(),
+            Fault::PlatformDown(down) => fleet.store.down = down,
+            Fault::RegionCut(true) => fleet.partition(1, true),
+            Fault::RegionCut(false) => fleet.end_partitions(),
             Fault::Kill(vm) => fleet.kill(vm),
             Fault::Start(vm) => {
                 if !fleet.runs(vm) {
@@ -167,8 +174,8 @@
                 }
             }
             Fault::Stop(vm) => fleet.stop(vm),
-            Fault::Freeze(vm, true) => fleet.freeze(vm),
-            Fault::Freeze(vm, false) => fleet.thaw(vm),
+            Fault::Freeze(vm, true) => fleet.suspend(vm),
+            Fault::Freeze(vm, false) => fleet.resume(vm),
         }
     }
 
@@ -178,7 +185,7 @@
         let mut stranded = 0;
         for (account, limit) in case.limits.iter().enumerate() {
             let served = self.fleet.truth.served.get(&account).copied().unwrap_or(0);
-            let accounted = served + self.fleet.left(account) + self.fleet.held(account);
+            let accounted = served + self.fleet.remaining(account) + self.fleet.held(account);
             stranded += limit.saturating_sub(accounted);
         }
         stranded
--- a/crates/badgerfield-standin/src/site.rs
+++ b/crates/badgerfield-standin/src/site.rs
@@ -35,14 +35,14 @@
 
 /// The answer to a request.
 #[derive(Debug, Clone)]
-pub struct Got {
+pub struct Answer {
     /// The HTTP status; 0 if no complete answer was received.
     pub status: u16,
     /// The whole body.
     pub body: String,
 }
 
-impl Got {
+impl Answer {
     /// Returns the body as JSON; null if it is not valid JSON.
     #[must_use]
     pub fn json(&self) -> Value {
@@ -51,7 +51,7 @@
 
     /// Returns the text of a streamed answer, if it is complete.
     #[must_use]
-    pub fn streamed(&self) -> Option<String> {
+    pub fn streamed_text(&self) -> Option<String> {
         let mut text = String::new();
         for line in self.body.lines().filter_map(|line| line.strip_prefix("data: ")) {
             if line == "[DONE]" {
@@ -132,21 +132,23 @@
             standins: Vec::new(),
         };
         site.start_standins(vms, decode)?;
-        site.wait("the VM list", async |s| s.get(s.list_address, "/").await.status == 200).await?;
-        site.wait("the key-value service", async |s| {
+        site.wait_until("the VM list", async |s| s.get(s.list_address, "/").await.status == 200)
+            .await?;
+        site.wait_until("the key-value service", async |s| {
             s.get(s.kv_admin, "/calls").await.status == 200
         })
         .await?;
         for admin in site.engine_admins.clone().into_iter().chain([site.service_admin]) {
-            site.wait("an upstream", async |s| s.get(admin, "/truth").await.status == 200).await?;
+            site.wait_until("an upstream", async |s| s.get(admin, "/truth").await.status == 200)
+                .await?;
         }
         for index in 0..vms {
             site.add_vm(index)?;
             site.start_vm(index)?;
         }
-        site.apply(limit)?;
+        site.apply_templates(limit)?;
         for index in 0..vms {
-            site.wait("a VM", async |s| s.is_ready(index).await).await?;
+            site.wait_until("a VM", async |s| s.is_ready(index).await).await?;
         }
         Ok(site)
     }
@@ -170,7 +172,7 @@
     /// # Errors
     ///
     /// Fails if the VM was not started or `kill` fails.
-    pub fn signal(&mut self, index: usize, signal: &str) -> Result<()> {
+    pub fn send_signal(&mut self, index: usize, signal: &str) -> Result<()> {
         let process = self.vms[index].process.as_mut().context("the VM was not started")?;
         let status = Command::new("kill")
             .arg(format!("-{signal}"))
@@ -212,7 +214,13 @@
     }
 
     /// Sends a request for a streamed chat completion to a VM.
-    pub async fn chat(&self, index: usize, key: Option<&str>, prompt: &str, output: u64) -> Got {
+    pub async fn send_chat(
+        &self,
+        index: usize,
+        key: Option<&str>,
+        prompt: &str,
+        output: u64,
+    ) -> Answer {
         let body = json!({
             "model": "land-7b",
             "stream": true,
@@ -224,19 +232,19 @@
     }
 
     /// Sends a request for the plain service to a VM.
-    pub async fn call(&self, index: usize, key: &str, path: &str) -> Got {
+    pub async fn call_service(&self, index: usize, key: &str, path: &str) -> Answer {
         let path = format!("/svc/scoring/{path}");
         self.send(self.vms[index].caller_address, Method::POST, &path, Some(key), "team 4".into())
             .await
     }
 
     /// Sets the faults of a stand-in.
-    pub async fn faults(&self, admin: SocketAddr, faults: &Value) -> Got {
+    pub async fn set_faults(&self, admin: SocketAddr, faults: &Value) -> Answer {
         self.send(admin, Method::POST, "/faults", None, faults.to_string()).await
     }
 
     /// Returns the requests that a stand-in executed.
-    pub async fn truth(&self, admin: SocketAddr) -> Value {
+    pub async fn fetch_truth(&self, admin: SocketAddr) -> Value {
         self.get(admin, "/truth").await.json()
     }
 
@@ -250,10 +258,10 @@
     }
 
     /// Returns the sum of the prompt and output tokens that all engines served.
-    pub async fn served(&self) -> u64 {
+    pub async fn total_served_tokens(&self) -> u64 {
         let mut served = 0;
         for admin in &self.engine_admins {
-            let truth = self.truth(*admin).await;
+            let truth = self.fetch_truth(*admin).await;
             for stream in truth.as_object().into_iter().flat_map(serde_json::Map::values) {
                 served += stream["prompt"].as_u64().unwrap_or(0);
                 served += stream["output"].as_u64().unwrap_or(0);
@@ -289,15 +297,15 @@
 
     /// Returns the sum of the costs of all bill lines, in tokens.
     #[must_use]
-    pub fn billed(&self) -> u64 {
+    pub fn total_billed_tokens(&self) -> u64 {
         self.bills().iter().map(|bill| bill.1).sum()
     }
 
     /// Returns the requests that each engine executed.
-    pub async fn all_truth(&self) -> Vec<Value> {
+    pub async fn fetch_all_truth(&self) -> Vec<Value> {
         let mut truth = Vec::new();
         for admin in &self.engine_admins {
-            truth.push(self.truth(*admin).await);
+            truth.push(self.fetch_truth(*admin).await);
         }
         truth
     }
@@ -307,7 +315,7 @@
     /// # Errors
     ///
     /// Fails after a timeout, with the status and the last log lines of each VM.
-    pub async fn wait(&self, name: &str, holds: impl AsyncFn(&Self) -> bool) -> Result<()> {
+    pub async fn wait_until(&self, name: &str, holds: impl AsyncFn(&Self) -> bool) -> Result<()> {
         let deadline = Instant::now() + CONDITION_TIMEOUT;
         while Instant::now() < deadline {
             if holds(self).await {
@@ -329,7 +337,7 @@
     /// # Errors
     ///
     /// Fails if `badgerfield template apply` fails.
-    pub fn apply(&self, limit: u64) -> Result<()> {
+    pub fn apply_templates(&self, limit: u64) -> Result<()> {
         let file = self.folder.join("templates.ini");
         std::fs::write(&file, templates(limit))?;
         let status = Command::new(self.program_folder.join("badgerfield"))
@@ -344,7 +352,7 @@
         Ok(())
     }
 
-    async fn get(&self, address: SocketAddr, path: &str) -> Got {
+    async fn get(&self, address: SocketAddr, path: &str) -> Answer {
         self.send(address, Method::GET, path, None, String::new()).await
     }
 
@@ -355,13 +363,13 @@
         path: &str,
         key: Option<&str>,
         body: String,
-    ) -> Got {
+    ) -> Answer {
         let mut request = Request::builder().method(method).uri(format!("http://{to}{path}"));
         request = request.header("authorization", format!("Bearer {CALLER_KEY}"));
         if let Some(key) = key {
             request = request.header("idempotency-key", key);
         }
-        let no_answer = Got { status: 0, body: String::new() };
+        let no_answer = Answer { status: 0, body: String::new() };
         let Ok(request) = request.body(Full::new(Bytes::from(body))) else {
             return no_answer;
         };
@@ -369,7 +377,7 @@
             let response = self.client.request(request).await.ok()?;
             let status = response.status().as_u16();
             let body = http::read_body(response.into_body(), 16_000_000).await?;
-            Some(Got { status, body: String::from_utf8_lossy(&body).into_owned() })
+            Some(Answer { status, body: String::from_utf8_lossy(&body).into_owned() })
         };
         tokio::time::timeout(REQUEST_TIMEOUT, request).await.ok().flatten().unwrap_or(no_answer)
     }
--- a/crates/badgerfield-standin/tests/directory.rs
+++ b/crates/badgerfield-standin/tests/directory.rs
@@ -4,7 +4,7 @@
 
 use badgerfield_core::Event;
 use badgerfield_core::amount::Time;
-use badgerfield_standin::fleet::{Fleet, Shape};
+use badgerfield_standin::fleet::{Fleet, FleetConfig};
 
 const VMS: usize = 48;
 /// The number of VMs that start first. It is so small that all exchange heartbeats with each other.
@@ -17,7 +17,12 @@
 }
 
 fn fleet() -> Fleet {
-    let shape = Shape { regions: vec![VMS], seals: true, noise: 0, ..Shape::default() };
+    let shape = FleetConfig {
+        regions: vec![VMS],
+        seals: true,
+        noise_permille: 0,
+        ..FleetConfig::default()
+    };
     Fleet::new(shape)
 }
 
--- a/crates/badgerfield-standin/tests/evacuations.rs
+++ b/crates/badgerfield-standin/tests/evacuations.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use badgerfield_core::ids::Domain;
-use badgerfield_standin::fleet::{Fleet, Shape};
+use badgerfield_standin::fleet::{Fleet, FleetConfig};
 
 /// The time within which an update must reach all VMs if there are no faults. Users require 5 s.
 const UPDATE_TIMEOUT: Duration = Duration::from_millis(1000);
@@ -12,7 +12,13 @@
 const STEP: Duration = Duration::from_millis(10);
 
 fn fleet(vms: usize, noise: u64, seed: u64) -> Fleet {
-    Fleet::started(Shape { regions: vec![vms], seals: true, noise, seed, ..Shape::default() })
+    Fleet::started(FleetConfig {
+        regions: vec![vms],
+        seals: true,
+        noise_permille: noise,
+        seed,
+        ..FleetConfig::default()
+    })
 }
 
 fn domain(name: &str) -> Domain {
@@ -70,9 +76,9 @@
         wait_until_evacuated(&mut fleet, &two, 0);
         // The process of a member is killed, and its knowledge of evacuations is lost.
         fleet.kill(3);
-        fleet.platform.down = true;
+        fleet.store.down = true;
         fleet.advance(Duration::from_millis(500));
-        fleet.platform.down = false;
+        fleet.store.down = false;
         fleet.start(3);
         fleet.advance(Duration::from_secs(3));
         assert!(fleet.is_evacuated_at(3, &one), "{vms} VMs");
@@ -87,11 +93,11 @@
     for vms in [6, 87] {
         let mut fleet = fleet(vms, 0, 3);
         let zone = domain("d-1");
-        fleet.platform.cut_regions.insert(0);
+        fleet.store.cut_regions.insert(0);
         assert!(fleet.evacuate(&zone, true));
         fleet.advance(Duration::from_millis(100));
         assert_eq!(fleet.evacuated_count(&zone), 0, "a watch has reported the change");
-        fleet.platform.cut_regions.clear();
+        fleet.store.cut_regions.clear();
         let took = wait_until_evacuated(&mut fleet, &zone, vms);
         assert!(took <= Duration::from_secs(4), "{vms} VMs: {took:?}");
     }
--- a/crates/badgerfield-standin/tests/full_link.rs
+++ b/crates/badgerfield-standin/tests/full_link.rs
@@ -10,7 +10,7 @@
 
 use std::time::Duration;
 
-use badgerfield_standin::fleet::{Fleet, Link, Shape, Wish};
+use badgerfield_standin::fleet::{Fleet, FleetConfig, Link, RequestSpec};
 
 const VMS: usize = 60;
 /// The VM that receives all requests.
@@ -31,7 +31,7 @@
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
 
 fn fleet(wait: Duration, seed: u64) -> Fleet {
-    let shape = Shape {
+    let shape = FleetConfig {
         regions: vec![VMS],
         domains: 3,
         limits: vec![LIMIT],
@@ -39,7 +39,7 @@
         shards: 1,
         engines: 12,
         seals: true,
-        noise: 0,
+        noise_permille: 0,
         seed,
     };
     let mut fleet = Fleet::started(shape);
@@ -51,15 +51,22 @@
     let until = fleet.now.after(Duration::from_secs_f64(seconds));
     while fleet.now < until {
         let (prompt, output) = (60, 40);
-        let wish = Wish { budget: 0, key: None, once: false, service: false, prompt, output };
-        fleet.ask(BUSY_VM, wish);
+        let wish = RequestSpec {
+            budget: 0,
+            key: None,
+            at_most_once: false,
+            service: false,
+            prompt,
+            output,
+        };
+        fleet.send_request(BUSY_VM, wish);
         fleet.advance(Duration::from_millis(20));
     }
 }
 
 /// Returns the demand recorded in the ledger, in tokens per second.
 fn demand(fleet: &Fleet) -> u64 {
-    let ledger = fleet.platform.ledger(0);
+    let ledger = fleet.store.ledger(0);
     let entry = ledger.budgets.get(&Fleet::budget(0));
     entry.map_or(0, |entry| entry.holders.values().map(|holder| holder.rate.0).sum())
 }
--- a/crates/badgerfield-standin/tests/healthy.rs
+++ b/crates/badgerfield-standin/tests/healthy.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use badgerfield_standin::fleet::{End, Fleet, Shape, Wish};
+use badgerfield_standin::fleet::{End, Fleet, FleetConfig, RequestSpec};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 #[test]
 fn serves_all_and_bills_once() {
-    let mut fleet = Fleet::started(Shape::default());
+    let mut fleet = Fleet::started(FleetConfig::default());
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     for n in 0..2000 {
         let vm = rng.random_range(0..fleet.size());
@@ -16,13 +16,16 @@
         let once = key.is_some() && rng.random_bool(0.3);
         let service = rng.random_bool(0.2);
         let budget = rng.random_range(0..4);
-        fleet.ask(vm, Wish { budget, key, once, service, prompt: 100, output: 100 });
+        fleet.send_request(
+            vm,
+            RequestSpec { budget, key, at_most_once: once, service, prompt: 100, output: 100 },
+        );
         fleet.advance(Duration::from_millis(20));
     }
     fleet.advance(Duration::from_secs(20));
     assert_eq!(fleet.faults, Vec::<String>::new());
     let mut ends = std::collections::BTreeMap::new();
-    for asked in fleet.asked.values() {
+    for asked in fleet.requests.values() {
         let end = match &asked.end {
             Some((End::Whole(_), _)) => "whole".to_owned(),
             other => format!("{other:?}"),
@@ -35,7 +38,7 @@
     assert_eq!(served, billed);
     println!(
         "reads {} writes {} conflicts {}",
-        fleet.platform.reads, fleet.platform.writes, fleet.platform.conflicts
+        fleet.store.reads, fleet.store.writes, fleet.store.conflicts
     );
     println!("{:#?}", fleet.messages());
 }
--- a/crates/badgerfield-standin/tests/histories.rs
+++ b/crates/badgerfield-standin/tests/histories.rs
@@ -9,7 +9,7 @@
 
 use badgerfield_core::amount::Tokens;
 use badgerfield_core::ids::{Period, RequestKey};
-use badgerfield_standin::fleet::{End, Fleet, Shape, Wish, key_of};
+use badgerfield_standin::fleet::{End, Fleet, FleetConfig, RequestSpec, key_of};
 use proptest::prelude::*;
 use proptest::strategy::Union;
 use proptest::test_runner::{Config, RngSeed};
@@ -23,10 +23,10 @@
 enum Step {
     Ask {
         vm: usize,
-        wish: Wish,
+        wish: RequestSpec,
     },
     Burst {
-        wish: Wish,
+        wish: RequestSpec,
         count: usize,
     },
     Pass(u64),
@@ -60,18 +60,18 @@
 struct Model {
     down: BTreeSet<usize>,
     frozen: BTreeSet<usize>,
-    keys: Vec<Wish>,
+    keys: Vec<RequestSpec>,
     engines_killed: usize,
     next: usize,
 }
 
-fn wish(next: usize) -> impl Strategy<Value = Wish> + Clone {
+fn wish(next: usize) -> impl Strategy<Value = RequestSpec> + Clone {
     let sizes = (20_u64..400, 10_u64..400);
     (0..BUDGETS, 0..4_u8, any::<bool>(), any::<bool>(), sizes).prop_map(
         move |(budget, keyed, once, service, (prompt, output))| {
             let key = (keyed > 0).then(|| format!("key-{next}"));
             let once = once && key.is_some();
-            Wish { budget, key, once, service, prompt, output }
+            RequestSpec { budget, key, at_most_once: once, service, prompt, output }
         },
     )
 }
@@ -88,7 +88,7 @@
         let vm = || 0..VMS;
         let ask = (vm(), wish(state.next)).prop_map(|(vm, wish)| Step::Ask { vm, wish });
         let burst = (wish(state.next), 2..40_usize).prop_map(|(wish, count)| {
-            let wish = Wish { key: None, once: false, service: false, ..wish };
+            let wish = RequestSpec { key: None, at_most_once: false, service: false, ..wish };
             Step::Burst { wish, count }
         });
         let mut steps = vec![
@@ -187,13 +187,13 @@
     type Reference = Model;
 
     fn init_test(_: &Model) -> Self {
-        let shape = Shape {
+        let shape = FleetConfig {
             regions: vec![3, 3],
             limits: vec![LIMIT; BUDGETS],
             engines: 2,
             shards: 2,
             seals: SEALS,
-            ..Shape::default()
+            ..FleetConfig::default()
         };
         Self { fleet: Fleet::started(shape), once: BTreeSet::new() }
     }
@@ -202,14 +202,14 @@
         let fleet = &mut harness.fleet;
         match step {
             Step::Ask { vm, wish } => {
-                if wish.once {
+                if wish.at_most_once {
                     harness.once.extend(key_of(&wish));
                 }
-                fleet.ask(vm, wish);
+                fleet.send_request(vm, wish);
             }
             Step::Burst { wish, count } => {
                 for n in 0..count {
-                    fleet.ask(n % VMS, wish.clone());
+                    fleet.send_request(n % VMS, wish.clone());
                 }
             }
             Step::Pass(millis) => fleet.advance(Duration::from_millis(millis)),
@@ -219,15 +219,15 @@
                     fleet.start(vm);
                 }
             }
-            Step::Freeze(vm) => fleet.freeze(vm),
-            Step::Thaw(vm) => fleet.thaw(vm),
+            Step::Freeze(vm) => fleet.suspend(vm),
+            Step::Thaw(vm) => fleet.resume(vm),
             Step::Stop(vm) => fleet.stop(vm),
-            Step::Cut { region, platform } => fleet.cut(region, platform),
-            Step::Heal => fleet.heal(),
-            Step::Down(down) => fleet.platform.down = down,
-            Step::Slow(millis) => fleet.platform.slow = Duration::from_millis(millis),
-            Step::Stale(stale) => fleet.platform.stale = stale,
-            Step::LoseReplies(count) => fleet.platform.lose_replies = count,
+            Step::Cut { region, platform } => fleet.partition(region, platform),
+            Step::Heal => fleet.end_partitions(),
+            Step::Down(down) => fleet.store.down = down,
+            Step::Slow(millis) => fleet.store.slow = Duration::from_millis(millis),
+            Step::Stale(stale) => fleet.store.stale = stale,
+            Step::LoseReplies(count) => fleet.store.lose_replies = count,
             Step::Raise(budget) => change_budget(fleet, budget, |l, p| (l + 3000, p)),
             Step::Lower(budget) => change_budget(fleet, budget, |l, p| (l.saturating_sub(3000), p)),
             Step::Renew(budget) => change_budget(fleet, budget, |l, p| (l, p + 1)),
@@ -235,7 +235,7 @@
             Step::KillEngine => fleet.kill_engine(0),
             Step::KillAll(millis) => {
                 for vm in 0..VMS {
-                    fleet.thaw(vm);
+                    fleet.resume(vm);
                     fleet.kill(vm);
                 }
                 fleet.advance(Duration::from_millis(millis));
@@ -259,13 +259,13 @@
 
     fn teardown(harness: Self, state: Model) {
         let mut fleet = harness.fleet;
-        fleet.heal();
-        fleet.platform.down = false;
-        fleet.platform.slow = Duration::ZERO;
-        fleet.platform.lose_replies = 0;
-        fleet.platform.stale = false;
+        fleet.end_partitions();
+        fleet.store.down = false;
+        fleet.store.slow = Duration::ZERO;
+        fleet.store.lose_replies = 0;
+        fleet.store.stale = false;
         for vm in 0..VMS {
-            fleet.thaw(vm);
+            fleet.resume(vm);
         }
         fleet.advance(Duration::from_mins(1));
         for vm in 0..VMS {
@@ -286,16 +286,16 @@
         let version = fleet.node(vm).map(badgerfield_core::Node::template_version);
         assert_eq!(version, Some(fleet.templates.version), "templates on VM {vm}");
     }
-    for (id, asked) in &fleet.asked {
+    for (id, asked) in &fleet.requests {
         assert!(asked.end.is_some(), "{id:?} never got its final answer: {asked:?}");
     }
     // A VM that is killed between the end of an answer and the decision of the arbiter loses the
     // bill, and an uncertain key is not billed rather than billed twice.
-    if fleet.kills() > 0 || !fleet.platform.view().uncertain_keys.is_empty() {
+    if fleet.kills() > 0 || !fleet.store.view().uncertain_keys.is_empty() {
         return;
     }
-    for asked in fleet.asked.values() {
-        let Some(key) = key_of(&asked.wish) else {
+    for asked in fleet.requests.values() {
+        let Some(key) = key_of(&asked.spec) else {
             continue;
         };
         if matches!(asked.end, Some((End::Whole(_), _))) {
--- a/crates/badgerfield-standin/tests/joining.rs
+++ b/crates/badgerfield-standin/tests/joining.rs
@@ -6,14 +6,19 @@
 use badgerfield_core::amount::{Time, Tokens};
 use badgerfield_core::event::{Command, ReserveRequest, StoreCall, StoreKey, Versioned};
 use badgerfield_core::ids::ReservationId;
-use badgerfield_standin::fleet::{Fleet, Shape};
+use badgerfield_standin::fleet::{Fleet, FleetConfig};
 
 const VMS: usize = 80;
 /// The maximum number of writes to the store per process, on average.
 const MAX_WRITES: u64 = 7;
 
 fn fleet() -> Fleet {
-    let shape = Shape { regions: vec![VMS], seals: true, noise: 0, ..Shape::default() };
+    let shape = FleetConfig {
+        regions: vec![VMS],
+        seals: true,
+        noise_permille: 0,
+        ..FleetConfig::default()
+    };
     Fleet::new(shape)
 }
 
@@ -31,7 +36,7 @@
     let mut fleet = fleet();
     start_all(&mut fleet);
     // The count includes writes that failed because of a conflict.
-    let writes = fleet.platform.writes;
+    let writes = fleet.store.writes;
     let max = MAX_WRITES * u64::try_from(VMS).expect("few VMs");
     assert!(writes <= max, "{writes} writes for {VMS} processes");
 }
@@ -41,13 +46,13 @@
 fn all_join_again_after_all_were_killed() {
     let mut fleet = fleet();
     start_all(&mut fleet);
-    let before = fleet.platform.writes;
+    let before = fleet.store.writes;
     for vm in 0..VMS {
         fleet.kill(vm);
     }
     fleet.advance(Duration::from_secs(1));
     start_all(&mut fleet);
-    let writes = fleet.platform.writes - before;
+    let writes = fleet.store.writes - before;
     let max = MAX_WRITES * u64::try_from(VMS).expect("few VMs");
     assert!(writes <= max, "{writes} writes for {VMS} processes");
 }
@@ -57,7 +62,13 @@
 #[test]
 fn all_members_receive_the_whole_view() {
     for seed in 1..=6 {
-        let shape = Shape { regions: vec![VMS], seals: true, noise: 0, seed, ..Shape::default() };
+        let shape = FleetConfig {
+            regions: vec![VMS],
+            seals: true,
+            noise_permille: 0,
+            seed,
+            ..FleetConfig::default()
+        };
         let mut fleet = Fleet::new(shape);
         // The first twelve processes are members while the fleet is small, and receive messages
         // from few of the others later.
--- a/crates/badgerfield-standin/tests/large_fleet.rs
+++ b/crates/badgerfield-standin/tests/large_fleet.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use badgerfield_standin::fleet::{Fleet, Shape, Wish};
+use badgerfield_standin::fleet::{Fleet, FleetConfig, RequestSpec};
 
 const VMS: usize = 300;
 /// The time within which all VMs must be in the view and know it when all start at once.
@@ -23,7 +23,7 @@
 impl Counts {
     /// Returns the counts since the fleet was created.
     fn of(fleet: &Fleet) -> Self {
-        let mut all = Self { writes: fleet.platform.writes, ..Self::default() };
+        let mut all = Self { writes: fleet.store.writes, ..Self::default() };
         for (kind, (messages, bytes)) in fleet.messages() {
             all.messages += messages;
             all.bytes += bytes;
@@ -60,7 +60,12 @@
 }
 
 fn start(vms: usize) -> Fleet {
-    let shape = Shape { regions: vec![vms], seals: true, noise: 0, ..Shape::default() };
+    let shape = FleetConfig {
+        regions: vec![vms],
+        seals: true,
+        noise_permille: 0,
+        ..FleetConfig::default()
+    };
     let mut fleet = Fleet::new(shape);
     for vm in 0..vms {
         fleet.start(vm);
@@ -76,7 +81,7 @@
     assert_eq!(fleet.usable().len(), running, "not all are in the view");
     for node in (0..fleet.size()).filter_map(|vm| fleet.node(vm)) {
         assert_eq!(node.view().members.len(), running, "members known to {}", node.id());
-        assert_eq!(node.view().members, fleet.platform.view().members, "members at {}", node.id());
+        assert_eq!(node.view().members, fleet.store.view().members, "members at {}", node.id());
     }
 }
 
@@ -128,7 +133,7 @@
 fn the_view_becomes_complete_in_a_large_fleet() {
     let mut fleet = start(VMS);
     fleet.advance(Duration::from_secs(4));
-    let view = fleet.platform.view();
+    let view = fleet.store.view();
     assert_eq!(view.complete, view.epoch, "the platform's view");
     for node in (0..VMS).filter_map(|vm| fleet.node(vm)) {
         let status = node.status();
@@ -197,8 +202,15 @@
 fn load(fleet: &mut Fleet, vms: usize, requests: usize) {
     for n in 0..requests {
         let (prompt, output) = (60, 40);
-        let wish = Wish { budget: n % 4, key: None, once: false, service: false, prompt, output };
-        fleet.ask(n * 7 % vms, wish);
+        let wish = RequestSpec {
+            budget: n % 4,
+            key: None,
+            at_most_once: false,
+            service: false,
+            prompt,
+            output,
+        };
+        fleet.send_request(n * 7 % vms, wish);
         fleet.advance(Duration::from_millis(5));
     }
 }
--- a/crates/badgerfield-standin/tests/lending.rs
+++ b/crates/badgerfield-standin/tests/lending.rs
@@ -7,7 +7,7 @@
 use badgerfield_core::amount::Time;
 use badgerfield_core::ledger::HolderEntry;
 use badgerfield_core::seal::FleetTime;
-use badgerfield_standin::fleet::{End, Fleet, Shape, Wish};
+use badgerfield_standin::fleet::{End, Fleet, FleetConfig, RequestSpec};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -19,15 +19,15 @@
 /// The most VMs that may hold one budget.
 const MAX_HOLDERS: usize = 3;
 
-fn shape(limit: u64) -> Shape {
-    Shape {
+fn shape(limit: u64) -> FleetConfig {
+    FleetConfig {
         regions: vec![VMS],
         limits: vec![limit; 2],
         shards: 1,
         engines: 12,
         seals: true,
-        noise: 0,
-        ..Shape::default()
+        noise_permille: 0,
+        ..FleetConfig::default()
     }
 }
 
@@ -41,8 +41,15 @@
     (0..VMS).filter(|vm| free(vm) > 0).collect()
 }
 
-fn request() -> Wish {
-    Wish { budget: 0, key: None, once: false, service: false, prompt: 60, output: 40 }
+fn request() -> RequestSpec {
+    RequestSpec {
+        budget: 0,
+        key: None,
+        at_most_once: false,
+        service: false,
+        prompt: 60,
+        output: 40,
+    }
 }
 
 /// Sends requests at a constant rate, to all running VMs in turn.
@@ -50,7 +57,7 @@
     for n in 0..requests {
         let vm = n * 7 % VMS;
         if fleet.runs(vm) {
-            fleet.ask(vm, request());
+            fleet.send_request(vm, request());
         }
         fleet.advance(Duration::from_millis(20));
     }
@@ -59,13 +66,13 @@
 /// Sends requests at a constant rate to one VM.
 fn load_vm(fleet: &mut Fleet, vm: usize, requests: usize) {
     for _ in 0..requests {
-        fleet.ask(vm, request());
+        fleet.send_request(vm, request());
         fleet.advance(Duration::from_millis(20));
     }
 }
 
 fn refused_count(fleet: &Fleet) -> usize {
-    let ends = fleet.asked.values().filter_map(|asked| asked.end.as_ref());
+    let ends = fleet.requests.values().filter_map(|asked| asked.end.as_ref());
     ends.filter(|(end, _)| matches!(end, End::Refused(_))).count()
 }
 
@@ -77,7 +84,7 @@
 ///
 /// The ledger also has the processes that joined while the fleet was small, without demand.
 fn active_holders(fleet: &Fleet) -> Vec<HolderEntry> {
-    let ledger = fleet.platform.ledger(0);
+    let ledger = fleet.store.ledger(0);
     let entry = ledger.budgets.get(&Fleet::budget(0));
     let is_active = |holder: &&HolderEntry| holder.rate.0 > 0 || holder.held.0 > 0;
     entry.map_or_else(Vec::new, |entry| entry.holders.values().filter(is_active).cloned().collect())
@@ -144,9 +151,9 @@
 fn requests_are_served_during_a_nine_second_store_outage() {
     let mut fleet = fleet(1_000_000);
     load(&mut fleet, 500);
-    fleet.platform.down = true;
+    fleet.store.down = true;
     load(&mut fleet, 450);
-    fleet.platform.down = false;
+    fleet.store.down = false;
     fleet.advance(Duration::from_secs(10));
     assert_eq!(refused_count(&fleet), 0, "requests are refused during the outage");
 }
@@ -236,13 +243,13 @@
     let mut first = Fleet::started(shape(limit));
     load(&mut first, 60);
     let vm = (0..VMS).find(|vm| !vms_with_tokens(&first).contains(vm)).expect("most VMs borrow");
-    let large = Wish { prompt: limit / 2 - 40, ..request() };
-    fleet.ask(vm, large.clone());
+    let large = RequestSpec { prompt: limit / 2 - 40, ..request() };
+    fleet.send_request(vm, large.clone());
     fleet.advance(Duration::from_millis(200));
-    fleet.ask(vm, large);
+    fleet.send_request(vm, large);
     // While tokens for the second large request are searched for, small requests run all the time.
     for _ in 0..1500 {
-        fleet.ask(vm, request());
+        fleet.send_request(vm, request());
         fleet.advance(Duration::from_millis(1));
     }
     fleet.advance(Duration::from_secs(3));
@@ -278,9 +285,9 @@
     let mut fleet = fleet(limit);
     load(&mut fleet, 300);
     let vm = (0..VMS).find(|vm| !vms_with_tokens(&fleet).contains(vm)).expect("most VMs borrow");
-    fleet.platform.down = true;
+    fleet.store.down = true;
     load_vm(&mut fleet, vm, 400);
-    fleet.platform.down = false;
+    fleet.store.down = false;
     // Holders draw tokens again, then all processes crash before they can send another report.
     load_vm(&mut fleet, vm, 100);
     let held = fleet.held(0);
@@ -311,13 +318,13 @@
     let mut fleet = fleet(1_000_000);
     load(&mut fleet, 300);
     // Slower than the interval at which an operation is sent again.
-    fleet.platform.slow = Duration::from_millis(600);
+    fleet.store.slow = Duration::from_millis(600);
     for vm in vms_with_tokens(&fleet) {
         fleet.kill(vm);
     }
-    let before = fleet.platform.conflicts;
+    let before = fleet.store.conflicts;
     load(&mut fleet, 600);
-    let conflicts = fleet.platform.conflicts - before;
+    let conflicts = fleet.store.conflicts - before;
     assert!(conflicts < 60, "{conflicts} write conflicts");
     assert_eq!(fleet.truth.overspend(), 0);
 }
@@ -328,12 +335,12 @@
     match rng.random_range(0..12) {
         0 => fleet.kill(vm),
         1 | 2 if !fleet.runs(vm) => fleet.start(vm),
-        3 => fleet.freeze(vm),
-        4 => fleet.thaw(vm),
+        3 => fleet.suspend(vm),
+        4 => fleet.resume(vm),
         5 => fleet.stop(vm),
-        6 => fleet.platform.down = !fleet.platform.down,
-        7 => fleet.platform.lose_replies = rng.random_range(0..6),
-        8 => fleet.platform.slow = Duration::from_millis(rng.random_range(0..700)),
+        6 => fleet.store.down = !fleet.store.down,
+        7 => fleet.store.lose_replies = rng.random_range(0..6),
+        8 => fleet.store.slow = Duration::from_millis(rng.random_range(0..700)),
         9 => fleet.step_clock(vm, rng.random_range(-9_000..9_000)),
         10 => {
             for lender in vms_with_tokens(fleet) {
@@ -352,11 +359,11 @@
 
 /// Ends all faults and waits until messages in transit have arrived.
 fn end_faults(fleet: &mut Fleet) {
-    fleet.platform.down = false;
-    fleet.platform.lose_replies = 0;
-    fleet.platform.slow = Duration::ZERO;
+    fleet.store.down = false;
+    fleet.store.lose_replies = 0;
+    fleet.store.slow = Duration::ZERO;
     for vm in 0..VMS {
-        fleet.thaw(vm);
+        fleet.resume(vm);
     }
     fleet.advance(Duration::from_secs(12));
 }
@@ -378,7 +385,7 @@
     for seed in 1..=case_count() {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let limit = 200 * REQUEST_COST;
-        let mut fleet = Fleet::started(Shape { noise: 40, seed, ..shape(limit) });
+        let mut fleet = Fleet::started(FleetConfig { noise_permille: 40, seed, ..shape(limit) });
         for _ in 0..60 {
             cause_random_fault(&mut fleet, &mut rng);
             load(&mut fleet, 12);
@@ -408,9 +415,9 @@
 fn fleet_without_faults_writes_the_ledger_rarely() {
     let mut fleet = fleet(1_000_000);
     load(&mut fleet, 500);
-    let before = fleet.platform.writes;
+    let before = fleet.store.writes;
     load(&mut fleet, 500);
-    let writes = fleet.platform.writes - before;
+    let writes = fleet.store.writes - before;
     // In these ten seconds holders report twice a second, and no request waits for tokens.
     assert!(writes <= 22, "{writes} writes in ten seconds");
     assert_eq!(refused_count(&fleet), 0);
@@ -423,7 +430,7 @@
 ///
 /// A reply of the ledger may be in transit, so a single finding is not a failure.
 fn broken_seals(fleet: &Fleet) -> BTreeMap<usize, SealedAmount> {
-    let ledger = fleet.platform.ledger(0);
+    let ledger = fleet.store.ledger(0);
     let entry = ledger.budgets.get(&Fleet::budget(0));
     let mut broken = BTreeMap::new();
     for vm in 0..VMS {
@@ -477,9 +484,9 @@
     for _ in 0..3 {
         // The outage is longer than seals hold: sealed tokens are spent, and operations are sent
         // again.
-        fleet.platform.down = true;
+        fleet.store.down = true;
         load_vm(&mut fleet, vm, 400);
-        fleet.platform.down = false;
+        fleet.store.down = false;
         load_and_check_seals(&mut fleet, vm, 300);
     }
 }
@@ -495,7 +502,7 @@
             (0..VMS).find(|vm| !vms_with_tokens(&first).contains(vm)).expect("most VMs borrow");
         let mut fleet = fleet(1_000_000);
         load_and_check_seals(&mut fleet, vm, 400 + 37 * round);
-        fleet.platform.lose_replies = 4;
+        fleet.store.lose_replies = 4;
         load_vm(&mut fleet, vm, 20 + 5 * round);
         for other in 0..VMS {
             let offset_ms = i64::try_from(other).expect("few VMs") * 20_000;
@@ -512,8 +519,8 @@
 /// sent at or after `since`.
 fn refusal_causes(fleet: &Fleet, since: Time, least: u64) -> BTreeMap<&'static str, usize> {
     let mut causes = BTreeMap::new();
-    let is_large = |request: &Wish| request.prompt + request.output >= least;
-    for asked in fleet.asked.values().filter(|a| a.at >= since && is_large(&a.wish)) {
+    let is_large = |request: &RequestSpec| request.prompt + request.output >= least;
+    for asked in fleet.requests.values().filter(|a| a.at >= since && is_large(&a.spec)) {
         if let Some((End::Refused(refusal), _)) = &asked.end {
             *causes.entry(refusal.cause.code()).or_default() += 1;
         }
@@ -528,15 +535,15 @@
     let (limit, large) = (60_000, 5_000);
     let mut fleet = fleet(limit);
     load(&mut fleet, 570);
-    fleet.forget_ended();
+    fleet.remove_ended();
     // The lenders' tokens decrease for some seconds until they do not cover a large request.
     let mut since = fleet.now;
     for n in 0..60 {
         if n == 40 {
             since = fleet.now;
         }
-        fleet.ask(n * 11 % VMS, request());
-        fleet.ask(n * 7 % VMS, Wish { prompt: large - 40, ..request() });
+        fleet.send_request(n * 11 % VMS, request());
+        fleet.send_request(n * 7 % VMS, RequestSpec { prompt: large - 40, ..request() });
         fleet.advance(Duration::from_millis(100));
     }
     fleet.advance(Duration::from_secs(3));
@@ -549,7 +556,7 @@
 
 /// Returns how many members the ledger has as holders of the first budget, active or not.
 fn named_members(fleet: &Fleet) -> usize {
-    let (ledger, view) = (fleet.platform.ledger(0), fleet.platform.view());
+    let (ledger, view) = (fleet.store.ledger(0), fleet.store.view());
     let entry = ledger.budgets.get(&Fleet::budget(0));
     entry.map_or(0, |entry| entry.holders.keys().filter(|id| view.has_member(**id)).count())
 }
@@ -578,7 +585,7 @@
 
 /// Returns the VMs that hold tokens of the first budget according to the ledger.
 fn vms_in_ledger(fleet: &Fleet) -> Vec<usize> {
-    let ledger = fleet.platform.ledger(0);
+    let ledger = fleet.store.ledger(0);
     let entry = &ledger.budgets[&Fleet::budget(0)];
     let has = |vm: &usize| {
         let id = fleet.node(*vm).map(Node::id);
@@ -592,10 +599,10 @@
 #[test]
 fn smallest_fleet_with_lenders_survives_their_loss() {
     for vms in [17, 18, 24] {
-        let shape = Shape { regions: vec![vms], ..shape(50_000_000) };
+        let shape = FleetConfig { regions: vec![vms], ..shape(50_000_000) };
         let mut fleet = Fleet::started(shape);
         for n in 0..200 {
-            fleet.ask(n * 7 % vms, request());
+            fleet.send_request(n * 7 % vms, request());
             fleet.advance(Duration::from_millis(20));
         }
         let lost: Vec<_> = vms_in_ledger(&fleet).into_iter().filter(|vm| *vm < vms).collect();
@@ -608,7 +615,7 @@
         for n in 0..600 {
             let vm = n * 7 % vms;
             if fleet.runs(vm) {
-                fleet.ask(vm, request());
+                fleet.send_request(vm, request());
             }
             fleet.advance(Duration::from_millis(20));
         }
--- a/crates/badgerfield-standin/tests/lost_tokens.rs
+++ b/crates/badgerfield-standin/tests/lost_tokens.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use badgerfield_standin::fleet::{Balance, End, Fleet, Shape, Wish};
+use badgerfield_standin::fleet::{Balance, End, Fleet, FleetConfig, RequestSpec};
 
 const VMS: usize = 60;
 /// The most that one request can cost, in tokens.
@@ -22,7 +22,7 @@
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=5;
 
 fn fleet(seed: u64) -> Fleet {
-    Fleet::started(Shape {
+    Fleet::started(FleetConfig {
         regions: vec![VMS / 2; 2],
         domains: 3,
         limits: vec![LIMIT; 2],
@@ -30,7 +30,7 @@
         shards: 1,
         engines: 12,
         seals: true,
-        noise: 0,
+        noise_permille: 0,
         seed,
     })
 }
@@ -38,14 +38,21 @@
 /// Sends requests for some seconds: for the first budget to one VM, for the second to all in turn.
 fn load(fleet: &mut Fleet, seconds: f64) {
     let until = fleet.now.after(Duration::from_secs_f64(seconds));
-    let mut round = fleet.asked.len();
+    let mut round = fleet.requests.len();
     while fleet.now < until {
         for (budget, vm) in [(0, BUSY_VM), (1, round * 7 % VMS)] {
             if fleet.runs(vm) {
                 let (prompt, output) = (60, 40);
-                fleet.ask(
+                fleet.send_request(
                     vm,
-                    Wish { budget, key: None, once: false, service: false, prompt, output },
+                    RequestSpec {
+                        budget,
+                        key: None,
+                        at_most_once: false,
+                        service: false,
+                        prompt,
+                        output,
+                    },
                 );
             }
         }
@@ -78,23 +85,23 @@
 }
 
 fn cut_off_most(fleet: &mut Fleet) {
-    fleet.platform.cut_vms = (0..VMS).filter(|vm| !VMS_WITH_STORE.contains(vm)).collect();
+    fleet.store.cut_vms = (0..VMS).filter(|vm| !VMS_WITH_STORE.contains(vm)).collect();
 }
 
 fn refused_count(fleet: &Fleet, budget: usize) -> usize {
-    let requests = fleet.asked.values().filter(|asked| asked.wish.budget == budget);
+    let requests = fleet.requests.values().filter(|asked| asked.spec.budget == budget);
     requests.filter(|asked| matches!(asked.end, Some((End::Refused(_), _)))).count()
 }
 
 /// Kills one VM during an outage of the store. Returns the balance after the VM has restarted.
 fn kill_one_during_outage(fleet: &mut Fleet) -> Balance {
     load(fleet, 3.1);
-    fleet.platform.down = true;
+    fleet.store.down = true;
     load(fleet, 1.1);
     let vm = largest_holder(fleet, 0);
     fleet.kill(vm);
     load(fleet, 2.2);
-    fleet.platform.down = false;
+    fleet.store.down = false;
     load(fleet, 1.1);
     fleet.start(vm);
     settled_balance(fleet, 0)
@@ -132,7 +139,7 @@
 fn lenders_are_in_different_failure_domains() {
     let mut fleet = fleet(1);
     load(&mut fleet, 6.0);
-    let ledger = fleet.platform.ledger(0);
+    let ledger = fleet.store.ledger(0);
     let holders = &ledger.budgets[&Fleet::budget(1)].holders;
     let holds = |vm: &usize| {
         let id = fleet.node(*vm).map(badgerfield_core::Node::id);
@@ -167,7 +174,7 @@
         load(&mut fleet, 1.0);
         let stopping = holders(&fleet, 0);
         stop_in_turn(&mut fleet, &stopping);
-        fleet.platform.cut_vms.clear();
+        fleet.store.cut_vms.clear();
         for budget in 0..2 {
             let balance = settled_balance(&mut fleet, budget);
             println!("stop {stopping:?}: {balance}");
@@ -207,9 +214,9 @@
         let mut fleet = fleet(seed);
         load(&mut fleet, 6.0);
         let before = refused_count(&fleet, 0);
-        fleet.platform.down = true;
+        fleet.store.down = true;
         load(&mut fleet, 9.0);
-        fleet.platform.down = false;
+        fleet.store.down = false;
         fleet.advance(Duration::from_secs(3));
         let count = refused_count(&fleet, 0) - before;
         println!("outage: {count}");
--- a/crates/badgerfield-standin/tests/poison.rs
+++ b/crates/badgerfield-standin/tests/poison.rs
@@ -5,7 +5,7 @@
 
 use badgerfield_core::ids::{Account, UpstreamId};
 use badgerfield_core::poison::{Crash, Fingerprint};
-use badgerfield_standin::fleet::{Fleet, Shape};
+use badgerfield_standin::fleet::{Fleet, FleetConfig};
 
 /// The time within which all VMs must block a request. A caller whose answer broke off takes about
 /// as long to retry over a new connection.
@@ -17,7 +17,13 @@
 }
 
 fn noisy_fleet(vms: usize, noise: u64, seed: u64) -> Fleet {
-    Fleet::started(Shape { regions: vec![vms], seals: true, noise, seed, ..Shape::default() })
+    Fleet::started(FleetConfig {
+        regions: vec![vms],
+        seals: true,
+        noise_permille: noise,
+        seed,
+        ..FleetConfig::default()
+    })
 }
 
 fn account() -> Account {
@@ -127,13 +133,13 @@
     // A request that is blocked during an outage is written to the store afterwards, and peers send
     // it to a process that starts.
     fleet.advance(Duration::from_secs(4));
-    fleet.platform.down = true;
+    fleet.store.down = true;
     let second = request(2);
     fleet.report_crash(5, crash(second, 1));
     fleet.report_crash(6, crash(second, 2));
     wait_until_blocked(&mut fleet, second, vms, BLOCK_TIMEOUT);
     fleet.advance(Duration::from_secs(6));
-    fleet.platform.down = false;
+    fleet.store.down = false;
     fleet.advance(Duration::from_secs(3));
     fleet.kill(7);
     fleet.start(7);
--- a/crates/badgerfield-standin/tests/power_after_outage.rs
+++ b/crates/badgerfield-standin/tests/power_after_outage.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use badgerfield_standin::fleet::{Fleet, Shape, Wish};
+use badgerfield_standin::fleet::{Fleet, FleetConfig, RequestSpec};
 
 const VMS: usize = 60;
 /// The VM that receives all requests for the first budget.
@@ -24,7 +24,7 @@
 
 /// Creates a fleet with two budgets. The limit of each is the demand of `seconds` seconds.
 fn fleet(seconds: u64, seed: u64) -> Fleet {
-    let shape = Shape {
+    let shape = FleetConfig {
         regions: vec![VMS],
         domains: 3,
         limits: vec![seconds * DEMAND; 2],
@@ -32,7 +32,7 @@
         shards: 1,
         engines: 12,
         seals: true,
-        noise: 0,
+        noise_permille: 0,
         seed,
     };
     Fleet::started(shape)
@@ -41,12 +41,19 @@
 /// Sends requests for some seconds: for the first budget to one VM, for the second to all in turn.
 fn load(fleet: &mut Fleet, seconds: f64) {
     let until = fleet.now.after(Duration::from_secs_f64(seconds));
-    let mut round = fleet.asked.len();
+    let mut round = fleet.requests.len();
     while fleet.now < until {
         for (budget, vm) in [(0, BUSY_VM), (1, round * 7 % VMS)] {
             let (prompt, output) = (80, 20);
-            let wish = Wish { budget, key: None, once: false, service: false, prompt, output };
-            fleet.ask(vm, wish);
+            let wish = RequestSpec {
+                budget,
+                key: None,
+                at_most_once: false,
+                service: false,
+                prompt,
+                output,
+            };
+            fleet.send_request(vm, wish);
         }
         round += 1;
         fleet.advance(Duration::from_millis(20));
@@ -58,13 +65,13 @@
 fn lost_tokens(seconds: u64, outage: f64, seed: u64) -> [u64; 2] {
     let mut fleet = fleet(seconds, seed);
     load(&mut fleet, 6.0);
-    fleet.platform.down = true;
+    fleet.store.down = true;
     load(&mut fleet, outage);
     for vm in 0..VMS {
         fleet.kill(vm);
     }
     fleet.advance(DOWNTIME);
-    fleet.platform.down = false;
+    fleet.store.down = false;
     for vm in 0..VMS {
         fleet.start(vm);
     }
--- a/crates/badgerfield-standin/tests/regions.rs
+++ b/crates/badgerfield-standin/tests/regions.rs
@@ -4,12 +4,17 @@
 use std::time::Duration;
 
 use badgerfield_core::ids::Domain;
-use badgerfield_standin::fleet::{Fleet, Shape};
+use badgerfield_standin::fleet::{Fleet, FleetConfig};
 
 type Counts = BTreeMap<&'static str, (u64, u64)>;
 
 fn started(regions: &[usize]) -> Fleet {
-    let shape = Shape { regions: regions.to_vec(), seals: true, noise: 0, ..Shape::default() };
+    let shape = FleetConfig {
+        regions: regions.to_vec(),
+        seals: true,
+        noise_permille: 0,
+        ..FleetConfig::default()
+    };
     let mut fleet = Fleet::new(shape);
     // Processes of different regions start in turn, so that their incarnations are mixed.
     for vm in 0..fleet.size() {
--- a/crates/badgerfield-standin/tests/residency.rs
+++ b/crates/badgerfield-standin/tests/residency.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use badgerfield_core::residency::Residency;
-use badgerfield_standin::fleet::{End, Fleet, Shape, Wish, region_name};
+use badgerfield_standin::fleet::{End, Fleet, FleetConfig, RequestSpec, region_name};
 
 /// The first VM of each of the two regions. All upstreams are in region 0.
 const VM_IN_REGION_0: usize = 0;
@@ -21,11 +21,11 @@
     fleet.advance(Duration::from_secs(6));
 }
 
-fn keyed(key: &str) -> Wish {
-    Wish {
+fn keyed(key: &str) -> RequestSpec {
+    RequestSpec {
         budget: 0,
         key: Some(key.to_owned()),
-        once: false,
+        at_most_once: false,
         service: false,
         prompt: 100,
         output: 100,
@@ -45,14 +45,14 @@
 #[test]
 fn nothing_runs_outside_the_regions_of_an_account() {
     for (regions, cause) in [(vec![1], "no_upstream"), (vec![], "no_region_allowed")] {
-        let mut fleet = Fleet::started(Shape::default());
+        let mut fleet = Fleet::started(FleetConfig::default());
         restrict(&mut fleet, &regions);
         for vm in 0..fleet.size() {
-            fleet.ask(vm, Wish { key: None, ..keyed("") });
-            fleet.ask(vm, keyed(&format!("key-{vm}")));
+            fleet.send_request(vm, RequestSpec { key: None, ..keyed("") });
+            fleet.send_request(vm, keyed(&format!("key-{vm}")));
         }
         fleet.advance(Duration::from_secs(2));
-        for asked in fleet.asked.values() {
+        for asked in fleet.requests.values() {
             let Some((End::Refused(refusal), _)) = &asked.end else {
                 panic!("{:?} was not refused", asked.end);
             };
@@ -66,15 +66,16 @@
 /// A VM outside the account's regions may forward an answer, but must not store it for replay.
 #[test]
 fn an_answer_is_not_stored_outside_the_regions() {
-    let mut fleet = Fleet::started(Shape::default());
+    let mut fleet = Fleet::started(FleetConfig::default());
     restrict(&mut fleet, &[0]);
     for vm in [VM_IN_REGION_0, VM_IN_REGION_1] {
-        fleet.ask(vm, keyed(&format!("key-{vm}")));
+        fleet.send_request(vm, keyed(&format!("key-{vm}")));
     }
     fleet.advance(Duration::from_secs(3));
-    let whole =
-        |asked: &badgerfield_standin::fleet::Asked| matches!(asked.end, Some((End::Whole(_), _)));
-    assert!(fleet.asked.values().all(whole), "a request was not served");
+    let whole = |asked: &badgerfield_standin::fleet::CallerRequest| {
+        matches!(asked.end, Some((End::Whole(_), _)))
+    };
+    assert!(fleet.requests.values().all(whole), "a request was not served");
     assert!(answer_bytes(&fleet, VM_IN_REGION_0) > 0);
     assert_eq!(answer_bytes(&fleet, VM_IN_REGION_1), 0);
     // Answers stored under older templates are removed if newer templates exclude the region.
@@ -85,15 +86,15 @@
 /// A stream must not be resumed at its upstream if newer templates exclude the upstream's region.
 #[test]
 fn a_stream_is_not_resumed_at_an_excluded_upstream() {
-    let mut fleet = Fleet::started(Shape::default());
-    fleet.ask(VM_IN_REGION_0, keyed("key"));
+    let mut fleet = Fleet::started(FleetConfig::default());
+    fleet.send_request(VM_IN_REGION_0, keyed("key"));
     fleet.advance(Duration::from_millis(200));
     assert_eq!(dispatch_count(&fleet), 1);
     fleet.kill(VM_IN_REGION_0);
     restrict(&mut fleet, &[1]);
-    let retry = fleet.ask(VM_IN_REGION_1, keyed("key"));
+    let retry = fleet.send_request(VM_IN_REGION_1, keyed("key"));
     fleet.advance(Duration::from_secs(10));
-    let end = fleet.asked.get(&retry).and_then(|asked| asked.end.clone());
+    let end = fleet.requests.get(&retry).and_then(|asked| asked.end.clone());
     assert!(!matches!(end, Some((End::Whole(_), _)) | None), "{end:?}");
     assert_eq!(dispatch_count(&fleet), 1);
     assert_eq!(fleet.faults, Vec::<String>::new());
--- a/crates/badgerfield-standin/tests/rollouts.rs
+++ b/crates/badgerfield-standin/tests/rollouts.rs
@@ -8,7 +8,7 @@
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::rollout::{RolloutOrder, RolloutPhase, RolloutState};
-use badgerfield_standin::fleet::{Fleet, Shape, Traffic, VersionFault, version};
+use badgerfield_standin::fleet::{Fleet, FleetConfig, Traffic, VersionFault, version};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -20,13 +20,13 @@
 
 /// Creates a fleet in three regions with about 600 requests per second in total.
 fn fleet(vms: usize, seed: u64, bad: Option<VersionFault>) -> Fleet {
-    let shape = Shape {
+    let shape = FleetConfig {
         regions: vec![vms / 3; 3],
         limits: vec![1000],
         engines: 1,
         seals: true,
         seed,
-        ..Shape::default()
+        ..FleetConfig::default()
     };
     let mut fleet = Fleet::started(shape);
     let rate = u32::try_from(600_usize.div_ceil(vms)).unwrap_or(1);
@@ -56,7 +56,7 @@
 
 /// Returns the fault of a version that fails this many of a hundred requests.
 fn fail(worse: u32) -> VersionFault {
-    VersionFault { worse, ..VersionFault::default() }
+    VersionFault { bad_percent: worse, ..VersionFault::default() }
 }
 
 /// Guards against a rollout of a good version that is rolled back or late, or that cuts requests.
@@ -136,14 +136,14 @@
     let mut fleet = fleet(6, 5, Some(fail(30)));
     assert!(fleet.roll_out(Some(order("v2"))));
     fleet.advance(Duration::from_millis(500));
-    fleet.platform.down = true;
+    fleet.store.down = true;
     fleet.advance(Duration::from_secs(8));
     assert_eq!(ended(&fleet), None);
     let before = fleet.request_counts("v2").0;
     assert!(before > 0, "the target received no requests before the verdict");
     fleet.advance(Duration::from_secs(5));
     assert_eq!(fleet.request_counts("v2").0, before, "requests still go to a version found bad");
-    fleet.platform.down = false;
+    fleet.store.down = false;
     run(&mut fleet, Duration::from_secs(10));
     assert_eq!(ended(&fleet), Some(RolloutState::RolledBack));
     assert_eq!(fleet.faults, Vec::<String>::new());
@@ -156,12 +156,12 @@
     let mut fleet = fleet(6, 6, Some(fail(30)));
     assert!(fleet.roll_out(Some(order("v2"))));
     fleet.advance(Duration::from_millis(10));
-    fleet.platform.down = true;
+    fleet.store.down = true;
     fleet.advance(Duration::from_secs(8));
     assert!(fleet.record().is_none(), "the record was written before the outage");
     let (sent, _, all) = fleet.request_counts("v2");
     assert!(sent == 0 && all > 1000, "{sent} of {all} requests before the record was written");
-    fleet.platform.down = false;
+    fleet.store.down = false;
     run(&mut fleet, SPAN);
     assert_eq!(ended(&fleet), Some(RolloutState::RolledBack));
     assert_eq!(fleet.faults, Vec::<String>::new());
@@ -236,11 +236,11 @@
     let mut fleet = fleet(6, 13, None);
     assert!(fleet.roll_out(Some(order("v2"))));
     fleet.advance(Duration::from_secs(30));
-    fleet.freeze(4);
+    fleet.suspend(4);
     fleet.advance(Duration::from_secs(12));
     assert_eq!(ended(&fleet), None, "completed while a member may send to the old version");
     run(&mut fleet, Duration::from_secs(60));
-    fleet.thaw(4);
+    fleet.resume(4);
     fleet.advance(Duration::from_secs(3));
     assert_eq!(ended(&fleet), Some(RolloutState::Completed));
     assert_eq!(fleet.faults, Vec::<String>::new());
@@ -281,7 +281,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let bad = rng.random_range(0..2) == 0;
         let kind = VersionFault {
-            worse: [5, 10, 30, 100][rng.random_range(0..4)],
+            bad_percent: [5, 10, 30, 100][rng.random_range(0..4)],
             slow: rng.random_range(0..3) == 0,
             route: (rng.random_range(0..4) == 0).then_some(0),
             after: Duration::from_secs([0, 0, 5, 15][rng.random_range(0..4)]),
@@ -341,12 +341,12 @@
         let fleet = &mut self.fleet;
         match self.rng.random_range(0..10) {
             0 => fleet.kill(vm),
-            1 => fleet.freeze(vm),
-            2 => fleet.cut(vm % 3, true),
-            3 => fleet.cut(vm % 3, false),
-            4 => fleet.platform.down = true,
-            5 => fleet.platform.slow = Duration::from_millis(400),
-            6 => fleet.platform.lose_replies = 2,
+            1 => fleet.suspend(vm),
+            2 => fleet.partition(vm % 3, true),
+            3 => fleet.partition(vm % 3, false),
+            4 => fleet.store.down = true,
+            5 => fleet.store.slow = Duration::from_millis(400),
+            6 => fleet.store.lose_replies = 2,
             7 => fleet.rollouts.late_writes = 2,
             8 => {
                 let target = ["v2", "v3"][vm % 2];
@@ -370,11 +370,11 @@
 
     fn end_faults(&mut self) {
         let fleet = &mut self.fleet;
-        fleet.heal();
-        fleet.platform.down = false;
-        fleet.platform.slow = Duration::ZERO;
+        fleet.end_partitions();
+        fleet.store.down = false;
+        fleet.store.slow = Duration::ZERO;
         for vm in 0..6 {
-            fleet.thaw(vm);
+            fleet.resume(vm);
             if !fleet.runs(vm) {
                 fleet.start(vm);
                 self.phases[vm] = None;
--- a/crates/badgerfield-standin/tests/sealed_in_outages.rs
+++ b/crates/badgerfield-standin/tests/sealed_in_outages.rs
@@ -6,49 +6,56 @@
 
 use std::time::Duration;
 
-use badgerfield_standin::fleet::{End, Fleet, Shape, Wish};
+use badgerfield_standin::fleet::{End, Fleet, FleetConfig, RequestSpec};
 
 const VMS: usize = 2;
 
 fn fleet() -> Fleet {
-    let shape = Shape {
+    let shape = FleetConfig {
         regions: vec![VMS],
         limits: vec![10_000],
         spread: 50,
         shards: 1,
         seals: true,
-        noise: 0,
-        ..Shape::default()
+        noise_permille: 0,
+        ..FleetConfig::default()
     };
     Fleet::started(shape)
 }
 
-fn request() -> Wish {
-    Wish { budget: 0, key: None, once: false, service: false, prompt: 100, output: 50 }
+fn request() -> RequestSpec {
+    RequestSpec {
+        budget: 0,
+        key: None,
+        at_most_once: false,
+        service: false,
+        prompt: 100,
+        output: 50,
+    }
 }
 
 /// Sends each VM three requests, with `pause` between them, and then starts an outage of the store.
 fn start_outage(fleet: &mut Fleet, pause: Duration) {
     for _ in 0..2 {
         for vm in 0..VMS {
-            fleet.ask(vm, request());
+            fleet.send_request(vm, request());
             fleet.advance(Duration::from_millis(100));
         }
         fleet.advance(pause);
     }
     for vm in 0..VMS {
-        fleet.ask(vm, request());
+        fleet.send_request(vm, request());
     }
     fleet.advance(Duration::from_millis(100));
-    fleet.platform.down = true;
+    fleet.store.down = true;
 }
 
 /// Sends each VM `each` requests at once. Returns how each request ended, and after how long.
 fn request_from_all(fleet: &mut Fleet, each: usize) -> Vec<(End, Duration)> {
-    let asked: Vec<_> = (0..VMS * each).map(|n| fleet.ask(n % VMS, request())).collect();
+    let asked: Vec<_> = (0..VMS * each).map(|n| fleet.send_request(n % VMS, request())).collect();
     fleet.advance(Duration::from_secs(8));
     let ends = asked.into_iter().map(|id| {
-        let asked = &fleet.asked[&id];
+        let asked = &fleet.requests[&id];
         let (end, at) = asked.end.clone().expect("the request has ended");
         (end, at.since(asked.at))
     });
--- a/crates/badgerfield-standin/tests/seals.rs
+++ b/crates/badgerfield-standin/tests/seals.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use badgerfield_standin::fleet::{End, Fleet, Shape, Wish};
+use badgerfield_standin::fleet::{End, Fleet, FleetConfig, RequestSpec};
 
 const LIMIT: u64 = 60_000;
 const VMS: usize = 6;
@@ -11,26 +11,33 @@
 const DEMAND: u64 = 4_000;
 
 fn fleet() -> Fleet {
-    let shape = Shape {
+    let shape = FleetConfig {
         regions: vec![VMS],
         limits: vec![LIMIT],
         spread: 80,
         shards: 1,
         seals: true,
-        noise: 0,
-        ..Shape::default()
+        noise_permille: 0,
+        ..FleetConfig::default()
     };
     Fleet::started(shape)
 }
 
-fn request() -> Wish {
-    Wish { budget: 0, key: None, once: false, service: false, prompt: 60, output: 40 }
+fn request() -> RequestSpec {
+    RequestSpec {
+        budget: 0,
+        key: None,
+        at_most_once: false,
+        service: false,
+        prompt: 60,
+        output: 40,
+    }
 }
 
 /// Sends requests at a constant rate, to all VMs in turn.
 fn load(fleet: &mut Fleet, requests: usize) {
     for n in 0..requests {
-        fleet.ask(n % VMS, request());
+        fleet.send_request(n % VMS, request());
         fleet.advance(Duration::from_millis(25));
     }
 }
@@ -40,7 +47,7 @@
         fleet.kill(vm);
     }
     fleet.advance(downtime);
-    fleet.platform.down = false;
+    fleet.store.down = false;
     for vm in 0..VMS {
         fleet.start(vm);
     }
@@ -84,7 +91,7 @@
 fn tokens_spent_during_an_outage_are_not_recovered() {
     let mut fleet = fleet();
     load(&mut fleet, 160);
-    fleet.platform.down = true;
+    fleet.store.down = true;
     // Long enough for the seals to expire and their tokens to be spent.
     load(&mut fleet, 400);
     restart_all(&mut fleet, Duration::from_millis(700));
@@ -98,7 +105,7 @@
 fn no_tokens_are_recovered_if_clocks_disagree() {
     let mut fleet = fleet();
     load(&mut fleet, 160);
-    fleet.platform.down = true;
+    fleet.store.down = true;
     load(&mut fleet, 400);
     for vm in 0..VMS {
         // Each clock has a different offset, so no majority agrees.
@@ -115,12 +122,12 @@
 fn requests_are_served_during_a_nine_second_outage() {
     let mut fleet = fleet();
     load(&mut fleet, 300);
-    fleet.platform.down = true;
+    fleet.store.down = true;
     load(&mut fleet, 360);
-    fleet.platform.down = false;
+    fleet.store.down = false;
     fleet.advance(Duration::from_secs(10));
     let refused = |end: &End| matches!(end, End::Refused(_));
-    let ends = fleet.asked.values().filter_map(|asked| asked.end.as_ref());
+    let ends = fleet.requests.values().filter_map(|asked| asked.end.as_ref());
     let count = ends.filter(|(end, _)| refused(end)).count();
     assert_eq!(count, 0, "requests were refused during the outage");
 }
@@ -132,7 +139,7 @@
     let mut fleet = fleet();
     load(&mut fleet, 300);
     fleet.advance(Duration::from_secs(1));
-    fleet.platform.down = true;
+    fleet.store.down = true;
     fleet.advance(Duration::from_secs(1));
     let before = fleet.held(0);
     fleet.stop(0);
--- a/crates/badgerfield-standin/tests/thin_link.rs
+++ b/crates/badgerfield-standin/tests/thin_link.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use badgerfield_core::ids::TemplateVersion;
-use badgerfield_standin::fleet::{Fleet, Link, Shape};
+use badgerfield_standin::fleet::{Fleet, FleetConfig, Link};
 
 const VMS: usize = 60;
 /// The number of budgets. It makes the templates as large as those of a busy site, 50 KB.
@@ -28,7 +28,14 @@
 fn restart_time_ms(one_way: u64, megabits: f64, seed: u64) -> Option<u64> {
     let limits = vec![1_000_000; BUDGETS];
     let regions = vec![VMS / 2, VMS / 2];
-    let shape = Shape { regions, limits, seals: true, noise: 0, seed, ..Shape::default() };
+    let shape = FleetConfig {
+        regions,
+        limits,
+        seals: true,
+        noise_permille: 0,
+        seed,
+        ..FleetConfig::default()
+    };
     let mut fleet = Fleet::started(shape);
     for vm in 0..VMS {
         fleet.kill(vm);
--- a/crates/badgerfield-standin/tests/threads.rs
+++ b/crates/badgerfield-standin/tests/threads.rs
@@ -16,7 +16,7 @@
 use badgerfield_core::event::{Chat, Dispatch, IncomingRequest, Work};
 use badgerfield_core::ids::{RequestId, RunId};
 use badgerfield_core::{Command, Event, Node};
-use badgerfield_standin::fleet::{Fleet, Shape, Wish, secret};
+use badgerfield_standin::fleet::{Fleet, FleetConfig, RequestSpec, secret};
 
 const THREADS: u64 = 4;
 const REQUESTS: u64 = 400;
@@ -39,8 +39,8 @@
     }
 }
 
-fn request() -> Wish {
-    Wish { budget: 0, key: None, once: false, service: false, prompt: 3, output: 8 }
+fn request() -> RequestSpec {
+    RequestSpec { budget: 0, key: None, at_most_once: false, service: false, prompt: 3, output: 8 }
 }
 
 /// Passes requests to a node from several threads at once. Returns how often each run was sent.
@@ -78,10 +78,11 @@
 /// Guards against threads that dispatch the same queued request.
 #[test]
 fn queued_request_is_sent_once_by_concurrent_threads() {
-    let mut fleet = Fleet::started(Shape { engines: 64, noise: 0, ..Shape::default() });
+    let mut fleet =
+        Fleet::started(FleetConfig { engines: 64, noise_permille: 0, ..FleetConfig::default() });
     // Demand makes the process hold tokens.
     for _ in 0..200 {
-        fleet.ask(0, Wish { prompt: 900, output: 100, ..request() });
+        fleet.send_request(0, RequestSpec { prompt: 900, output: 100, ..request() });
         fleet.advance(Duration::from_millis(20));
     }
     fleet.advance(Duration::from_secs(5));
--- a/crates/badgerfield-standin/tests/upstream_list.rs
+++ b/crates/badgerfield-standin/tests/upstream_list.rs
@@ -11,12 +11,17 @@
 use badgerfield_core::request_mix::{EngineDemand, EngineDivision};
 use badgerfield_core::upstream_list::{ListVersion, UpstreamListChanges};
 use badgerfield_core::{Event, Node};
-use badgerfield_standin::fleet::{Fleet, Shape};
+use badgerfield_standin::fleet::{Fleet, FleetConfig};
 
 const VMS: usize = 48;
 
 fn fleet(vms: usize) -> Fleet {
-    Fleet::started(Shape { regions: vec![vms], seals: true, noise: 0, ..Shape::default() })
+    Fleet::started(FleetConfig {
+        regions: vec![vms],
+        seals: true,
+        noise_permille: 0,
+        ..FleetConfig::default()
+    })
 }
 
 /// Returns how many VMs watch the platform if each received the list last at this time before now.
@@ -201,7 +206,7 @@
     let vms = 48;
     for suspended in [1, 7, 20, 31, 40] {
         let mut fleet = fleet(vms);
-        fleet.freeze(suspended);
+        fleet.suspend(suspended);
         // Longer than the four heartbeat intervals after which a member is suspected, and shorter
         // than the time after which it is removed.
         fleet.advance(Duration::from_secs(4));
--- a/crates/badgerfield/tests/poison_chats.rs
+++ b/crates/badgerfield/tests/poison_chats.rs
@@ -30,23 +30,23 @@
 async fn poison_chat_crashes_at_most_two_engines() -> Result<()> {
     let site = Site::start_with_engines(&program_directory(), (3, 6), 100_000, 200).await?;
     for admin in &site.engine_admins {
-        site.faults(*admin, &json!({ "ends_under": POISON_PROMPT })).await;
+        site.set_faults(*admin, &json!({ "ends_under": POISON_PROMPT })).await;
     }
     for n in 0..9 {
-        let answer = site.chat(n % 3, None, POISON_PROMPT, 20).await;
-        assert!(answer.streamed().is_none(), "{answer:?}");
+        let answer = site.send_chat(n % 3, None, POISON_PROMPT, 20).await;
+        assert!(answer.streamed_text().is_none(), "{answer:?}");
         sleep(RETRY_DELAY).await;
     }
     assert_eq!(site.ended_engines().await, MAX_CRASHES);
     // The chat is then refused as not run, and other chats are served.
     for vm in 0..3 {
-        let answer = site.chat(vm, None, POISON_PROMPT, 20).await;
+        let answer = site.send_chat(vm, None, POISON_PROMPT, 20).await;
         assert_eq!(answer.status, 503, "{answer:?}");
         let error = &answer.json()["error"];
         assert_eq!(error["type"], json!("ends_upstreams"), "{answer:?}");
         assert_eq!(error["outcome"], json!("not_run"), "{answer:?}");
-        let answer = site.chat(vm, None, "harmless", 20).await;
-        assert!(answer.streamed().is_some(), "{answer:?}");
+        let answer = site.send_chat(vm, None, "harmless", 20).await;
+        assert!(answer.streamed_text().is_some(), "{answer:?}");
     }
     Ok(())
 }
