--- a/crates/badgerfield-standin/src/fleet/balance.rs
+++ b/crates/badgerfield-standin/src/fleet/balance.rs
@@ -15,7 +15,7 @@
     /// Spent on answers of upstreams.
     pub used: u64,
     /// Remaining in the ledger.
-    pub left: u64,
+    pub remaining: u64,
     /// Available at running processes.
     pub free: u64,
     /// Reserved for running requests.
@@ -45,8 +45,18 @@
 
 impl fmt::Display for Balance {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { limit, used, left, free, reserved, sealed, parked, in_transit, lost, excess } =
-            self;
+        let Self {
+            limit,
+            used,
+            remaining: left,
+            free,
+            reserved,
+            sealed,
+            parked,
+            in_transit,
+            lost,
+            excess,
+        } = self;
         write!(
             f,
             "limit={limit} used={used} left={left} free={free} reserved={reserved} \
@@ -67,7 +77,7 @@
         let mut balance = Balance {
             limit: self.truth.allowed(budget),
             used: self.truth.served.get(&budget).copied().unwrap_or(0),
-            left: self.remaining(budget),
+            remaining: self.remaining(budget),
             ..Balance::default()
         };
         for node in self.vms.iter().filter_map(|vm| vm.node.as_ref()) {
@@ -78,7 +88,8 @@
             balance.parked += figures.parked.0;
             balance.in_transit += figures.in_transit.0 + figures.returning_free.0;
         }
-        let Balance { used, left, free, reserved, sealed, parked, in_transit, .. } = balance;
+        let Balance { used, remaining: left, free, reserved, sealed, parked, in_transit, .. } =
+            balance;
         let known = used + left + free + reserved + sealed + parked + in_transit;
         balance.lost = balance.limit.saturating_sub(known);
         balance.excess = known.saturating_sub(balance.limit);
