--- a/crates/badgerfield-standin/src/capacity.rs
+++ b/crates/badgerfield-standin/src/capacity.rs
@@ -53,7 +53,7 @@
     /// Measures a fleet under load and prints the row, and one line for each kind of message.
     fn print(&self) {
         let half = self.nodes / 2;
-        let shape = FleetConfig {
+        let config = FleetConfig {
             regions: vec![self.nodes - half, half],
             limits: vec![1_000_000_000; self.budgets],
             shards: self.shards,
@@ -61,7 +61,7 @@
             seed: self.seed,
             ..FleetConfig::default()
         };
-        let mut fleet = Fleet::started(shape);
+        let mut fleet = Fleet::started(config);
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
         self.send_requests(&mut fleet, &mut rng, WARM_UP_TIME);
         let before: (u64, u64) = message_totals(&fleet);
@@ -108,7 +108,7 @@
             // Callers of a budget are directed to few VMs.
             let budget = (vm + self.nodes * rng.random_range(0..BUDGETS_PER_VM)) % self.budgets;
             let key = self.has_keys.then(|| format!("{elapsed:?}"));
-            let wish = RequestSpec {
+            let spec = RequestSpec {
                 budget,
                 key,
                 at_most_once: false,
@@ -116,7 +116,7 @@
                 prompt: 200,
                 output: 200,
             };
-            fleet.send_request(vm, wish);
+            fleet.send_request(vm, spec);
             fleet.advance(gap);
             elapsed += gap;
             count += 1;
@@ -153,14 +153,14 @@
     /// Measures a fleet without requests and prints the row.
     fn print_idle(&self) {
         let half = self.nodes / 2;
-        let shape = FleetConfig {
+        let config = FleetConfig {
             regions: vec![self.nodes - half, half],
             limits: vec![1_000_000; self.budgets],
             noise_permille: 0,
             seed: self.seed,
             ..FleetConfig::default()
         };
-        let mut fleet = Fleet::started(shape);
+        let mut fleet = Fleet::started(config);
         fleet.advance(WARM_UP_TIME);
         let before = message_totals(&fleet);
         let (reads, writes) = (fleet.store.reads, fleet.store.writes);
--- a/crates/badgerfield-standin/src/fleet/balance.rs
+++ b/crates/badgerfield-standin/src/fleet/balance.rs
@@ -122,7 +122,7 @@
         let Some(node) = self.node(vm) else {
             return;
         };
-        let held = (0..self.shape.limits.len()).map(|budget| {
+        let held = (0..self.config.limits.len()).map(|budget| {
             let figures = node.balance(&Self::budget(budget));
             let spendable = figures.free.0 + figures.reserved.0 + figures.sealed.0;
             spendable
--- a/crates/badgerfield-standin/src/fleet/callers.rs
+++ b/crates/badgerfield-standin/src/fleet/callers.rs
@@ -4,18 +4,17 @@
 use badgerfield_core::event::Answer;
 use badgerfield_core::ids::RequestId;
 
-use super::{CallerRequest, End, Fleet, RequestSpec, arrival_of};
+use super::{CallerRequest, End, Fleet, RequestSpec, incoming_request};
 
 impl Fleet {
     /// Sends a request to a VM. It ends at once if the process of the VM does not run.
-    pub fn send_request(&mut self, vm: usize, wish: RequestSpec) -> RequestId {
+    pub fn send_request(&mut self, vm: usize, spec: RequestSpec) -> RequestId {
         let id = RequestId(self.next_request);
         self.next_request += 1;
-        let arrival = arrival_of(&wish);
+        let arrival = incoming_request(&spec);
         let (at, head_at, sent) = (self.now, None, None);
-        let asked =
-            CallerRequest { spec: wish, vm, at, head_at, sent, data: Vec::new(), end: None };
-        self.requests.insert(id, asked);
+        let request = CallerRequest { spec, vm, at, head_at, sent, data: Vec::new(), end: None };
+        self.requests.insert(id, request);
         if self.vms[vm].node.is_none() {
             self.record_end(id, End::Lost);
             return id;
@@ -34,21 +33,21 @@
 
     /// Removes requests that have ended, to save memory in long runs.
     pub fn remove_ended(&mut self) {
-        self.requests.retain(|_, asked| asked.end.is_none());
+        self.requests.retain(|_, request| request.end.is_none());
     }
 
     pub(super) fn record_answer(&mut self, id: RequestId, answer: Answer) {
         let now = self.now;
-        let Some(asked) = self.requests.get_mut(&id) else {
+        let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         match answer {
             Answer::Head(_) => {
-                asked.head_at.get_or_insert(now);
+                request.head_at.get_or_insert(now);
             }
             Answer::Data(data) => {
                 let text = std::str::from_utf8(&data).ok().and_then(|t| t.parse().ok());
-                asked.data.push(text.unwrap_or(u64::MAX));
+                request.data.push(text.unwrap_or(u64::MAX));
             }
             Answer::End(cost) => self.record_end(id, End::Whole(cost)),
             Answer::Broken(refusal) => self.record_end(id, End::Broken(refusal)),
@@ -58,14 +57,14 @@
 
     pub(super) fn record_end(&mut self, id: RequestId, end: End) {
         let now = self.now;
-        let Some(asked) = self.requests.get_mut(&id) else {
+        let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        if asked.end.is_some() {
+        if request.end.is_some() {
             self.faults.push(format!("{id:?} ended twice"));
             return;
         }
-        self.truth.check_end(&asked.spec, &end, &asked.data, &mut self.faults);
-        asked.end = Some((end, now));
+        self.truth.check_end(&request.spec, &end, &request.data, &mut self.faults);
+        request.end = Some((end, now));
     }
 }
--- a/crates/badgerfield-standin/src/fleet/shape.rs
+++ b/crates/badgerfield-standin/src/fleet/config.rs
@@ -136,20 +136,20 @@
     BudgetTemplate { changed: TemplateVersion(0), limit: Tokens(limit), period: Period(1), keys }
 }
 
-pub(super) fn arrival_of(wish: &RequestSpec) -> IncomingRequest {
+pub(super) fn incoming_request(spec: &RequestSpec) -> IncomingRequest {
     let name = |text: &str| text.parse().unwrap_or_else(|_| unreachable!("the name is valid"));
-    let work = if wish.service {
+    let work = if spec.service {
         let service = "scoring".parse().unwrap_or_else(|_| unreachable!("the name is valid"));
         Work::Call(Call { service, path: "score".into() })
     } else {
         Work::Chat(Chat {
             model: name("m"),
             adapter: None,
-            prompt_tokens: Tokens(wish.prompt),
-            output_limit: Some(Tokens(wish.output)),
+            prompt_tokens: Tokens(spec.prompt),
+            output_limit: Some(Tokens(spec.output)),
             prefix_digests: Vec::new(),
         })
     };
-    let (secret, key, once) = (secret(wish.budget), wish.key.clone(), wish.at_most_once);
+    let (secret, key, once) = (secret(spec.budget), spec.key.clone(), spec.at_most_once);
     IncomingRequest { secret_digest: secret, key, at_most_once: once, work, max_wait: None }
 }
--- a/crates/badgerfield-standin/src/fleet/mod.rs
+++ b/crates/badgerfield-standin/src/fleet/mod.rs
@@ -8,14 +8,14 @@
 
 mod balance;
 mod callers;
+mod config;
 mod crashes;
 mod evacuations;
 mod link;
-mod platform;
 mod processes;
 mod rollouts;
-mod shape;
 mod steps;
+mod store;
 mod truth;
 mod upstreams;
 
@@ -33,11 +33,11 @@
 use rand_chacha::ChaCha8Rng;
 
 pub use balance::{Balance, EndedProcess};
+pub use config::{FleetConfig, RequestSpec, account, engines, member, region_name, secret};
+use config::{account_template, budget_template, incoming_request};
 pub use link::Link;
-pub use platform::FakeStore;
 pub use rollouts::{RolloutTruth, Traffic, VersionFault, service, version};
-pub use shape::{FleetConfig, RequestSpec, account, engines, member, region_name, secret};
-use shape::{account_template, arrival_of, budget_template};
+pub use store::FakeStore;
 pub use truth::{Truth, key_of};
 use upstreams::Upstreams;
 
@@ -134,7 +134,7 @@
     pub link: Option<Link>,
     /// Links of single VMs on which answers to callers leave little bandwidth.
     pub full_links: BTreeMap<usize, Link>,
-    shape: FleetConfig,
+    config: FleetConfig,
     vms: Vec<Vm>,
     upstreams: Upstreams,
     scheduled: BTreeMap<(Time, u64), ScheduledAction>,
@@ -158,15 +158,15 @@
 impl Fleet {
     /// Creates a fleet whose processes have not started.
     #[must_use]
-    pub fn new(shape: FleetConfig) -> Self {
-        let rng = ChaCha8Rng::seed_from_u64(shape.seed);
-        let upstreams = Upstreams::new(shape.engines);
+    pub fn new(config: FleetConfig) -> Self {
+        let rng = ChaCha8Rng::seed_from_u64(config.seed);
+        let upstreams = Upstreams::new(config.engines);
         let mut fleet = Self {
             now: Time::from_millis(1000),
             store: FakeStore::default(),
             truth: Truth::default(),
             requests: BTreeMap::new(),
-            rollouts: RolloutTruth::new(shape.seed),
+            rollouts: RolloutTruth::new(config.seed),
             templates: TemplateSet::default(),
             faults: Vec::new(),
             link: None,
@@ -187,7 +187,7 @@
             messages: BTreeMap::new(),
             cross_region_messages: BTreeMap::new(),
             vm_of: HashMap::new(),
-            shape,
+            config,
         };
         fleet.make_templates();
         fleet.make_vms();
@@ -196,8 +196,8 @@
 
     /// Creates a fleet, starts all processes and advances the time by five seconds.
     #[must_use]
-    pub fn started(shape: FleetConfig) -> Self {
-        let mut fleet = Self::new(shape);
+    pub fn started(config: FleetConfig) -> Self {
+        let mut fleet = Self::new(config);
         for vm in 0..fleet.vms.len() {
             fleet.start(vm);
         }
@@ -253,7 +253,7 @@
     #[must_use]
     pub fn remaining(&self, budget: usize) -> u64 {
         let id = Self::budget(budget);
-        let shard = badgerfield_core::ledger::shard_of(&id, self.shape.shards);
+        let shard = badgerfield_core::ledger::shard_of(&id, self.config.shards);
         self.store.ledger(shard).budgets.get(&id).map_or(0, |entry| entry.remaining().0)
     }
 
@@ -340,7 +340,7 @@
     #[must_use]
     pub fn region_of(&self, index: usize) -> usize {
         let mut first = 0;
-        for (region, size) in self.shape.regions.iter().enumerate() {
+        for (region, size) in self.config.regions.iter().enumerate() {
             first += size;
             if index < first {
                 return region;
@@ -368,8 +368,8 @@
     }
 
     fn make_templates(&mut self) {
-        let limits = self.shape.limits.clone();
-        let spread = Percent::new(self.shape.spread).unwrap_or_else(|_| unreachable!("a share"));
+        let limits = self.config.limits.clone();
+        let spread = Percent::new(self.config.spread).unwrap_or_else(|_| unreachable!("a share"));
         self.apply(|set| {
             for (i, limit) in limits.iter().enumerate() {
                 let account: Account =
@@ -383,9 +383,9 @@
     fn make_vms(&mut self) {
         self.list.vms = self.upstreams.entries();
         let mut index = 0;
-        for (region, size) in self.shape.regions.clone().into_iter().enumerate() {
+        for (region, size) in self.config.regions.clone().into_iter().enumerate() {
             for offset in 0..size {
-                let domain = offset % self.shape.domains.max(1);
+                let domain = offset % self.config.domains.max(1);
                 let member = member(index, region, domain, Incarnation(0));
                 let entry = VmEntry { vm: member.vm.clone(), leaving: false, upstream: None };
                 self.list.vms.push(entry);
--- a/crates/badgerfield-standin/src/fleet/processes.rs
+++ b/crates/badgerfield-standin/src/fleet/processes.rs
@@ -12,7 +12,7 @@
 impl Fleet {
     /// Starts the process of a VM as a new incarnation.
     pub fn start(&mut self, index: usize) {
-        let incarnation = Incarnation(self.next_incarnation * 7919 + self.shape.seed);
+        let incarnation = Incarnation(self.next_incarnation * 7919 + self.config.seed);
         self.next_incarnation += 1;
         let seed = self.rng.random();
         let pacing = self.pacing();
@@ -26,7 +26,7 @@
         vm.gateway = super::rollouts::Gateway::default();
         vm.node = Some(Node::new(Config {
             member: vm.member.clone(),
-            ledger_shards: self.shape.shards,
+            ledger_shards: self.config.shards,
             key_retention: Duration::from_mins(15),
             answer_retention: Duration::from_mins(2),
             max_answer_bytes: 1_000_000,
@@ -42,7 +42,7 @@
     }
 
     pub(super) fn pacing(&self) -> Pacing {
-        if !self.shape.seals {
+        if !self.config.seals {
             return Pacing::default();
         }
         Pacing {
@@ -90,9 +90,9 @@
         vm.node = None;
         vm.is_suspended = false;
         vm.backlog.clear();
-        for asked in self.requests.values_mut() {
-            if asked.vm == index && asked.end.is_none() {
-                asked.end = Some((End::Lost, self.now));
+        for request in self.requests.values_mut() {
+            if request.vm == index && request.end.is_none() {
+                request.end = Some((End::Lost, self.now));
             }
         }
     }
@@ -119,10 +119,10 @@
         self.deliver(index, Event::Stop);
     }
 
-    /// Partitions a region from the others, and also from the store if `platform` is set.
-    pub fn partition(&mut self, region: usize, platform: bool) {
+    /// Partitions a region from the others, and also from the store if `from_store` is set.
+    pub fn partition(&mut self, region: usize, from_store: bool) {
         self.partitioned_regions.insert(region);
-        if platform {
+        if from_store {
             self.store.cut_regions.insert(region);
         }
     }
--- a/crates/badgerfield-standin/src/fleet/rollouts.rs
+++ b/crates/badgerfield-standin/src/fleet/rollouts.rs
@@ -180,8 +180,8 @@
     /// bad answers, and how many requests all versions received.
     #[must_use]
     pub fn request_counts(&self, name: &str) -> (u64, u64, u64) {
-        let got = self.rollouts.counts.get(&version(name)).copied().unwrap_or_default();
-        (got.sent, got.bad, self.rollouts.request_count)
+        let counts = self.rollouts.counts.get(&version(name)).copied().unwrap_or_default();
+        (counts.sent, counts.bad, self.rollouts.request_count)
     }
 
     pub(super) fn apply_rules(&mut self, vm: usize, rules: Vec<RolloutRule>) {
@@ -230,11 +230,11 @@
         let max = if truth.rng.random_range(0..requests_per_long) == 0 { long } else { normal };
         let run_time = Duration::from_millis(truth.rng.random_range(20..max));
         truth.request_count += 1;
-        let got = truth.counts.entry(version.clone()).or_default();
-        got.sent += 1;
-        got.bad += u64::from(counts.bad());
-        if got.bad >= MAX_BAD_ANSWERS {
-            got.rollback_due_since.get_or_insert(now);
+        let version_counts = truth.counts.entry(version.clone()).or_default();
+        version_counts.sent += 1;
+        version_counts.bad += u64::from(counts.bad());
+        if version_counts.bad >= MAX_BAD_ANSWERS {
+            version_counts.rollback_due_since.get_or_insert(now);
         }
         let gateway = &mut self.vms[vm].gateway;
         gateway.running.push((version.clone(), now.after(run_time)));
@@ -246,7 +246,8 @@
     fn check_sent(&mut self, vm: usize, version: &SoftwareVersion) {
         let now = self.now;
         let is_connected = self.partitioned_regions.is_empty() && self.store.cut_regions.is_empty();
-        let due_since = self.rollouts.counts.get(version).and_then(|got| got.rollback_due_since);
+        let due_since =
+            self.rollouts.counts.get(version).and_then(|counts| counts.rollback_due_since);
         let is_bad = self.rollouts.traffic.bad_versions.contains_key(version);
         if is_connected && is_bad && due_since.is_some_and(|at| now.since(at) > ROLLBACK_TIMEOUT) {
             self.faults.push(format!("VM {vm} sent to {version} long after its 50th bad answer"));
--- a/crates/badgerfield-standin/src/fleet/steps.rs
+++ b/crates/badgerfield-standin/src/fleet/steps.rs
@@ -171,8 +171,8 @@
         let base = self.cross((a, b), bytes, None).unwrap_or(without_link);
         let base = self.wait_for_links((index, to), bytes, base);
         let copies = match self.rng.random_range(0..1000) {
-            n if n < self.shape.noise_permille => 0,
-            n if n < 2 * self.shape.noise_permille => 2,
+            n if n < self.config.noise_permille => 0,
+            n if n < 2 * self.config.noise_permille => 2,
             _ => 1,
         };
         for _ in 0..copies {
--- a/crates/badgerfield-standin/src/fleet/truth.rs
+++ b/crates/badgerfield-standin/src/fleet/truth.rs
@@ -57,10 +57,10 @@
             .sum()
     }
 
-    pub(super) fn record_run(&mut self, wish: &RequestSpec, upstream: &UpstreamId, now: Time) {
+    pub(super) fn record_run(&mut self, spec: &RequestSpec, upstream: &UpstreamId, now: Time) {
         let dispatches = self.dispatches.entry(upstream.clone()).or_default();
         *dispatches = (dispatches.0 + 1, now);
-        if let Some(key) = key_of(wish) {
+        if let Some(key) = key_of(spec) {
             *self.runs.entry(key).or_default() += 1;
         }
     }
@@ -84,12 +84,12 @@
     /// Checks the end of a request against this record, and adds violations to `faults`.
     pub(super) fn check_end(
         &self,
-        wish: &RequestSpec,
+        spec: &RequestSpec,
         end: &End,
         data: &[u64],
         faults: &mut Vec<String>,
     ) {
-        let Some(key) = key_of(wish) else {
+        let Some(key) = key_of(spec) else {
             return;
         };
         let ran = self.runs.get(&key).copied().unwrap_or(0);
@@ -103,7 +103,7 @@
         }
         let name = key.to_string();
         let expected: Vec<_> =
-            (0..part_count(wish.service)).map(|i| expected_part(&name, i as u64)).collect();
+            (0..part_count(spec.service)).map(|i| expected_part(&name, i as u64)).collect();
         if matches!(end, End::Whole(_)) && data != expected {
             faults.push(format!("{key} got {data:?} as a whole answer"));
         }
@@ -139,7 +139,7 @@
 
 /// Returns the system's key of a request, if the caller set one.
 #[must_use]
-pub fn key_of(wish: &RequestSpec) -> Option<RequestKey> {
-    let key = wish.key.as_ref()?;
-    Some(RequestKey::new(&Fleet::budget(wish.budget), key))
+pub fn key_of(spec: &RequestSpec) -> Option<RequestKey> {
+    let key = spec.key.as_ref()?;
+    Some(RequestKey::new(&Fleet::budget(spec.budget), key))
 }
--- a/crates/badgerfield-standin/src/fleet/upstreams.rs
+++ b/crates/badgerfield-standin/src/fleet/upstreams.rs
@@ -120,24 +120,24 @@
             self.resume_stream(from, attempt, &(index, dispatch.stream), next);
             return;
         }
-        let Some(asked) = dispatch.request.and_then(|id| self.requests.get_mut(&id)) else {
+        let Some(request) = dispatch.request.and_then(|id| self.requests.get_mut(&id)) else {
             self.send_event(from, attempt, UpstreamEvent::NotSent);
             return;
         };
-        asked.sent.get_or_insert(self.now);
-        let wish = asked.spec.clone();
-        self.truth.record_run(&wish, &dispatch.upstream, self.now);
-        let output = if wish.service { 0 } else { self.rng.random_range(1..=wish.output) };
-        let prompt = if wish.service { CALL_COST } else { wish.prompt * 3 / 4 };
-        self.truth.record_served(wish.budget, &self.templates, prompt);
+        request.sent.get_or_insert(self.now);
+        let spec = request.spec.clone();
+        self.truth.record_run(&spec, &dispatch.upstream, self.now);
+        let output = if spec.service { 0 } else { self.rng.random_range(1..=spec.output) };
+        let prompt = if spec.service { CALL_COST } else { spec.prompt * 3 / 4 };
+        self.truth.record_served(spec.budget, &self.templates, prompt);
         let stream = Stream {
             upstream: index,
             name: dispatch.stream.clone(),
-            budget: wish.budget,
+            budget: spec.budget,
             prompt,
             output,
             parts: Vec::new(),
-            total: if wish.service { 1 } else { PARTS },
+            total: if spec.service { 1 } else { PARTS },
             ended: false,
             followers: vec![(from, attempt, 0)],
         };
@@ -255,8 +255,8 @@
         let stream_index = self.upstreams.attempts.get(&(to, attempt));
         let is_engine = stream_index.is_some_and(|n| self.upstreams.streams[*n].total > 1);
         let is_part = is_engine && matches!(event, UpstreamEvent::Chunk(_));
-        let is_late = is_part && random < self.shape.noise_permille;
-        let is_duplicate = is_part && random >= 1000 - self.shape.noise_permille;
+        let is_late = is_part && random < self.config.noise_permille;
+        let is_duplicate = is_part && random >= 1000 - self.config.noise_permille;
         if is_late || is_duplicate {
             let late = ScheduledAction::Deliver(to, Event::Upstream(attempt, event.clone()));
             self.schedule(at.after(PART_INTERVAL).after(PART_INTERVAL / 4), late);
--- a/crates/badgerfield-standin/src/measure/ours.rs
+++ b/crates/badgerfield-standin/src/measure/badgerfield.rs
@@ -38,13 +38,13 @@
 
 impl Run {
     fn new(case: &Case) -> Self {
-        let shape = FleetConfig {
+        let config = FleetConfig {
             regions: vec![VMS / 2, VMS / 2],
             limits: case.limits.clone(),
             seed: case.seed,
             ..FleetConfig::default()
         };
-        let fleet = Fleet::started(shape);
+        let fleet = Fleet::started(config);
         Self {
             fleet,
             result: CaseResult::default(),
@@ -91,7 +91,7 @@
 
     fn send_request(&mut self, arrival: Arrival, vm: usize) {
         let (account, prompt, output) = (arrival.account, arrival.prompt, arrival.output);
-        let wish = RequestSpec {
+        let spec = RequestSpec {
             budget: account,
             key: None,
             at_most_once: false,
@@ -101,7 +101,7 @@
         };
         self.result.requests += 1;
         let vm = self.choose_vm(vm);
-        let id = self.fleet.send_request(vm, wish);
+        let id = self.fleet.send_request(vm, spec);
         self.reserved[account] += arrival.max_cost();
         self.open_requests.insert(id, arrival);
         self.classify_ended();
@@ -164,7 +164,7 @@
     fn apply_fault(&mut self, fault: Fault) {
         let fleet = &mut self.fleet;
         match fault {
-            Fault::PlatformDown(down) => fleet.store.down = down,
+            Fault::StoreDown(down) => fleet.store.down = down,
             Fault::RegionCut(true) => fleet.partition(1, true),
             Fault::RegionCut(false) => fleet.end_partitions(),
             Fault::Kill(vm) => fleet.kill(vm),
@@ -174,8 +174,8 @@
                 }
             }
             Fault::Stop(vm) => fleet.stop(vm),
-            Fault::Freeze(vm, true) => fleet.suspend(vm),
-            Fault::Freeze(vm, false) => fleet.resume(vm),
+            Fault::Suspend(vm, true) => fleet.suspend(vm),
+            Fault::Suspend(vm, false) => fleet.resume(vm),
         }
     }
 
--- a/crates/badgerfield-standin/src/measure/mod.rs
+++ b/crates/badgerfield-standin/src/measure/mod.rs
@@ -4,15 +4,15 @@
 //! ledger, which sees every reservation and every end without delay, would have admitted the
 //! request at that moment.
 
+mod badgerfield;
 mod naive;
-mod ours;
 mod workload;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+pub use badgerfield::Badgerfield;
 pub use naive::{Central, Lease, Split};
-pub use ours::Badgerfield;
 pub use workload::{Arrival, Case, Fault};
 
 /// The results of one system in one case.
--- a/crates/badgerfield-standin/src/measure/naive.rs
+++ b/crates/badgerfield-standin/src/measure/naive.rs
@@ -3,7 +3,7 @@
 //! - [`Central`]: one ledger write for each request, before it runs.
 //! - [`Split`]: every VM gets an equal part of every budget once, at the start.
 //! - [`Lease`]: each budget has one VM that counts in memory under a lease of 10 s and
-//!   writes the count to the platform every second.
+//!   writes the count to the store every second.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -15,7 +15,7 @@
 use super::workload::{ACCOUNTS, CASE_DURATION, VMS};
 use super::{Arrival, Case, CaseResult, Fault, System, percentile};
 
-/// The duration of a call to the platform.
+/// The duration of a call to the store.
 const CALL_TIME: Duration = Duration::from_millis(6);
 /// The duration of a request after its dispatch.
 const REQUEST_TIME: Duration = Duration::from_millis(600);
@@ -27,17 +27,17 @@
 /// The faults that are in effect.
 #[derive(Debug, Clone, Default)]
 struct SiteState {
-    platform_down: bool,
+    store_down: bool,
     region_cut: bool,
     killed: [bool; VMS],
-    frozen: [bool; VMS],
+    suspended: [bool; VMS],
     stopping: [bool; VMS],
 }
 
 impl SiteState {
     fn apply(&mut self, fault: Fault) {
         match fault {
-            Fault::PlatformDown(is_down) => self.platform_down = is_down,
+            Fault::StoreDown(is_down) => self.store_down = is_down,
             Fault::RegionCut(is_cut) => self.region_cut = is_cut,
             Fault::Kill(vm) => self.killed[vm] = true,
             Fault::Stop(vm) => self.stopping[vm] = true,
@@ -45,7 +45,7 @@
                 self.killed[vm] = false;
                 self.stopping[vm] = false;
             }
-            Fault::Freeze(vm, is_frozen) => self.frozen[vm] = is_frozen,
+            Fault::Suspend(vm, is_suspended) => self.suspended[vm] = is_suspended,
         }
     }
 
@@ -53,9 +53,9 @@
         !self.killed[vm] && !self.stopping[vm]
     }
 
-    fn can_reach_platform(&self, vm: usize) -> bool {
+    fn can_reach_store(&self, vm: usize) -> bool {
         let is_cut_off = self.region_cut && vm >= VMS / 2;
-        !self.platform_down && !is_cut_off
+        !self.store_down && !is_cut_off
     }
 
     fn are_linked(&self, a: usize, b: usize) -> bool {
@@ -70,7 +70,7 @@
         }
         let region_start = vm / (VMS / 2) * (VMS / 2);
         let in_region = region_start..region_start + VMS / 2;
-        in_region.chain(0..VMS).find(|v| self.is_serving(*v) && !self.frozen[*v]).unwrap_or(vm)
+        in_region.chain(0..VMS).find(|v| self.is_serving(*v) && !self.suspended[*v]).unwrap_or(vm)
     }
 }
 
@@ -94,7 +94,7 @@
     /// Reacts to a fault before it takes effect.
     fn handle_fault(&mut self, now: Duration, site: &SiteState, fault: Fault);
 
-    /// Returns the number of calls to the platform so far.
+    /// Returns the number of calls to the store so far.
     fn call_count(&self) -> u64;
 }
 
@@ -118,7 +118,7 @@
     served: Vec<u64>,
     /// The maximum cost of the running requests of each account.
     reserved: Vec<u64>,
-    /// Requests that wait at frozen VMs.
+    /// Requests that wait at suspended VMs.
     waiting: Vec<(usize, Arrival)>,
     dispatch_delays: Vec<Duration>,
     result: CaseResult,
@@ -154,7 +154,7 @@
             self.end_requests(arrival.at, guard);
             self.result.requests += 1;
             let vm = self.site.choose_vm(arrival.vm);
-            if self.site.frozen[vm] {
+            if self.site.suspended[vm] {
                 self.waiting.push((vm, *arrival));
                 continue;
             }
@@ -186,10 +186,10 @@
         }
     }
 
-    /// Admits the requests that waited at VMs that are no longer frozen.
+    /// Admits the requests that waited at VMs that are no longer suspended.
     fn admit_waiting(&mut self, now: Duration, guard: &mut dyn BudgetGuard) {
         for (vm, arrival) in std::mem::take(&mut self.waiting) {
-            if self.site.frozen[vm] {
+            if self.site.suspended[vm] {
                 self.waiting.push((vm, arrival));
                 continue;
             }
@@ -257,7 +257,7 @@
         vm: usize,
         arrival: &Arrival,
     ) -> Admission {
-        if !site.can_reach_platform(vm) {
+        if !site.can_reach_store(vm) {
             return Admission::Refuse;
         }
         self.calls += 2;
@@ -272,7 +272,7 @@
     }
 
     fn settle(&mut self, _: Duration, site: &SiteState, vm: usize, arrival: &Arrival, used: u64) {
-        if site.can_reach_platform(vm) {
+        if site.can_reach_store(vm) {
             self.calls += 2;
             self.remaining[arrival.account] += arrival.max_cost() - used;
         }
@@ -343,7 +343,7 @@
     expires_at: Vec<Duration>,
     /// The remaining tokens of each account, as each VM counts them.
     counts: Vec<[u64; VMS]>,
-    /// The remaining tokens of each account as last written to the platform.
+    /// The remaining tokens of each account as last written to the store.
     written_counts: Vec<u64>,
     /// The time of the last write for each account.
     written_at: Vec<Duration>,
@@ -377,14 +377,14 @@
     fn update_lease(&mut self, now: Duration, site: &SiteState, vm: usize, account: usize) {
         let holder = self.holders[account];
         let can_renew =
-            site.is_serving(holder) && !site.frozen[holder] && site.can_reach_platform(holder);
+            site.is_serving(holder) && !site.suspended[holder] && site.can_reach_store(holder);
         if can_renew && now >= self.written_at[account] + WRITE_INTERVAL {
             self.written_counts[account] = self.counts[account][holder];
             self.written_at[account] = now;
             self.expires_at[account] = now + LEASE_TIME;
             self.calls += 2;
         }
-        if now < self.expires_at[account] || !site.can_reach_platform(vm) {
+        if now < self.expires_at[account] || !site.can_reach_store(vm) {
             return;
         }
         self.calls += 2;
@@ -405,10 +405,10 @@
     ) -> Admission {
         let account = arrival.account;
         self.update_lease(now, site, vm, account);
-        // A holder that was frozen still counts for itself until it checks the lease.
+        // A holder that was suspended still counts for itself until it checks the lease.
         let holder = if self.assumes_lease[account][vm] { vm } else { self.holders[account] };
         let is_reachable =
-            site.is_serving(holder) && !site.frozen[holder] && site.are_linked(vm, holder);
+            site.is_serving(holder) && !site.suspended[holder] && site.are_linked(vm, holder);
         if !is_reachable {
             return Admission::Refuse;
         }
--- a/crates/badgerfield-standin/src/measure/workload.rs
+++ b/crates/badgerfield-standin/src/measure/workload.rs
@@ -44,18 +44,18 @@
 /// A fault, or its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The platform stops answering (true) or answers again (false).
-    PlatformDown(bool),
-    /// Region 1 loses (true) or regains (false) its links to region 0 and the platform.
+    /// The store stops answering (true) or answers again (false).
+    StoreDown(bool),
+    /// Region 1 loses (true) or regains (false) its links to region 0 and the store.
     RegionCut(bool),
     /// The process of a VM is killed.
     Kill(usize),
     /// The process of a VM starts.
     Start(usize),
-    /// The process of a VM is asked to stop.
+    /// The process of a VM receives a request to stop.
     Stop(usize),
-    /// The process of a VM is frozen (true) or continues (false).
-    Freeze(usize, bool),
+    /// The process of a VM is suspended (true) or continues (false).
+    Suspend(usize, bool),
 }
 
 /// One case: arrivals, budgets and faults.
@@ -161,7 +161,7 @@
 }
 
 fn outage_faults() -> Vec<(Duration, Fault)> {
-    vec![(FAULT_START, Fault::PlatformDown(true)), (FAULT_END, Fault::PlatformDown(false))]
+    vec![(FAULT_START, Fault::StoreDown(true)), (FAULT_END, Fault::StoreDown(false))]
 }
 
 fn cut_faults() -> Vec<(Duration, Fault)> {
@@ -174,8 +174,8 @@
 }
 
 fn pause_faults() -> Vec<(Duration, Fault)> {
-    let thaw_at = FAULT_START + Duration::from_secs(30);
-    vec![(FAULT_START, Fault::Freeze(1, true)), (thaw_at, Fault::Freeze(1, false))]
+    let resume_at = FAULT_START + Duration::from_secs(30);
+    vec![(FAULT_START, Fault::Suspend(1, true)), (resume_at, Fault::Suspend(1, false))]
 }
 
 fn rolling_restart() -> Vec<(Duration, Fault)> {
@@ -193,13 +193,13 @@
     let mut faults = vec![
         (seconds(30), Fault::Stop(6)),
         (seconds(55), Fault::Start(6)),
-        (seconds(60), Fault::PlatformDown(true)),
+        (seconds(60), Fault::StoreDown(true)),
         (seconds(70), Fault::RegionCut(true)),
         (seconds(80), Fault::Kill(1)),
-        (seconds(90), Fault::Freeze(5, true)),
+        (seconds(90), Fault::Suspend(5, true)),
         (seconds(110), Fault::Start(1)),
-        (seconds(125), Fault::Freeze(5, false)),
-        (seconds(130), Fault::PlatformDown(false)),
+        (seconds(125), Fault::Suspend(5, false)),
+        (seconds(130), Fault::StoreDown(false)),
         (seconds(150), Fault::RegionCut(false)),
         (seconds(170), Fault::Stop(2)),
         (seconds(200), Fault::Start(2)),
--- a/crates/badgerfield-standin/src/site.rs
+++ b/crates/badgerfield-standin/src/site.rs
@@ -1,4 +1,4 @@
-//! A small site of real processes on loopback, for tests that kill and freeze processes.
+//! A small site of real processes on loopback, for tests that kill and suspend processes.
 
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::path::{Path, PathBuf};
@@ -26,11 +26,11 @@
 const PORT_COUNT: u16 = 8_000;
 /// The timeout of a request, with its whole answer.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
-/// The timeout of [`Site::wait`].
+/// The timeout of [`Site::wait_until`].
 const CONDITION_TIMEOUT: Duration = Duration::from_mins(1);
 /// Texts of log lines that are written every few seconds, and left out of printed logs.
 const PERIODIC_TEXTS: [&str; 2] = ["node: messages ", "platform: calls "];
-/// The interval at which [`Site::wait`] checks its condition.
+/// The interval at which [`Site::wait_until`] checks its condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The answer to a request.
--- a/crates/badgerfield-standin/tests/directory.rs
+++ b/crates/badgerfield-standin/tests/directory.rs
@@ -17,13 +17,13 @@
 }
 
 fn fleet() -> Fleet {
-    let shape = FleetConfig {
+    let config = FleetConfig {
         regions: vec![VMS],
         seals: true,
         noise_permille: 0,
         ..FleetConfig::default()
     };
-    Fleet::new(shape)
+    Fleet::new(config)
 }
 
 /// Members know from heartbeats which VMs do not serve callers. In a larger fleet they exchange
--- a/crates/badgerfield-standin/tests/full_link.rs
+++ b/crates/badgerfield-standin/tests/full_link.rs
@@ -31,7 +31,7 @@
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
 
 fn fleet(wait: Duration, seed: u64) -> Fleet {
-    let shape = FleetConfig {
+    let config = FleetConfig {
         regions: vec![VMS],
         domains: 3,
         limits: vec![LIMIT],
@@ -42,7 +42,7 @@
         noise_permille: 0,
         seed,
     };
-    let mut fleet = Fleet::started(shape);
+    let mut fleet = Fleet::started(config);
     fleet.full_links.insert(BUSY_VM, Link::new(wait, LINK_BITS_PER_SECOND));
     fleet
 }
@@ -51,7 +51,7 @@
     let until = fleet.now.after(Duration::from_secs_f64(seconds));
     while fleet.now < until {
         let (prompt, output) = (60, 40);
-        let wish = RequestSpec {
+        let spec = RequestSpec {
             budget: 0,
             key: None,
             at_most_once: false,
@@ -59,7 +59,7 @@
             prompt,
             output,
         };
-        fleet.send_request(BUSY_VM, wish);
+        fleet.send_request(BUSY_VM, spec);
         fleet.advance(Duration::from_millis(20));
     }
 }
--- a/crates/badgerfield-standin/tests/healthy.rs
+++ b/crates/badgerfield-standin/tests/healthy.rs
@@ -25,8 +25,8 @@
     fleet.advance(Duration::from_secs(20));
     assert_eq!(fleet.faults, Vec::<String>::new());
     let mut ends = std::collections::BTreeMap::new();
-    for asked in fleet.requests.values() {
-        let end = match &asked.end {
+    for request in fleet.requests.values() {
+        let end = match &request.end {
             Some((End::Whole(_), _)) => "whole".to_owned(),
             other => format!("{other:?}"),
         };
--- a/crates/badgerfield-standin/tests/histories.rs
+++ b/crates/badgerfield-standin/tests/histories.rs
@@ -21,25 +21,25 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Ask {
+    SendRequest {
         vm: usize,
-        wish: RequestSpec,
+        spec: RequestSpec,
     },
     Burst {
-        wish: RequestSpec,
+        spec: RequestSpec,
         count: usize,
     },
-    Pass(u64),
+    Advance(u64),
     Kill(usize),
     Start(usize),
-    Freeze(usize),
-    Thaw(usize),
+    Suspend(usize),
+    Resume(usize),
     Stop(usize),
-    Cut {
+    Partition {
         region: usize,
-        platform: bool,
+        from_store: bool,
     },
-    Heal,
+    EndPartitions,
     Down(bool),
     Slow(u64),
     LoseReplies(u64),
@@ -52,20 +52,20 @@
     /// Kills all processes at once and starts them again after this many milliseconds.
     KillAll(u64),
     /// Steps the clock of a VM by this many milliseconds.
-    JumpClock(i64),
+    SetClockOffset(i64),
 }
 
 /// The reference model: the VMs that are down or suspended, and the requests with keys.
 #[derive(Debug, Clone, Default)]
 struct Model {
     down: BTreeSet<usize>,
-    frozen: BTreeSet<usize>,
+    suspended: BTreeSet<usize>,
     keys: Vec<RequestSpec>,
     engines_killed: usize,
     next: usize,
 }
 
-fn wish(next: usize) -> impl Strategy<Value = RequestSpec> + Clone {
+fn spec(next: usize) -> impl Strategy<Value = RequestSpec> + Clone {
     let sizes = (20_u64..400, 10_u64..400);
     (0..BUDGETS, 0..4_u8, any::<bool>(), any::<bool>(), sizes).prop_map(
         move |(budget, keyed, once, service, (prompt, output))| {
@@ -86,30 +86,30 @@
 
     fn transitions(state: &Self) -> BoxedStrategy<Step> {
         let vm = || 0..VMS;
-        let ask = (vm(), wish(state.next)).prop_map(|(vm, wish)| Step::Ask { vm, wish });
-        let burst = (wish(state.next), 2..40_usize).prop_map(|(wish, count)| {
-            let wish = RequestSpec { key: None, at_most_once: false, service: false, ..wish };
-            Step::Burst { wish, count }
+        let send = (vm(), spec(state.next)).prop_map(|(vm, spec)| Step::SendRequest { vm, spec });
+        let burst = (spec(state.next), 2..40_usize).prop_map(|(spec, count)| {
+            let spec = RequestSpec { key: None, at_most_once: false, service: false, ..spec };
+            Step::Burst { spec, count }
         });
         let mut steps = vec![
-            (20, ask.boxed()),
+            (20, send.boxed()),
             (8, burst.boxed()),
-            (12, (1_u64..400).prop_map(Step::Pass).boxed()),
-            (8, (400_u64..4000).prop_map(Step::Pass).boxed()),
-            (2, (20_000_u64..40_000).prop_map(Step::Pass).boxed()),
+            (12, (1_u64..400).prop_map(Step::Advance).boxed()),
+            (8, (400_u64..4000).prop_map(Step::Advance).boxed()),
+            (2, (20_000_u64..40_000).prop_map(Step::Advance).boxed()),
             (3, vm().prop_map(Step::Kill).boxed()),
-            (3, vm().prop_map(Step::Freeze).boxed()),
+            (3, vm().prop_map(Step::Suspend).boxed()),
             (4, vm().prop_map(Step::Start).boxed()),
-            (4, vm().prop_map(Step::Thaw).boxed()),
+            (4, vm().prop_map(Step::Resume).boxed()),
             (1, vm().prop_map(Step::Stop).boxed()),
             (1, vm().prop_map(Step::Unlist).boxed()),
             (
                 2,
                 (0..2_usize, any::<bool>())
-                    .prop_map(|(region, platform)| Step::Cut { region, platform })
+                    .prop_map(|(region, from_store)| Step::Partition { region, from_store })
                     .boxed(),
             ),
-            (3, Just(Step::Heal).boxed()),
+            (3, Just(Step::EndPartitions).boxed()),
             (2, any::<bool>().prop_map(Step::Down).boxed()),
             (1, (0_u64..800).prop_map(Step::Slow).boxed()),
             (2, (1_u64..4).prop_map(Step::LoseReplies).boxed()),
@@ -118,7 +118,7 @@
             (1, (0..BUDGETS).prop_map(Step::Lower).boxed()),
             (1, (0..BUDGETS).prop_map(Step::Renew).boxed()),
             (2, (100_u64..4000).prop_map(Step::KillAll).boxed()),
-            (1, (-6000_i64..6000).prop_map(Step::JumpClock).boxed()),
+            (1, (-6000_i64..6000).prop_map(Step::SetClockOffset).boxed()),
         ];
         if state.engines_killed == 0 {
             steps.push((1, Just(Step::KillEngine).boxed()));
@@ -126,34 +126,34 @@
         if !state.keys.is_empty() {
             let keys = state.keys.clone();
             let repeat = (vm(), proptest::sample::select(keys));
-            steps.push((14, repeat.prop_map(|(vm, wish)| Step::Ask { vm, wish }).boxed()));
+            steps.push((14, repeat.prop_map(|(vm, spec)| Step::SendRequest { vm, spec }).boxed()));
         }
         Union::new_weighted(steps).boxed()
     }
 
     fn apply(mut state: Self, step: &Step) -> Self {
         match step {
-            Step::Ask { wish, .. } if wish.key.is_some() && !state.keys.contains(wish) => {
-                state.keys.push(wish.clone());
+            Step::SendRequest { spec, .. } if spec.key.is_some() && !state.keys.contains(spec) => {
+                state.keys.push(spec.clone());
                 state.next += 1;
             }
             Step::Kill(vm) => {
                 state.down.insert(*vm);
-                state.frozen.remove(vm);
+                state.suspended.remove(vm);
             }
             Step::Start(vm) => {
                 state.down.remove(vm);
             }
-            Step::Freeze(vm) => {
-                state.frozen.insert(*vm);
+            Step::Suspend(vm) => {
+                state.suspended.insert(*vm);
             }
-            Step::Thaw(vm) => {
-                state.frozen.remove(vm);
+            Step::Resume(vm) => {
+                state.suspended.remove(vm);
             }
             Step::KillEngine => state.engines_killed += 1,
             Step::KillAll(_) => {
                 state.down.clear();
-                state.frozen.clear();
+                state.suspended.clear();
             }
             _ => {}
         }
@@ -162,14 +162,14 @@
 
     fn preconditions(state: &Self, step: &Step) -> bool {
         match step {
-            Step::Kill(vm) | Step::Freeze(vm) | Step::Stop(vm) => {
-                !state.down.contains(vm) && !state.frozen.contains(vm)
+            Step::Kill(vm) | Step::Suspend(vm) | Step::Stop(vm) => {
+                !state.down.contains(vm) && !state.suspended.contains(vm)
             }
             Step::Start(vm) => state.down.contains(vm),
-            Step::Thaw(vm) => state.frozen.contains(vm),
+            Step::Resume(vm) => state.suspended.contains(vm),
             // A key must not be used again with a different request.
-            Step::Ask { wish, .. } if wish.key.is_some() => {
-                state.keys.iter().all(|w| w.key != wish.key || w == wish)
+            Step::SendRequest { spec, .. } if spec.key.is_some() => {
+                state.keys.iter().all(|w| w.key != spec.key || w == spec)
             }
             _ => true,
         }
@@ -187,7 +187,7 @@
     type Reference = Model;
 
     fn init_test(_: &Model) -> Self {
-        let shape = FleetConfig {
+        let config = FleetConfig {
             regions: vec![3, 3],
             limits: vec![LIMIT; BUDGETS],
             engines: 2,
@@ -195,35 +195,35 @@
             seals: SEALS,
             ..FleetConfig::default()
         };
-        Self { fleet: Fleet::started(shape), once: BTreeSet::new() }
+        Self { fleet: Fleet::started(config), once: BTreeSet::new() }
     }
 
     fn apply(mut harness: Self, _: &Model, step: Step) -> Self {
         let fleet = &mut harness.fleet;
         match step {
-            Step::Ask { vm, wish } => {
-                if wish.at_most_once {
-                    harness.once.extend(key_of(&wish));
+            Step::SendRequest { vm, spec } => {
+                if spec.at_most_once {
+                    harness.once.extend(key_of(&spec));
                 }
-                fleet.send_request(vm, wish);
+                fleet.send_request(vm, spec);
             }
-            Step::Burst { wish, count } => {
+            Step::Burst { spec, count } => {
                 for n in 0..count {
-                    fleet.send_request(n % VMS, wish.clone());
+                    fleet.send_request(n % VMS, spec.clone());
                 }
             }
-            Step::Pass(millis) => fleet.advance(Duration::from_millis(millis)),
+            Step::Advance(millis) => fleet.advance(Duration::from_millis(millis)),
             Step::Kill(vm) => fleet.kill(vm),
             Step::Start(vm) => {
                 if !fleet.runs(vm) {
                     fleet.start(vm);
                 }
             }
-            Step::Freeze(vm) => fleet.suspend(vm),
-            Step::Thaw(vm) => fleet.resume(vm),
+            Step::Suspend(vm) => fleet.suspend(vm),
+            Step::Resume(vm) => fleet.resume(vm),
             Step::Stop(vm) => fleet.stop(vm),
-            Step::Cut { region, platform } => fleet.partition(region, platform),
-            Step::Heal => fleet.end_partitions(),
+            Step::Partition { region, from_store } => fleet.partition(region, from_store),
+            Step::EndPartitions => fleet.end_partitions(),
             Step::Down(down) => fleet.store.down = down,
             Step::Slow(millis) => fleet.store.slow = Duration::from_millis(millis),
             Step::Stale(stale) => fleet.store.stale = stale,
@@ -245,7 +245,7 @@
             }
             // Only one clock is wrong: the guarantees do not cover a majority of clocks that step
             // together.
-            Step::JumpClock(millis) => fleet.step_clock(1, millis),
+            Step::SetClockOffset(millis) => fleet.step_clock(1, millis),
         }
         fleet.advance(Duration::from_millis(1));
         harness
@@ -286,19 +286,19 @@
         let version = fleet.node(vm).map(badgerfield_core::Node::template_version);
         assert_eq!(version, Some(fleet.templates.version), "templates on VM {vm}");
     }
-    for (id, asked) in &fleet.requests {
-        assert!(asked.end.is_some(), "{id:?} never got its final answer: {asked:?}");
+    for (id, request) in &fleet.requests {
+        assert!(request.end.is_some(), "{id:?} never got its final answer: {request:?}");
     }
     // A VM that is killed between the end of an answer and the decision of the arbiter loses the
     // bill, and an uncertain key is not billed rather than billed twice.
     if fleet.kills() > 0 || !fleet.store.view().uncertain_keys.is_empty() {
         return;
     }
-    for asked in fleet.requests.values() {
-        let Some(key) = key_of(&asked.spec) else {
+    for request in fleet.requests.values() {
+        let Some(key) = key_of(&request.spec) else {
             continue;
         };
-        if matches!(asked.end, Some((End::Whole(_), _))) {
+        if matches!(request.end, Some((End::Whole(_), _))) {
             let bills = fleet.truth.bills.get(&key).map(|b| b.0);
             assert_eq!(bills, Some(1), "{key} was answered whole");
         }
--- a/crates/badgerfield-standin/tests/joining.rs
+++ b/crates/badgerfield-standin/tests/joining.rs
@@ -13,13 +13,13 @@
 const MAX_WRITES: u64 = 7;
 
 fn fleet() -> Fleet {
-    let shape = FleetConfig {
+    let config = FleetConfig {
         regions: vec![VMS],
         seals: true,
         noise_permille: 0,
         ..FleetConfig::default()
     };
-    Fleet::new(shape)
+    Fleet::new(config)
 }
 
 fn start_all(fleet: &mut Fleet) {
@@ -62,14 +62,14 @@
 #[test]
 fn all_members_receive_the_whole_view() {
     for seed in 1..=6 {
-        let shape = FleetConfig {
+        let config = FleetConfig {
             regions: vec![VMS],
             seals: true,
             noise_permille: 0,
             seed,
             ..FleetConfig::default()
         };
-        let mut fleet = Fleet::new(shape);
+        let mut fleet = Fleet::new(config);
         // The first twelve processes are members while the fleet is small, and receive messages
         // from few of the others later.
         for vm in 0..VMS {
--- a/crates/badgerfield-standin/tests/large_fleet.rs
+++ b/crates/badgerfield-standin/tests/large_fleet.rs
@@ -60,13 +60,13 @@
 }
 
 fn start(vms: usize) -> Fleet {
-    let shape = FleetConfig {
+    let config = FleetConfig {
         regions: vec![vms],
         seals: true,
         noise_permille: 0,
         ..FleetConfig::default()
     };
-    let mut fleet = Fleet::new(shape);
+    let mut fleet = Fleet::new(config);
     for vm in 0..vms {
         fleet.start(vm);
     }
@@ -202,7 +202,7 @@
 fn load(fleet: &mut Fleet, vms: usize, requests: usize) {
     for n in 0..requests {
         let (prompt, output) = (60, 40);
-        let wish = RequestSpec {
+        let spec = RequestSpec {
             budget: n % 4,
             key: None,
             at_most_once: false,
@@ -210,7 +210,7 @@
             prompt,
             output,
         };
-        fleet.send_request(n * 7 % vms, wish);
+        fleet.send_request(n * 7 % vms, spec);
         fleet.advance(Duration::from_millis(5));
     }
 }
--- a/crates/badgerfield-standin/tests/lending.rs
+++ b/crates/badgerfield-standin/tests/lending.rs
@@ -19,7 +19,7 @@
 /// The most VMs that may hold one budget.
 const MAX_HOLDERS: usize = 3;
 
-fn shape(limit: u64) -> FleetConfig {
+fn config(limit: u64) -> FleetConfig {
     FleetConfig {
         regions: vec![VMS],
         limits: vec![limit; 2],
@@ -32,7 +32,7 @@
 }
 
 fn fleet(limit: u64) -> Fleet {
-    Fleet::started(shape(limit))
+    Fleet::started(config(limit))
 }
 
 /// Returns the VMs that have tokens of the first budget available.
@@ -72,7 +72,7 @@
 }
 
 fn refused_count(fleet: &Fleet) -> usize {
-    let ends = fleet.requests.values().filter_map(|asked| asked.end.as_ref());
+    let ends = fleet.requests.values().filter_map(|request| request.end.as_ref());
     ends.filter(|(end, _)| matches!(end, End::Refused(_))).count()
 }
 
@@ -240,7 +240,7 @@
 fn refused_large_request_does_not_refuse_small_ones() {
     let limit = 600_000;
     let mut fleet = fleet(limit);
-    let mut first = Fleet::started(shape(limit));
+    let mut first = Fleet::started(config(limit));
     load(&mut first, 60);
     let vm = (0..VMS).find(|vm| !vms_with_tokens(&first).contains(vm)).expect("most VMs borrow");
     let large = RequestSpec { prompt: limit / 2 - 40, ..request() };
@@ -385,7 +385,7 @@
     for seed in 1..=case_count() {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let limit = 200 * REQUEST_COST;
-        let mut fleet = Fleet::started(FleetConfig { noise_permille: 40, seed, ..shape(limit) });
+        let mut fleet = Fleet::started(FleetConfig { noise_permille: 40, seed, ..config(limit) });
         for _ in 0..60 {
             cause_random_fault(&mut fleet, &mut rng);
             load(&mut fleet, 12);
@@ -520,8 +520,8 @@
 fn refusal_causes(fleet: &Fleet, since: Time, least: u64) -> BTreeMap<&'static str, usize> {
     let mut causes = BTreeMap::new();
     let is_large = |request: &RequestSpec| request.prompt + request.output >= least;
-    for asked in fleet.requests.values().filter(|a| a.at >= since && is_large(&a.spec)) {
-        if let Some((End::Refused(refusal), _)) = &asked.end {
+    for request in fleet.requests.values().filter(|a| a.at >= since && is_large(&a.spec)) {
+        if let Some((End::Refused(refusal), _)) = &request.end {
             *causes.entry(refusal.cause.code()).or_default() += 1;
         }
     }
@@ -599,8 +599,8 @@
 #[test]
 fn smallest_fleet_with_lenders_survives_their_loss() {
     for vms in [17, 18, 24] {
-        let shape = FleetConfig { regions: vec![vms], ..shape(50_000_000) };
-        let mut fleet = Fleet::started(shape);
+        let config = FleetConfig { regions: vec![vms], ..config(50_000_000) };
+        let mut fleet = Fleet::started(config);
         for n in 0..200 {
             fleet.send_request(n * 7 % vms, request());
             fleet.advance(Duration::from_millis(20));
--- a/crates/badgerfield-standin/tests/lost_tokens.rs
+++ b/crates/badgerfield-standin/tests/lost_tokens.rs
@@ -89,8 +89,8 @@
 }
 
 fn refused_count(fleet: &Fleet, budget: usize) -> usize {
-    let requests = fleet.requests.values().filter(|asked| asked.spec.budget == budget);
-    requests.filter(|asked| matches!(asked.end, Some((End::Refused(_), _)))).count()
+    let requests = fleet.requests.values().filter(|request| request.spec.budget == budget);
+    requests.filter(|request| matches!(request.end, Some((End::Refused(_), _)))).count()
 }
 
 /// Kills one VM during an outage of the store. Returns the balance after the VM has restarted.
--- a/crates/badgerfield-standin/tests/power_after_outage.rs
+++ b/crates/badgerfield-standin/tests/power_after_outage.rs
@@ -24,7 +24,7 @@
 
 /// Creates a fleet with two budgets. The limit of each is the demand of `seconds` seconds.
 fn fleet(seconds: u64, seed: u64) -> Fleet {
-    let shape = FleetConfig {
+    let config = FleetConfig {
         regions: vec![VMS],
         domains: 3,
         limits: vec![seconds * DEMAND; 2],
@@ -35,7 +35,7 @@
         noise_permille: 0,
         seed,
     };
-    Fleet::started(shape)
+    Fleet::started(config)
 }
 
 /// Sends requests for some seconds: for the first budget to one VM, for the second to all in turn.
@@ -45,7 +45,7 @@
     while fleet.now < until {
         for (budget, vm) in [(0, BUSY_VM), (1, round * 7 % VMS)] {
             let (prompt, output) = (80, 20);
-            let wish = RequestSpec {
+            let spec = RequestSpec {
                 budget,
                 key: None,
                 at_most_once: false,
@@ -53,7 +53,7 @@
                 prompt,
                 output,
             };
-            fleet.send_request(vm, wish);
+            fleet.send_request(vm, spec);
         }
         round += 1;
         fleet.advance(Duration::from_millis(20));
--- a/crates/badgerfield-standin/tests/promises.rs
+++ b/crates/badgerfield-standin/tests/promises.rs
@@ -6,7 +6,7 @@
 use badgerfield_standin::fleet::{End, Fleet, FleetConfig, RequestSpec, key_of};
 use badgerfield_standin::measure::{Badgerfield, Case, System};
 
-fn wish(budget: usize) -> RequestSpec {
+fn spec(budget: usize) -> RequestSpec {
     RequestSpec { budget, key: None, at_most_once: false, service: false, prompt: 100, output: 100 }
 }
 
@@ -15,7 +15,7 @@
     for n in 0..seconds * 20 {
         let usable = fleet.usable();
         let vm = usable[usize::try_from(n).unwrap_or(0) % usable.len()];
-        fleet.send_request(vm, wish(0));
+        fleet.send_request(vm, spec(0));
         fleet.advance(Duration::from_millis(50));
     }
 }
@@ -66,7 +66,7 @@
     load(&mut fleet, 10);
     for vm in 0..fleet.size() {
         for n in 0..5 {
-            fleet.send_request(vm, RequestSpec { key: Some(format!("{vm}-{n}")), ..wish(0) });
+            fleet.send_request(vm, RequestSpec { key: Some(format!("{vm}-{n}")), ..spec(0) });
         }
         fleet.stop(vm);
         load(&mut fleet, 10);
@@ -75,8 +75,8 @@
         load(&mut fleet, 5);
     }
     fleet.advance(Duration::from_secs(30));
-    for asked in fleet.requests.values() {
-        assert!(matches!(asked.end, Some((End::Whole(_), _))), "{asked:?}");
+    for request in fleet.requests.values() {
+        assert!(matches!(request.end, Some((End::Whole(_), _))), "{request:?}");
     }
     for (key, bill) in &fleet.truth.bills {
         assert_eq!(bill.0, 1, "{key}");
@@ -94,17 +94,17 @@
 #[test]
 fn retry_at_another_vm_attaches_or_resumes() {
     let mut fleet = Fleet::started(FleetConfig { noise_permille: 0, ..FleetConfig::default() });
-    let wish = RequestSpec { key: Some("key".into()), at_most_once: true, ..wish(0) };
-    let first = fleet.send_request(0, wish.clone());
+    let spec = RequestSpec { key: Some("key".into()), at_most_once: true, ..spec(0) };
+    let first = fleet.send_request(0, spec.clone());
     fleet.advance(Duration::from_millis(300));
-    let second = fleet.send_request(5, wish.clone());
+    let second = fleet.send_request(5, spec.clone());
     fleet.advance(Duration::from_millis(100));
     fleet.kill(0);
     fleet.advance(Duration::from_secs(10));
     assert!(matches!(fleet.requests[&first].end, Some((End::Lost, _))));
     let end = &fleet.requests[&second].end;
     assert!(matches!(end, Some((End::Whole(_), _))), "{end:?}");
-    let key = key_of(&wish).expect("the wish has a key");
+    let key = key_of(&spec).expect("the request has a key");
     assert_eq!(fleet.truth.runs[&key], 1);
     assert_eq!(fleet.truth.bills[&key].0, 1);
     assert_eq!(fleet.faults, Vec::<String>::new());
@@ -115,22 +115,22 @@
 #[test]
 fn stream_of_a_killed_vm_is_resumed_with_any_arbiter() {
     for n in 0..30 {
-        let shape = FleetConfig {
+        let config = FleetConfig {
             regions: vec![3],
             noise_permille: 0,
             seed: n + 1,
             ..FleetConfig::default()
         };
-        let mut fleet = Fleet::started(shape);
-        let wish = RequestSpec { key: Some(format!("key-{n}")), ..wish(0) };
-        fleet.send_request(0, wish.clone());
+        let mut fleet = Fleet::started(config);
+        let spec = RequestSpec { key: Some(format!("key-{n}")), ..spec(0) };
+        fleet.send_request(0, spec.clone());
         fleet.advance(Duration::from_millis(300));
         fleet.kill(0);
-        let retry = fleet.send_request(1, wish.clone());
+        let retry = fleet.send_request(1, spec.clone());
         fleet.advance(Duration::from_secs(10));
         let end = &fleet.requests[&retry].end;
         assert!(matches!(end, Some((End::Whole(_), _))), "{end:?}");
-        let key = key_of(&wish).expect("the wish has a key");
+        let key = key_of(&spec).expect("the request has a key");
         assert_eq!(fleet.truth.runs[&key], 1, "seed {}: the stream ran again", n + 1);
     }
 }
@@ -166,29 +166,29 @@
 #[test]
 fn refusals_are_prompt_when_parked_tokens_are_unreachable() {
     for lost in 0..4 {
-        let shape = FleetConfig {
+        let config = FleetConfig {
             regions: vec![4],
             noise_permille: 0,
             limits: vec![100_000],
             ..FleetConfig::default()
         };
-        let mut fleet = Fleet::started(shape);
+        let mut fleet = Fleet::started(config);
         // Demand at each VM makes it hold a part of the budget and park most of it.
         for round in 0..40 {
-            fleet.send_request(round % 4, wish(0));
+            fleet.send_request(round % 4, spec(0));
             fleet.advance(Duration::from_millis(250));
         }
         fleet.advance(Duration::from_secs(10));
         fleet.store.down = true;
         fleet.kill(lost);
         let survivors: Vec<_> = (0..4).filter(|vm| *vm != lost).collect();
-        let mut asked = Vec::new();
+        let mut requests = Vec::new();
         for round in 0..400 {
-            asked.push(fleet.send_request(survivors[round % survivors.len()], wish(0)));
+            requests.push(fleet.send_request(survivors[round % survivors.len()], spec(0)));
             fleet.advance(Duration::from_millis(50));
         }
         fleet.advance(Duration::from_secs(8));
-        for id in asked {
+        for id in requests {
             let request = &fleet.requests[&id];
             let Some((End::Refused(refusal), at)) = &request.end else {
                 continue;
--- a/crates/badgerfield-standin/tests/regions.rs
+++ b/crates/badgerfield-standin/tests/regions.rs
@@ -9,13 +9,13 @@
 type Counts = BTreeMap<&'static str, (u64, u64)>;
 
 fn started(regions: &[usize]) -> Fleet {
-    let shape = FleetConfig {
+    let config = FleetConfig {
         regions: regions.to_vec(),
         seals: true,
         noise_permille: 0,
         ..FleetConfig::default()
     };
-    let mut fleet = Fleet::new(shape);
+    let mut fleet = Fleet::new(config);
     // Processes of different regions start in turn, so that their incarnations are mixed.
     for vm in 0..fleet.size() {
         fleet.start(vm * STRIDE % fleet.size());
@@ -35,19 +35,19 @@
 
 /// The step at which VMs start; it has no common divisor with the sizes of the fleets.
 const STRIDE: usize = 37;
-const SHAPES: [&[usize]; 2] = [&[30, 30], &[100, 100, 100]];
+const REGION_SIZES: [&[usize]; 2] = [&[30, 30], &[100, 100, 100]];
 
 /// Bounds the bytes between regions without faults or requests. Prints the messages by kind, for
 /// docs/CAPACITY.md.
 #[test]
 fn idle_fleet_sends_few_bytes_between_regions() {
-    for shape in SHAPES {
-        let mut fleet = started(shape);
-        println!("{shape:?} start: {:?}", fleet.cross_region_messages());
+    for region_sizes in REGION_SIZES {
+        let mut fleet = started(region_sizes);
+        println!("{region_sizes:?} start: {:?}", fleet.cross_region_messages());
         let before = fleet.cross_region_messages().clone();
         fleet.advance(Duration::from_secs(5));
         let idle = counts_since(&fleet, &before);
-        println!("{shape:?} 5 s without requests: {idle:?}");
+        println!("{region_sizes:?} 5 s without requests: {idle:?}");
         let bytes: u64 = idle.values().map(|(_, bytes)| bytes).sum();
         let vms = u64::try_from(fleet.size()).expect("few VMs");
         assert!(bytes / 5 <= 2_000 * vms, "{bytes} bytes in 5 s");
@@ -57,18 +57,18 @@
 /// An update for all members was sent over the link between regions once for each member.
 #[test]
 fn updates_are_sent_once_per_region_and_watcher() {
-    for shape in SHAPES {
-        let mut fleet = started(shape);
+    for region_sizes in REGION_SIZES {
+        let mut fleet = started(region_sizes);
         let before = fleet.cross_region_messages().clone();
         let domain: Domain = "d0-1".parse().expect("a name");
         assert!(fleet.evacuate(&domain, true));
         fleet.advance(Duration::from_secs(1));
         assert_eq!(fleet.evacuated_count(&domain), fleet.size(), "not all VMs have the update");
         let crossed = counts_since(&fleet, &before).get("evacuations").copied().unwrap_or_default();
-        println!("{shape:?} an evacuation: {crossed:?}");
+        println!("{region_sizes:?} an evacuation: {crossed:?}");
         // Three members watch the platform, and each sends the update to one member of each other
         // region. Other messages compare digests before all members have the update.
-        let max = u64::try_from(9 * (shape.len() - 1)).expect("few VMs");
+        let max = u64::try_from(9 * (region_sizes.len() - 1)).expect("few VMs");
         assert!(crossed.0 <= max, "{crossed:?} of {}", fleet.size());
     }
 }
--- a/crates/badgerfield-standin/tests/residency.rs
+++ b/crates/badgerfield-standin/tests/residency.rs
@@ -52,9 +52,9 @@
             fleet.send_request(vm, keyed(&format!("key-{vm}")));
         }
         fleet.advance(Duration::from_secs(2));
-        for asked in fleet.requests.values() {
-            let Some((End::Refused(refusal), _)) = &asked.end else {
-                panic!("{:?} was not refused", asked.end);
+        for request in fleet.requests.values() {
+            let Some((End::Refused(refusal), _)) = &request.end else {
+                panic!("{:?} was not refused", request.end);
             };
             assert_eq!(refusal.cause.code(), cause);
         }
@@ -72,8 +72,8 @@
         fleet.send_request(vm, keyed(&format!("key-{vm}")));
     }
     fleet.advance(Duration::from_secs(3));
-    let whole = |asked: &badgerfield_standin::fleet::CallerRequest| {
-        matches!(asked.end, Some((End::Whole(_), _)))
+    let whole = |request: &badgerfield_standin::fleet::CallerRequest| {
+        matches!(request.end, Some((End::Whole(_), _)))
     };
     assert!(fleet.requests.values().all(whole), "a request was not served");
     assert!(answer_bytes(&fleet, VM_IN_REGION_0) > 0);
@@ -94,7 +94,7 @@
     restrict(&mut fleet, &[1]);
     let retry = fleet.send_request(VM_IN_REGION_1, keyed("key"));
     fleet.advance(Duration::from_secs(10));
-    let end = fleet.requests.get(&retry).and_then(|asked| asked.end.clone());
+    let end = fleet.requests.get(&retry).and_then(|request| request.end.clone());
     assert!(!matches!(end, Some((End::Whole(_), _)) | None), "{end:?}");
     assert_eq!(dispatch_count(&fleet), 1);
     assert_eq!(fleet.faults, Vec::<String>::new());
--- a/crates/badgerfield-standin/tests/rollouts.rs
+++ b/crates/badgerfield-standin/tests/rollouts.rs
@@ -20,7 +20,7 @@
 
 /// Creates a fleet in three regions with about 600 requests per second in total.
 fn fleet(vms: usize, seed: u64, bad: Option<VersionFault>) -> Fleet {
-    let shape = FleetConfig {
+    let config = FleetConfig {
         regions: vec![vms / 3; 3],
         limits: vec![1000],
         engines: 1,
@@ -28,7 +28,7 @@
         seed,
         ..FleetConfig::default()
     };
-    let mut fleet = Fleet::started(shape);
+    let mut fleet = Fleet::started(config);
     let rate = u32::try_from(600_usize.div_ceil(vms)).unwrap_or(1);
     let bad = bad.into_iter().map(|bad| (version("v2"), bad)).collect();
     fleet.rollouts.traffic = Traffic {
--- a/crates/badgerfield-standin/tests/sealed_in_outages.rs
+++ b/crates/badgerfield-standin/tests/sealed_in_outages.rs
@@ -11,7 +11,7 @@
 const VMS: usize = 2;
 
 fn fleet() -> Fleet {
-    let shape = FleetConfig {
+    let config = FleetConfig {
         regions: vec![VMS],
         limits: vec![10_000],
         spread: 50,
@@ -20,7 +20,7 @@
         noise_permille: 0,
         ..FleetConfig::default()
     };
-    Fleet::started(shape)
+    Fleet::started(config)
 }
 
 fn request() -> RequestSpec {
@@ -52,12 +52,13 @@
 
 /// Sends each VM `each` requests at once. Returns how each request ended, and after how long.
 fn request_from_all(fleet: &mut Fleet, each: usize) -> Vec<(End, Duration)> {
-    let asked: Vec<_> = (0..VMS * each).map(|n| fleet.send_request(n % VMS, request())).collect();
+    let requests: Vec<_> =
+        (0..VMS * each).map(|n| fleet.send_request(n % VMS, request())).collect();
     fleet.advance(Duration::from_secs(8));
-    let ends = asked.into_iter().map(|id| {
-        let asked = &fleet.requests[&id];
-        let (end, at) = asked.end.clone().expect("the request has ended");
-        (end, at.since(asked.at))
+    let ends = requests.into_iter().map(|id| {
+        let request = &fleet.requests[&id];
+        let (end, at) = request.end.clone().expect("the request has ended");
+        (end, at.since(request.at))
     });
     ends.collect()
 }
--- a/crates/badgerfield-standin/tests/seals.rs
+++ b/crates/badgerfield-standin/tests/seals.rs
@@ -11,7 +11,7 @@
 const DEMAND: u64 = 4_000;
 
 fn fleet() -> Fleet {
-    let shape = FleetConfig {
+    let config = FleetConfig {
         regions: vec![VMS],
         limits: vec![LIMIT],
         spread: 80,
@@ -20,7 +20,7 @@
         noise_permille: 0,
         ..FleetConfig::default()
     };
-    Fleet::started(shape)
+    Fleet::started(config)
 }
 
 fn request() -> RequestSpec {
@@ -127,7 +127,7 @@
     fleet.store.down = false;
     fleet.advance(Duration::from_secs(10));
     let refused = |end: &End| matches!(end, End::Refused(_));
-    let ends = fleet.requests.values().filter_map(|asked| asked.end.as_ref());
+    let ends = fleet.requests.values().filter_map(|request| request.end.as_ref());
     let count = ends.filter(|(end, _)| refused(end)).count();
     assert_eq!(count, 0, "requests were refused during the outage");
 }
--- a/crates/badgerfield-standin/tests/thin_link.rs
+++ b/crates/badgerfield-standin/tests/thin_link.rs
@@ -28,7 +28,7 @@
 fn restart_time_ms(one_way: u64, megabits: f64, seed: u64) -> Option<u64> {
     let limits = vec![1_000_000; BUDGETS];
     let regions = vec![VMS / 2, VMS / 2];
-    let shape = FleetConfig {
+    let config = FleetConfig {
         regions,
         limits,
         seals: true,
@@ -36,7 +36,7 @@
         seed,
         ..FleetConfig::default()
     };
-    let mut fleet = Fleet::started(shape);
+    let mut fleet = Fleet::started(config);
     for vm in 0..VMS {
         fleet.kill(vm);
     }
