--- a/crates/badgerfield-standin/src/fleet/balance.rs
+++ b/crates/badgerfield-standin/src/fleet/balance.rs
@@ -48,7 +48,7 @@
         let Self {
             limit,
             used,
-            remaining: left,
+            remaining,
             free,
             reserved,
             sealed,
@@ -59,7 +59,7 @@
         } = self;
         write!(
             f,
-            "limit={limit} used={used} left={left} free={free} reserved={reserved} \
+            "limit={limit} used={used} left={remaining} free={free} reserved={reserved} \
              sealed={sealed} parked={parked} in_transit={in_transit} lost={lost} excess={excess}"
         )
     }
@@ -81,16 +81,16 @@
             ..Balance::default()
         };
         for node in self.vms.iter().filter_map(|vm| vm.node.as_ref()) {
-            let figures = node.balance(&id);
-            balance.free += figures.free.0;
-            balance.reserved += figures.reserved.0;
-            balance.sealed += figures.sealed.0 + figures.returning_sealed.0;
-            balance.parked += figures.parked.0;
-            balance.in_transit += figures.in_transit.0 + figures.returning_free.0;
+            let node_balance = node.balance(&id);
+            balance.free += node_balance.free.0;
+            balance.reserved += node_balance.reserved.0;
+            balance.sealed += node_balance.sealed.0 + node_balance.returning_sealed.0;
+            balance.parked += node_balance.parked.0;
+            balance.in_transit += node_balance.in_transit.0 + node_balance.returning_free.0;
         }
-        let Balance { used, remaining: left, free, reserved, sealed, parked, in_transit, .. } =
+        let Balance { used, remaining, free, reserved, sealed, parked, in_transit, .. } =
             balance;
-        let known = used + left + free + reserved + sealed + parked + in_transit;
+        let known = used + remaining + free + reserved + sealed + parked + in_transit;
         balance.lost = balance.limit.saturating_sub(known);
         balance.excess = known.saturating_sub(balance.limit);
         balance
@@ -123,13 +123,13 @@
             return;
         };
         let held = (0..self.config.limits.len()).map(|budget| {
-            let figures = node.balance(&Self::budget(budget));
-            let spendable = figures.free.0 + figures.reserved.0 + figures.sealed.0;
+            let node_balance = node.balance(&Self::budget(budget));
+            let spendable = node_balance.free.0 + node_balance.reserved.0 + node_balance.sealed.0;
             spendable
-                + figures.returning_sealed.0
-                + figures.parked.0
-                + figures.in_transit.0
-                + figures.returning_free.0
+                + node_balance.returning_sealed.0
+                + node_balance.parked.0
+                + node_balance.in_transit.0
+                + node_balance.returning_free.0
         });
         let tokens = held.collect();
         self.ended_processes.push(EndedProcess { vm, at: self.now, tokens });
--- a/crates/badgerfield-standin/src/fleet/mod.rs
+++ b/crates/badgerfield-standin/src/fleet/mod.rs
@@ -263,9 +263,9 @@
         let id = Self::budget(budget);
         let mut held = 0;
         for node in self.vms.iter().filter_map(|vm| vm.node.as_ref()) {
-            let figures = node.balance(&id);
-            let spendable = figures.free.0 + figures.reserved.0 + figures.sealed.0;
-            held += spendable + figures.parked.0 + figures.in_transit.0;
+            let balance = node.balance(&id);
+            let spendable = balance.free.0 + balance.reserved.0 + balance.sealed.0;
+            held += spendable + balance.parked.0 + balance.in_transit.0;
         }
         held
     }
