--- a/crates/badgerfield-standin/src/fleet/balance.rs
+++ b/crates/badgerfield-standin/src/fleet/balance.rs
@@ -88,8 +88,7 @@
             balance.parked += node_balance.parked.0;
             balance.in_transit += node_balance.in_transit.0 + node_balance.returning_free.0;
         }
-        let Balance { used, remaining, free, reserved, sealed, parked, in_transit, .. } =
-            balance;
+        let Balance { used, remaining, free, reserved, sealed, parked, in_transit, .. } = balance;
         let known = used + remaining + free + reserved + sealed + parked + in_transit;
         balance.lost = balance.limit.saturating_sub(known);
         balance.excess = known.saturating_sub(balance.limit);
--- a/crates/badgerfield-standin/src/fleet/callers.rs
+++ b/crates/badgerfield-standin/src/fleet/callers.rs
@@ -13,7 +13,15 @@
         self.next_request += 1;
         let arrival = incoming_request(&spec);
         let (at, head_at, sent) = (self.now, None, None);
-        let request = CallerRequest { spec, vm, at, head_at, sent, data: Vec::new(), end: None };
+        let request = CallerRequest {
+            spec,
+            vm,
+            sent_at: at,
+            head_at,
+            dispatched_at: sent,
+            data: Vec::new(),
+            end: None,
+        };
         self.requests.insert(id, request);
         if self.vms[vm].node.is_none() {
             self.record_end(id, End::Lost);
@@ -49,7 +57,7 @@
                 let text = std::str::from_utf8(&data).ok().and_then(|t| t.parse().ok());
                 request.data.push(text.unwrap_or(u64::MAX));
             }
-            Answer::End(cost) => self.record_end(id, End::Whole(cost)),
+            Answer::End(cost) => self.record_end(id, End::Complete(cost)),
             Answer::Broken(refusal) => self.record_end(id, End::Broken(refusal)),
             Answer::Refused(refusal) => self.record_end(id, End::Refused(refusal)),
         }
@@ -61,10 +69,10 @@
             return;
         };
         if request.end.is_some() {
-            self.faults.push(format!("{id:?} ended twice"));
+            self.violations.push(format!("{id:?} ended twice"));
             return;
         }
-        self.truth.check_end(&request.spec, &end, &request.data, &mut self.faults);
+        self.truth.check_end(&request.spec, &end, &request.data, &mut self.violations);
         request.end = Some((end, now));
     }
 }
--- a/crates/badgerfield-standin/src/fleet/evacuations.rs
+++ b/crates/badgerfield-standin/src/fleet/evacuations.rs
@@ -65,7 +65,9 @@
 
     pub(super) fn watches(&self, vm: usize) -> bool {
         let region = self.region_of(vm);
-        let Some(node) = self.node(vm).filter(|_| !self.store.cut_regions.contains(&region)) else {
+        let Some(node) =
+            self.node(vm).filter(|_| !self.store.partitioned_regions.contains(&region))
+        else {
             return false;
         };
         let local = Time(self.now.since(self.vms[vm].started));
--- a/crates/badgerfield-standin/src/fleet/mod.rs
+++ b/crates/badgerfield-standin/src/fleet/mod.rs
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum End {
     /// The whole answer arrived; it cost this many tokens.
-    Whole(Tokens),
+    Complete(Tokens),
     /// The request was refused.
     Refused(Refusal),
     /// The answer ended early.
@@ -71,11 +71,11 @@
     /// The VM that received the request.
     pub vm: usize,
     /// When the request was sent.
-    pub at: Time,
+    pub sent_at: Time,
     /// When the head of the answer arrived.
     pub head_at: Option<Time>,
     /// When the request first reached an upstream.
-    pub sent: Option<Time>,
+    pub dispatched_at: Option<Time>,
     /// The parts of the answer that have arrived.
     pub data: Vec<u64>,
     /// How and when the request ended.
@@ -129,7 +129,7 @@
     /// Rollouts, and the requests that versions received.
     pub rollouts: RolloutTruth,
     /// Violations of the product's guarantees that the simulation has found.
-    pub faults: Vec<String>,
+    pub violations: Vec<String>,
     /// The link between regions, if its bandwidth is limited.
     pub link: Option<Link>,
     /// Links of single VMs on which answers to callers leave little bandwidth.
@@ -168,7 +168,7 @@
             requests: BTreeMap::new(),
             rollouts: RolloutTruth::new(config.seed),
             templates: TemplateSet::default(),
-            faults: Vec::new(),
+            violations: Vec::new(),
             link: None,
             full_links: BTreeMap::new(),
             vms: Vec::new(),
@@ -356,7 +356,7 @@
         };
         let version = node.template_version();
         if version < vm.version {
-            self.faults.push(format!("templates went back from {} to {version}", vm.version));
+            self.violations.push(format!("templates went back from {} to {version}", vm.version));
         }
         vm.version = version;
     }
--- a/crates/badgerfield-standin/src/fleet/processes.rs
+++ b/crates/badgerfield-standin/src/fleet/processes.rs
@@ -123,13 +123,13 @@
     pub fn partition(&mut self, region: usize, from_store: bool) {
         self.partitioned_regions.insert(region);
         if from_store {
-            self.store.cut_regions.insert(region);
+            self.store.partitioned_regions.insert(region);
         }
     }
 
     /// Ends all partitions of regions.
     pub fn end_partitions(&mut self) {
         self.partitioned_regions.clear();
-        self.store.cut_regions.clear();
+        self.store.partitioned_regions.clear();
     }
 }
--- a/crates/badgerfield-standin/src/fleet/rollouts.rs
+++ b/crates/badgerfield-standin/src/fleet/rollouts.rs
@@ -245,18 +245,20 @@
     /// Checks that the version of a request may still receive requests.
     fn check_sent(&mut self, vm: usize, version: &SoftwareVersion) {
         let now = self.now;
-        let is_connected = self.partitioned_regions.is_empty() && self.store.cut_regions.is_empty();
+        let is_connected =
+            self.partitioned_regions.is_empty() && self.store.partitioned_regions.is_empty();
         let due_since =
             self.rollouts.counts.get(version).and_then(|counts| counts.rollback_due_since);
         let is_bad = self.rollouts.traffic.bad_versions.contains_key(version);
         if is_connected && is_bad && due_since.is_some_and(|at| now.since(at) > ROLLBACK_TIMEOUT) {
-            self.faults.push(format!("VM {vm} sent to {version} long after its 50th bad answer"));
+            self.violations
+                .push(format!("VM {vm} sent to {version} long after its 50th bad answer"));
         }
         let record = self.rollouts.record.as_ref();
         let is_other_completed =
             record.is_some_and(|r| r.state == RolloutState::Completed && r.target != *version);
         if is_other_completed && self.is_in_view(vm) {
-            self.faults.push(format!("VM {vm} sent to {version}, which has ended"));
+            self.violations.push(format!("VM {vm} sent to {version}, which has ended"));
         }
     }
 
@@ -268,7 +270,7 @@
         let (sent, _, all) = self.request_counts(version.as_str());
         let (sent, all) = (to_f64(sent), to_f64(all));
         if sent > MAX_BAD_SHARE * all + EXTRA_REQUESTS {
-            self.faults.push(format!("{version} got {sent} of {all} requests"));
+            self.violations.push(format!("{version} got {sent} of {all} requests"));
         }
     }
 
@@ -291,7 +293,7 @@
                 || next.order == last.order
                     && (last.state.is_final() || last.moving && !next.moving);
             if is_regression {
-                self.faults.push(format!("the record went from {last:?} to {next:?}"));
+                self.violations.push(format!("the record went from {last:?} to {next:?}"));
             }
         }
         let newest = self.rollouts.orders.get(&service());
@@ -306,7 +308,7 @@
                 };
                 let cut = self.vms[vm].gateway.running.iter().filter(is_cut).count();
                 if cut > 0 {
-                    self.faults.push(format!("{cut} requests of VM {vm} were cut"));
+                    self.violations.push(format!("{cut} requests of VM {vm} were cut"));
                 }
             }
         }
--- a/crates/badgerfield-standin/src/fleet/store.rs
+++ b/crates/badgerfield-standin/src/fleet/store.rs
@@ -31,9 +31,9 @@
     /// Additional delay of each call.
     pub slow: Duration,
     /// Regions that cannot reach the store.
-    pub cut_regions: BTreeSet<usize>,
+    pub partitioned_regions: BTreeSet<usize>,
     /// VMs that cannot reach the store.
-    pub cut_vms: BTreeSet<usize>,
+    pub partitioned_vms: BTreeSet<usize>,
     /// Reads so far.
     pub reads: u64,
     /// Writes so far, with conflicts.
@@ -166,7 +166,8 @@
     ) {
         let vm = self.vm_of.get(&from).copied().unwrap_or(0);
         let region = self.region_of(vm);
-        let is_cut = self.store.cut_regions.contains(&region) || self.store.cut_vms.contains(&vm);
+        let is_cut = self.store.partitioned_regions.contains(&region)
+            || self.store.partitioned_vms.contains(&vm);
         if self.defer_late_write(from, call_id, call) {
             let event = Event::StoreReply(call_id, StoreResult::Unknown);
             self.schedule(self.now.after(TIMEOUT), ScheduledAction::Deliver(from, event));
--- a/crates/badgerfield-standin/src/fleet/truth.rs
+++ b/crates/badgerfield-standin/src/fleet/truth.rs
@@ -104,7 +104,7 @@
         let name = key.to_string();
         let expected: Vec<_> =
             (0..part_count(spec.service)).map(|i| expected_part(&name, i as u64)).collect();
-        if matches!(end, End::Whole(_)) && data != expected {
+        if matches!(end, End::Complete(_)) && data != expected {
             faults.push(format!("{key} got {data:?} as a whole answer"));
         }
         if !expected.starts_with(data) {
--- a/crates/badgerfield-standin/src/fleet/upstreams.rs
+++ b/crates/badgerfield-standin/src/fleet/upstreams.rs
@@ -124,7 +124,7 @@
             self.send_event(from, attempt, UpstreamEvent::NotSent);
             return;
         };
-        request.sent.get_or_insert(self.now);
+        request.dispatched_at.get_or_insert(self.now);
         let spec = request.spec.clone();
         self.truth.record_run(&spec, &dispatch.upstream, self.now);
         let output = if spec.service { 0 } else { self.rng.random_range(1..=spec.output) };
--- a/crates/badgerfield-standin/src/measure/badgerfield.rs
+++ b/crates/badgerfield-standin/src/measure/badgerfield.rs
@@ -69,8 +69,12 @@
         self.advance_to(start + CASE_DURATION);
         let calls = self.fleet.store.reads + self.fleet.store.writes - calls;
         self.advance_to(start + CASE_DURATION + Duration::from_secs(10));
-        let mut delays: Vec<_> =
-            self.fleet.requests.values().filter_map(|a| Some(a.sent?.since(a.at))).collect();
+        let mut delays: Vec<_> = self
+            .fleet
+            .requests
+            .values()
+            .filter_map(|a| Some(a.dispatched_at?.since(a.sent_at)))
+            .collect();
         delays.sort_unstable();
         self.result.dispatch_delay = (percentile(&delays, 50), percentile(&delays, 99));
         self.result.overspend = self.fleet.truth.overspend();
@@ -139,7 +143,7 @@
             };
             self.reserved[arrival.account] -= arrival.max_cost();
             match end {
-                End::Whole(_) | End::Broken(_) => {}
+                End::Complete(_) | End::Broken(_) => {}
                 End::Lost => self.result.lost += 1,
                 End::Refused(refusal) if self.ideal_ledger_admits(&arrival) => {
                     self.result.false_refusals += 1;
--- a/crates/badgerfield-standin/tests/evacuations.rs
+++ b/crates/badgerfield-standin/tests/evacuations.rs
@@ -93,11 +93,11 @@
     for vms in [6, 87] {
         let mut fleet = fleet(vms, 0, 3);
         let zone = domain("d-1");
-        fleet.store.cut_regions.insert(0);
+        fleet.store.partitioned_regions.insert(0);
         assert!(fleet.evacuate(&zone, true));
         fleet.advance(Duration::from_millis(100));
         assert_eq!(fleet.evacuated_count(&zone), 0, "a watch has reported the change");
-        fleet.store.cut_regions.clear();
+        fleet.store.partitioned_regions.clear();
         let took = wait_until_evacuated(&mut fleet, &zone, vms);
         assert!(took <= Duration::from_secs(4), "{vms} VMs: {took:?}");
     }
--- a/crates/badgerfield-standin/tests/healthy.rs
+++ b/crates/badgerfield-standin/tests/healthy.rs
@@ -23,11 +23,11 @@
         fleet.advance(Duration::from_millis(20));
     }
     fleet.advance(Duration::from_secs(20));
-    assert_eq!(fleet.faults, Vec::<String>::new());
+    assert_eq!(fleet.violations, Vec::<String>::new());
     let mut ends = std::collections::BTreeMap::new();
     for request in fleet.requests.values() {
         let end = match &request.end {
-            Some((End::Whole(_), _)) => "whole".to_owned(),
+            Some((End::Complete(_), _)) => "whole".to_owned(),
             other => format!("{other:?}"),
         };
         *ends.entry(end).or_insert(0) += 1;
--- a/crates/badgerfield-standin/tests/histories.rs
+++ b/crates/badgerfield-standin/tests/histories.rs
@@ -254,7 +254,7 @@
     fn check_invariants(harness: &Self, _: &Model) {
         let once = |key: &RequestKey| harness.once.contains(key);
         assert_eq!(harness.fleet.truth.violations(&once), Vec::<String>::new());
-        assert_eq!(harness.fleet.faults, Vec::<String>::new());
+        assert_eq!(harness.fleet.violations, Vec::<String>::new());
     }
 
     fn teardown(harness: Self, state: Model) {
@@ -298,7 +298,7 @@
         let Some(key) = key_of(&request.spec) else {
             continue;
         };
-        if matches!(request.end, Some((End::Whole(_), _))) {
+        if matches!(request.end, Some((End::Complete(_), _))) {
             let bills = fleet.truth.bills.get(&key).map(|b| b.0);
             assert_eq!(bills, Some(1), "{key} was answered whole");
         }
--- a/crates/badgerfield-standin/tests/lending.rs
+++ b/crates/badgerfield-standin/tests/lending.rs
@@ -520,7 +520,7 @@
 fn refusal_causes(fleet: &Fleet, since: Time, least: u64) -> BTreeMap<&'static str, usize> {
     let mut causes = BTreeMap::new();
     let is_large = |request: &RequestSpec| request.prompt + request.output >= least;
-    for request in fleet.requests.values().filter(|a| a.at >= since && is_large(&a.spec)) {
+    for request in fleet.requests.values().filter(|a| a.sent_at >= since && is_large(&a.spec)) {
         if let Some((End::Refused(refusal), _)) = &request.end {
             *causes.entry(refusal.cause.code()).or_default() += 1;
         }
--- a/crates/badgerfield-standin/tests/lost_tokens.rs
+++ b/crates/badgerfield-standin/tests/lost_tokens.rs
@@ -85,7 +85,7 @@
 }
 
 fn cut_off_most(fleet: &mut Fleet) {
-    fleet.store.cut_vms = (0..VMS).filter(|vm| !VMS_WITH_STORE.contains(vm)).collect();
+    fleet.store.partitioned_vms = (0..VMS).filter(|vm| !VMS_WITH_STORE.contains(vm)).collect();
 }
 
 fn refused_count(fleet: &Fleet, budget: usize) -> usize {
@@ -174,7 +174,7 @@
         load(&mut fleet, 1.0);
         let stopping = holders(&fleet, 0);
         stop_in_turn(&mut fleet, &stopping);
-        fleet.store.cut_vms.clear();
+        fleet.store.partitioned_vms.clear();
         for budget in 0..2 {
             let balance = settled_balance(&mut fleet, budget);
             println!("stop {stopping:?}: {balance}");
--- a/crates/badgerfield-standin/tests/promises.rs
+++ b/crates/badgerfield-standin/tests/promises.rs
@@ -32,7 +32,7 @@
     let before = fleet.truth.dispatches[&leaving].0;
     load(&mut fleet, 20);
     assert_eq!(fleet.truth.dispatches[&leaving].0, before);
-    assert_eq!(fleet.faults, Vec::<String>::new());
+    assert_eq!(fleet.violations, Vec::<String>::new());
 }
 
 /// Guards against VMs that still use older templates 4 s after a change, in fleets of several
@@ -76,7 +76,7 @@
     }
     fleet.advance(Duration::from_secs(30));
     for request in fleet.requests.values() {
-        assert!(matches!(request.end, Some((End::Whole(_), _))), "{request:?}");
+        assert!(matches!(request.end, Some((End::Complete(_), _))), "{request:?}");
     }
     for (key, bill) in &fleet.truth.bills {
         assert_eq!(bill.0, 1, "{key}");
@@ -103,11 +103,11 @@
     fleet.advance(Duration::from_secs(10));
     assert!(matches!(fleet.requests[&first].end, Some((End::Lost, _))));
     let end = &fleet.requests[&second].end;
-    assert!(matches!(end, Some((End::Whole(_), _))), "{end:?}");
+    assert!(matches!(end, Some((End::Complete(_), _))), "{end:?}");
     let key = key_of(&spec).expect("the request has a key");
     assert_eq!(fleet.truth.runs[&key], 1);
     assert_eq!(fleet.truth.bills[&key].0, 1);
-    assert_eq!(fleet.faults, Vec::<String>::new());
+    assert_eq!(fleet.violations, Vec::<String>::new());
 }
 
 /// A stream must be resumed after its VM is killed, whichever VM is the arbiter of its key. The
@@ -129,7 +129,7 @@
         let retry = fleet.send_request(1, spec.clone());
         fleet.advance(Duration::from_secs(10));
         let end = &fleet.requests[&retry].end;
-        assert!(matches!(end, Some((End::Whole(_), _))), "{end:?}");
+        assert!(matches!(end, Some((End::Complete(_), _))), "{end:?}");
         let key = key_of(&spec).expect("the request has a key");
         assert_eq!(fleet.truth.runs[&key], 1, "seed {}: the stream ran again", n + 1);
     }
@@ -193,7 +193,7 @@
             let Some((End::Refused(refusal), at)) = &request.end else {
                 continue;
             };
-            let waited = at.since(request.at);
+            let waited = at.since(request.sent_at);
             assert!(waited < Duration::from_millis(1500), "VM {lost} lost: {waited:?} {refusal:?}");
         }
     }
--- a/crates/badgerfield-standin/tests/residency.rs
+++ b/crates/badgerfield-standin/tests/residency.rs
@@ -59,7 +59,7 @@
             assert_eq!(refusal.cause.code(), cause);
         }
         assert_eq!(dispatch_count(&fleet), 0);
-        assert_eq!(fleet.faults, Vec::<String>::new());
+        assert_eq!(fleet.violations, Vec::<String>::new());
     }
 }
 
@@ -73,7 +73,7 @@
     }
     fleet.advance(Duration::from_secs(3));
     let whole = |request: &badgerfield_standin::fleet::CallerRequest| {
-        matches!(request.end, Some((End::Whole(_), _)))
+        matches!(request.end, Some((End::Complete(_), _)))
     };
     assert!(fleet.requests.values().all(whole), "a request was not served");
     assert!(answer_bytes(&fleet, VM_IN_REGION_0) > 0);
@@ -95,7 +95,7 @@
     let retry = fleet.send_request(VM_IN_REGION_1, keyed("key"));
     fleet.advance(Duration::from_secs(10));
     let end = fleet.requests.get(&retry).and_then(|request| request.end.clone());
-    assert!(!matches!(end, Some((End::Whole(_), _)) | None), "{end:?}");
+    assert!(!matches!(end, Some((End::Complete(_), _)) | None), "{end:?}");
     assert_eq!(dispatch_count(&fleet), 1);
-    assert_eq!(fleet.faults, Vec::<String>::new());
+    assert_eq!(fleet.violations, Vec::<String>::new());
 }
--- a/crates/badgerfield-standin/tests/rollouts.rs
+++ b/crates/badgerfield-standin/tests/rollouts.rs
@@ -66,7 +66,7 @@
         let mut fleet = fleet(vms, seed, None);
         assert!(fleet.roll_out(Some(order("v2"))));
         run(&mut fleet, SPAN);
-        assert_eq!(fleet.faults, Vec::<String>::new());
+        assert_eq!(fleet.violations, Vec::<String>::new());
         assert_eq!(ended(&fleet), Some(RolloutState::Completed), "{vms} VMs");
     }
 }
@@ -89,7 +89,7 @@
             let mut fleet = fleet(vms, 7, Some(bad.clone()));
             assert!(fleet.roll_out(Some(order("v2"))));
             run(&mut fleet, SPAN);
-            assert_eq!(fleet.faults, Vec::<String>::new(), "{bad:?}");
+            assert_eq!(fleet.violations, Vec::<String>::new(), "{bad:?}");
             assert_eq!(ended(&fleet), Some(RolloutState::RolledBack), "{vms} VMs, {bad:?}");
             let (sent, bad_answers, all) = fleet.request_counts("v2");
             println!("{vms} VMs {bad:?}: {sent} of {all} requests, {bad_answers} bad answers");
@@ -105,7 +105,7 @@
     assert!(fleet.roll_out(Some(order("v2"))));
     run(&mut fleet, SPAN);
     assert_eq!(ended(&fleet), Some(RolloutState::Completed), "{:?}", fleet.record());
-    assert_eq!(fleet.faults, Vec::<String>::new());
+    assert_eq!(fleet.violations, Vec::<String>::new());
 }
 
 /// In a large fleet each VM sees few answers, so a bad version can be found only from the tallies
@@ -119,7 +119,7 @@
         let span = Duration::from_secs(14);
         assert!(fleet.roll_out(Some(RolloutOrder { span, ..order("v2") })));
         run(&mut fleet, span);
-        assert_eq!(fleet.faults, Vec::<String>::new());
+        assert_eq!(fleet.violations, Vec::<String>::new());
         assert_eq!(ended(&fleet), Some(state), "{:?}", fleet.record());
         println!(
             "300 VMs, {state:?}: {:?}, got {:?}",
@@ -146,7 +146,7 @@
     fleet.store.down = false;
     run(&mut fleet, Duration::from_secs(10));
     assert_eq!(ended(&fleet), Some(RolloutState::RolledBack));
-    assert_eq!(fleet.faults, Vec::<String>::new());
+    assert_eq!(fleet.violations, Vec::<String>::new());
 }
 
 /// If VMs sent requests to a target before its record was written, an order that was rolled back
@@ -164,7 +164,7 @@
     fleet.store.down = false;
     run(&mut fleet, SPAN);
     assert_eq!(ended(&fleet), Some(RolloutState::RolledBack));
-    assert_eq!(fleet.faults, Vec::<String>::new());
+    assert_eq!(fleet.violations, Vec::<String>::new());
 }
 
 /// Kills all processes at once and starts them again a second later.
@@ -196,7 +196,7 @@
     restart_all(&mut bad);
     bad.advance(Duration::from_secs(10));
     assert_eq!(bad.request_counts("v2").0, before, "the verdict was forgotten");
-    assert_eq!([good.faults, bad.faults].concat(), Vec::<String>::new());
+    assert_eq!([good.violations, bad.violations].concat(), Vec::<String>::new());
 }
 
 /// Guards against requests to the target of an order that was replaced or withdrawn.
@@ -226,7 +226,7 @@
         before,
         "requests go to the target of a withdrawn order"
     );
-    assert_eq!(fleet.faults, Vec::<String>::new());
+    assert_eq!(fleet.violations, Vec::<String>::new());
 }
 
 /// A suspended member may still send requests to the old version when it resumes, so an order must
@@ -243,7 +243,7 @@
     fleet.resume(4);
     fleet.advance(Duration::from_secs(3));
     assert_eq!(ended(&fleet), Some(RolloutState::Completed));
-    assert_eq!(fleet.faults, Vec::<String>::new());
+    assert_eq!(fleet.violations, Vec::<String>::new());
 }
 
 /// Guards against rollout messages when there is no order, or after it has ended.
@@ -425,7 +425,8 @@
         if !history.is_over() {
             violations.push(format!("seed {seed}: {:?}", history.fleet.record()));
         }
-        violations.extend(history.fleet.faults.iter().map(|fault| format!("seed {seed}: {fault}")));
+        violations
+            .extend(history.fleet.violations.iter().map(|fault| format!("seed {seed}: {fault}")));
     }
     println!("{as_expected} of {cases} orders ended as expected with up to {max_faults} faults");
     violations.dedup();
--- a/crates/badgerfield-standin/tests/sealed_in_outages.rs
+++ b/crates/badgerfield-standin/tests/sealed_in_outages.rs
@@ -58,7 +58,7 @@
     let ends = requests.into_iter().map(|id| {
         let request = &fleet.requests[&id];
         let (end, at) = request.end.clone().expect("the request has ended");
-        (end, at.since(request.at))
+        (end, at.since(request.sent_at))
     });
     ends.collect()
 }
@@ -70,7 +70,7 @@
         let mut fleet = fleet();
         start_outage(&mut fleet, Duration::from_secs(seconds));
         let ends = request_from_all(&mut fleet, 1);
-        let served = ends.iter().filter(|(end, _)| matches!(end, End::Whole(_))).count();
+        let served = ends.iter().filter(|(end, _)| matches!(end, End::Complete(_))).count();
         assert_eq!(served, VMS, "{seconds} s between requests: {ends:?}");
     }
 }
@@ -83,7 +83,7 @@
         let mut fleet = fleet();
         start_outage(&mut fleet, Duration::from_secs(seconds));
         let ends = request_from_all(&mut fleet, 3);
-        let served = ends.iter().filter(|(end, _)| matches!(end, End::Whole(_))).count();
+        let served = ends.iter().filter(|(end, _)| matches!(end, End::Complete(_))).count();
         assert_eq!(served, 3 * VMS, "{seconds} s between requests: {ends:?}");
     }
 }
