--- a/crates/badgerfield-standin/src/fleet/mod.rs
+++ b/crates/badgerfield-standin/src/fleet/mod.rs
@@ -53,7 +53,7 @@
 /// How a request ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum End {
-    /// The whole answer arrived; it cost this many tokens.
+    /// The complete answer arrived; it cost this many tokens.
     Complete(Tokens),
     /// The request was refused.
     Refused(Refusal),
@@ -68,7 +68,7 @@
 pub struct CallerRequest {
     /// The content of the request.
     pub spec: RequestSpec,
-    /// The VM that received the request.
+    /// The VM to which the request was sent.
     pub vm: usize,
     /// When the request was sent.
     pub sent_at: Time,
--- a/crates/badgerfield-standin/src/fleet/rollouts.rs
+++ b/crates/badgerfield-standin/src/fleet/rollouts.rs
@@ -279,7 +279,7 @@
     }
 
     /// Checks a change of the stored record. If the order has completed, the target becomes the
-    /// version in use, and running requests at other versions are faults.
+    /// version in use, and running requests at other versions are violations.
     pub(super) fn check_record_change(&mut self) {
         let value = self.store.value(&StoreKey::Rollout(service()));
         let Ok(Some(next)) = RolloutRecord::decode(value.as_deref()) else {
--- a/crates/badgerfield-standin/src/fleet/steps.rs
+++ b/crates/badgerfield-standin/src/fleet/steps.rs
@@ -90,8 +90,9 @@
             Command::CallStore(call_id, call) => {
                 let sent = self.now;
                 let direction = (self.region_of(index), link::STORE_REGION);
-                let arrives_at =
-                    self.cross(direction, link::call_bytes(&call), None).unwrap_or(sent);
+                let arrives_at = self
+                    .send_between_regions(direction, link::call_bytes(&call), None)
+                    .unwrap_or(sent);
                 let at = arrives_at.after(self.store.delay());
                 self.schedule(at, ScheduledAction::StoreCall(from, call_id, call, sent));
             }
@@ -120,7 +121,7 @@
     ///
     /// Returns `None` if both regions are the same, the link has no limited bandwidth, or the bytes
     /// would still wait for the link at the time `until`.
-    pub(super) fn cross(
+    pub(super) fn send_between_regions(
         &mut self,
         direction: (usize, usize),
         bytes: usize,
@@ -132,18 +133,18 @@
 
     /// Sends bytes over the links of their sender and receiver, where these have limited bandwidth,
     /// and returns when they arrive.
-    fn wait_for_links(&mut self, direction: (usize, usize), bytes: usize, at: Time) -> Time {
+    fn send_over_vm_links(&mut self, direction: (usize, usize), bytes: usize, at: Time) -> Time {
         let (from, to) = direction;
-        let left = self
+        let left_at = self
             .full_links
             .get_mut(&from)
             .and_then(|link| link.send(at, (link::INSIDE, link::OUTSIDE), bytes, None));
-        let at = left.unwrap_or(at);
-        let arrived = self
+        let at = left_at.unwrap_or(at);
+        let arrives_at = self
             .full_links
             .get_mut(&to)
             .and_then(|link| link.send(at, (link::OUTSIDE, link::INSIDE), bytes, None));
-        arrived.unwrap_or(at)
+        arrives_at.unwrap_or(at)
     }
 
     pub(super) fn send(&mut self, index: usize, envelope: &Envelope) {
@@ -168,8 +169,8 @@
         }
         let without_link =
             self.now.after(if a == b { REGION_LATENCY } else { CROSS_REGION_LATENCY });
-        let base = self.cross((a, b), bytes, None).unwrap_or(without_link);
-        let base = self.wait_for_links((index, to), bytes, base);
+        let base = self.send_between_regions((a, b), bytes, None).unwrap_or(without_link);
+        let base = self.send_over_vm_links((index, to), bytes, base);
         let copies = match self.rng.random_range(0..1000) {
             n if n < self.config.noise_permille => 0,
             n if n < 2 * self.config.noise_permille => 2,
--- a/crates/badgerfield-standin/src/fleet/truth.rs
+++ b/crates/badgerfield-standin/src/fleet/truth.rs
@@ -81,13 +81,13 @@
         *entry = (entry.0 + 1, entry.1.saturating_add(bill.cost));
     }
 
-    /// Checks the end of a request against this record, and adds violations to `faults`.
+    /// Checks the end of a request against this record, and adds what it finds to `violations`.
     pub(super) fn check_end(
         &self,
         spec: &RequestSpec,
         end: &End,
         data: &[u64],
-        faults: &mut Vec<String>,
+        violations: &mut Vec<String>,
     ) {
         let Some(key) = key_of(spec) else {
             return;
@@ -99,16 +99,16 @@
             && (ran > 0 || billed > 0)
         {
             let cause = refusal.cause;
-            faults.push(format!("{key} ran {ran} times, but was refused as not run: {cause}"));
+            violations.push(format!("{key} ran {ran} times, but was refused as not run: {cause}"));
         }
         let name = key.to_string();
         let expected: Vec<_> =
             (0..part_count(spec.service)).map(|i| expected_part(&name, i as u64)).collect();
         if matches!(end, End::Complete(_)) && data != expected {
-            faults.push(format!("{key} got {data:?} as a whole answer"));
+            violations.push(format!("{key} got {data:?} as a complete answer"));
         }
         if !expected.starts_with(data) {
-            faults.push(format!("{key} got {data:?}, which is not its answer"));
+            violations.push(format!("{key} got {data:?}, which is not its answer"));
         }
     }
 
--- a/crates/badgerfield-standin/src/measure/mod.rs
+++ b/crates/badgerfield-standin/src/measure/mod.rs
@@ -28,7 +28,7 @@
     pub spent_out: u64,
     /// The false refusals by cause.
     pub causes: BTreeMap<&'static str, u64>,
-    /// The requests that ended because their VM was killed.
+    /// The requests that ended because the process of their VM ended.
     pub lost: u64,
     /// The tokens that are left at the end but that no VM can spend.
     pub stranded: u64,
--- a/crates/badgerfield-standin/tests/full_link.rs
+++ b/crates/badgerfield-standin/tests/full_link.rs
@@ -1,12 +1,12 @@
 //! Loans to a VM whose link is full of its answers to callers, so that messages wait for seconds.
 //!
 //! An account sends all its requests to this VM, which borrows the tokens. For each waiting request
-//! the VM requested the tokens of this request and those to prefetch once more, as if no tokens
-//! were in transit. A tenth of the budget was always in transit, to the VM and back to its lenders
-//! (`drawn .. moving=1085719` of 18.6 M, and 1046521 for six seconds). Requests were sent again
-//! every 300 ms regardless of replies (`messages ask=955 transfer=7260` in 20 s). The lenders
-//! counted all loans as demand (`rate=1048894`, with `rate=344200` at the VM) and drew half of the
-//! budget. All of it was lost in a power failure.
+//! the VM requested the tokens of this request and, each time again, the tokens to prefetch, as if
+//! no tokens were in transit. A tenth of the budget was always in transit, to the VM and back to
+//! its lenders (`drawn .. moving=1085719` of 18.6 M, and 1046521 for six seconds), in transfers
+//! that were sent again every 300 ms regardless of replies (`messages ask=955 transfer=7260` in
+//! 20 s). The lenders counted all loans as demand (`rate=1048894`, with `rate=344200` at the VM)
+//! and drew half of the budget. All of it was lost in a power failure.
 
 use std::time::Duration;
 
@@ -97,7 +97,7 @@
 /// Each of the three counts the demand as its own for a while.
 #[test]
 fn tokens_in_transit_to_a_vm_behind_a_full_link_are_bounded() {
-    let mut faults = Vec::new();
+    let mut failures = Vec::new();
     for (wait, seed) in LINK_DELAYS.into_iter().flat_map(|wait| SEEDS.map(move |seed| (wait, seed)))
     {
         let mut fleet = fleet(wait, seed);
@@ -120,11 +120,11 @@
         let round = wait.as_millis() * 2 / 10;
         let is_bounded = in_transit.is_within(3 * (round + 100), round + 200);
         if !is_bounded || !demands.is_within(400, 220) || transfers > 2200 {
-            faults.push((wait, seed, in_transit, demands, transfers));
+            failures.push((wait, seed, in_transit, demands, transfers));
         }
         assert_eq!(fleet.truth.overspend(), 0);
     }
-    assert!(faults.is_empty(), "{faults:#?}");
+    assert!(failures.is_empty(), "{failures:#?}");
 }
 
 /// When all processes are killed, tokens borrowed by the VM or in transit to it must not be lost in
--- a/crates/badgerfield-standin/tests/healthy.rs
+++ b/crates/badgerfield-standin/tests/healthy.rs
@@ -27,7 +27,7 @@
     let mut ends = std::collections::BTreeMap::new();
     for request in fleet.requests.values() {
         let end = match &request.end {
-            Some((End::Complete(_), _)) => "whole".to_owned(),
+            Some((End::Complete(_), _)) => "complete".to_owned(),
             other => format!("{other:?}"),
         };
         *ends.entry(end).or_insert(0) += 1;
--- a/crates/badgerfield-standin/tests/histories.rs
+++ b/crates/badgerfield-standin/tests/histories.rs
@@ -300,7 +300,7 @@
         };
         if matches!(request.end, Some((End::Complete(_), _))) {
             let bills = fleet.truth.bills.get(&key).map(|b| b.0);
-            assert_eq!(bills, Some(1), "{key} was answered whole");
+            assert_eq!(bills, Some(1), "{key} was answered completely");
         }
     }
 }
--- a/crates/badgerfield-standin/tests/lending.rs
+++ b/crates/badgerfield-standin/tests/lending.rs
@@ -124,8 +124,8 @@
     assert!(vms_with_tokens(&fleet).len() <= MAX_HOLDERS, "borrowers keep unused tokens");
 }
 
-/// Borrowers must turn to another lender when the one they ask does not answer, without refusing
-/// requests.
+/// If a lender does not answer, its borrowers must request tokens from another one instead of
+/// refusing requests.
 #[test]
 fn requests_are_served_when_two_lenders_are_lost() {
     let mut fleet = fleet(1_000_000);
@@ -185,8 +185,8 @@
     assert!(lost <= 4 * demand, "{lost} of {limit} tokens were lost");
 }
 
-/// A lender whose place another VM has taken forwards its tokens. If it did not report that, the
-/// ledger would count these tokens twice.
+/// A lender that another VM has replaced forwards its tokens. If it did not report that, the ledger
+/// would count these tokens twice.
 #[test]
 fn former_lender_reports_an_empty_holding() {
     let mut first = fleet(1_000_000);
@@ -306,8 +306,8 @@
     assert_eq!(fleet.truth.overspend(), 0);
     let lost = limit - served_tokens(&fleet);
     assert!(held > 200 * REQUEST_COST, "only {held} tokens were held at the crash");
-    // Lost are the unsealed tokens, those of running requests, and those of a lender that has not
-    // reached the store again. Without seals on grants, four fifths are lost.
+    // The lost tokens are the unsealed ones, those of running requests, and those of a lender that
+    // has not reached the store again. Without seals on grants, four fifths are lost.
     assert!(lost <= held * 7 / 10, "{lost} of {limit} tokens were lost, {held} were held");
 }
 
@@ -398,7 +398,7 @@
         fleet.advance(Duration::from_secs(8));
         assert_eq!(fleet.truth.overspend(), 0, "seed {seed}");
         end_faults(&mut fleet);
-        // Held and spent tokens above the limit would be overspent sooner or later.
+        // If more tokens than the limit are held and spent, the excess is overspent sooner or later.
         let balance = fleet.balance(0);
         assert_eq!(balance.excess, 0, "seed {seed}: {balance}");
         // In some of many histories the store is unavailable nearly all the time.
@@ -492,7 +492,7 @@
 }
 
 /// The ledger had applied the seal of the first sending. The operation was sent again without the
-/// fleet's time, and its reply was taken as the reply to an operation without a promise.
+/// fleet's time, and its reply was taken as the reply to an operation without a seal.
 #[test]
 fn seal_holds_if_clocks_disagree_before_the_reply_arrives() {
     for round in 0..6 {
--- a/crates/badgerfield-standin/tests/lost_tokens.rs
+++ b/crates/badgerfield-standin/tests/lost_tokens.rs
@@ -78,8 +78,8 @@
 /// Returns the VM that holds the most tokens of a budget.
 fn largest_holder(fleet: &Fleet, budget: usize) -> usize {
     let held = |vm: &usize| {
-        let figures = fleet.node(*vm).map(|node| node.balance(&Fleet::budget(budget)));
-        figures.map_or(0, |f| f.free.0 + f.sealed.0)
+        let balance = fleet.node(*vm).map(|node| node.balance(&Fleet::budget(budget)));
+        balance.map_or(0, |b| b.free.0 + b.sealed.0)
     };
     (0..VMS).max_by_key(held).expect("a fleet has VMs")
 }
@@ -124,8 +124,8 @@
 /// their tokens, without [`BUSY_VM`].
 fn holders(fleet: &Fleet, budget: usize) -> Vec<usize> {
     let held = |vm: usize| {
-        let figures = fleet.node(vm).map(|node| node.balance(&Fleet::budget(budget)));
-        figures.map_or(0, |f| f.free.0 + f.sealed.0)
+        let balance = fleet.node(vm).map(|node| node.balance(&Fleet::budget(budget)));
+        balance.map_or(0, |b| b.free.0 + b.sealed.0)
     };
     let mut holders: Vec<_> =
         (0..VMS).filter(|vm| *vm != BUSY_VM && held(*vm) > DEMAND / 2).collect();
--- a/crates/badgerfield-standin/tests/power_after_outage.rs
+++ b/crates/badgerfield-standin/tests/power_after_outage.rs
@@ -84,7 +84,7 @@
 /// processes.
 #[test]
 fn crash_of_all_processes_late_in_an_outage_loses_few_tokens() {
-    let mut faults = Vec::new();
+    let mut failures = Vec::new();
     // Of a budget with much left, 11 s of demand are held ahead, and of one with little left, half
     // of it. For an account that has just started to use one VM, lenders overestimate the demand
     // and hold more.
@@ -94,9 +94,9 @@
             let lost = lost_tokens(seconds, outage, seed);
             println!("{seconds} s of demand, outage {outage} s, seed {seed}: lost {lost:?}");
             if lost.iter().zip(bounds).any(|(lost, bound)| *lost > bound * DEMAND) {
-                faults.push((seconds, outage, seed, lost));
+                failures.push((seconds, outage, seed, lost));
             }
         }
     }
-    assert!(faults.is_empty(), "{faults:?}");
+    assert!(failures.is_empty(), "{failures:?}");
 }
--- a/crates/badgerfield-standin/tests/promises.rs
+++ b/crates/badgerfield-standin/tests/promises.rs
@@ -1,4 +1,4 @@
-//! Single guarantees under single faults, and bounds on the figures of the measured cases.
+//! Single guarantees under single faults, and bounds on the results of the measured cases.
 
 use std::time::Duration;
 
@@ -139,8 +139,8 @@
 #[test]
 fn measured_cases_stay_within_bounds() {
     for case in Case::all(1) {
-        let figures = Badgerfield.run(&case);
-        assert_eq!(figures.overspend, 0, "{}", case.name);
+        let result = Badgerfield.run(&case);
+        assert_eq!(result.overspend, 0, "{}", case.name);
         // One in a thousand requests may be refused. In the case "pause" a suspended VM keeps its
         // tokens, so more requests are refused when the budget is nearly spent.
         let max_refused = match case.name {
@@ -150,12 +150,12 @@
             _ => 7,
         };
         assert!(
-            figures.false_refusals <= max_refused,
+            result.false_refusals <= max_refused,
             "{}: {} refused",
             case.name,
-            figures.false_refusals
+            result.false_refusals
         );
-        assert!(figures.kv_calls < 45.0, "{}: {} calls a second", case.name, figures.kv_calls);
+        assert!(result.kv_calls < 45.0, "{}: {} calls a second", case.name, result.kv_calls);
     }
     let case = Case::all(1).remove(3);
     assert_eq!(Badgerfield.run(&case), Badgerfield.run(&case), "runs with the same seed differ");
--- a/crates/badgerfield-standin/tests/residency.rs
+++ b/crates/badgerfield-standin/tests/residency.rs
@@ -72,10 +72,10 @@
         fleet.send_request(vm, keyed(&format!("key-{vm}")));
     }
     fleet.advance(Duration::from_secs(3));
-    let whole = |request: &badgerfield_standin::fleet::CallerRequest| {
+    let is_complete = |request: &badgerfield_standin::fleet::CallerRequest| {
         matches!(request.end, Some((End::Complete(_), _)))
     };
-    assert!(fleet.requests.values().all(whole), "a request was not served");
+    assert!(fleet.requests.values().all(is_complete), "a request was not served");
     assert!(answer_bytes(&fleet, VM_IN_REGION_0) > 0);
     assert_eq!(answer_bytes(&fleet, VM_IN_REGION_1), 0);
     // Answers stored under older templates are removed if newer templates exclude the region.
--- a/crates/badgerfield-standin/tests/rollouts.rs
+++ b/crates/badgerfield-standin/tests/rollouts.rs
@@ -1,6 +1,6 @@
 //! Rollouts of good and bad versions in fleets, with and without faults.
 //!
-//! The simulated fleet records as faults: more requests to a bad version than the settings allow,
+//! The simulated fleet records as violations: more requests to a bad version than the settings allow,
 //! requests to it long after its 50th bad answer, requests that are cut when an order completes,
 //! and a record that returns to an earlier state.
 
@@ -425,8 +425,9 @@
         if !history.is_over() {
             violations.push(format!("seed {seed}: {:?}", history.fleet.record()));
         }
-        violations
-            .extend(history.fleet.violations.iter().map(|fault| format!("seed {seed}: {fault}")));
+        violations.extend(
+            history.fleet.violations.iter().map(|violation| format!("seed {seed}: {violation}")),
+        );
     }
     println!("{as_expected} of {cases} orders ended as expected with up to {max_faults} faults");
     violations.dedup();
--- a/crates/badgerfield-standin/tests/upstream_list.rs
+++ b/crates/badgerfield-standin/tests/upstream_list.rs
@@ -76,8 +76,8 @@
     fetched_since(commands).is_some()
 }
 
-/// If all VMs watched the platform, its load would grow with the fleet. If only the usual watchers
-/// did when no updates arrive, a failure of these watchers would leave the list outdated.
+/// If all VMs watched the platform, its load would grow with the fleet. If no other VM started to
+/// watch when updates stop, a failure of the usual watchers would leave the list outdated.
 #[test]
 fn more_vms_watch_the_platform_if_no_updates_arrive() {
     let fleet = fleet(VMS);
