--- a/crates/badgerfield-standin/src/fleet/callers.rs
+++ b/crates/badgerfield-standin/src/fleet/callers.rs
@@ -32,8 +32,8 @@
     }
 
     /// Disconnects the caller of a request.
-    pub fn hang_up(&mut self, id: RequestId) {
-        let Some(vm) = self.requests.get(&id).map(|a| a.vm) else {
+    pub fn disconnect_caller(&mut self, id: RequestId) {
+        let Some(vm) = self.requests.get(&id).map(|request| request.vm) else {
             return;
         };
         self.deliver(vm, Event::CallerDisconnected(id));
--- a/crates/badgerfield-standin/src/fleet/link.rs
+++ b/crates/badgerfield-standin/src/fleet/link.rs
@@ -25,9 +25,9 @@
 #[derive(Debug, Clone)]
 pub struct Link {
     /// The latency from one end to the other.
-    pub one_way: Duration,
+    pub latency: Duration,
     /// The bandwidth of each direction, in bits per second.
-    pub rate: f64,
+    pub bits_per_second: f64,
     /// The time at which everything sent so far has left, by direction.
     free_at: BTreeMap<(usize, usize), Time>,
     /// The timeout of each process for answers of the store.
@@ -37,8 +37,8 @@
 impl Link {
     /// Creates an idle link.
     #[must_use]
-    pub fn new(one_way: Duration, rate: f64) -> Self {
-        Self { one_way, rate, free_at: BTreeMap::new(), timeouts: BTreeMap::new() }
+    pub fn new(latency: Duration, bits_per_second: f64) -> Self {
+        Self { latency, bits_per_second, free_at: BTreeMap::new(), timeouts: BTreeMap::new() }
     }
 
     /// Returns the timeout of a process for answers of the store.
@@ -61,9 +61,9 @@
             return None;
         }
         let bits = f64::from(u32::try_from(bytes).unwrap_or(u32::MAX)) * 8.0;
-        let sent_at = start.after(Duration::from_secs_f64(bits / self.rate));
+        let sent_at = start.after(Duration::from_secs_f64(bits / self.bits_per_second));
         *free_at = sent_at;
-        Some(sent_at.after(self.one_way))
+        Some(sent_at.after(self.latency))
     }
 }
 
--- a/crates/badgerfield-standin/src/fleet/mod.rs
+++ b/crates/badgerfield-standin/src/fleet/mod.rs
@@ -219,7 +219,7 @@
 
     /// Returns the VMs whose processes are ready and not suspended.
     #[must_use]
-    pub fn usable(&self) -> Vec<usize> {
+    pub fn usable_vms(&self) -> Vec<usize> {
         let usable = |vm: &Vm| !vm.is_suspended && vm.node.as_ref().is_some_and(Node::is_ready);
         (0..self.vms.len()).filter(|i| usable(&self.vms[*i])).collect()
     }
@@ -229,7 +229,7 @@
     /// If no VM of the region is usable, a VM of another region answers.
     #[must_use]
     pub fn directory(&self, region: usize) -> Vec<usize> {
-        let usable = self.usable();
+        let usable = self.usable_vms();
         let near = usable.iter().find(|i| self.region_of(**i) == region);
         near.or_else(|| usable.first()).map(|vm| self.directory_of(*vm)).unwrap_or_default()
     }
@@ -245,7 +245,7 @@
 
     /// Returns whether the process of a VM runs.
     #[must_use]
-    pub fn runs(&self, vm: usize) -> bool {
+    pub fn is_running(&self, vm: usize) -> bool {
         self.vms[vm].node.is_some()
     }
 
@@ -294,7 +294,7 @@
     pub fn remove_vm_from_list(&mut self, index: usize) {
         let name = self.vms[index].member.vm.clone();
         self.list.vms.retain(|vm| vm.vm != name);
-        self.publish();
+        self.publish_vm_list();
     }
 
     /// Marks an upstream as leaving in the list of VMs, which reaches the processes after a delay.
@@ -304,12 +304,12 @@
                 vm.leaving = true;
             }
         }
-        self.publish();
+        self.publish_vm_list();
     }
 
     /// Writes changed templates, as an operator does. Returns whether they are valid and the store
     /// accepted them.
-    pub fn apply(&mut self, change: impl FnOnce(&mut TemplateSet)) -> bool {
+    pub fn change_templates(&mut self, change: impl FnOnce(&mut TemplateSet)) -> bool {
         let mut wanted = self.templates.clone();
         change(&mut wanted);
         let author = "operator".parse().unwrap_or_else(|_| unreachable!("the name is valid"));
@@ -361,7 +361,7 @@
         vm.version = version;
     }
 
-    fn publish(&mut self) {
+    fn publish_vm_list(&mut self) {
         self.list.version += 1;
         let delay = Duration::from_secs(3);
         self.schedule(self.now.after(delay), ScheduledAction::DeliverVmList);
@@ -370,7 +370,7 @@
     fn make_templates(&mut self) {
         let limits = self.config.limits.clone();
         let spread = Percent::new(self.config.spread).unwrap_or_else(|_| unreachable!("a share"));
-        self.apply(|set| {
+        self.change_templates(|set| {
             for (i, limit) in limits.iter().enumerate() {
                 let account: Account =
                     format!("account-{i}").parse().unwrap_or_else(|_| unreachable!());
--- a/crates/badgerfield-standin/src/fleet/processes.rs
+++ b/crates/badgerfield-standin/src/fleet/processes.rs
@@ -59,7 +59,7 @@
 
     /// Returns the wall-clock time of a VM, in milliseconds since 1970.
     ///
-    /// It is wrong by the offset that [`Fleet::step_clock`] has set.
+    /// It is wrong by the offset that [`Fleet::set_clock_offset`] has set.
     pub(super) fn wall_clock(&self, index: usize) -> u64 {
         let truth = CLOCK_START_MS
             .saturating_add(u64::try_from(self.now.0.as_millis()).unwrap_or(u64::MAX));
@@ -68,13 +68,13 @@
     }
 
     /// Sets the offset of a VM's wall clock from the correct time.
-    pub fn step_clock(&mut self, index: usize, millis: i64) {
+    pub fn set_clock_offset(&mut self, index: usize, millis: i64) {
         self.clock_offsets_ms.insert(index, millis);
     }
 
     /// Returns how many processes were killed.
     #[must_use]
-    pub fn kills(&self) -> u64 {
+    pub fn kill_count(&self) -> u64 {
         self.kills
     }
 
--- a/crates/badgerfield-standin/src/fleet/rollouts.rs
+++ b/crates/badgerfield-standin/src/fleet/rollouts.rs
@@ -275,7 +275,7 @@
     }
 
     fn is_in_view(&self, vm: usize) -> bool {
-        self.runs(vm) && self.store.view().has_member(self.vms[vm].member.incarnation)
+        self.is_running(vm) && self.store.view().has_member(self.vms[vm].member.incarnation)
     }
 
     /// Checks a change of the stored record. If the order has completed, the target becomes the
--- a/crates/badgerfield-standin/src/fleet/upstreams.rs
+++ b/crates/badgerfield-standin/src/fleet/upstreams.rs
@@ -234,7 +234,7 @@
 
     /// Returns the tokens that upstreams have served so far for streams that still run.
     #[must_use]
-    pub fn running(&self, budget: usize) -> u64 {
+    pub fn served_to_running_streams(&self, budget: usize) -> u64 {
         let running = self.upstreams.streams.iter().filter(|s| !s.ended && s.budget == budget);
         let output = |s: &Stream| s.output * u64::try_from(s.parts.len()).unwrap_or(0) / s.total;
         running.map(|s| s.prompt + output(s)).sum()
--- a/crates/badgerfield-standin/src/measure/badgerfield.rs
+++ b/crates/badgerfield-standin/src/measure/badgerfield.rs
@@ -73,7 +73,7 @@
             .fleet
             .requests
             .values()
-            .filter_map(|a| Some(a.dispatched_at?.since(a.sent_at)))
+            .filter_map(|r| Some(r.dispatched_at?.since(r.sent_at)))
             .collect();
         delays.sort_unstable();
         self.result.dispatch_delay = (percentile(&delays, 50), percentile(&delays, 99));
@@ -122,7 +122,7 @@
         for other in &listed {
             self.listed_at[*other] = now;
         }
-        let is_usable = now.since(self.listed_at[vm]) <= DIRECTORY_TTL && self.fleet.runs(vm);
+        let is_usable = now.since(self.listed_at[vm]) <= DIRECTORY_TTL && self.fleet.is_running(vm);
         if is_usable {
             return vm;
         }
@@ -159,7 +159,7 @@
         let account = arrival.account;
         let served = self.fleet.truth.served.get(&account).copied().unwrap_or(0);
         // Tokens served to running requests are already counted in their reservations.
-        let served_running: u64 = self.fleet.running(account);
+        let served_running: u64 = self.fleet.served_to_running_streams(account);
         let served_ended = served.saturating_sub(served_running);
         let used = served_ended + self.reserved[account];
         self.fleet.truth.allowed(account).saturating_sub(used) >= arrival.max_cost()
@@ -173,7 +173,7 @@
             Fault::RegionCut(false) => fleet.end_partitions(),
             Fault::Kill(vm) => fleet.kill(vm),
             Fault::Start(vm) => {
-                if !fleet.runs(vm) {
+                if !fleet.is_running(vm) {
                     fleet.start(vm);
                 }
             }
--- a/crates/badgerfield-standin/tests/histories.rs
+++ b/crates/badgerfield-standin/tests/histories.rs
@@ -215,7 +215,7 @@
             Step::Advance(millis) => fleet.advance(Duration::from_millis(millis)),
             Step::Kill(vm) => fleet.kill(vm),
             Step::Start(vm) => {
-                if !fleet.runs(vm) {
+                if !fleet.is_running(vm) {
                     fleet.start(vm);
                 }
             }
@@ -245,7 +245,7 @@
             }
             // Only one clock is wrong: the guarantees do not cover a majority of clocks that step
             // together.
-            Step::SetClockOffset(millis) => fleet.step_clock(1, millis),
+            Step::SetClockOffset(millis) => fleet.set_clock_offset(1, millis),
         }
         fleet.advance(Duration::from_millis(1));
         harness
@@ -269,7 +269,7 @@
         }
         fleet.advance(Duration::from_mins(1));
         for vm in 0..VMS {
-            if !fleet.runs(vm) {
+            if !fleet.is_running(vm) {
                 fleet.start(vm);
             }
         }
@@ -291,7 +291,7 @@
     }
     // A VM that is killed between the end of an answer and the decision of the arbiter loses the
     // bill, and an uncertain key is not billed rather than billed twice.
-    if fleet.kills() > 0 || !fleet.store.view().uncertain_keys.is_empty() {
+    if fleet.kill_count() > 0 || !fleet.store.view().uncertain_keys.is_empty() {
         return;
     }
     for request in fleet.requests.values() {
@@ -306,7 +306,7 @@
 }
 
 fn change_budget(fleet: &mut Fleet, budget: usize, to: impl Fn(u64, u64) -> (u64, u64)) {
-    fleet.apply(|set| {
+    fleet.change_templates(|set| {
         if let Some(template) = set.budgets.get_mut(&Fleet::budget(budget)) {
             let (limit, period) = to(template.limit.0, template.period.0);
             template.limit = Tokens(limit);
--- a/crates/badgerfield-standin/tests/joining.rs
+++ b/crates/badgerfield-standin/tests/joining.rs
@@ -27,7 +27,7 @@
         fleet.start(vm);
     }
     fleet.advance(Duration::from_secs(4));
-    assert_eq!(fleet.usable().len(), VMS, "not all are in the view");
+    assert_eq!(fleet.usable_vms().len(), VMS, "not all are in the view");
 }
 
 /// If each process wrote the view for itself, most writes would conflict and be repeated.
--- a/crates/badgerfield-standin/tests/large_fleet.rs
+++ b/crates/badgerfield-standin/tests/large_fleet.rs
@@ -77,8 +77,8 @@
 
 /// Checks that each running VM has exactly the running VMs in its view.
 fn assert_views_match_running_vms(fleet: &Fleet) {
-    let running = (0..fleet.size()).filter(|vm| fleet.runs(*vm)).count();
-    assert_eq!(fleet.usable().len(), running, "not all are in the view");
+    let running = (0..fleet.size()).filter(|vm| fleet.is_running(*vm)).count();
+    assert_eq!(fleet.usable_vms().len(), running, "not all are in the view");
     for node in (0..fleet.size()).filter_map(|vm| fleet.node(vm)) {
         assert_eq!(node.view().members.len(), running, "members known to {}", node.id());
         assert_eq!(node.view().members, fleet.store.view().members, "members at {}", node.id());
@@ -176,7 +176,7 @@
         let mut fleet = start(vms);
         fleet.advance(Duration::from_secs(45));
         assert_views_match_running_vms(&fleet);
-        assert_eq!(fleet.usable().len(), vms, "{vms}: a member was removed");
+        assert_eq!(fleet.usable_vms().len(), vms, "{vms}: a member was removed");
     }
 }
 
@@ -192,7 +192,7 @@
         fleet.kill(vms / 2);
         fleet.start(vms / 2);
         fleet.advance(Duration::from_secs(8));
-        let running = (0..vms).filter(|vm| fleet.runs(*vm)).count();
+        let running = (0..vms).filter(|vm| fleet.is_running(*vm)).count();
         assert_eq!(running, vms, "{vms}: processes exited after their removal");
         assert_views_match_running_vms(&fleet);
     }
--- a/crates/badgerfield-standin/tests/lending.rs
+++ b/crates/badgerfield-standin/tests/lending.rs
@@ -56,7 +56,7 @@
 fn load(fleet: &mut Fleet, requests: usize) {
     for n in 0..requests {
         let vm = n * 7 % VMS;
-        if fleet.runs(vm) {
+        if fleet.is_running(vm) {
             fleet.send_request(vm, request());
         }
         fleet.advance(Duration::from_millis(20));
@@ -334,14 +334,14 @@
     let vm = rng.random_range(0..VMS);
     match rng.random_range(0..12) {
         0 => fleet.kill(vm),
-        1 | 2 if !fleet.runs(vm) => fleet.start(vm),
+        1 | 2 if !fleet.is_running(vm) => fleet.start(vm),
         3 => fleet.suspend(vm),
         4 => fleet.resume(vm),
         5 => fleet.stop(vm),
         6 => fleet.store.down = !fleet.store.down,
         7 => fleet.store.lose_replies = rng.random_range(0..6),
         8 => fleet.store.slow = Duration::from_millis(rng.random_range(0..700)),
-        9 => fleet.step_clock(vm, rng.random_range(-9_000..9_000)),
+        9 => fleet.set_clock_offset(vm, rng.random_range(-9_000..9_000)),
         10 => {
             for lender in vms_with_tokens(fleet) {
                 fleet.kill(lender);
@@ -351,7 +351,7 @@
     }
     // Stopped processes start again after a while, as the platform restarts them.
     for vm in 0..VMS {
-        if !fleet.runs(vm) && rng.random_bool(0.2) {
+        if !fleet.is_running(vm) && rng.random_bool(0.2) {
             fleet.start(vm);
         }
     }
@@ -391,7 +391,7 @@
             load(&mut fleet, 12);
             assert_eq!(fleet.truth.overspend(), 0, "seed {seed}");
         }
-        let all = (0..VMS).filter(|vm| !fleet.runs(*vm)).collect::<Vec<_>>();
+        let all = (0..VMS).filter(|vm| !fleet.is_running(*vm)).collect::<Vec<_>>();
         for vm in all {
             fleet.start(vm);
         }
@@ -466,7 +466,7 @@
         }
         let broken = broken_seals(fleet);
         for (vm, seal) in &broken {
-            assert_ne!(before.get(vm), Some(seal), "VM {vm} touched what it had sealed");
+            assert_ne!(before.get(vm), Some(seal), "VM {vm} spent tokens that it had sealed");
         }
         before = broken;
     }
@@ -506,7 +506,7 @@
         load_vm(&mut fleet, vm, 20 + 5 * round);
         for other in 0..VMS {
             let offset_ms = i64::try_from(other).expect("few VMs") * 20_000;
-            fleet.step_clock(other, offset_ms);
+            fleet.set_clock_offset(other, offset_ms);
         }
         // Until operations are sent again and answered, the ledger has applied operations whose
         // replies have not reached the holders.
@@ -520,7 +520,7 @@
 fn refusal_causes(fleet: &Fleet, since: Time, least: u64) -> BTreeMap<&'static str, usize> {
     let mut causes = BTreeMap::new();
     let is_large = |request: &RequestSpec| request.prompt + request.output >= least;
-    for request in fleet.requests.values().filter(|a| a.sent_at >= since && is_large(&a.spec)) {
+    for request in fleet.requests.values().filter(|r| r.sent_at >= since && is_large(&r.spec)) {
         if let Some((End::Refused(refusal), _)) = &request.end {
             *causes.entry(refusal.cause.code()).or_default() += 1;
         }
@@ -614,7 +614,7 @@
         // This takes less time than the silence after which lost processes leave the view.
         for n in 0..600 {
             let vm = n * 7 % vms;
-            if fleet.runs(vm) {
+            if fleet.is_running(vm) {
                 fleet.send_request(vm, request());
             }
             fleet.advance(Duration::from_millis(20));
--- a/crates/badgerfield-standin/tests/lost_tokens.rs
+++ b/crates/badgerfield-standin/tests/lost_tokens.rs
@@ -41,7 +41,7 @@
     let mut round = fleet.requests.len();
     while fleet.now < until {
         for (budget, vm) in [(0, BUSY_VM), (1, round * 7 % VMS)] {
-            if fleet.runs(vm) {
+            if fleet.is_running(vm) {
                 let (prompt, output) = (60, 40);
                 fleet.send_request(
                     vm,
@@ -113,7 +113,7 @@
     for vm in vms {
         fleet.stop(*vm);
         load(fleet, STOP_TIMEOUT.as_secs_f64());
-        if fleet.runs(*vm) {
+        if fleet.is_running(*vm) {
             fleet.kill(*vm);
         }
         fleet.start(*vm);
--- a/crates/badgerfield-standin/tests/promises.rs
+++ b/crates/badgerfield-standin/tests/promises.rs
@@ -13,7 +13,7 @@
 /// Sends 20 requests per second for some seconds, to all usable VMs in turn.
 fn load(fleet: &mut Fleet, seconds: u64) {
     for n in 0..seconds * 20 {
-        let usable = fleet.usable();
+        let usable = fleet.usable_vms();
         let vm = usable[usize::try_from(n).unwrap_or(0) % usable.len()];
         fleet.send_request(vm, spec(0));
         fleet.advance(Duration::from_millis(50));
@@ -49,7 +49,7 @@
                 }
             }
         };
-        assert!(fleet.apply(change(7)));
+        assert!(fleet.change_templates(change(7)));
         fleet.advance(Duration::from_secs(4));
         let version = fleet.templates.version;
         let behind = |vm: &usize| fleet.node(*vm).is_none_or(|n| n.template_version() < version);
@@ -70,7 +70,7 @@
         }
         fleet.stop(vm);
         load(&mut fleet, 10);
-        assert!(!fleet.runs(vm), "the process of VM {vm} has not ended");
+        assert!(!fleet.is_running(vm), "the process of VM {vm} has not ended");
         fleet.start(vm);
         load(&mut fleet, 5);
     }
--- a/crates/badgerfield-standin/tests/residency.rs
+++ b/crates/badgerfield-standin/tests/residency.rs
@@ -12,7 +12,7 @@
 
 fn restrict(fleet: &mut Fleet, regions: &[usize]) {
     let regions: BTreeSet<_> = regions.iter().map(|region| region_name(*region)).collect();
-    let is_applied = fleet.apply(|set| {
+    let is_applied = fleet.change_templates(|set| {
         for account in set.accounts.values_mut() {
             account.regions = Residency::restricted_to(regions.clone());
         }
--- a/crates/badgerfield-standin/tests/rollouts.rs
+++ b/crates/badgerfield-standin/tests/rollouts.rs
@@ -375,7 +375,7 @@
         fleet.store.slow = Duration::ZERO;
         for vm in 0..6 {
             fleet.resume(vm);
-            if !fleet.runs(vm) {
+            if !fleet.is_running(vm) {
                 fleet.start(vm);
                 self.phases[vm] = None;
             }
--- a/crates/badgerfield-standin/tests/seals.rs
+++ b/crates/badgerfield-standin/tests/seals.rs
@@ -110,7 +110,7 @@
     for vm in 0..VMS {
         // Each clock has a different offset, so no majority agrees.
         let millis = i64::try_from(vm).expect("few VMs") * -20_000;
-        fleet.step_clock(vm, millis);
+        fleet.set_clock_offset(vm, millis);
     }
     restart_all(&mut fleet, Duration::from_millis(700));
     drain(&mut fleet);
@@ -145,7 +145,7 @@
     fleet.stop(0);
     // The platform kills a process eight seconds after the request to stop.
     fleet.advance(Duration::from_millis(7900));
-    if fleet.runs(0) {
+    if fleet.is_running(0) {
         fleet.kill(0);
     }
     fleet.advance(Duration::from_secs(1));
--- a/crates/badgerfield-standin/tests/thin_link.rs
+++ b/crates/badgerfield-standin/tests/thin_link.rs
@@ -21,11 +21,11 @@
     let has_templates = |vm: &usize| {
         fleet.node(*vm).is_some_and(|node| node.template_version() > TemplateVersion(0))
     };
-    fleet.usable().iter().filter(|vm| has_templates(vm)).count()
+    fleet.usable_vms().iter().filter(|vm| has_templates(vm)).count()
 }
 
 /// Returns the time in milliseconds until nine in ten VMs are usable, or `None` if it is over 20 s.
-fn restart_time_ms(one_way: u64, megabits: f64, seed: u64) -> Option<u64> {
+fn restart_time_ms(latency_ms: u64, megabits: f64, seed: u64) -> Option<u64> {
     let limits = vec![1_000_000; BUDGETS];
     let regions = vec![VMS / 2, VMS / 2];
     let config = FleetConfig {
@@ -41,7 +41,7 @@
         fleet.kill(vm);
     }
     fleet.advance(DOWNTIME);
-    fleet.link = Some(Link::new(Duration::from_millis(one_way), megabits * 1e6 * FREE_SHARE));
+    fleet.link = Some(Link::new(Duration::from_millis(latency_ms), megabits * 1e6 * FREE_SHARE));
     for vm in 0..VMS {
         fleet.start(vm);
     }
@@ -61,12 +61,12 @@
 fn nine_in_ten_vms_restart_in_time_over_a_thin_link() {
     let max = u64::try_from(RESTART_TIMEOUT.as_millis()).expect("short");
     let mut late = Vec::new();
-    for (one_way, megabits) in [(12, 60.0), (45, 25.0), (60, 15.0)] {
+    for (latency_ms, megabits) in [(12, 60.0), (45, 25.0), (60, 15.0)] {
         for seed in 1..=3 {
-            let took = restart_time_ms(one_way, megabits, seed);
-            println!("{one_way} ms, {megabits} Mbit/s, seed {seed}: {took:?} ms");
+            let took = restart_time_ms(latency_ms, megabits, seed);
+            println!("{latency_ms} ms, {megabits} Mbit/s, seed {seed}: {took:?} ms");
             if took.is_none_or(|took| took > max) {
-                late.push((one_way, megabits, seed, took));
+                late.push((latency_ms, megabits, seed, took));
             }
         }
     }
--- a/crates/badgerfield-standin/tests/upstream_list.rs
+++ b/crates/badgerfield-standin/tests/upstream_list.rs
@@ -24,7 +24,7 @@
     })
 }
 
-/// Returns how many VMs watch the platform if each received the list last at this time before now.
+/// Returns how many VMs watch the platform if each last received the list `list_age` ago.
 fn watcher_count(fleet: &Fleet, list_age: Option<Duration>) -> usize {
     let now = Time::from_millis(5_000);
     (0..fleet.size()).filter(|vm| node(fleet, *vm).watches_store(now, list_age)).count()
@@ -249,12 +249,12 @@
             // Each VM receives a different part of the requests, and one VM has no threshold for
             // long prompts.
             let n = u32::try_from(vm).expect("few VMs");
-            let long_from = if vm == 0 { 0 } else { 2700 };
+            let threshold = if vm == 0 { 0 } else { 2700 };
             let own = EngineDemand {
                 service: 7,
                 short: n * 10,
                 long: 500 - n * 10,
-                long_threshold: long_from,
+                long_threshold: threshold,
             };
             let commands = node(&fleet, vm).handle(fleet.now, Event::EngineDemand(vec![own]));
             divisions.extend(commands.into_iter().filter_map(|command| match command {
