--- a/crates/badgerfield-standin/src/fleet/evacuations.rs
+++ b/crates/badgerfield-standin/src/fleet/evacuations.rs
@@ -11,14 +11,14 @@
 use super::{Fleet, ScheduledAction};
 
 /// The time since a VM last received the list of upstreams. It is shorter than the interval
-/// between two reads of the VMs that watch the platform.
+/// between two reads of the VMs that watch the store.
 const LIST_AGE: Duration = Duration::from_millis(400);
 
 impl Fleet {
     /// Evacuates or restores a failure domain, as an operator does. Returns `false` if the store is
     /// down.
     ///
-    /// VMs that watch the platform receive the change.
+    /// VMs that watch the store receive the change.
     pub fn evacuate(&mut self, domain: &Domain, evacuated: bool) -> bool {
         if self.store.down {
             return false;
--- a/crates/badgerfield-standin/src/server.rs
+++ b/crates/badgerfield-standin/src/server.rs
@@ -83,7 +83,8 @@
             tokio::spawn(async move {
                 let service =
                     service_fn(move |request| handle_request(Arc::clone(&handler), request));
-                // An error means that the caller disconnected, or that the reply is dropped on purpose.
+                // An error means that the caller disconnected, or that the reply is dropped on
+                // purpose.
                 let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
             });
         }
--- a/crates/badgerfield-standin/tests/evacuations.rs
+++ b/crates/badgerfield-standin/tests/evacuations.rs
@@ -11,11 +11,11 @@
 /// The interval at which the VMs are checked while an update is distributed.
 const STEP: Duration = Duration::from_millis(10);
 
-fn fleet(vms: usize, noise: u64, seed: u64) -> Fleet {
+fn fleet(vms: usize, noise_permille: u64, seed: u64) -> Fleet {
     Fleet::started(FleetConfig {
         regions: vec![vms],
         seals: true,
-        noise_permille: noise,
+        noise_permille,
         seed,
         ..FleetConfig::default()
     })
@@ -41,14 +41,14 @@
 fn updates_reach_all_vms_in_time_with_few_messages() {
     for vms in [6, 87, 300] {
         let mut fleet = fleet(vms, 10, 1);
-        let zone = domain("d-1");
+        let domain = domain("d-1");
         let before = fleet.messages().get("evacuations").copied().unwrap_or_default();
         assert_eq!(before, (0, 0), "updates were sent without an evacuation");
-        assert!(fleet.evacuate(&zone, true));
+        assert!(fleet.evacuate(&domain, true));
         let (evacuated, sent) =
-            (wait_until_evacuated(&mut fleet, &zone, vms), fleet.messages()["evacuations"]);
-        assert!(fleet.evacuate(&zone, false));
-        let restored = wait_until_evacuated(&mut fleet, &zone, 0);
+            (wait_until_evacuated(&mut fleet, &domain, vms), fleet.messages()["evacuations"]);
+        assert!(fleet.evacuate(&domain, false));
+        let restored = wait_until_evacuated(&mut fleet, &domain, 0);
         println!(
             "{vms} VMs: evacuated after {evacuated:?}, restored after {restored:?}, \
              {sent:?} messages, bytes"
@@ -92,13 +92,13 @@
 fn change_missed_by_all_watches_is_found_by_reading() {
     for vms in [6, 87] {
         let mut fleet = fleet(vms, 0, 3);
-        let zone = domain("d-1");
+        let domain = domain("d-1");
         fleet.store.partitioned_regions.insert(0);
-        assert!(fleet.evacuate(&zone, true));
+        assert!(fleet.evacuate(&domain, true));
         fleet.advance(Duration::from_millis(100));
-        assert_eq!(fleet.evacuated_count(&zone), 0, "a watch has reported the change");
+        assert_eq!(fleet.evacuated_count(&domain), 0, "a watch has reported the change");
         fleet.store.partitioned_regions.clear();
-        let took = wait_until_evacuated(&mut fleet, &zone, vms);
+        let took = wait_until_evacuated(&mut fleet, &domain, vms);
         assert!(took <= Duration::from_secs(4), "{vms} VMs: {took:?}");
     }
 }
@@ -109,10 +109,10 @@
 fn all_vms_end_with_the_newest_of_many_changes() {
     for seed in 0..5 {
         let mut fleet = fleet(48, 50, seed);
-        let zones = [domain("d-1"), domain("d-2"), domain("d-3")];
+        let domains = [domain("d-1"), domain("d-2"), domain("d-3")];
         for round in 0..12 {
-            for (n, zone) in zones.iter().enumerate() {
-                fleet.evacuate(zone, (round + n) % 3 != 0);
+            for (n, domain) in domains.iter().enumerate() {
+                fleet.evacuate(domain, (round + n) % 3 != 0);
                 fleet.advance(Duration::from_millis(20));
             }
             if round == 6 {
@@ -120,10 +120,13 @@
                 fleet.start(7);
             }
         }
-        fleet.evacuate(&zones[0], true);
-        fleet.evacuate(&zones[1], false);
-        fleet.evacuate(&zones[2], true);
+        fleet.evacuate(&domains[0], true);
+        fleet.evacuate(&domains[1], false);
+        fleet.evacuate(&domains[2], true);
         fleet.advance(Duration::from_secs(4));
-        assert_eq!(zones.iter().map(|z| fleet.evacuated_count(z)).collect::<Vec<_>>(), [48, 0, 48]);
+        assert_eq!(
+            domains.iter().map(|domain| fleet.evacuated_count(domain)).collect::<Vec<_>>(),
+            [48, 0, 48]
+        );
     }
 }
--- a/crates/badgerfield-standin/tests/large_fleet.rs
+++ b/crates/badgerfield-standin/tests/large_fleet.rs
@@ -134,7 +134,7 @@
     let mut fleet = start(VMS);
     fleet.advance(Duration::from_secs(4));
     let view = fleet.store.view();
-    assert_eq!(view.complete, view.epoch, "the platform's view");
+    assert_eq!(view.complete, view.epoch, "the stored view");
     for node in (0..VMS).filter_map(|vm| fleet.node(vm)) {
         let status = node.status();
         assert_eq!(
--- a/crates/badgerfield-standin/tests/lending.rs
+++ b/crates/badgerfield-standin/tests/lending.rs
@@ -398,7 +398,8 @@
         fleet.advance(Duration::from_secs(8));
         assert_eq!(fleet.truth.overspend(), 0, "seed {seed}");
         end_faults(&mut fleet);
-        // If more tokens than the limit are held and spent, the excess is overspent sooner or later.
+        // If more tokens than the limit are held and spent, the excess is overspent sooner or
+        // later.
         let balance = fleet.balance(0);
         assert_eq!(balance.excess, 0, "seed {seed}: {balance}");
         // In some of many histories the store is unavailable nearly all the time.
--- a/crates/badgerfield-standin/tests/poison.rs
+++ b/crates/badgerfield-standin/tests/poison.rs
@@ -16,11 +16,11 @@
     noisy_fleet(vms, 0, seed)
 }
 
-fn noisy_fleet(vms: usize, noise: u64, seed: u64) -> Fleet {
+fn noisy_fleet(vms: usize, noise_permille: u64, seed: u64) -> Fleet {
     Fleet::started(FleetConfig {
         regions: vec![vms],
         seals: true,
-        noise_permille: noise,
+        noise_permille,
         seed,
         ..FleetConfig::default()
     })
--- a/crates/badgerfield-standin/tests/regions.rs
+++ b/crates/badgerfield-standin/tests/regions.rs
@@ -66,7 +66,7 @@
         assert_eq!(fleet.evacuated_count(&domain), fleet.size(), "not all VMs have the update");
         let crossed = counts_since(&fleet, &before).get("evacuations").copied().unwrap_or_default();
         println!("{region_sizes:?} an evacuation: {crossed:?}");
-        // Three members watch the platform, and each sends the update to one member of each other
+        // Three members watch the store, and each sends the update to one member of each other
         // region. Other messages compare digests before all members have the update.
         let max = u64::try_from(9 * (region_sizes.len() - 1)).expect("few VMs");
         assert!(crossed.0 <= max, "{crossed:?} of {}", fleet.size());
--- a/crates/badgerfield-standin/tests/rollouts.rs
+++ b/crates/badgerfield-standin/tests/rollouts.rs
@@ -1,8 +1,8 @@
 //! Rollouts of good and bad versions in fleets, with and without faults.
 //!
-//! The simulated fleet records as violations: more requests to a bad version than the settings allow,
-//! requests to it long after its 50th bad answer, requests that are cut when an order completes,
-//! and a record that returns to an earlier state.
+//! The simulated fleet records as violations: more requests to a bad version than the settings
+//! allow, requests to it long after its 50th bad answer, requests that are cut when an order
+//! completes, and a record that returns to an earlier state.
 
 use std::time::Duration;
 
@@ -55,8 +55,8 @@
 }
 
 /// Returns the fault of a version that fails this many of a hundred requests.
-fn fail(worse: u32) -> VersionFault {
-    VersionFault { bad_percent: worse, ..VersionFault::default() }
+fn fail(bad_percent: u32) -> VersionFault {
+    VersionFault { bad_percent, ..VersionFault::default() }
 }
 
 /// Guards against a rollout of a good version that is rolled back or late, or that cuts requests.
--- a/crates/badgerfield-standin/tests/seals.rs
+++ b/crates/badgerfield-standin/tests/seals.rs
@@ -80,8 +80,9 @@
     drain(&mut fleet);
     assert_eq!(fleet.truth.overspend(), 0);
     let lost = LIMIT - served_tokens(&fleet);
-    // The lost tokens are the unsealed ones for the next three seconds and those of running requests.
-    // Without seals all tokens held ahead would be lost, which are those for eleven seconds.
+    // The lost tokens are the unsealed ones for the next three seconds and those of running
+    // requests. Without seals all tokens held ahead would be lost, which are those for eleven
+    // seconds.
     assert!(lost <= 4 * DEMAND, "{lost} of {LIMIT} were lost");
 }
 
--- a/crates/badgerfield-standin/tests/upstream_list.rs
+++ b/crates/badgerfield-standin/tests/upstream_list.rs
@@ -1,4 +1,4 @@
-//! Distribution of the list of upstreams: which VMs watch the platform, how updates are broadcast,
+//! Distribution of the list of upstreams: which VMs watch the store, how updates are broadcast,
 //! and how members compare and fetch lists.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,7 +24,7 @@
     })
 }
 
-/// Returns how many VMs watch the platform if each last received the list `list_age` ago.
+/// Returns how many VMs watch the store if each last received the list `list_age` ago.
 fn watcher_count(fleet: &Fleet, list_age: Option<Duration>) -> usize {
     let now = Time::from_millis(5_000);
     (0..fleet.size()).filter(|vm| node(fleet, *vm).watches_store(now, list_age)).count()
@@ -59,7 +59,7 @@
     node.handle(Time::from_millis(millis), Event::Peer(envelope))
 }
 
-/// Returns the update that a watcher of the platform broadcasts for these changes.
+/// Returns the update that a watcher of the store broadcasts for these changes.
 fn update_of(changes: UpstreamListChanges) -> UpstreamUpdate {
     UpstreamUpdate { changes, since: 0, version: ListVersion::default(), reach: 0 }
 }
@@ -76,10 +76,10 @@
     fetched_since(commands).is_some()
 }
 
-/// If all VMs watched the platform, its load would grow with the fleet. If no other VM started to
+/// If all VMs watched the store, its load would grow with the fleet. If no other VM started to
 /// watch when updates stop, a failure of the usual watchers would leave the list outdated.
 #[test]
-fn more_vms_watch_the_platform_if_no_updates_arrive() {
+fn more_vms_watch_the_store_if_no_updates_arrive() {
     let fleet = fleet(VMS);
     assert_eq!(watcher_count(&fleet, Some(Duration::from_millis(400))), 3);
     // A leaving upstream is announced three seconds ahead.
@@ -90,7 +90,7 @@
 
 /// A small fleet has too few VMs to rely on three watchers.
 #[test]
-fn all_vms_of_a_small_fleet_watch_the_platform() {
+fn all_vms_of_a_small_fleet_watch_the_store() {
     let fleet = fleet(6);
     assert_eq!(watcher_count(&fleet, Some(Duration::from_millis(400))), 6);
 }
