--- a/crates/badgerfield-standin/src/fleet/balance.rs
+++ b/crates/badgerfield-standin/src/fleet/balance.rs
@@ -15,7 +15,7 @@
     /// Spent on answers of upstreams.
     pub used: u64,
     /// Remaining in the ledger.
-    pub left: u64,
+    pub remaining: u64,
     /// Available at running processes.
     pub free: u64,
     /// Reserved for running requests.
@@ -45,11 +45,21 @@
 
 impl fmt::Display for Balance {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { limit, used, left, free, reserved, sealed, parked, in_transit, lost, excess } =
-            self;
+        let Self {
+            limit,
+            used,
+            remaining,
+            free,
+            reserved,
+            sealed,
+            parked,
+            in_transit,
+            lost,
+            excess,
+        } = self;
         write!(
             f,
-            "limit={limit} used={used} left={left} free={free} reserved={reserved} \
+            "limit={limit} used={used} left={remaining} free={free} reserved={reserved} \
              sealed={sealed} parked={parked} in_transit={in_transit} lost={lost} excess={excess}"
         )
     }
@@ -67,19 +77,19 @@
         let mut balance = Balance {
             limit: self.truth.allowed(budget),
             used: self.truth.served.get(&budget).copied().unwrap_or(0),
-            left: self.left(budget),
+            remaining: self.remaining(budget),
             ..Balance::default()
         };
         for node in self.vms.iter().filter_map(|vm| vm.node.as_ref()) {
-            let figures = node.balance(&id);
-            balance.free += figures.free.0;
-            balance.reserved += figures.reserved.0;
-            balance.sealed += figures.sealed.0 + figures.returning_sealed.0;
-            balance.parked += figures.parked.0;
-            balance.in_transit += figures.in_transit.0 + figures.returning_free.0;
+            let node_balance = node.balance(&id);
+            balance.free += node_balance.free.0;
+            balance.reserved += node_balance.reserved.0;
+            balance.sealed += node_balance.sealed.0 + node_balance.returning_sealed.0;
+            balance.parked += node_balance.parked.0;
+            balance.in_transit += node_balance.in_transit.0 + node_balance.returning_free.0;
         }
-        let Balance { used, left, free, reserved, sealed, parked, in_transit, .. } = balance;
-        let known = used + left + free + reserved + sealed + parked + in_transit;
+        let Balance { used, remaining, free, reserved, sealed, parked, in_transit, .. } = balance;
+        let known = used + remaining + free + reserved + sealed + parked + in_transit;
         balance.lost = balance.limit.saturating_sub(known);
         balance.excess = known.saturating_sub(balance.limit);
         balance
@@ -111,14 +121,14 @@
         let Some(node) = self.node(vm) else {
             return;
         };
-        let held = (0..self.shape.limits.len()).map(|budget| {
-            let figures = node.balance(&Self::budget(budget));
-            let spendable = figures.free.0 + figures.reserved.0 + figures.sealed.0;
+        let held = (0..self.config.limits.len()).map(|budget| {
+            let node_balance = node.balance(&Self::budget(budget));
+            let spendable = node_balance.free.0 + node_balance.reserved.0 + node_balance.sealed.0;
             spendable
-                + figures.returning_sealed.0
-                + figures.parked.0
-                + figures.in_transit.0
-                + figures.returning_free.0
+                + node_balance.returning_sealed.0
+                + node_balance.parked.0
+                + node_balance.in_transit.0
+                + node_balance.returning_free.0
         });
         let tokens = held.collect();
         self.ended_processes.push(EndedProcess { vm, at: self.now, tokens });
--- a/crates/badgerfield-standin/src/fleet/evacuations.rs
+++ b/crates/badgerfield-standin/src/fleet/evacuations.rs
@@ -11,20 +11,20 @@
 use super::{Fleet, ScheduledAction};
 
 /// The time since a VM last received the list of upstreams. It is shorter than the interval
-/// between two reads of the VMs that watch the platform.
+/// between two reads of the VMs that watch the store.
 const LIST_AGE: Duration = Duration::from_millis(400);
 
 impl Fleet {
     /// Evacuates or restores a failure domain, as an operator does. Returns `false` if the store is
     /// down.
     ///
-    /// VMs that watch the platform receive the change.
+    /// VMs that watch the store receive the change.
     pub fn evacuate(&mut self, domain: &Domain, evacuated: bool) -> bool {
-        if self.platform.down {
+        if self.store.down {
             return false;
         }
-        let change = self.platform.evacuate(domain, evacuated);
-        let at = self.now.after(self.platform.delay());
+        let change = self.store.evacuate(domain, evacuated);
+        let at = self.now.after(self.store.delay());
         let watchers: Vec<_> = (0..self.size()).filter(|vm| self.watches(*vm)).collect();
         for vm in watchers {
             let event = Event::OperatorChanges(OperatorChanges {
@@ -65,7 +65,8 @@
 
     pub(super) fn watches(&self, vm: usize) -> bool {
         let region = self.region_of(vm);
-        let Some(node) = self.node(vm).filter(|_| !self.platform.cut_regions.contains(&region))
+        let Some(node) =
+            self.node(vm).filter(|_| !self.store.partitioned_regions.contains(&region))
         else {
             return false;
         };
--- a/crates/badgerfield-standin/src/fleet/mod.rs
+++ b/crates/badgerfield-standin/src/fleet/mod.rs
@@ -8,14 +8,14 @@
 
 mod balance;
 mod callers;
+mod config;
 mod crashes;
 mod evacuations;
 mod link;
-mod platform;
 mod processes;
 mod rollouts;
-mod shape;
 mod steps;
+mod store;
 mod truth;
 mod upstreams;
 
@@ -33,11 +33,11 @@
 use rand_chacha::ChaCha8Rng;
 
 pub use balance::{Balance, EndedProcess};
+pub use config::{FleetConfig, RequestSpec, account, engines, member, region_name, secret};
+use config::{account_template, budget_template, incoming_request};
 pub use link::Link;
-pub use platform::Platform;
 pub use rollouts::{RolloutTruth, Traffic, VersionFault, service, version};
-pub use shape::{Shape, Wish, account, engines, member, region_name, secret};
-use shape::{account_template, arrival_of, budget_template};
+pub use store::FakeStore;
 pub use truth::{Truth, key_of};
 use upstreams::Upstreams;
 
@@ -53,8 +53,8 @@
 /// How a request ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum End {
-    /// The whole answer arrived; it cost this many tokens.
-    Whole(Tokens),
+    /// The complete answer arrived; it cost this many tokens.
+    Complete(Tokens),
     /// The request was refused.
     Refused(Refusal),
     /// The answer ended early.
@@ -65,17 +65,17 @@
 
 /// A request, as seen by its caller.
 #[derive(Debug, Clone)]
-pub struct Asked {
+pub struct CallerRequest {
     /// The content of the request.
-    pub wish: Wish,
-    /// The VM that received the request.
+    pub spec: RequestSpec,
+    /// The VM to which the request was sent.
     pub vm: usize,
     /// When the request was sent.
-    pub at: Time,
+    pub sent_at: Time,
     /// When the head of the answer arrived.
     pub head_at: Option<Time>,
     /// When the request first reached an upstream.
-    pub sent: Option<Time>,
+    pub dispatched_at: Option<Time>,
     /// The parts of the answer that have arrived.
     pub data: Vec<u64>,
     /// How and when the request ended.
@@ -119,22 +119,22 @@
     /// The current time.
     pub now: Time,
     /// The store.
-    pub platform: Platform,
+    pub store: FakeStore,
     /// What upstreams ran, and what was billed.
     pub truth: Truth,
     /// All requests, by id.
-    pub asked: BTreeMap<RequestId, Asked>,
+    pub requests: BTreeMap<RequestId, CallerRequest>,
     /// The templates that the operator wrote last.
     pub templates: TemplateSet,
     /// Rollouts, and the requests that versions received.
     pub rollouts: RolloutTruth,
     /// Violations of the product's guarantees that the simulation has found.
-    pub faults: Vec<String>,
+    pub violations: Vec<String>,
     /// The link between regions, if its bandwidth is limited.
     pub link: Option<Link>,
     /// Links of single VMs on which answers to callers leave little bandwidth.
     pub full_links: BTreeMap<usize, Link>,
-    shape: Shape,
+    config: FleetConfig,
     vms: Vec<Vm>,
     upstreams: Upstreams,
     scheduled: BTreeMap<(Time, u64), ScheduledAction>,
@@ -158,17 +158,17 @@
 impl Fleet {
     /// Creates a fleet whose processes have not started.
     #[must_use]
-    pub fn new(shape: Shape) -> Self {
-        let rng = ChaCha8Rng::seed_from_u64(shape.seed);
-        let upstreams = Upstreams::new(shape.engines);
+    pub fn new(config: FleetConfig) -> Self {
+        let rng = ChaCha8Rng::seed_from_u64(config.seed);
+        let upstreams = Upstreams::new(config.engines);
         let mut fleet = Self {
             now: Time::from_millis(1000),
-            platform: Platform::default(),
+            store: FakeStore::default(),
             truth: Truth::default(),
-            asked: BTreeMap::new(),
-            rollouts: RolloutTruth::new(shape.seed),
+            requests: BTreeMap::new(),
+            rollouts: RolloutTruth::new(config.seed),
             templates: TemplateSet::default(),
-            faults: Vec::new(),
+            violations: Vec::new(),
             link: None,
             full_links: BTreeMap::new(),
             vms: Vec::new(),
@@ -187,7 +187,7 @@
             messages: BTreeMap::new(),
             cross_region_messages: BTreeMap::new(),
             vm_of: HashMap::new(),
-            shape,
+            config,
         };
         fleet.make_templates();
         fleet.make_vms();
@@ -196,8 +196,8 @@
 
     /// Creates a fleet, starts all processes and advances the time by five seconds.
     #[must_use]
-    pub fn started(shape: Shape) -> Self {
-        let mut fleet = Self::new(shape);
+    pub fn started(config: FleetConfig) -> Self {
+        let mut fleet = Self::new(config);
         for vm in 0..fleet.vms.len() {
             fleet.start(vm);
         }
@@ -219,7 +219,7 @@
 
     /// Returns the VMs whose processes are ready and not suspended.
     #[must_use]
-    pub fn usable(&self) -> Vec<usize> {
+    pub fn usable_vms(&self) -> Vec<usize> {
         let usable = |vm: &Vm| !vm.is_suspended && vm.node.as_ref().is_some_and(Node::is_ready);
         (0..self.vms.len()).filter(|i| usable(&self.vms[*i])).collect()
     }
@@ -229,7 +229,7 @@
     /// If no VM of the region is usable, a VM of another region answers.
     #[must_use]
     pub fn directory(&self, region: usize) -> Vec<usize> {
-        let usable = self.usable();
+        let usable = self.usable_vms();
         let near = usable.iter().find(|i| self.region_of(**i) == region);
         near.or_else(|| usable.first()).map(|vm| self.directory_of(*vm)).unwrap_or_default()
     }
@@ -245,16 +245,16 @@
 
     /// Returns whether the process of a VM runs.
     #[must_use]
-    pub fn runs(&self, vm: usize) -> bool {
+    pub fn is_running(&self, vm: usize) -> bool {
         self.vms[vm].node.is_some()
     }
 
     /// Returns the tokens of a budget that remain in the ledger.
     #[must_use]
-    pub fn left(&self, budget: usize) -> u64 {
+    pub fn remaining(&self, budget: usize) -> u64 {
         let id = Self::budget(budget);
-        let shard = badgerfield_core::ledger::shard_of(&id, self.shape.shards);
-        self.platform.ledger(shard).budgets.get(&id).map_or(0, |entry| entry.remaining().0)
+        let shard = badgerfield_core::ledger::shard_of(&id, self.config.shards);
+        self.store.ledger(shard).budgets.get(&id).map_or(0, |entry| entry.remaining().0)
     }
 
     /// Returns the tokens of a budget that running processes hold.
@@ -263,9 +263,9 @@
         let id = Self::budget(budget);
         let mut held = 0;
         for node in self.vms.iter().filter_map(|vm| vm.node.as_ref()) {
-            let figures = node.balance(&id);
-            let spendable = figures.free.0 + figures.reserved.0 + figures.sealed.0;
-            held += spendable + figures.parked.0 + figures.in_transit.0;
+            let balance = node.balance(&id);
+            let spendable = balance.free.0 + balance.reserved.0 + balance.sealed.0;
+            held += spendable + balance.parked.0 + balance.in_transit.0;
         }
         held
     }
@@ -294,7 +294,7 @@
     pub fn remove_vm_from_list(&mut self, index: usize) {
         let name = self.vms[index].member.vm.clone();
         self.list.vms.retain(|vm| vm.vm != name);
-        self.publish();
+        self.publish_vm_list();
     }
 
     /// Marks an upstream as leaving in the list of VMs, which reaches the processes after a delay.
@@ -304,12 +304,12 @@
                 vm.leaving = true;
             }
         }
-        self.publish();
+        self.publish_vm_list();
     }
 
     /// Writes changed templates, as an operator does. Returns whether they are valid and the store
     /// accepted them.
-    pub fn apply(&mut self, change: impl FnOnce(&mut TemplateSet)) -> bool {
+    pub fn change_templates(&mut self, change: impl FnOnce(&mut TemplateSet)) -> bool {
         let mut wanted = self.templates.clone();
         change(&mut wanted);
         let author = "operator".parse().unwrap_or_else(|_| unreachable!("the name is valid"));
@@ -317,7 +317,7 @@
         let Ok(next) = self.templates.replace(wanted, author, 0, mark) else {
             return false;
         };
-        if !self.platform.write_templates(&next) {
+        if !self.store.write_templates(&next) {
             return false;
         }
         self.truth.record_limits(&next);
@@ -340,7 +340,7 @@
     #[must_use]
     pub fn region_of(&self, index: usize) -> usize {
         let mut first = 0;
-        for (region, size) in self.shape.regions.iter().enumerate() {
+        for (region, size) in self.config.regions.iter().enumerate() {
             first += size;
             if index < first {
                 return region;
@@ -356,21 +356,21 @@
         };
         let version = node.template_version();
         if version < vm.version {
-            self.faults.push(format!("templates went back from {} to {version}", vm.version));
+            self.violations.push(format!("templates went back from {} to {version}", vm.version));
         }
         vm.version = version;
     }
 
-    fn publish(&mut self) {
+    fn publish_vm_list(&mut self) {
         self.list.version += 1;
         let delay = Duration::from_secs(3);
         self.schedule(self.now.after(delay), ScheduledAction::DeliverVmList);
     }
 
     fn make_templates(&mut self) {
-        let limits = self.shape.limits.clone();
-        let spread = Percent::new(self.shape.spread).unwrap_or_else(|_| unreachable!("a share"));
-        self.apply(|set| {
+        let limits = self.config.limits.clone();
+        let spread = Percent::new(self.config.spread).unwrap_or_else(|_| unreachable!("a share"));
+        self.change_templates(|set| {
             for (i, limit) in limits.iter().enumerate() {
                 let account: Account =
                     format!("account-{i}").parse().unwrap_or_else(|_| unreachable!());
@@ -383,9 +383,9 @@
     fn make_vms(&mut self) {
         self.list.vms = self.upstreams.entries();
         let mut index = 0;
-        for (region, size) in self.shape.regions.clone().into_iter().enumerate() {
+        for (region, size) in self.config.regions.clone().into_iter().enumerate() {
             for offset in 0..size {
-                let domain = offset % self.shape.domains.max(1);
+                let domain = offset % self.config.domains.max(1);
                 let member = member(index, region, domain, Incarnation(0));
                 let entry = VmEntry { vm: member.vm.clone(), leaving: false, upstream: None };
                 self.list.vms.push(entry);
--- a/crates/badgerfield-standin/src/fleet/processes.rs
+++ b/crates/badgerfield-standin/src/fleet/processes.rs
@@ -12,7 +12,7 @@
 impl Fleet {
     /// Starts the process of a VM as a new incarnation.
     pub fn start(&mut self, index: usize) {
-        let incarnation = Incarnation(self.next_incarnation * 7919 + self.shape.seed);
+        let incarnation = Incarnation(self.next_incarnation * 7919 + self.config.seed);
         self.next_incarnation += 1;
         let seed = self.rng.random();
         let pacing = self.pacing();
@@ -26,7 +26,7 @@
         vm.gateway = super::rollouts::Gateway::default();
         vm.node = Some(Node::new(Config {
             member: vm.member.clone(),
-            ledger_shards: self.shape.shards,
+            ledger_shards: self.config.shards,
             key_retention: Duration::from_mins(15),
             answer_retention: Duration::from_mins(2),
             max_answer_bytes: 1_000_000,
@@ -42,7 +42,7 @@
     }
 
     pub(super) fn pacing(&self) -> Pacing {
-        if !self.shape.seals {
+        if !self.config.seals {
             return Pacing::default();
         }
         Pacing {
@@ -59,7 +59,7 @@
 
     /// Returns the wall-clock time of a VM, in milliseconds since 1970.
     ///
-    /// It is wrong by the offset that [`Fleet::step_clock`] has set.
+    /// It is wrong by the offset that [`Fleet::set_clock_offset`] has set.
     pub(super) fn wall_clock(&self, index: usize) -> u64 {
         let truth = CLOCK_START_MS
             .saturating_add(u64::try_from(self.now.0.as_millis()).unwrap_or(u64::MAX));
@@ -68,13 +68,13 @@
     }
 
     /// Sets the offset of a VM's wall clock from the correct time.
-    pub fn step_clock(&mut self, index: usize, millis: i64) {
+    pub fn set_clock_offset(&mut self, index: usize, millis: i64) {
         self.clock_offsets_ms.insert(index, millis);
     }
 
     /// Returns how many processes were killed.
     #[must_use]
-    pub fn kills(&self) -> u64 {
+    pub fn kill_count(&self) -> u64 {
         self.kills
     }
 
@@ -90,20 +90,20 @@
         vm.node = None;
         vm.is_suspended = false;
         vm.backlog.clear();
-        for asked in self.asked.values_mut() {
-            if asked.vm == index && asked.end.is_none() {
-                asked.end = Some((End::Lost, self.now));
+        for request in self.requests.values_mut() {
+            if request.vm == index && request.end.is_none() {
+                request.end = Some((End::Lost, self.now));
             }
         }
     }
 
     /// Suspends the process of a VM. Events wait until the process is resumed.
-    pub fn freeze(&mut self, index: usize) {
+    pub fn suspend(&mut self, index: usize) {
         self.vms[index].is_suspended = self.vms[index].node.is_some();
     }
 
     /// Resumes a suspended process, which then handles the events that have waited.
-    pub fn thaw(&mut self, index: usize) {
+    pub fn resume(&mut self, index: usize) {
         if !std::mem::replace(&mut self.vms[index].is_suspended, false) {
             return;
         }
@@ -119,17 +119,17 @@
         self.deliver(index, Event::Stop);
     }
 
-    /// Partitions a region from the others, and also from the store if `platform` is set.
-    pub fn cut(&mut self, region: usize, platform: bool) {
+    /// Partitions a region from the others, and also from the store if `from_store` is set.
+    pub fn partition(&mut self, region: usize, from_store: bool) {
         self.partitioned_regions.insert(region);
-        if platform {
-            self.platform.cut_regions.insert(region);
+        if from_store {
+            self.store.partitioned_regions.insert(region);
         }
     }
 
     /// Ends all partitions of regions.
-    pub fn heal(&mut self) {
+    pub fn end_partitions(&mut self) {
         self.partitioned_regions.clear();
-        self.platform.cut_regions.clear();
+        self.store.partitioned_regions.clear();
     }
 }
--- a/crates/badgerfield-standin/src/fleet/rollouts.rs
+++ b/crates/badgerfield-standin/src/fleet/rollouts.rs
@@ -56,7 +56,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct VersionFault {
     /// How many of a hundred answers are bad.
-    pub worse: u32,
+    pub bad_percent: u32,
     /// Whether bad answers are slow; otherwise they fail.
     pub slow: bool,
     /// The route on which the version is bad, if it is only one.
@@ -147,10 +147,10 @@
     /// Orders a rollout, or withdraws the newest order if `order` is `None`. Returns `false` if the
     /// store is down.
     pub fn roll_out(&mut self, order: Option<RolloutOrder>) -> bool {
-        if self.platform.down {
+        if self.store.down {
             return false;
         }
-        let revision = self.platform.next_revision();
+        let revision = self.store.next_revision();
         let change = OrderChange { service: service(), revision, order };
         let truth = &mut self.rollouts;
         truth.orders.insert(service(), change.clone());
@@ -158,7 +158,7 @@
         truth.ended = None;
         truth.request_count = 0;
         truth.counts.clear();
-        let at = self.now.after(self.platform.delay());
+        let at = self.now.after(self.store.delay());
         for vm in (0..self.size()).filter(|vm| self.watches(*vm)).collect::<Vec<_>>() {
             let event = Event::OperatorChanges(OperatorChanges {
                 revision,
@@ -180,8 +180,8 @@
     /// bad answers, and how many requests all versions received.
     #[must_use]
     pub fn request_counts(&self, name: &str) -> (u64, u64, u64) {
-        let got = self.rollouts.counts.get(&version(name)).copied().unwrap_or_default();
-        (got.sent, got.bad, self.rollouts.request_count)
+        let counts = self.rollouts.counts.get(&version(name)).copied().unwrap_or_default();
+        (counts.sent, counts.bad, self.rollouts.request_count)
     }
 
     pub(super) fn apply_rules(&mut self, vm: usize, rules: Vec<RolloutRule>) {
@@ -208,7 +208,7 @@
             self.vms[vm].gateway.request_credit += self.rollouts.traffic.requests_per_second;
             while self.vms[vm].gateway.request_credit >= 20 {
                 self.vms[vm].gateway.request_credit -= 20;
-                self.send_request(vm);
+                self.send_gateway_request(vm);
             }
         }
         let tallies = self.vms[vm].gateway.due_tallies(now);
@@ -217,7 +217,7 @@
         }
     }
 
-    fn send_request(&mut self, vm: usize) {
+    fn send_gateway_request(&mut self, vm: usize) {
         let now = self.now;
         let route = self.rollouts.rng.random_range(0..ROUTES);
         let target = self.vms[vm].gateway.choose_target(route);
@@ -230,11 +230,11 @@
         let max = if truth.rng.random_range(0..requests_per_long) == 0 { long } else { normal };
         let run_time = Duration::from_millis(truth.rng.random_range(20..max));
         truth.request_count += 1;
-        let got = truth.counts.entry(version.clone()).or_default();
-        got.sent += 1;
-        got.bad += u64::from(counts.bad());
-        if got.bad >= MAX_BAD_ANSWERS {
-            got.rollback_due_since.get_or_insert(now);
+        let version_counts = truth.counts.entry(version.clone()).or_default();
+        version_counts.sent += 1;
+        version_counts.bad += u64::from(counts.bad());
+        if version_counts.bad >= MAX_BAD_ANSWERS {
+            version_counts.rollback_due_since.get_or_insert(now);
         }
         let gateway = &mut self.vms[vm].gateway;
         gateway.running.push((version.clone(), now.after(run_time)));
@@ -246,17 +246,19 @@
     fn check_sent(&mut self, vm: usize, version: &SoftwareVersion) {
         let now = self.now;
         let is_connected =
-            self.partitioned_regions.is_empty() && self.platform.cut_regions.is_empty();
-        let due_since = self.rollouts.counts.get(version).and_then(|got| got.rollback_due_since);
+            self.partitioned_regions.is_empty() && self.store.partitioned_regions.is_empty();
+        let due_since =
+            self.rollouts.counts.get(version).and_then(|counts| counts.rollback_due_since);
         let is_bad = self.rollouts.traffic.bad_versions.contains_key(version);
         if is_connected && is_bad && due_since.is_some_and(|at| now.since(at) > ROLLBACK_TIMEOUT) {
-            self.faults.push(format!("VM {vm} sent to {version} long after its 50th bad answer"));
+            self.violations
+                .push(format!("VM {vm} sent to {version} long after its 50th bad answer"));
         }
         let record = self.rollouts.record.as_ref();
         let is_other_completed =
             record.is_some_and(|r| r.state == RolloutState::Completed && r.target != *version);
         if is_other_completed && self.is_in_view(vm) {
-            self.faults.push(format!("VM {vm} sent to {version}, which has ended"));
+            self.violations.push(format!("VM {vm} sent to {version}, which has ended"));
         }
     }
 
@@ -268,18 +270,18 @@
         let (sent, _, all) = self.request_counts(version.as_str());
         let (sent, all) = (to_f64(sent), to_f64(all));
         if sent > MAX_BAD_SHARE * all + EXTRA_REQUESTS {
-            self.faults.push(format!("{version} got {sent} of {all} requests"));
+            self.violations.push(format!("{version} got {sent} of {all} requests"));
         }
     }
 
     fn is_in_view(&self, vm: usize) -> bool {
-        self.runs(vm) && self.platform.view().has_member(self.vms[vm].member.incarnation)
+        self.is_running(vm) && self.store.view().has_member(self.vms[vm].member.incarnation)
     }
 
     /// Checks a change of the stored record. If the order has completed, the target becomes the
-    /// version in use, and running requests at other versions are faults.
+    /// version in use, and running requests at other versions are violations.
     pub(super) fn check_record_change(&mut self) {
-        let value = self.platform.value(&StoreKey::Rollout(service()));
+        let value = self.store.value(&StoreKey::Rollout(service()));
         let Ok(Some(next)) = RolloutRecord::decode(value.as_deref()) else {
             return;
         };
@@ -291,7 +293,7 @@
                 || next.order == last.order
                     && (last.state.is_final() || last.moving && !next.moving);
             if is_regression {
-                self.faults.push(format!("the record went from {last:?} to {next:?}"));
+                self.violations.push(format!("the record went from {last:?} to {next:?}"));
             }
         }
         let newest = self.rollouts.orders.get(&service());
@@ -306,7 +308,7 @@
                 };
                 let cut = self.vms[vm].gateway.running.iter().filter(is_cut).count();
                 if cut > 0 {
-                    self.faults.push(format!("{cut} requests of VM {vm} were cut"));
+                    self.violations.push(format!("{cut} requests of VM {vm} were cut"));
                 }
             }
         }
@@ -357,7 +359,7 @@
         };
         let is_bad = now.since(self.ordered_at) >= bad.after
             && bad.route.is_none_or(|only| only == route)
-            && self.rng.random_range(0..100) < bad.worse;
+            && self.rng.random_range(0..100) < bad.bad_percent;
         if is_bad && counts.failed == 0 {
             counts.slow = u32::from(bad.slow);
             counts.failed = u32::from(!bad.slow);
--- a/crates/badgerfield-standin/src/fleet/truth.rs
+++ b/crates/badgerfield-standin/src/fleet/truth.rs
@@ -10,7 +10,7 @@
 use badgerfield_core::template::TemplateSet;
 
 use super::upstreams::{expected_part, part_count};
-use super::{End, Fleet, Wish};
+use super::{End, Fleet, RequestSpec};
 
 /// What upstreams ran and what was billed.
 #[derive(Debug, Default)]
@@ -57,10 +57,10 @@
             .sum()
     }
 
-    pub(super) fn record_run(&mut self, wish: &Wish, upstream: &UpstreamId, now: Time) {
+    pub(super) fn record_run(&mut self, spec: &RequestSpec, upstream: &UpstreamId, now: Time) {
         let dispatches = self.dispatches.entry(upstream.clone()).or_default();
         *dispatches = (dispatches.0 + 1, now);
-        if let Some(key) = key_of(wish) {
+        if let Some(key) = key_of(spec) {
             *self.runs.entry(key).or_default() += 1;
         }
     }
@@ -81,9 +81,15 @@
         *entry = (entry.0 + 1, entry.1.saturating_add(bill.cost));
     }
 
-    /// Checks the end of a request against this record, and adds violations to `faults`.
-    pub(super) fn check_end(&self, wish: &Wish, end: &End, data: &[u64], faults: &mut Vec<String>) {
-        let Some(key) = key_of(wish) else {
+    /// Checks the end of a request against this record, and adds what it finds to `violations`.
+    pub(super) fn check_end(
+        &self,
+        spec: &RequestSpec,
+        end: &End,
+        data: &[u64],
+        violations: &mut Vec<String>,
+    ) {
+        let Some(key) = key_of(spec) else {
             return;
         };
         let ran = self.runs.get(&key).copied().unwrap_or(0);
@@ -93,16 +99,16 @@
             && (ran > 0 || billed > 0)
         {
             let cause = refusal.cause;
-            faults.push(format!("{key} ran {ran} times, but was refused as not run: {cause}"));
+            violations.push(format!("{key} ran {ran} times, but was refused as not run: {cause}"));
         }
         let name = key.to_string();
         let expected: Vec<_> =
-            (0..part_count(wish.service)).map(|i| expected_part(&name, i as u64)).collect();
-        if matches!(end, End::Whole(_)) && data != expected {
-            faults.push(format!("{key} got {data:?} as a whole answer"));
+            (0..part_count(spec.service)).map(|i| expected_part(&name, i as u64)).collect();
+        if matches!(end, End::Complete(_)) && data != expected {
+            violations.push(format!("{key} got {data:?} as a complete answer"));
         }
         if !expected.starts_with(data) {
-            faults.push(format!("{key} got {data:?}, which is not its answer"));
+            violations.push(format!("{key} got {data:?}, which is not its answer"));
         }
     }
 
@@ -133,7 +139,7 @@
 
 /// Returns the system's key of a request, if the caller set one.
 #[must_use]
-pub fn key_of(wish: &Wish) -> Option<RequestKey> {
-    let key = wish.key.as_ref()?;
-    Some(RequestKey::new(&Fleet::budget(wish.budget), key))
+pub fn key_of(spec: &RequestSpec) -> Option<RequestKey> {
+    let key = spec.key.as_ref()?;
+    Some(RequestKey::new(&Fleet::budget(spec.budget), key))
 }
--- a/crates/badgerfield-standin/src/measure/ours.rs
+++ b/crates/badgerfield-standin/src/measure/badgerfield.rs
@@ -8,15 +8,15 @@
 
 use super::workload::{ACCOUNTS, CASE_DURATION, VMS};
 use super::{Arrival, Case, CaseResult, Fault, System, percentile};
-use crate::fleet::{End, Fleet, Shape, Wish};
+use crate::fleet::{End, Fleet, FleetConfig, RequestSpec};
 
 /// The time for which a caller caches an answer of the directory.
 const DIRECTORY_TTL: Duration = Duration::from_secs(2);
 
 /// Badgerfield, with one simulated node for each VM.
-pub struct Ours;
+pub struct Badgerfield;
 
-impl System for Ours {
+impl System for Badgerfield {
     fn name(&self) -> &'static str {
         "badgerfield"
     }
@@ -38,13 +38,13 @@
 
 impl Run {
     fn new(case: &Case) -> Self {
-        let shape = Shape {
+        let config = FleetConfig {
             regions: vec![VMS / 2, VMS / 2],
             limits: case.limits.clone(),
             seed: case.seed,
-            ..Shape::default()
+            ..FleetConfig::default()
         };
-        let fleet = Fleet::started(shape);
+        let fleet = Fleet::started(config);
         Self {
             fleet,
             result: CaseResult::default(),
@@ -56,7 +56,7 @@
 
     fn finish(mut self, case: &Case) -> CaseResult {
         let start = self.fleet.now.0;
-        let calls = self.fleet.platform.reads + self.fleet.platform.writes;
+        let calls = self.fleet.store.reads + self.fleet.store.writes;
         let mut faults = case.faults.iter().copied().peekable();
         for arrival in &case.arrivals {
             while let Some((at, fault)) = faults.next_if(|(at, _)| *at <= arrival.at) {
@@ -67,10 +67,14 @@
             self.send_request(*arrival, arrival.vm);
         }
         self.advance_to(start + CASE_DURATION);
-        let calls = self.fleet.platform.reads + self.fleet.platform.writes - calls;
+        let calls = self.fleet.store.reads + self.fleet.store.writes - calls;
         self.advance_to(start + CASE_DURATION + Duration::from_secs(10));
-        let mut delays: Vec<_> =
-            self.fleet.asked.values().filter_map(|a| Some(a.sent?.since(a.at))).collect();
+        let mut delays: Vec<_> = self
+            .fleet
+            .requests
+            .values()
+            .filter_map(|r| Some(r.dispatched_at?.since(r.sent_at)))
+            .collect();
         delays.sort_unstable();
         self.result.dispatch_delay = (percentile(&delays, 50), percentile(&delays, 99));
         self.result.overspend = self.fleet.truth.overspend();
@@ -91,10 +95,17 @@
 
     fn send_request(&mut self, arrival: Arrival, vm: usize) {
         let (account, prompt, output) = (arrival.account, arrival.prompt, arrival.output);
-        let wish = Wish { budget: account, key: None, once: false, service: false, prompt, output };
+        let spec = RequestSpec {
+            budget: account,
+            key: None,
+            at_most_once: false,
+            service: false,
+            prompt,
+            output,
+        };
         self.result.requests += 1;
         let vm = self.choose_vm(vm);
-        let id = self.fleet.ask(vm, wish);
+        let id = self.fleet.send_request(vm, spec);
         self.reserved[account] += arrival.max_cost();
         self.open_requests.insert(id, arrival);
         self.classify_ended();
@@ -111,7 +122,7 @@
         for other in &listed {
             self.listed_at[*other] = now;
         }
-        let is_usable = now.since(self.listed_at[vm]) <= DIRECTORY_TTL && self.fleet.runs(vm);
+        let is_usable = now.since(self.listed_at[vm]) <= DIRECTORY_TTL && self.fleet.is_running(vm);
         if is_usable {
             return vm;
         }
@@ -124,7 +135,7 @@
         let ended: Vec<_> = self
             .open_requests
             .keys()
-            .filter_map(|id| Some((*id, self.fleet.asked.get(id)?.end.clone()?.0)))
+            .filter_map(|id| Some((*id, self.fleet.requests.get(id)?.end.clone()?.0)))
             .collect();
         for (id, end) in ended {
             let Some(arrival) = self.open_requests.remove(&id) else {
@@ -132,10 +143,10 @@
             };
             self.reserved[arrival.account] -= arrival.max_cost();
             match end {
-                End::Whole(_) | End::Broken(_) => {}
+                End::Complete(_) | End::Broken(_) => {}
                 End::Lost => self.result.lost += 1,
                 End::Refused(refusal) if self.ideal_ledger_admits(&arrival) => {
-                    self.result.refused += 1;
+                    self.result.false_refusals += 1;
                     *self.result.causes.entry(refusal.cause.code()).or_default() += 1;
                 }
                 End::Refused(_) => self.result.spent_out += 1,
@@ -148,7 +159,7 @@
         let account = arrival.account;
         let served = self.fleet.truth.served.get(&account).copied().unwrap_or(0);
         // Tokens served to running requests are already counted in their reservations.
-        let served_running: u64 = self.fleet.running(account);
+        let served_running: u64 = self.fleet.served_to_running_streams(account);
         let served_ended = served.saturating_sub(served_running);
         let used = served_ended + self.reserved[account];
         self.fleet.truth.allowed(account).saturating_sub(used) >= arrival.max_cost()
@@ -157,18 +168,18 @@
     fn apply_fault(&mut self, fault: Fault) {
         let fleet = &mut self.fleet;
         match fault {
-            Fault::PlatformDown(down) => fleet.platform.down = down,
-            Fault::RegionCut(true) => fleet.cut(1, true),
-            Fault::RegionCut(false) => fleet.heal(),
+            Fault::StoreDown(down) => fleet.store.down = down,
+            Fault::RegionCut(true) => fleet.partition(1, true),
+            Fault::RegionCut(false) => fleet.end_partitions(),
             Fault::Kill(vm) => fleet.kill(vm),
             Fault::Start(vm) => {
-                if !fleet.runs(vm) {
+                if !fleet.is_running(vm) {
                     fleet.start(vm);
                 }
             }
             Fault::Stop(vm) => fleet.stop(vm),
-            Fault::Freeze(vm, true) => fleet.freeze(vm),
-            Fault::Freeze(vm, false) => fleet.thaw(vm),
+            Fault::Suspend(vm, true) => fleet.suspend(vm),
+            Fault::Suspend(vm, false) => fleet.resume(vm),
         }
     }
 
@@ -178,7 +189,7 @@
         let mut stranded = 0;
         for (account, limit) in case.limits.iter().enumerate() {
             let served = self.fleet.truth.served.get(&account).copied().unwrap_or(0);
-            let accounted = served + self.fleet.left(account) + self.fleet.held(account);
+            let accounted = served + self.fleet.remaining(account) + self.fleet.held(account);
             stranded += limit.saturating_sub(accounted);
         }
         stranded
--- a/crates/badgerfield-standin/src/measure/mod.rs
+++ b/crates/badgerfield-standin/src/measure/mod.rs
@@ -4,15 +4,15 @@
 //! ledger, which sees every reservation and every end without delay, would have admitted the
 //! request at that moment.
 
+mod badgerfield;
 mod naive;
-mod ours;
 mod workload;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+pub use badgerfield::Badgerfield;
 pub use naive::{Central, Lease, Split};
-pub use ours::Ours;
 pub use workload::{Arrival, Case, Fault};
 
 /// The results of one system in one case.
@@ -23,12 +23,12 @@
     /// The tokens served beyond the prepaid budgets.
     pub overspend: u64,
     /// The false refusals: requests refused although the budget had enough left.
-    pub refused: u64,
+    pub false_refusals: u64,
     /// The requests refused because the budget had too little left.
     pub spent_out: u64,
     /// The false refusals by cause.
     pub causes: BTreeMap<&'static str, u64>,
-    /// The requests that ended because their VM was killed.
+    /// The requests that ended because the process of their VM ended.
     pub lost: u64,
     /// The tokens that are left at the end but that no VM can spend.
     pub stranded: u64,
@@ -49,7 +49,7 @@
 
 /// Runs all systems in all cases and prints a table for each case.
 pub fn print(seed: u64) {
-    let systems: [&dyn System; 4] = [&Ours, &Central, &Split, &Lease];
+    let systems: [&dyn System; 4] = [&Badgerfield, &Central, &Split, &Lease];
     println!(
         "8 VMs in 2 regions, 10 client accounts, seed {seed}; simulated time, same arrivals for all"
     );
@@ -76,7 +76,7 @@
                 system.name(),
                 result.requests,
                 result.overspend,
-                result.refused,
+                result.false_refusals,
                 result.spent_out,
                 result.lost,
                 result.stranded,
--- a/crates/badgerfield-standin/tests/power_after_outage.rs
+++ b/crates/badgerfield-standin/tests/power_after_outage.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use badgerfield_standin::fleet::{Fleet, Shape, Wish};
+use badgerfield_standin::fleet::{Fleet, FleetConfig, RequestSpec};
 
 const VMS: usize = 60;
 /// The VM that receives all requests for the first budget.
@@ -24,7 +24,7 @@
 
 /// Creates a fleet with two budgets. The limit of each is the demand of `seconds` seconds.
 fn fleet(seconds: u64, seed: u64) -> Fleet {
-    let shape = Shape {
+    let config = FleetConfig {
         regions: vec![VMS],
         domains: 3,
         limits: vec![seconds * DEMAND; 2],
@@ -32,21 +32,28 @@
         shards: 1,
         engines: 12,
         seals: true,
-        noise: 0,
+        noise_permille: 0,
         seed,
     };
-    Fleet::started(shape)
+    Fleet::started(config)
 }
 
 /// Sends requests for some seconds: for the first budget to one VM, for the second to all in turn.
 fn load(fleet: &mut Fleet, seconds: f64) {
     let until = fleet.now.after(Duration::from_secs_f64(seconds));
-    let mut round = fleet.asked.len();
+    let mut round = fleet.requests.len();
     while fleet.now < until {
         for (budget, vm) in [(0, BUSY_VM), (1, round * 7 % VMS)] {
             let (prompt, output) = (80, 20);
-            let wish = Wish { budget, key: None, once: false, service: false, prompt, output };
-            fleet.ask(vm, wish);
+            let spec = RequestSpec {
+                budget,
+                key: None,
+                at_most_once: false,
+                service: false,
+                prompt,
+                output,
+            };
+            fleet.send_request(vm, spec);
         }
         round += 1;
         fleet.advance(Duration::from_millis(20));
@@ -58,13 +65,13 @@
 fn lost_tokens(seconds: u64, outage: f64, seed: u64) -> [u64; 2] {
     let mut fleet = fleet(seconds, seed);
     load(&mut fleet, 6.0);
-    fleet.platform.down = true;
+    fleet.store.down = true;
     load(&mut fleet, outage);
     for vm in 0..VMS {
         fleet.kill(vm);
     }
     fleet.advance(DOWNTIME);
-    fleet.platform.down = false;
+    fleet.store.down = false;
     for vm in 0..VMS {
         fleet.start(vm);
     }
@@ -77,7 +84,7 @@
 /// processes.
 #[test]
 fn crash_of_all_processes_late_in_an_outage_loses_few_tokens() {
-    let mut faults = Vec::new();
+    let mut failures = Vec::new();
     // Of a budget with much left, 11 s of demand are held ahead, and of one with little left, half
     // of it. For an account that has just started to use one VM, lenders overestimate the demand
     // and hold more.
@@ -87,9 +94,9 @@
             let lost = lost_tokens(seconds, outage, seed);
             println!("{seconds} s of demand, outage {outage} s, seed {seed}: lost {lost:?}");
             if lost.iter().zip(bounds).any(|(lost, bound)| *lost > bound * DEMAND) {
-                faults.push((seconds, outage, seed, lost));
+                failures.push((seconds, outage, seed, lost));
             }
         }
     }
-    assert!(faults.is_empty(), "{faults:?}");
+    assert!(failures.is_empty(), "{failures:?}");
 }
--- a/crates/badgerfield-standin/tests/rollouts.rs
+++ b/crates/badgerfield-standin/tests/rollouts.rs
@@ -1,14 +1,14 @@
 //! Rollouts of good and bad versions in fleets, with and without faults.
 //!
-//! The simulated fleet records as faults: more requests to a bad version than the settings allow,
-//! requests to it long after its 50th bad answer, requests that are cut when an order completes,
-//! and a record that returns to an earlier state.
+//! The simulated fleet records as violations: more requests to a bad version than the settings
+//! allow, requests to it long after its 50th bad answer, requests that are cut when an order
+//! completes, and a record that returns to an earlier state.
 
 use std::time::Duration;
 
 use badgerfield_core::amount::Time;
 use badgerfield_core::rollout::{RolloutOrder, RolloutPhase, RolloutState};
-use badgerfield_standin::fleet::{Fleet, Shape, Traffic, VersionFault, version};
+use badgerfield_standin::fleet::{Fleet, FleetConfig, Traffic, VersionFault, version};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -20,15 +20,15 @@
 
 /// Creates a fleet in three regions with about 600 requests per second in total.
 fn fleet(vms: usize, seed: u64, bad: Option<VersionFault>) -> Fleet {
-    let shape = Shape {
+    let config = FleetConfig {
         regions: vec![vms / 3; 3],
         limits: vec![1000],
         engines: 1,
         seals: true,
         seed,
-        ..Shape::default()
+        ..FleetConfig::default()
     };
-    let mut fleet = Fleet::started(shape);
+    let mut fleet = Fleet::started(config);
     let rate = u32::try_from(600_usize.div_ceil(vms)).unwrap_or(1);
     let bad = bad.into_iter().map(|bad| (version("v2"), bad)).collect();
     fleet.rollouts.traffic = Traffic {
@@ -55,8 +55,8 @@
 }
 
 /// Returns the fault of a version that fails this many of a hundred requests.
-fn fail(worse: u32) -> VersionFault {
-    VersionFault { worse, ..VersionFault::default() }
+fn fail(bad_percent: u32) -> VersionFault {
+    VersionFault { bad_percent, ..VersionFault::default() }
 }
 
 /// Guards against a rollout of a good version that is rolled back or late, or that cuts requests.
@@ -66,7 +66,7 @@
         let mut fleet = fleet(vms, seed, None);
         assert!(fleet.roll_out(Some(order("v2"))));
         run(&mut fleet, SPAN);
-        assert_eq!(fleet.faults, Vec::<String>::new());
+        assert_eq!(fleet.violations, Vec::<String>::new());
         assert_eq!(ended(&fleet), Some(RolloutState::Completed), "{vms} VMs");
     }
 }
@@ -89,7 +89,7 @@
             let mut fleet = fleet(vms, 7, Some(bad.clone()));
             assert!(fleet.roll_out(Some(order("v2"))));
             run(&mut fleet, SPAN);
-            assert_eq!(fleet.faults, Vec::<String>::new(), "{bad:?}");
+            assert_eq!(fleet.violations, Vec::<String>::new(), "{bad:?}");
             assert_eq!(ended(&fleet), Some(RolloutState::RolledBack), "{vms} VMs, {bad:?}");
             let (sent, bad_answers, all) = fleet.request_counts("v2");
             println!("{vms} VMs {bad:?}: {sent} of {all} requests, {bad_answers} bad answers");
@@ -105,7 +105,7 @@
     assert!(fleet.roll_out(Some(order("v2"))));
     run(&mut fleet, SPAN);
     assert_eq!(ended(&fleet), Some(RolloutState::Completed), "{:?}", fleet.record());
-    assert_eq!(fleet.faults, Vec::<String>::new());
+    assert_eq!(fleet.violations, Vec::<String>::new());
 }
 
 /// In a large fleet each VM sees few answers, so a bad version can be found only from the tallies
@@ -119,7 +119,7 @@
         let span = Duration::from_secs(14);
         assert!(fleet.roll_out(Some(RolloutOrder { span, ..order("v2") })));
         run(&mut fleet, span);
-        assert_eq!(fleet.faults, Vec::<String>::new());
+        assert_eq!(fleet.violations, Vec::<String>::new());
         assert_eq!(ended(&fleet), Some(state), "{:?}", fleet.record());
         println!(
             "300 VMs, {state:?}: {:?}, got {:?}",
@@ -136,17 +136,17 @@
     let mut fleet = fleet(6, 5, Some(fail(30)));
     assert!(fleet.roll_out(Some(order("v2"))));
     fleet.advance(Duration::from_millis(500));
-    fleet.platform.down = true;
+    fleet.store.down = true;
     fleet.advance(Duration::from_secs(8));
     assert_eq!(ended(&fleet), None);
     let before = fleet.request_counts("v2").0;
     assert!(before > 0, "the target received no requests before the verdict");
     fleet.advance(Duration::from_secs(5));
     assert_eq!(fleet.request_counts("v2").0, before, "requests still go to a version found bad");
-    fleet.platform.down = false;
+    fleet.store.down = false;
     run(&mut fleet, Duration::from_secs(10));
     assert_eq!(ended(&fleet), Some(RolloutState::RolledBack));
-    assert_eq!(fleet.faults, Vec::<String>::new());
+    assert_eq!(fleet.violations, Vec::<String>::new());
 }
 
 /// If VMs sent requests to a target before its record was written, an order that was rolled back
@@ -156,15 +156,15 @@
     let mut fleet = fleet(6, 6, Some(fail(30)));
     assert!(fleet.roll_out(Some(order("v2"))));
     fleet.advance(Duration::from_millis(10));
-    fleet.platform.down = true;
+    fleet.store.down = true;
     fleet.advance(Duration::from_secs(8));
     assert!(fleet.record().is_none(), "the record was written before the outage");
     let (sent, _, all) = fleet.request_counts("v2");
     assert!(sent == 0 && all > 1000, "{sent} of {all} requests before the record was written");
-    fleet.platform.down = false;
+    fleet.store.down = false;
     run(&mut fleet, SPAN);
     assert_eq!(ended(&fleet), Some(RolloutState::RolledBack));
-    assert_eq!(fleet.faults, Vec::<String>::new());
+    assert_eq!(fleet.violations, Vec::<String>::new());
 }
 
 /// Kills all processes at once and starts them again a second later.
@@ -196,7 +196,7 @@
     restart_all(&mut bad);
     bad.advance(Duration::from_secs(10));
     assert_eq!(bad.request_counts("v2").0, before, "the verdict was forgotten");
-    assert_eq!([good.faults, bad.faults].concat(), Vec::<String>::new());
+    assert_eq!([good.violations, bad.violations].concat(), Vec::<String>::new());
 }
 
 /// Guards against requests to the target of an order that was replaced or withdrawn.
@@ -226,7 +226,7 @@
         before,
         "requests go to the target of a withdrawn order"
     );
-    assert_eq!(fleet.faults, Vec::<String>::new());
+    assert_eq!(fleet.violations, Vec::<String>::new());
 }
 
 /// A suspended member may still send requests to the old version when it resumes, so an order must
@@ -236,14 +236,14 @@
     let mut fleet = fleet(6, 13, None);
     assert!(fleet.roll_out(Some(order("v2"))));
     fleet.advance(Duration::from_secs(30));
-    fleet.freeze(4);
+    fleet.suspend(4);
     fleet.advance(Duration::from_secs(12));
     assert_eq!(ended(&fleet), None, "completed while a member may send to the old version");
     run(&mut fleet, Duration::from_secs(60));
-    fleet.thaw(4);
+    fleet.resume(4);
     fleet.advance(Duration::from_secs(3));
     assert_eq!(ended(&fleet), Some(RolloutState::Completed));
-    assert_eq!(fleet.faults, Vec::<String>::new());
+    assert_eq!(fleet.violations, Vec::<String>::new());
 }
 
 /// Guards against rollout messages when there is no order, or after it has ended.
@@ -281,7 +281,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let bad = rng.random_range(0..2) == 0;
         let kind = VersionFault {
-            worse: [5, 10, 30, 100][rng.random_range(0..4)],
+            bad_percent: [5, 10, 30, 100][rng.random_range(0..4)],
             slow: rng.random_range(0..3) == 0,
             route: (rng.random_range(0..4) == 0).then_some(0),
             after: Duration::from_secs([0, 0, 5, 15][rng.random_range(0..4)]),
@@ -341,12 +341,12 @@
         let fleet = &mut self.fleet;
         match self.rng.random_range(0..10) {
             0 => fleet.kill(vm),
-            1 => fleet.freeze(vm),
-            2 => fleet.cut(vm % 3, true),
-            3 => fleet.cut(vm % 3, false),
-            4 => fleet.platform.down = true,
-            5 => fleet.platform.slow = Duration::from_millis(400),
-            6 => fleet.platform.lose_replies = 2,
+            1 => fleet.suspend(vm),
+            2 => fleet.partition(vm % 3, true),
+            3 => fleet.partition(vm % 3, false),
+            4 => fleet.store.down = true,
+            5 => fleet.store.slow = Duration::from_millis(400),
+            6 => fleet.store.lose_replies = 2,
             7 => fleet.rollouts.late_writes = 2,
             8 => {
                 let target = ["v2", "v3"][vm % 2];
@@ -370,12 +370,12 @@
 
     fn end_faults(&mut self) {
         let fleet = &mut self.fleet;
-        fleet.heal();
-        fleet.platform.down = false;
-        fleet.platform.slow = Duration::ZERO;
+        fleet.end_partitions();
+        fleet.store.down = false;
+        fleet.store.slow = Duration::ZERO;
         for vm in 0..6 {
-            fleet.thaw(vm);
-            if !fleet.runs(vm) {
+            fleet.resume(vm);
+            if !fleet.is_running(vm) {
                 fleet.start(vm);
                 self.phases[vm] = None;
             }
@@ -425,7 +425,9 @@
         if !history.is_over() {
             violations.push(format!("seed {seed}: {:?}", history.fleet.record()));
         }
-        violations.extend(history.fleet.faults.iter().map(|fault| format!("seed {seed}: {fault}")));
+        violations.extend(
+            history.fleet.violations.iter().map(|violation| format!("seed {seed}: {violation}")),
+        );
     }
     println!("{as_expected} of {cases} orders ended as expected with up to {max_faults} faults");
     violations.dedup();
--- a/crates/badgerfield-standin/tests/sealed_in_outages.rs
+++ b/crates/badgerfield-standin/tests/sealed_in_outages.rs
@@ -6,51 +6,59 @@
 
 use std::time::Duration;
 
-use badgerfield_standin::fleet::{End, Fleet, Shape, Wish};
+use badgerfield_standin::fleet::{End, Fleet, FleetConfig, RequestSpec};
 
 const VMS: usize = 2;
 
 fn fleet() -> Fleet {
-    let shape = Shape {
+    let config = FleetConfig {
         regions: vec![VMS],
         limits: vec![10_000],
         spread: 50,
         shards: 1,
         seals: true,
-        noise: 0,
-        ..Shape::default()
+        noise_permille: 0,
+        ..FleetConfig::default()
     };
-    Fleet::started(shape)
+    Fleet::started(config)
 }
 
-fn request() -> Wish {
-    Wish { budget: 0, key: None, once: false, service: false, prompt: 100, output: 50 }
+fn request() -> RequestSpec {
+    RequestSpec {
+        budget: 0,
+        key: None,
+        at_most_once: false,
+        service: false,
+        prompt: 100,
+        output: 50,
+    }
 }
 
 /// Sends each VM three requests, with `pause` between them, and then starts an outage of the store.
 fn start_outage(fleet: &mut Fleet, pause: Duration) {
     for _ in 0..2 {
         for vm in 0..VMS {
-            fleet.ask(vm, request());
+            fleet.send_request(vm, request());
             fleet.advance(Duration::from_millis(100));
         }
         fleet.advance(pause);
     }
     for vm in 0..VMS {
-        fleet.ask(vm, request());
+        fleet.send_request(vm, request());
     }
     fleet.advance(Duration::from_millis(100));
-    fleet.platform.down = true;
+    fleet.store.down = true;
 }
 
 /// Sends each VM `each` requests at once. Returns how each request ended, and after how long.
 fn request_from_all(fleet: &mut Fleet, each: usize) -> Vec<(End, Duration)> {
-    let asked: Vec<_> = (0..VMS * each).map(|n| fleet.ask(n % VMS, request())).collect();
+    let requests: Vec<_> =
+        (0..VMS * each).map(|n| fleet.send_request(n % VMS, request())).collect();
     fleet.advance(Duration::from_secs(8));
-    let ends = asked.into_iter().map(|id| {
-        let asked = &fleet.asked[&id];
-        let (end, at) = asked.end.clone().expect("the request has ended");
-        (end, at.since(asked.at))
+    let ends = requests.into_iter().map(|id| {
+        let request = &fleet.requests[&id];
+        let (end, at) = request.end.clone().expect("the request has ended");
+        (end, at.since(request.sent_at))
     });
     ends.collect()
 }
@@ -62,7 +70,7 @@
         let mut fleet = fleet();
         start_outage(&mut fleet, Duration::from_secs(seconds));
         let ends = request_from_all(&mut fleet, 1);
-        let served = ends.iter().filter(|(end, _)| matches!(end, End::Whole(_))).count();
+        let served = ends.iter().filter(|(end, _)| matches!(end, End::Complete(_))).count();
         assert_eq!(served, VMS, "{seconds} s between requests: {ends:?}");
     }
 }
@@ -75,7 +83,7 @@
         let mut fleet = fleet();
         start_outage(&mut fleet, Duration::from_secs(seconds));
         let ends = request_from_all(&mut fleet, 3);
-        let served = ends.iter().filter(|(end, _)| matches!(end, End::Whole(_))).count();
+        let served = ends.iter().filter(|(end, _)| matches!(end, End::Complete(_))).count();
         assert_eq!(served, 3 * VMS, "{seconds} s between requests: {ends:?}");
     }
 }
--- a/crates/badgerfield-standin/tests/upstream_list.rs
+++ b/crates/badgerfield-standin/tests/upstream_list.rs
@@ -1,4 +1,4 @@
-//! Distribution of the list of upstreams: which VMs watch the platform, how updates are broadcast,
+//! Distribution of the list of upstreams: which VMs watch the store, how updates are broadcast,
 //! and how members compare and fetch lists.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,15 +11,20 @@
 use badgerfield_core::request_mix::{EngineDemand, EngineDivision};
 use badgerfield_core::upstream_list::{ListVersion, UpstreamListChanges};
 use badgerfield_core::{Event, Node};
-use badgerfield_standin::fleet::{Fleet, Shape};
+use badgerfield_standin::fleet::{Fleet, FleetConfig};
 
 const VMS: usize = 48;
 
 fn fleet(vms: usize) -> Fleet {
-    Fleet::started(Shape { regions: vec![vms], seals: true, noise: 0, ..Shape::default() })
+    Fleet::started(FleetConfig {
+        regions: vec![vms],
+        seals: true,
+        noise_permille: 0,
+        ..FleetConfig::default()
+    })
 }
 
-/// Returns how many VMs watch the platform if each received the list last at this time before now.
+/// Returns how many VMs watch the store if each last received the list `list_age` ago.
 fn watcher_count(fleet: &Fleet, list_age: Option<Duration>) -> usize {
     let now = Time::from_millis(5_000);
     (0..fleet.size()).filter(|vm| node(fleet, *vm).watches_store(now, list_age)).count()
@@ -54,7 +59,7 @@
     node.handle(Time::from_millis(millis), Event::Peer(envelope))
 }
 
-/// Returns the update that a watcher of the platform broadcasts for these changes.
+/// Returns the update that a watcher of the store broadcasts for these changes.
 fn update_of(changes: UpstreamListChanges) -> UpstreamUpdate {
     UpstreamUpdate { changes, since: 0, version: ListVersion::default(), reach: 0 }
 }
@@ -71,10 +76,10 @@
     fetched_since(commands).is_some()
 }
 
-/// If all VMs watched the platform, its load would grow with the fleet. If only the usual watchers
-/// did when no updates arrive, a failure of these watchers would leave the list outdated.
+/// If all VMs watched the store, its load would grow with the fleet. If no other VM started to
+/// watch when updates stop, a failure of the usual watchers would leave the list outdated.
 #[test]
-fn more_vms_watch_the_platform_if_no_updates_arrive() {
+fn more_vms_watch_the_store_if_no_updates_arrive() {
     let fleet = fleet(VMS);
     assert_eq!(watcher_count(&fleet, Some(Duration::from_millis(400))), 3);
     // A leaving upstream is announced three seconds ahead.
@@ -85,7 +90,7 @@
 
 /// A small fleet has too few VMs to rely on three watchers.
 #[test]
-fn all_vms_of_a_small_fleet_watch_the_platform() {
+fn all_vms_of_a_small_fleet_watch_the_store() {
     let fleet = fleet(6);
     assert_eq!(watcher_count(&fleet, Some(Duration::from_millis(400))), 6);
 }
@@ -201,7 +206,7 @@
     let vms = 48;
     for suspended in [1, 7, 20, 31, 40] {
         let mut fleet = fleet(vms);
-        fleet.freeze(suspended);
+        fleet.suspend(suspended);
         // Longer than the four heartbeat intervals after which a member is suspected, and shorter
         // than the time after which it is removed.
         fleet.advance(Duration::from_secs(4));
@@ -244,12 +249,12 @@
             // Each VM receives a different part of the requests, and one VM has no threshold for
             // long prompts.
             let n = u32::try_from(vm).expect("few VMs");
-            let long_from = if vm == 0 { 0 } else { 2700 };
+            let threshold = if vm == 0 { 0 } else { 2700 };
             let own = EngineDemand {
                 service: 7,
                 short: n * 10,
                 long: 500 - n * 10,
-                long_threshold: long_from,
+                long_threshold: threshold,
             };
             let commands = node(&fleet, vm).handle(fleet.now, Event::EngineDemand(vec![own]));
             divisions.extend(commands.into_iter().filter_map(|command| match command {
