--- a/crates/badgerfield-core/src/bootstrap.rs
+++ b/crates/badgerfield-core/src/bootstrap.rs
@@ -24,8 +24,8 @@
 /// VM that receives no messages from others waits at most 8 s.
 const MAX_TURNS: usize = 8;
 /// The number of VMs that send their first request to the same VM: sending about 40 KB of templates
-/// to each of them takes 0.13 s on the slowest VM link, 10 Mbit/s according to the users' data
-/// sheets.
+/// to each of them takes 0.13 s on the slowest VM link, 10 Mbit/s in the deployments this is
+/// built for.
 const CHILDREN_PER_PARENT: usize = 4;
 
 /// Returns whether it is a process's turn to read complete values from the store.
--- a/crates/badgerfield-core/src/event.rs
+++ b/crates/badgerfield-core/src/event.rs
@@ -446,7 +446,7 @@
     },
     /// The new view does not contain this process; it finishes its running requests and ends.
     Removed,
-    /// The ledger has applied a change of a holding.
+    /// The ledger has applied an operation of this holder.
     LedgerApplied {
         /// The budget of the holding.
         budget: BudgetId,
--- a/crates/badgerfield-core/src/holdings/pending_loans.rs
+++ b/crates/badgerfield-core/src/holdings/pending_loans.rs
@@ -1,8 +1,8 @@
 //! Requests of a borrower that its lenders have not answered.
 //!
-//! Answers normally take milliseconds, but seconds where the link of the borrower's VM is full. When
-//! the tokens of a pending request arrive, they serve all requests that wait then. Hence they are
-//! not requested again for later requests, nor from another lender.
+//! Answers normally take milliseconds, but seconds where the link of the borrower's VM is full.
+//! When the tokens of a pending request arrive, they serve all requests that wait then. Hence they
+//! are not requested again for later requests, nor from another lender.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
--- a/crates/badgerfield-core/src/locality.rs
+++ b/crates/badgerfield-core/src/locality.rs
@@ -73,7 +73,7 @@
 impl Default for DistanceCosts {
     fn default() -> Self {
         Self {
-            // Round-trip times from the data sheets of the users' platform.
+            // Round-trip times in the deployments this is built for.
             domain_round_trip: Duration::from_millis(1),
             region_round_trip: Duration::from_millis(24),
             // Bytes between domains delay no other traffic: these links have the bandwidth of a
--- a/crates/badgerfield-core/src/membership.rs
+++ b/crates/badgerfield-core/src/membership.rs
@@ -391,7 +391,8 @@
     /// its start.
     ///
     /// Every other call, from the first on, returns the parent in the bootstrap tree, if there is
-    /// one, because it has the values early. The other calls step through the members of the region.
+    /// one, because it has the values early. The other calls step through the members of the
+    /// region.
     pub(crate) fn next_bootstrap_peer(&mut self) -> Option<Incarnation> {
         self.bootstrap_attempts += 1;
         let parent = bootstrap::tree_parent(&self.view, &self.me)
--- a/crates/badgerfield-core/src/message.rs
+++ b/crates/badgerfield-core/src/message.rs
@@ -86,9 +86,9 @@
     CompareCrashes(Vec<Crash>),
     /// Outcomes of the sender's requests at a service for which the receiver is a judge.
     RolloutReport(RolloutReport),
-    /// Asks for changes to the ledger.
+    /// Requests operations on the ledger.
     LedgerRequest(Vec<LedgerOp>),
-    /// The results of requested changes to the ledger.
+    /// The results of requested ledger operations.
     LedgerReplies(Vec<(BudgetId, Period, LedgerReply)>),
     /// Asks another holder for tokens.
     TokenRequest(TokenRequest),
--- a/crates/badgerfield-core/src/queueing_delay.rs
+++ b/crates/badgerfield-core/src/queueing_delay.rs
@@ -22,8 +22,8 @@
 const SCALE_RANGE: (f64, f64) = (0.5, 1.5);
 /// The delay that is always tolerated, in milliseconds. Several long prompts that arrive together
 /// delay an engine briefly. Such a delay ends before the next request arrives, and another engine
-/// would have to read the shared parts of that request's prompt again. With 60 ms, a fleet
-/// earned half of what it earns with this bound (docs/POLICY.md).
+/// would have to read the shared parts of that request's prompt again. With 60 ms, one of the
+/// users' first deployments lost half of the value that it gets with this bound (docs/POLICY.md).
 const TOLERATED_MS: f64 = 500.0;
 /// The tolerated delay as a multiple of the median delay of the service's upstreams. Where all
 /// upstreams are overloaded, none is avoided.
--- a/crates/badgerfield-core/src/shared_state.rs
+++ b/crates/badgerfield-core/src/shared_state.rs
@@ -133,7 +133,7 @@
         lock(&self.holdings)
     }
 
-    /// Locks the pending changes of the ledger.
+    /// Locks the pending operations on the ledger.
     pub(crate) fn ledger_writer(&self) -> MutexGuard<'_, LedgerWriter> {
         lock(&self.ledger_writer)
     }
--- a/crates/badgerfield-core/src/template.rs
+++ b/crates/badgerfield-core/src/template.rs
@@ -136,8 +136,8 @@
     pub author: Author,
     /// The time of the change by the operator's clock, in seconds since 1970; for information only.
     pub at: u64,
-    /// A mark chosen by the writer. If the reply to the write was lost, it shows whether the write
-    /// took effect.
+    /// An id of the write, chosen by the writer. If the reply to the write was lost, it shows
+    /// whether the write took effect.
     pub mark: String,
     /// The differences from the previous version, one per line.
     pub diff: Vec<String>,
@@ -233,7 +233,8 @@
 
     /// Returns the next version of the set, with its templates replaced by the wanted ones.
     ///
-    /// An unchanged template keeps the version of its last change.
+    /// An unchanged template keeps the version of its last change. `write_id` identifies the write:
+    /// if its reply is lost, the writer looks for this id in the stored history.
     ///
     /// # Errors
     ///
@@ -243,7 +244,7 @@
         mut wanted: Self,
         author: Author,
         at: u64,
-        mark: String,
+        write_id: String,
     ) -> Result<Self, Vec<TemplateError>> {
         let version = self.version.next();
         let mut diff = Vec::new();
@@ -294,7 +295,7 @@
         }
         wanted.version = version;
         wanted.history.clone_from(&self.history);
-        wanted.history.push(TemplateChange { version, author, at, mark, diff });
+        wanted.history.push(TemplateChange { version, author, at, mark: write_id, diff });
         let excess = wanted.history.len().saturating_sub(MAX_HISTORY_LEN);
         wanted.history.drain(..excess);
         let size = wanted.encode().len();
--- a/crates/badgerfield-node/src/adapter.rs
+++ b/crates/badgerfield-node/src/adapter.rs
@@ -209,11 +209,11 @@
     /// Classifies the response of an upstream to the request `id` by its head.
     fn classify_response(&self, id: &str, status: StatusCode, head: &HeaderMap) -> ResponseKind;
 
-    /// Parses the announcements in the head of a response. Returns `None` if it comes from another
-    /// upstream than `asked`.
+    /// Parses the announcements in the head of a response. `expected` is the upstream that the
+    /// request was sent to; returns `None` if the response comes from another one.
     fn parse_announcement(
         &self,
-        asked: &UpstreamId,
+        expected: &UpstreamId,
         status: StatusCode,
         head: &HeaderMap,
     ) -> Option<UpstreamAnnouncement>;
@@ -222,6 +222,6 @@
     /// directory.
     fn parse_directory_request(&self, uri: &Uri) -> Option<DirectoryRequest>;
 
-    /// Formats the response of the directory as JSON.
-    fn format_directory_response(&self, addresses: &[SocketAddr], keep: Duration) -> Bytes;
+    /// Formats the response of the directory as JSON. Callers may cache it for `ttl`.
+    fn format_directory_response(&self, addresses: &[SocketAddr], ttl: Duration) -> Bytes;
 }
--- a/crates/badgerfield-standin/src/fleet/mod.rs
+++ b/crates/badgerfield-standin/src/fleet/mod.rs
@@ -313,8 +313,8 @@
         let mut wanted = self.templates.clone();
         change(&mut wanted);
         let author = "operator".parse().unwrap_or_else(|_| unreachable!("the name is valid"));
-        let mark = self.next_action.to_string();
-        let Ok(next) = self.templates.replace(wanted, author, 0, mark) else {
+        let write_id = self.next_action.to_string();
+        let Ok(next) = self.templates.replace(wanted, author, 0, write_id) else {
             return false;
         };
         if !self.store.write_templates(&next) {
--- a/crates/badgerfield/src/template.rs
+++ b/crates/badgerfield/src/template.rs
@@ -81,8 +81,8 @@
         return Ok(CONFLICT);
     }
     let at = SystemTime::now().duration_since(UNIX_EPOCH)?.as_secs();
-    let mark = random_mark()?;
-    let next = match old.replace(wanted, author, at, mark.clone()) {
+    let write_id = random_write_id()?;
+    let next = match old.replace(wanted, author, at, write_id.clone()) {
         Ok(next) => next,
         Err(faults) => {
             for fault in faults {
@@ -92,7 +92,7 @@
         }
     };
     let lowered = lowered_budgets(&old, &next);
-    let code = write_templates(connection, revision, &next, &mark).await?;
+    let code = write_templates(connection, revision, &next, &write_id).await?;
     if code != DONE {
         return Ok(code);
     }
@@ -114,7 +114,7 @@
     connection: &StoreConnection,
     expected_revision: u64,
     next: &TemplateSet,
-    mark: &str,
+    write_id: &str,
 ) -> Result<u8> {
     let value = Bytes::from(next.encode());
     let call = StoreCall::CompareAndSwap { key: StoreKey::Templates, expected_revision, value };
@@ -130,7 +130,7 @@
     }
     for _ in 0..MAX_READS {
         let (set, revision) = connection.templates().await?;
-        if set.history.iter().any(|change| change.mark == mark) {
+        if set.history.iter().any(|change| change.mark == write_id) {
             return Ok(DONE);
         }
         if revision != expected_revision {
@@ -187,7 +187,7 @@
     Ok(UNCONFIRMED)
 }
 
-fn random_mark() -> Result<String> {
+fn random_write_id() -> Result<String> {
     let mut bytes = [0; 32];
     getrandom::fill(&mut bytes)?;
     Ok(KeyDigest(bytes).to_string())
