--- a/crates/badgerfield-core/src/claims/mod.rs
+++ b/crates/badgerfield-core/src/claims/mod.rs
@@ -35,7 +35,7 @@
 
 /// The decision that takes effect when the backup has recorded a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Settlement {
+pub enum BackupOutcome {
     /// The owner may run the request.
     Granted {
         /// The owner.
@@ -43,7 +43,7 @@
         /// The arbiter's epoch.
         epoch: Epoch,
         /// The decision to send to the owner.
-        verdict: ClaimDecision,
+        decision: ClaimDecision,
     },
     /// The owner may bill the charge.
     Billed {
@@ -63,7 +63,7 @@
     retention: Duration,
     entries: HashMap<RequestKey, ClaimEntry>,
     view: Arc<View>,
-    /// The newest epoch for which all hand-overs have arrived.
+    /// The newest epoch for which all handovers have arrived.
     complete_epoch: Epoch,
     /// The view of `complete_epoch` and the views applied after it.
     views_since_complete: Vec<Arc<View>>,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Returns the newest epoch for which all hand-overs have arrived.
+    /// Returns the newest epoch for which all handovers have arrived.
     #[must_use]
     pub fn complete_epoch(&self) -> Epoch {
         self.complete_epoch
@@ -128,7 +128,7 @@
     ) -> Option<ClaimDecision> {
         if request.epoch != self.view.epoch || !self.can_decide(request.key, request.home.as_ref())
         {
-            return Some(ClaimDecision::Wait { hint: self.hint(request.key) });
+            return Some(ClaimDecision::Wait { last_upstream: self.last_upstream(request.key) });
         }
         if let Some(decision) = self.try_claim(now, from, request) {
             return Some(decision);
@@ -148,7 +148,7 @@
 
     /// Returns the upstream to which the request with this key was last sent, if known here.
     #[must_use]
-    pub fn hint(&self, key: RequestKey) -> Option<UpstreamId> {
+    pub fn last_upstream(&self, key: RequestKey) -> Option<UpstreamId> {
         self.entries.get(&key).and_then(|entry| dispatched_upstream(&entry.record.progress))
     }
 
@@ -260,15 +260,15 @@
     }
 
     /// Records that the backup has a claim; returns the decision that now takes effect.
-    pub fn copied(
+    pub fn handle_backup_ack(
         &mut self,
         from: Incarnation,
         key: RequestKey,
         serial: u64,
         ended: bool,
-    ) -> Option<Settlement> {
+    ) -> Option<BackupOutcome> {
         let entry = self.entries.get_mut(&key)?;
-        if !self.view.has(from) {
+        if !self.view.has_member(from) {
             return None;
         }
         let record = &entry.record;
@@ -281,9 +281,9 @@
         let (owner, epoch) = (record.owner, self.view.epoch);
         if ended {
             let (to, id) = (entry.requester, ChargeId { owner, serial });
-            return Some(Settlement::Billed { to, id, epoch });
+            return Some(BackupOutcome::Billed { to, id, epoch });
         }
-        Some(Settlement::Granted { owner, epoch, verdict: grant_decision(record) })
+        Some(BackupOutcome::Granted { owner, epoch, decision: grant_decision(record) })
     }
 
     /// Records that the owner is about to send the request to an upstream.
@@ -324,7 +324,7 @@
     ///
     /// Returns `false` if the arbiter decided under another epoch: the new arbiter may not have the
     /// decision.
-    pub fn agreed(&mut self, now: Time, epoch: Epoch, record: &ClaimRecord) -> bool {
+    pub fn record_agreed_charge(&mut self, now: Time, epoch: Epoch, record: &ClaimRecord) -> bool {
         let owner_changes = self.entries.get(&record.key).map_or(0, |e| e.record.owner_changes);
         let record = ClaimRecord { owner_changes, ..record.clone() };
         self.record_claim(now, epoch, &record)
@@ -334,7 +334,7 @@
     ///
     /// Returns `None` if this process cannot decide, or if the decision has to wait until the
     /// backup has recorded it.
-    pub fn settle(
+    pub fn settle_charge(
         &mut self,
         now: Time,
         from: Incarnation,
@@ -394,7 +394,7 @@
         None
     }
 
-    /// Resends unacknowledged hand-overs and removes claims older than the retention period.
+    /// Resends unacknowledged handovers and removes claims older than the retention period.
     pub fn tick(&mut self, now: Time, out: &mut Outbox) {
         self.resend_handovers(now, out);
         if now.since(self.last_sweep) < Duration::from_secs(1) {
--- a/crates/badgerfield-core/src/handlers/claims.rs
+++ b/crates/badgerfield-core/src/handlers/claims.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::amount::Time;
-use crate::claims::Settlement;
+use crate::claims::BackupOutcome;
 use crate::event::Outbox;
 use crate::ids::{Epoch, Incarnation, RequestKey, RunId, UpstreamId};
 use crate::message::{
@@ -12,7 +12,7 @@
 };
 use crate::node::Node;
 use crate::refusal::{Cause, Refusal};
-use crate::runs::{Claimed, Run, RunKey, Stage};
+use crate::runs::{ClaimState, Run, RunKey, Stage};
 
 /// Interval at which an unanswered claim request is resent.
 const RESEND_INTERVAL: Duration = Duration::from_millis(150);
@@ -33,7 +33,7 @@
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
-            if run.keyed.is_none() {
+            if run.key.is_none() {
                 drop(runs);
                 self.reserve(now, id, out);
                 return;
@@ -87,7 +87,7 @@
     fn record_hint(&self, id: RunId, hint: Option<UpstreamId>) {
         let mut runs = self.state.runs();
         if let Some(run) = runs.get_mut(id) {
-            run.earlier = hint.or(run.earlier.take());
+            run.previous_upstream = hint.or(run.previous_upstream.take());
         }
     }
 
@@ -104,8 +104,8 @@
         };
         let is_retry = now > *since;
         *sent = now;
-        let keyed = run.keyed.clone()?;
-        let (once, over) = (run.once, run.over);
+        let keyed = run.key.clone()?;
+        let (once, over) = (run.at_most_once, run.replaces);
         let request = ClaimRequest {
             key: keyed.key,
             home: keyed.home,
@@ -161,20 +161,20 @@
         out: &mut Outbox,
     ) {
         let (key, id, ended) = claim;
-        let settlement = self.state.claims().copied(from, key, id.0, ended);
+        let settlement = self.state.claims().handle_backup_ack(from, key, id.0, ended);
         let serial = id.0;
         match settlement {
             None => {}
-            Some(Settlement::Granted { owner, epoch, verdict: decision }) if owner == self.id() => {
+            Some(BackupOutcome::Granted { owner, epoch, decision }) if owner == self.id() => {
                 self.handle_claim_reply(now, owner, (key, serial, epoch), decision, out);
             }
-            Some(Settlement::Granted { owner, epoch, verdict: decision }) => {
+            Some(BackupOutcome::Granted { owner, epoch, decision }) => {
                 out.send(owner, Message::ClaimReply { key, serial, epoch, decision });
             }
-            Some(Settlement::Billed { to, id, epoch }) if to == self.id() => {
+            Some(BackupOutcome::Billed { to, id, epoch }) if to == self.id() => {
                 self.handle_settle_reply(now, id, epoch, true, out);
             }
-            Some(Settlement::Billed { to, id, epoch }) => {
+            Some(BackupOutcome::Billed { to, id, epoch }) => {
                 out.send(to, Message::SettleReply { id, epoch, billed: true });
             }
         }
@@ -212,7 +212,7 @@
             ClaimDecision::Owned { owner, serial, ended, .. } => {
                 self.follow(now, id, (owner, serial, ended), out);
             }
-            ClaimDecision::Wait { hint } => self.record_hint(id, hint),
+            ClaimDecision::Wait { last_upstream: hint } => self.record_hint(id, hint),
             ClaimDecision::Uncertain => {
                 self.refuse(now, id, Refusal::may_have_run(Cause::KeyLost), out);
             }
@@ -226,16 +226,20 @@
             (vec![], vec![], vec![], vec![], vec![]);
         for (id, run) in self.state.runs().iter_mut() {
             match run.stage {
-                Stage::Claiming { .. } if now >= run.until && run.once => expired.push(id),
+                Stage::Claiming { .. } if now >= run.deadline && run.at_most_once => {
+                    expired.push(id);
+                }
                 Stage::Claiming { since, .. }
-                    if !run.once && now.since(since) >= ARBITER_TIMEOUT =>
+                    if !run.at_most_once && now.since(since) >= ARBITER_TIMEOUT =>
                 {
                     assume.push(id);
                 }
                 Stage::Claiming { sent, .. } if now.since(sent) >= RESEND_INTERVAL => {
                     resend.push(id);
                 }
-                Stage::Following { heard, .. } if now.since(heard) >= OWNER_TIMEOUT => {
+                Stage::Following { last_contact: heard, .. }
+                    if now.since(heard) >= OWNER_TIMEOUT =>
+                {
                     lost.push(id);
                 }
                 Stage::Following { sent, .. } if now.since(sent) >= FOLLOW_INTERVAL => {
@@ -298,8 +302,7 @@
             let mut runs = self.state.runs();
             let charge = ChargeId { owner: self.id(), serial };
             let settling = self.state.charges().contains(charge);
-            let own_run =
-                runs.get_mut(id).filter(|r| r.keyed.as_ref().is_some_and(|k| k.key == key));
+            let own_run = runs.get_mut(id).filter(|r| r.key.as_ref().is_some_and(|k| k.key == key));
             if let Some(run) = own_run {
                 let next = usize::try_from(offset).unwrap_or(usize::MAX).min(run.parts.len());
                 run.followers.insert(from, next);
@@ -331,7 +334,7 @@
     ) {
         let id = {
             let mut runs = self.state.runs();
-            let Some(id) = runs.with_key(part.key) else {
+            let Some(id) = runs.find_by_key(part.key) else {
                 return;
             };
             let Some(run) = runs.get_mut(id) else {
@@ -363,7 +366,7 @@
         serial: u64,
     ) {
         let mut runs = self.state.runs();
-        let Some(id) = runs.with_key(key) else {
+        let Some(id) = runs.find_by_key(key) else {
             return;
         };
         if let Some(run) = runs.get_mut(id) {
@@ -382,7 +385,7 @@
     ) {
         let (id, ended, begun) = {
             let mut runs = self.state.runs();
-            let Some(id) = runs.with_key(key) else {
+            let Some(id) = runs.find_by_key(key) else {
                 return;
             };
             let Some(run) = runs.get_mut(id) else {
@@ -407,8 +410,8 @@
                 return;
             };
             let (owner, serial, ended) = owner;
-            run.over = None;
-            run.stage = Stage::Following { owner, serial, ended, sent: now, heard: now };
+            run.replaces = None;
+            run.stage = Stage::Following { owner, serial, ended, sent: now, last_contact: now };
         }
         self.request_answer_parts(now, id, out);
     }
@@ -423,7 +426,7 @@
             return;
         };
         *sent = now;
-        let Some(keyed) = run.keyed.clone() else {
+        let Some(keyed) = run.key.clone() else {
             return;
         };
         let (key, home) = (keyed.key, keyed.home);
@@ -440,8 +443,8 @@
             let Stage::Following { owner, serial, ended, .. } = run.stage else {
                 return;
             };
-            run.over = Some((owner, serial));
-            run.until = run.until.max(now.after(OWNER_TIMEOUT));
+            run.replaces = Some((owner, serial));
+            run.deadline = run.deadline.max(now.after(OWNER_TIMEOUT));
             run.stage = Stage::Claiming { since: now, sent: now };
             ended
         };
@@ -463,11 +466,11 @@
             let Some(run) = runs.get_mut(id) else {
                 return;
             };
-            run.claimed = Claimed::Assumed;
-            run.keyed.as_ref().map(|keyed| keyed.key)
+            run.claim = ClaimState::Unconfirmed;
+            run.key.as_ref().map(|keyed| keyed.key)
         };
         // This process may be the backup and know where the key has run.
-        let hint = key.and_then(|key| self.state.claims().hint(key));
+        let hint = key.and_then(|key| self.state.claims().last_upstream(key));
         self.record_hint(id, hint);
         self.reserve(now, id, out);
     }
@@ -477,7 +480,7 @@
         let Some(run) = runs.get_mut(id) else {
             return false;
         };
-        let same = run.keyed.as_ref().is_some_and(|k| k.key == key);
+        let same = run.key.as_ref().is_some_and(|k| k.key == key);
         same && run.is_claiming()
     }
 
@@ -505,7 +508,7 @@
             let Some(run) = runs.get_mut(id) else {
                 return false;
             };
-            let Some(keyed) = run.keyed.clone() else {
+            let Some(keyed) = run.key.clone() else {
                 return false;
             };
             ClaimRecord {
@@ -514,7 +517,7 @@
                 owner: self.id(),
                 serial: id.0,
                 owner_changes,
-                at_most_once: run.once,
+                at_most_once: run.at_most_once,
                 progress: earlier
                     .map_or(ClaimProgress::Held, |id| ClaimProgress::Dispatched(id.clone())),
             }
@@ -532,15 +535,15 @@
         let Some(run) = runs.get_mut(id) else {
             return false;
         };
-        run.claimed = if run.over.is_some() { Claimed::Inherited } else { Claimed::Fresh };
-        run.earlier = earlier;
+        run.claim = if run.replaces.is_some() { ClaimState::Inherited } else { ClaimState::Fresh };
+        run.previous_upstream = earlier;
         true
     }
 }
 
 /// Records a message from the owner. Returns whether the run follows that owner.
 fn record_owner_contact(now: Time, run: &mut Run, from: Incarnation, owner_serial: u64) -> bool {
-    let Stage::Following { owner, serial, heard, .. } = &mut run.stage else {
+    let Stage::Following { owner, serial, last_contact: heard, .. } = &mut run.stage else {
         return false;
     };
     if *owner != from || *serial != owner_serial {
--- a/crates/badgerfield-node/src/driver.rs
+++ b/crates/badgerfield-node/src/driver.rs
@@ -1,7 +1,7 @@
-//! The driver: hands events to the decisions, and carries out what they order.
+//! The driver: passes events to the core and executes the commands that the core returns.
 //!
-//! Any task may hand over an event; the worker threads of the runtime share the node's
-//! tables under its lock order. Orders are carried out by the task that got them.
+//! Any task may pass an event; the worker threads of the runtime share the node's
+//! tables under its lock order. Commands are executed by the task that received them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -26,62 +26,62 @@
 
 use crate::adapter::{KeyValueStore, PlatformAdapter};
 use crate::caller_api::Outgoing;
-use crate::clock::{Clock, StoodStill, SystemClocks, VmClocks};
+use crate::clock::{Clock, Stall, SystemClocks, VmClocks};
 use crate::follow;
 use crate::gateway::state::Gateway;
 use crate::http;
 use crate::logs::{BILLS, NODE, PLATFORM, REQUESTS};
 use crate::metrics::{GatewayCounts, Metrics};
 use crate::peers::{PeerError, PeerTransport};
-use crate::rollouts::TELL_EVERY;
+use crate::rollouts::REPORT_INTERVAL;
 use crate::settings::Settings;
 use crate::store_calls::{self, CallKind};
 use crate::sync::lock;
-use crate::upstream_client::Upstreams;
+use crate::upstream_client::UpstreamClient;
 
-/// The part of the grace of a stop, in hundredths, in which new requests are still taken:
-/// callers keep what the directory said for a while.
-const TAKING_PERCENT: u32 = 30;
-/// After how many ticks the time of day is read.
-const CLOCK_TICKS: u32 = 4;
+/// Share of the grace period of a stop, in percent, in which new requests are still accepted:
+/// callers cache the answer of the directory for a while.
+const ADMISSION_PERCENT: u32 = 30;
+/// Number of ticks between two readings of the wall clock.
+const WALL_CLOCK_TICKS: u32 = 4;
 
-/// Who told something of the list of upstreams.
+/// Where an update of the list of upstreams comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Source {
-    /// The platform.
+pub(crate) enum UpdateSource {
+    /// Read from the platform.
     Platform,
-    /// Another process.
+    /// Received from another process.
     Peer,
 }
 
 /// Why a process cannot start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// Peers cannot be talked to.
+    /// The endpoint for peers cannot be set up.
     #[error(transparent)]
     Peers(#[from] PeerError),
-    /// An address cannot be listened on.
+    /// A listener cannot be bound to its address.
     #[error("cannot listen on {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
-    /// The system gives no random bits.
-    #[error("the system gives no random bits: {0}")]
+    /// The operating system provides no random numbers.
+    #[error("cannot get random numbers from the operating system: {0}")]
     Random(#[from] getrandom::Error),
 }
 
-/// A part of an answer with its place.
-pub type PlacedAnswer = (usize, Answer);
+/// A part of an answer with its index in the answer.
+pub type IndexedAnswer = (usize, Answer);
 
-/// Where the answer to a wish for tokens goes.
+/// Sends the result of a reservation to the task that waits for it.
 type ReservationAnswer = oneshot::Sender<Result<Period, Refusal>>;
 
-/// What the driver keeps for one open request.
+/// A request whose caller has not yet received the complete answer.
 #[derive(Debug)]
 struct OpenRequest {
-    answers: mpsc::UnboundedSender<PlacedAnswer>,
+    answers: mpsc::UnboundedSender<IndexedAnswer>,
     outgoing: Arc<Outgoing>,
 }
 
-/// Runs one process.
+/// The core of one process together with its sockets, clocks and tables of open requests.
 #[derive(Debug)]
 pub struct Driver {
     pub(crate) node: Node,
@@ -92,30 +92,30 @@
     gateway: Option<Arc<Gateway>>,
     reservations: Mutex<HashMap<ReservationId, ReservationAnswer>>,
     next_reservation: AtomicU64,
-    /// When the order to stop came.
-    stopped: watch::Sender<Option<Time>>,
+    /// When the planned stop started; `None` before it.
+    stopping_since: watch::Sender<Option<Time>>,
     peers: Arc<PeerTransport>,
-    upstreams: Upstreams,
+    upstream_client: UpstreamClient,
     requests: Mutex<HashMap<RequestId, OpenRequest>>,
     next_request: AtomicU64,
     exit: watch::Sender<bool>,
 }
 
 impl Driver {
-    /// Prepares a process.
+    /// Creates a driver that uses the clocks of the system.
     ///
     /// # Errors
     ///
-    /// Fails if peers cannot be talked to, or the system gives no random bits.
+    /// Fails if the endpoint for peers cannot be set up or the system provides no random numbers.
     pub fn new(settings: Settings, adapter: PlatformAdapter) -> Result<Arc<Self>, StartError> {
         Self::with_clocks(settings, adapter, Box::new(SystemClocks))
     }
 
-    /// Prepares a process that goes by given clocks.
+    /// Creates a driver that uses the given clocks.
     ///
     /// # Errors
     ///
-    /// Fails if peers cannot be talked to, or the system gives no random bits.
+    /// Fails if the endpoint for peers cannot be set up or the system provides no random numbers.
     pub fn with_clocks(
         settings: Settings,
         adapter: PlatformAdapter,
@@ -123,42 +123,47 @@
     ) -> Result<Arc<Self>, StartError> {
         let incarnation = Incarnation(getrandom::u64()?);
         let seed = getrandom::u64()?;
-        let peers =
-            PeerTransport::listen(settings.peer_address, &settings.secret, &settings.accepted)?;
+        let peers = PeerTransport::listen(
+            settings.peer_address,
+            &settings.fleet_secret,
+            &settings.accepted_secrets,
+        )?;
         let member = Member {
             vm: settings.vm.clone(),
             incarnation,
             region: settings.region.clone(),
             domain: settings.domain.clone(),
             peer: settings.advertised_address,
-            caller: settings.gateway.map_or(settings.callers, |gateway| gateway.request_address),
+            caller: settings
+                .gateway
+                .map_or(settings.caller_address, |gateway| gateway.request_address),
             standing: MemberState::Active,
         };
         let limits = settings.limits;
         let node = Node::new(Config {
             member,
             ledger_shards: limits.shards,
-            key_retention: limits.remember,
-            answer_retention: limits.replay,
-            max_answer_bytes: limits.replay_bytes,
-            directory_ttl: limits.directory,
+            key_retention: limits.key_retention,
+            answer_retention: limits.replay_retention,
+            max_answer_bytes: limits.max_replay_bytes,
+            directory_ttl: limits.directory_ttl,
             pacing: settings.pacing,
             seed,
         });
-        let PlatformAdapter { store, route_adapter: routes } = adapter;
+        let PlatformAdapter { store, route_adapter } = adapter;
         let clock = Arc::new(Clock::new(clocks));
-        let gateway = routes
-            .map(|routes| Arc::new(Gateway::new(routes, settings.retries, Arc::clone(&clock))));
+        let gateway = route_adapter
+            .map(|adapter| Arc::new(Gateway::new(adapter, settings.retries, Arc::clone(&clock))));
         if let Some(gateway) = &gateway {
             let senders = settings.pacing.policy.warm_up_senders;
-            gateway.replicas().set_warm_up_bound(settings.warm_up, senders);
+            gateway.upstreams().set_warm_up_bound(settings.warm_up, senders);
             let (domain, region) = (settings.domain.clone(), settings.region.clone());
-            let place = Location { domain: Some(domain), region: Some(region) };
-            let mut replicas = gateway.replicas();
+            let location = Location { domain: Some(domain), region: Some(region) };
+            let mut replicas = gateway.upstreams();
             replicas.set_regions(settings.regions.clone());
-            replicas.set_location(place, settings.locality);
+            replicas.set_location(location, settings.locality);
         }
-        let upstreams = Upstreams::new(limits.silence);
+        let upstream_client = UpstreamClient::new(limits.silence_timeout);
         Ok(Arc::new(Self {
             node,
             metrics: Metrics::new(),
@@ -167,9 +172,9 @@
             gateway,
             reservations: Mutex::default(),
             next_reservation: AtomicU64::new(1),
-            stopped: watch::channel(None).0,
+            stopping_since: watch::channel(None).0,
             peers: Arc::new(peers),
-            upstreams,
+            upstream_client,
             requests: Mutex::default(),
             next_request: AtomicU64::new(1),
             exit: watch::channel(false).0,
@@ -177,68 +182,72 @@
         }))
     }
 
-    /// Returns the present time.
+    /// Returns the current time of this process.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// Hands over an event and carries out what comes of it.
-    pub fn feed(self: &Arc<Self>, event: Event) {
-        let orders = self.node.handle(self.now(), event);
-        for order in orders {
-            self.carry_out(order);
+    /// Passes an event to the core and executes the commands that it returns.
+    pub fn handle_event(self: &Arc<Self>, event: Event) {
+        let commands = self.node.handle(self.now(), event);
+        for command in commands {
+            self.execute(command);
         }
     }
 
-    /// Starts the regular work: ticks, peers and the VM list.
+    /// Spawns the tasks that run until the process ends: ticks, messages from peers, the VM
+    /// list and the watches of the platform.
     pub fn start(self: &Arc<Self>) {
         log::info!(target: NODE, "starts as {} on {}", self.node.id(), self.settings.vm);
-        self.feed(Event::Start);
+        self.handle_event(Event::Start);
         let driver = Arc::clone(self);
-        tokio::spawn(async move { driver.tick().await });
+        tokio::spawn(async move { driver.run_ticks().await });
         let driver = Arc::clone(self);
-        tokio::spawn(async move { driver.receive().await });
+        tokio::spawn(async move { driver.receive_messages().await });
         let driver = Arc::clone(self);
         tokio::spawn(async move { driver.poll_vms().await });
         let Some(gateway) = self.gateway.clone() else {
             return;
         };
         let driver = Arc::clone(self);
-        tokio::spawn(follow::operators(driver));
+        tokio::spawn(follow::watch_operators(driver));
         let driver = Arc::clone(self);
-        tokio::spawn(follow::upstreams(driver, gateway));
+        tokio::spawn(follow::watch_upstreams(driver, gateway));
     }
 
     /// Starts a planned stop.
     pub fn stop(self: &Arc<Self>) {
-        log::info!(target: NODE, "stops: leaves the directory and ends what runs");
+        log::info!(target: NODE, "stops: leaves the directory and finishes running requests");
         if let Some(gateway) = &self.gateway {
             gateway.stop();
         }
-        self.stopped.send_replace(Some(self.now()));
-        self.feed(Event::Serving(false));
-        self.feed(Event::Stop);
+        self.stopping_since.send_replace(Some(self.now()));
+        self.handle_event(Event::Serving(false));
+        self.handle_event(Event::Stop);
     }
 
-    /// Waits until a span has passed since the order to stop.
-    pub(crate) async fn lingered(&self, span: Duration) {
-        let mut stopped = self.stopped.subscribe();
+    /// Waits until a span has passed since the planned stop started.
+    pub(crate) async fn sleep_until_stopped_for(&self, span: Duration) {
+        let mut stopping_since = self.stopping_since.subscribe();
         // The sender lives as long as the driver.
-        let at = stopped.wait_for(Option::is_some).await.ok().and_then(|at| *at);
-        if let Some(at) = at {
-            self.clock.sleep_until(at.after(span)).await;
+        let started =
+            stopping_since.wait_for(Option::is_some).await.ok().and_then(|started| *started);
+        if let Some(started) = started {
+            self.clock.sleep_until(started.after(span)).await;
         }
     }
 
-    /// Tells whether so much of the grace of a stop has passed that a new request might be
-    /// cut off at its end.
-    pub(crate) fn refuses_new(&self) -> bool {
-        let grace = self.settings.gateway.map_or(Duration::ZERO, |gateway| gateway.grace);
-        let stopped = *self.stopped.borrow();
-        stopped.is_some_and(|at| self.now().since(at) >= grace * TAKING_PERCENT / 100)
+    /// Returns whether so much of the grace period of a stop has passed that a new request
+    /// might not finish before its end.
+    pub(crate) fn is_refusing_requests(&self) -> bool {
+        let grace =
+            self.settings.gateway.map_or(Duration::ZERO, |gateway| gateway.shutdown_timeout);
+        let stopping_since = *self.stopping_since.borrow();
+        stopping_since
+            .is_some_and(|started| self.now().since(started) >= grace * ADMISSION_PERCENT / 100)
     }
 
-    /// Returns the tables of requests on routes, if this process takes them.
+    /// Returns the gateway, if this process accepts requests on routes.
     pub(crate) fn gateway(&self) -> Option<&Arc<Gateway>> {
         self.gateway.as_ref()
     }
@@ -248,61 +257,63 @@
         &self.metrics.gateway
     }
 
-    /// Names a reservation and returns the line on which its answer comes.
-    pub(crate) fn await_reservation(
+    /// Assigns an id to a new reservation and returns the receiver of its result.
+    pub(crate) fn register_reservation(
         &self,
     ) -> (ReservationId, oneshot::Receiver<Result<Period, Refusal>>) {
         let id = ReservationId(self.next_reservation.fetch_add(1, Ordering::Relaxed));
-        let (answer, line) = oneshot::channel();
+        let (answer, receiver) = oneshot::channel();
         lock(&self.reservations).insert(id, answer);
-        (id, line)
+        (id, receiver)
     }
 
-    pub(crate) fn upstreams(&self) -> &Upstreams {
-        &self.upstreams
+    pub(crate) fn upstream_client(&self) -> &UpstreamClient {
+        &self.upstream_client
     }
 
-    /// Waits until the process may end.
+    /// Waits until the process may exit: the core has handed over its state and no request on a
+    /// route is open.
     pub async fn wait_for_exit(&self) {
         let mut exit = self.exit.subscribe();
         // The sender lives as long as the driver.
-        let _ = exit.wait_for(|ended| *ended).await;
+        let _ = exit.wait_for(|may_exit| *may_exit).await;
         while self.gateway.as_ref().is_some_and(|gateway| gateway.open_count() > 0) {
             tokio::time::sleep(TICK_INTERVAL).await;
         }
         self.peers.close().await;
     }
 
-    /// Opens a request: gives it a number and a line for its answers.
-    pub(crate) fn open(
+    /// Registers a request and returns its id and the receiver of its answer; `None` if the
+    /// limit of open requests is reached.
+    pub(crate) fn open_request(
         &self,
         outgoing: Outgoing,
-    ) -> Option<(RequestId, mpsc::UnboundedReceiver<PlacedAnswer>)> {
+    ) -> Option<(RequestId, mpsc::UnboundedReceiver<IndexedAnswer>)> {
         let mut requests = lock(&self.requests);
-        if requests.len() >= self.settings.limits.requests {
+        if requests.len() >= self.settings.limits.max_requests {
             return None;
         }
         let id = RequestId(self.next_request.fetch_add(1, Ordering::Relaxed));
-        let (answers, line) = mpsc::unbounded_channel();
+        let (answers, receiver) = mpsc::unbounded_channel();
         let outgoing = Arc::new(outgoing);
         requests.insert(id, OpenRequest { answers, outgoing });
-        Some((id, line))
+        Some((id, receiver))
     }
 
-    /// Closes a request whose caller has its answer or is gone.
-    pub(crate) fn close(self: &Arc<Self>, id: RequestId) {
+    /// Removes a request whose caller has received its answer or has disconnected.
+    pub(crate) fn close_request(self: &Arc<Self>, id: RequestId) {
         lock(&self.requests).remove(&id);
-        self.feed(Event::CallerDisconnected(id));
+        self.handle_event(Event::CallerDisconnected(id));
     }
 
-    pub(crate) fn carry_out(self: &Arc<Self>, order: Command) {
-        match order {
+    pub(crate) fn execute(self: &Arc<Self>, command: Command) {
+        match command {
             Command::Send(to, message) => {
                 let Some(address) = self.node.peer_address(to) else {
                     return;
                 };
                 let from = self.node.id();
-                self.metrics.messages.count(&message);
+                self.metrics.peer_traffic.count(&message);
                 let envelope = Envelope {
                     from,
                     sender_address: self.settings.advertised_address,
@@ -311,74 +322,74 @@
                 };
                 self.peers.send(address, envelope);
             }
-            Command::CallStore(ticket, call) => {
+            Command::CallStore(id, call) => {
                 let driver = Arc::clone(self);
-                self.metrics.calls.count(CallKind::of(&call));
+                self.metrics.store_calls.count(CallKind::of(&call));
                 tokio::spawn(async move {
                     let result = driver.store.call(&call).await;
-                    driver.metrics.count_kv(&result);
-                    driver.feed(Event::StoreReply(ticket, result));
+                    driver.metrics.count_store_result(&result);
+                    driver.handle_event(Event::StoreReply(id, result));
                 });
             }
             Command::Dispatch(attempt, dispatch) => self.dispatch(attempt, dispatch),
-            Command::Cancel(attempt) => self.upstreams.cancel(attempt),
-            Command::Answer(id, place, answer) => {
+            Command::Cancel(attempt) => self.upstream_client.cancel(attempt),
+            Command::Answer(id, index, answer) => {
                 if let Answer::Refused(refusal) | Answer::Broken(refusal) = &answer {
                     self.metrics.count_refusal(refusal);
                     log_refusal(id, refusal);
                 }
                 if let Some(request) = lock(&self.requests).get(&id) {
-                    // A caller that has gone away is told about elsewhere.
-                    let _ = request.answers.send((place, answer));
+                    // Sending fails if the caller has disconnected; `close_request` reports that.
+                    let _ = request.answers.send((index, answer));
                 }
             }
             Command::AnswerReserve(id, result) => {
                 let answer = lock(&self.reservations).remove(&id);
-                // A request that has gone meanwhile settles what it was given.
+                // Sending fails if the request has ended; the gateway returns its reserved tokens.
                 let _ = answer.map(|answer| answer.send(result));
             }
-            Command::ApplyUpstreamChanges(from, news) => self.hear_changes(from, news),
-            Command::ApplyUpstreamList(list) => self.learn_list(list, Source::Peer),
+            Command::ApplyUpstreamChanges(from, update) => self.apply_peer_update(from, update),
+            Command::ApplyUpstreamList(list) => self.apply_upstream_list(list, UpdateSource::Peer),
             Command::ConfirmUpstreamList(revision) => {
                 if let Some(gateway) = &self.gateway {
-                    gateway.replicas().confirm_revision(self.now(), revision);
+                    gateway.upstreams().confirm_revision(self.now(), revision);
                 }
             }
-            Command::DivideEngines(needs) => self.divide_engines(&needs),
-            Command::ApplyDelayReports(notes) => {
+            Command::DivideEngines(demand) => self.divide_engines(&demand),
+            Command::ApplyDelayReports(reports) => {
                 if let Some(gateway) = &self.gateway {
-                    gateway.replicas().apply_delay_reports(self.now(), &notes);
+                    gateway.upstreams().apply_delay_reports(self.now(), &reports);
                 }
             }
-            Command::ApplyLimitReports(from, notes) => self.learn_limits(from, &notes),
-            Command::ApplyEvacuations(from, changes) => self.evacuate(from, &changes),
-            Command::ApplyRolloutRules(rules) => self.divide_versions(rules),
-            Command::SendUpstreamList(to, since) => self.tell_upstreams(to, since),
+            Command::ApplyLimitReports(from, reports) => self.apply_limit_reports(from, &reports),
+            Command::ApplyEvacuations(from, changes) => self.apply_evacuations(from, &changes),
+            Command::ApplyRolloutRules(rules) => self.apply_rollout_rules(rules),
+            Command::SendUpstreamList(to, since) => self.send_upstream_list(to, since),
             Command::BlockRequests(requests) => {
                 if let Some(gateway) = &self.gateway {
-                    gateway.note_blocked(requests.len());
+                    gateway.notify_blocked(requests.len());
                 }
             }
-            Command::Bill(bill) => self.record(&bill),
-            Command::Log(note) => self.note(&note),
+            Command::Bill(bill) => self.log_bill(&bill),
+            Command::Log(entry) => self.handle_log_entry(&entry),
             Command::Exit => {
-                log::info!(target: NODE, "everything is handed over");
+                log::info!(target: NODE, "all state is handed over; the process may exit");
                 self.exit.send_replace(true);
             }
         }
     }
 
     /// Divides the engines between long and short prompts.
-    fn divide_engines(&self, needs: &[EngineDemand]) {
+    fn divide_engines(&self, demand: &[EngineDemand]) {
         let Some(gateway) = &self.gateway else {
             return;
         };
-        let news = gateway.replicas().divide_engines(needs);
-        for (service, EngineDivision { long_threshold: long_from, short_share }) in news {
+        let changed = gateway.upstreams().divide_engines(demand);
+        for (service, EngineDivision { long_threshold, short_share }) in changed {
             log::info!(
                 target: NODE,
                 "engines divided service={service} short_share={short_share:.2} \
-                 long_from={long_from:.0}"
+                 long_from={long_threshold:.0}"
             );
         }
     }
@@ -390,56 +401,57 @@
         });
         let address = self.node.upstream_address(&dispatch.upstream);
         let driver = Arc::clone(self);
-        self.upstreams.dispatch(driver, attempt, dispatch, address, outgoing);
+        self.upstream_client.dispatch(driver, attempt, dispatch, address, outgoing);
     }
 
-    fn record(&self, bill: &Bill) {
+    fn log_bill(&self, bill: &Bill) {
         let key = bill.key.map_or_else(|| "-".to_owned(), |key| key.to_string());
-        let word = if bill.billed { "billed" } else { "not billed, another VM bills the key" };
+        let result = if bill.billed { "billed" } else { "not billed, another VM bills the key" };
         let (budget, cost, stream) = (&bill.budget, bill.cost, &bill.stream);
-        log::info!(target: BILLS, "{budget} key {key} stream {stream} cost {cost}: {word}");
+        log::info!(target: BILLS, "{budget} key {key} stream {stream} cost {cost}: {result}");
         self.metrics.count_bill(bill);
     }
 
-    fn note(&self, note: &LogEntry) {
-        match note {
+    /// Writes an entry to the log and updates the tables outside the core that depend on it.
+    fn handle_log_entry(&self, entry: &LogEntry) {
+        match entry {
             LogEntry::View(epoch) => {
                 log::info!(target: NODE, "view {epoch} in force");
                 let view = self.node.view();
-                self.peers.keep(|id| view.has(id));
-                self.learn_senders();
+                self.peers.retain_peers(|id| view.has_member(id));
+                self.update_warm_up_senders();
             }
             LogEntry::Templates(version) => {
                 if let Some(gateway) = &self.gateway {
                     let (version, table) = self.node.route_table();
-                    gateway.put_in_force(version, table);
-                    self.learn_warm_ups();
+                    gateway.update_routes(version, table);
+                    self.update_warm_ups();
                 }
                 log::info!(target: NODE, "templates {version} in force");
             }
             LogEntry::BadTemplates(error) => {
                 self.metrics.bad_templates.inc();
-                log::error!(target: NODE, "templates not used, the last good ones stay: {error}");
+                log::error!(target: NODE, "templates are invalid, the previous templates stay in force: {error}");
             }
-            LogEntry::BadValue(name, error) => {
-                log::error!(target: PLATFORM, "cannot use {name:?}: {error}");
+            LogEntry::BadValue(key, error) => {
+                log::error!(target: PLATFORM, "invalid value of {key:?}: {error}");
             }
             LogEntry::RemovesMember { member, vm, silence, epoch } => log::warn!(
                 target: NODE,
                 "removes member={member} vm={vm} silent_ms={} view={epoch}",
                 silence.as_millis()
             ),
-            LogEntry::Removed => log::error!(target: NODE, "removed from the view; ends when idle"),
+            LogEntry::Removed => log::error!(target: NODE, "removed from view; exits when idle"),
             LogEntry::LedgerApplied {
                 budget,
                 limit,
                 granted,
-                left,
+                remaining: left,
                 held,
                 sealed,
                 promised,
                 reserved,
-                moving,
+                in_transit: moving,
                 took,
                 plan,
                 rate,
@@ -450,18 +462,20 @@
                  took_ms={} plan={plan} rate={rate}",
                 took.as_millis()
             ),
-            LogEntry::Prefetched { budget, free, reserved, moving, waiting, rate } => log::info!(
-                target: NODE,
-                "at hand budget={budget} free={free} reserved={reserved} moving={moving} \
-                 waiting={waiting} rate={rate}"
-            ),
+            LogEntry::Prefetched { budget, free, reserved, in_transit: moving, waiting, rate } => {
+                log::info!(
+                    target: NODE,
+                    "at hand budget={budget} free={free} reserved={reserved} moving={moving} \
+                     waiting={waiting} rate={rate}"
+                );
+            }
             LogEntry::Lending { epoch, held, borrowed } => {
                 log::info!(target: NODE, "lending view={epoch} held={held} borrowed={borrowed}");
             }
             LogEntry::ParkedReturned { budget, holder, amount, epoch } => log::warn!(
                 target: NODE,
                 "untouched budget={budget} holder={holder} amount={amount} view={epoch}: \
-                 given back for a removed holder"
+                 returned for a removed holder"
             ),
             LogEntry::LenderSilent { budget, lender } => {
                 log::warn!(target: NODE, "lender silent budget={budget} lender={lender}");
@@ -481,20 +495,20 @@
                     crash.age.as_millis()
                 );
             }
-            LogEntry::Rollout(note) => log::info!(target: NODE, "{note}"),
+            LogEntry::Rollout(entry) => log::info!(target: NODE, "{entry}"),
             LogEntry::BudgetRenewed(budget) => log::info!(target: NODE, "budget {budget} renewed"),
         }
     }
 
-    async fn tick(self: Arc<Self>) {
+    async fn run_ticks(self: Arc<Self>) {
         let mut ticks = tokio::time::interval(TICK_INTERVAL);
-        let mut logged = self.now();
-        let mut told = self.now();
+        let mut logged_at = self.now();
+        let mut reported_at = self.now();
         let mut count: u32 = 0;
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            if let Some(StoodStill { span, suspended }) = self.clock.tick() {
+            if let Some(Stall { span, suspended }) = self.clock.tick() {
                 log::warn!(
                     target: NODE,
                     "stood still for_ms={} suspended_ms={}",
@@ -503,27 +517,27 @@
                 );
                 count = 0;
             }
-            if count.is_multiple_of(CLOCK_TICKS) {
-                self.feed(Event::WallClock(wall_clock()));
+            if count.is_multiple_of(WALL_CLOCK_TICKS) {
+                self.handle_event(Event::WallClock(wall_clock()));
             }
             count = count.wrapping_add(1);
             let now = self.now();
-            if now.since(logged) >= store_calls::LOG_EVERY {
-                logged = now;
-                self.metrics.calls.log();
-                self.metrics.messages.log();
+            if now.since(logged_at) >= store_calls::LOG_INTERVAL {
+                logged_at = now;
+                self.metrics.store_calls.log();
+                self.metrics.peer_traffic.log();
             }
-            if now.since(told) >= TELL_EVERY {
-                told = now;
-                self.tell_rollouts();
+            if now.since(reported_at) >= REPORT_INTERVAL {
+                reported_at = now;
+                self.report_rollouts();
             }
-            self.feed(Event::Tick);
+            self.handle_event(Event::Tick);
         }
     }
 
-    async fn receive(self: Arc<Self>) {
+    async fn receive_messages(self: Arc<Self>) {
         let driver = Arc::clone(&self);
-        self.peers.receive(move |envelope| driver.feed(Event::Peer(envelope))).await;
+        self.peers.receive(move |envelope| driver.handle_event(Event::Peer(envelope))).await;
     }
 
     async fn poll_vms(self: Arc<Self>) {
@@ -531,36 +545,36 @@
             return;
         };
         let client = http::client();
-        let every = self.settings.platform.vm_poll;
+        let interval = self.settings.platform.vm_poll_interval;
         loop {
-            match read_vms(&client, uri, self.settings.platform.timeout).await {
+            match fetch_vm_list(&client, uri, self.settings.platform.timeout).await {
                 Some(list) => {
-                    self.feed(Event::VmList(list));
-                    self.upstreams.poll_loads(&self).await;
+                    self.handle_event(Event::VmList(list));
+                    self.upstream_client.poll_loads(&self).await;
                 }
-                None => log::warn!(target: PLATFORM, "no usable VM list from {uri}"),
+                None => log::warn!(target: PLATFORM, "cannot read the VM list from {uri}"),
             }
-            self.clock.sleep(every).await;
+            self.clock.sleep(interval).await;
         }
     }
 }
 
-/// Returns the time of day in milliseconds since 1970.
+/// Returns the wall-clock time in milliseconds since 1970.
 fn wall_clock() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
-async fn read_vms(client: &http::HttpClient, uri: &Uri, timeout: Duration) -> Option<VmList> {
+async fn fetch_vm_list(client: &http::HttpClient, uri: &Uri, timeout: Duration) -> Option<VmList> {
     let request = Request::get(uri.clone()).body(Full::default()).ok()?;
     let value = http::call_json(client, request, timeout).await.ok()?;
     serde_json::from_value(value).ok()
 }
 
-/// Records that a request on the product's own interface ends without its answer.
+/// Logs that a request to the caller API ended with a refusal instead of its answer.
 fn log_refusal(id: RequestId, refusal: &Refusal) {
     let (cause, outcome) = (refusal.cause.code(), refusal.outcome.as_str());
-    let after =
+    let retry_after =
         refusal.retry_after.map_or_else(|| "-".to_owned(), |span| span.as_millis().to_string());
-    log::info!(target: REQUESTS, "refused request={} outcome={cause} run={outcome} come_back_ms={after}", id.0);
+    log::info!(target: REQUESTS, "refused request={} outcome={cause} run={outcome} come_back_ms={retry_after}", id.0);
 }
--- a/crates/badgerfield-node/src/gateway/poison.rs
+++ b/crates/badgerfield-node/src/gateway/poison.rs
@@ -30,7 +30,7 @@
     let head = &original.head;
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
     let address = (route.host.as_str(), path);
-    Fingerprint::of(account, head.method.as_str(), address, &headers.parts, &original.body)
+    Fingerprint::new(account, head.method.as_str(), address, &headers.parts, &original.body)
 }
 
 /// Refuses a blocked request before any tokens are reserved for it. Returns its fingerprint if it
@@ -138,7 +138,7 @@
         let id = &self.original.id;
         // While this process was stalled, the upstream may have been stopped as planned, which
         // looks the same as a crash.
-        if self.driver.clock.stood_still_since(self.last_contact()) {
+        if self.driver.clock.has_stalled_since(self.last_contact()) {
             request_log::broke(id, upstream, "not_asked", Duration::ZERO);
             return false;
         }
@@ -153,7 +153,7 @@
         request_log::broke(id, upstream, probe_result.as_str(), self.now().since(probed_at));
         match probe_result {
             ProbeResult::Refused => {
-                self.driver.feed(Event::UpstreamCrashed(crash()));
+                self.driver.handle_event(Event::UpstreamCrashed(crash()));
                 true
             }
             ProbeResult::Open(connection) => {
@@ -165,8 +165,8 @@
                 tokio::spawn(async move {
                     let has_exited =
                         connections.exits_within(&crash.upstream, address, connection, span).await;
-                    if has_exited && !driver.clock.stood_still_since(probed_at) {
-                        driver.feed(Event::UpstreamCrashed(crash));
+                    if has_exited && !driver.clock.has_stalled_since(probed_at) {
+                        driver.handle_event(Event::UpstreamCrashed(crash));
                     }
                     drop(permit);
                 });
@@ -175,7 +175,7 @@
             // A failure of the whole host refuses no connection, so the crash is recorded as
             // unconfirmed.
             ProbeResult::Unknown => {
-                self.driver.feed(Event::UpstreamCrashed(crash().unconfirmed()));
+                self.driver.handle_event(Event::UpstreamCrashed(crash().unconfirmed()));
                 false
             }
         }
@@ -199,8 +199,8 @@
         let since = self.now();
         runtime.spawn(async move {
             let has_exited = connections.exits_soon(&crash.upstream, address).await;
-            if has_exited && !driver.clock.stood_still_since(since) {
-                driver.feed(Event::UpstreamCrashed(crash));
+            if has_exited && !driver.clock.has_stalled_since(since) {
+                driver.handle_event(Event::UpstreamCrashed(crash));
             }
             drop(permit);
         });
@@ -209,7 +209,7 @@
     /// Records that the request was served completely, and so caused none of the crashes under it.
     pub(super) fn record_served(&self) {
         if self.poison_status() != PoisonStatus::Clear {
-            self.driver.feed(Event::SuspectServed(self.fingerprint()));
+            self.driver.handle_event(Event::SuspectServed(self.fingerprint()));
         }
     }
 }
